--- a/crates/job/tests/crashes.rs
+++ b/crates/job/tests/crashes.rs
@@ -338,7 +338,7 @@
 #[test]
 fn a_task_is_not_given_up_before_it_was_alone() {
     let mut planner = support::planner(1);
-    planner.take_job(7, support::spec(vec![support::step(1)]), None, false);
+    planner.add_job(7, support::spec(vec![support::step(1)]), None, false);
     for nth in 0..SHARED_CRASHES {
         let now = 2_000 * (nth as u64 + 1);
         support::add_claimed(&mut planner, &format!("w{nth}"));
@@ -353,5 +353,5 @@
     }
 
     assert_eq!(planner.suspects(), 1, "it is to be tried alone");
-    assert_eq!(planner.shown(7), Some(Shown::Pending));
+    assert_eq!(planner.job_status(7), Some(Shown::Pending));
 }
--- a/crates/job/tests/field/mod.rs
+++ b/crates/job/tests/field/mod.rs
@@ -8,11 +8,11 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
+use job::Command;
 use job::EndedTask;
 use job::JobId;
 use job::JobSpec;
 use job::Listing;
-use job::Order;
 use job::Planner;
 use job::Policy;
 use job::Progress;
@@ -139,7 +139,7 @@
         self.planner = Planner::new(Policy::default(), self.epoch, self.now, Duration::ZERO);
         for (&id, spec) in &self.jobs {
             let progress = self.stored.get(&id);
-            self.planner.take_job(id, spec.clone(), progress, true);
+            self.planner.add_job(id, spec.clone(), progress, true);
         }
         for life in self.places.iter_mut().flatten() {
             life.key = None;
@@ -170,7 +170,7 @@
 
     pub fn submit(&mut self, id: JobId, spec: JobSpec) {
         self.jobs.insert(id, spec.clone());
-        self.planner.take_job(id, spec, None, false);
+        self.planner.add_job(id, spec, None, false);
     }
 
     /// A job whose tasks take `millis` each.
@@ -244,7 +244,7 @@
     }
 
     pub fn shown(&self, id: JobId) -> Option<Shown> {
-        self.planner.shown(id)
+        self.planner.job_status(id)
     }
 
     pub fn starts_of(&self, task: TaskKey) -> usize {
@@ -315,7 +315,7 @@
         self.come_back();
         self.tell_owner();
         self.planner.plan();
-        for order in self.planner.take_orders() {
+        for order in self.planner.take_commands() {
             self.obey(&order);
         }
         self.save();
@@ -398,10 +398,10 @@
         })
     }
 
-    fn obey(&mut self, order: &Order) {
+    fn obey(&mut self, order: &Command) {
         let now = self.now;
         match *order {
-            Order::Start {
+            Command::Start {
                 worker, task, run, ..
             } => {
                 let until = self.time_of(task);
@@ -419,7 +419,7 @@
                 self.planner
                     .start_reply(worker, task, run, StartReply::Started);
             }
-            Order::Stop {
+            Command::Stop {
                 worker, task, run, ..
             } => {
                 if let Some((_, life)) = self.life_of(worker)
@@ -431,14 +431,14 @@
                         .stop_reply(worker, task, run, StopReply::Stopped);
                 }
             }
-            Order::Begin { worker } => {
+            Command::NewIncarnation { worker } => {
                 let id = self.planner.worker(worker).map(|info| info.id.clone());
                 let mut lives = self.places.iter_mut().filter_map(|lives| lives.last_mut());
                 if let Some(life) = lives.find(|life| Some(&life.id) == id.as_ref()) {
                     life.key = Some(worker);
                 }
             }
-            Order::Drop { .. } => {}
+            Command::Disconnect { .. } => {}
         }
     }
 
@@ -467,7 +467,7 @@
             self.stored.extend(jobs);
             self.planner.batch_saved(&batch);
         }
-        if self.planner.unsaved() {
+        if self.planner.has_unsaved() {
             self.saving = Some((self.now, self.planner.take_batch(60)));
         }
     }
--- a/crates/job/tests/impossible.rs
+++ b/crates/job/tests/impossible.rs
@@ -67,7 +67,7 @@
     planner.take_listing(away, Duration::ZERO, &listing(vec![], vec![]));
     plan_at(&mut planner, 10_000);
     planner.worker_over(away);
-    planner.take_job(JOB, spec(vec![labelled("b")]), None, false);
+    planner.add_job(JOB, spec(vec![labelled("b")]), None, false);
     let early = plan_at(&mut planner, 20_000);
     let told = outcomes(&mut planner);
     let back = planner.take_worker(special("w3")).expect("new worker");
@@ -88,7 +88,7 @@
     let away = add_claimed(&mut planner, "w2");
     plan_at(&mut planner, 10_000);
     planner.worker_over(away);
-    planner.take_job(JOB, spec(vec![gang(6)]), None, false);
+    planner.add_job(JOB, spec(vec![gang(6)]), None, false);
     plan_at(&mut planner, 20_000);
     let told = outcomes(&mut planner);
     add_claimed(&mut planner, "w3");
@@ -112,7 +112,7 @@
     };
     let key = recall(&mut planner, left);
     planner.take_listing(key, Duration::ZERO, &listing(vec![], vec![]));
-    planner.take_job(JOB, spec(vec![step(1)]), None, true);
+    planner.add_job(JOB, spec(vec![step(1)]), None, true);
     planner.lease_sent(key);
     plan_at(&mut planner, 3_500);
     let told = outcomes(&mut planner);
@@ -136,7 +136,7 @@
     let dead = recall(&mut planner, other);
     plan_at(&mut planner, 100);
     planner.worker_over(dead);
-    planner.take_job(JOB, spec(vec![gang(6)]), None, false);
+    planner.add_job(JOB, spec(vec![gang(6)]), None, false);
 
     plan_at(&mut planner, 10_000);
 
@@ -152,7 +152,7 @@
     plan_at(&mut planner, 2_900);
     let second = planner.take_worker(worker("w2")).expect("new worker");
     planner.take_listing(second, Duration::ZERO, &listing(vec![], vec![]));
-    planner.take_job(JOB, spec(vec![gang(12)]), None, false);
+    planner.add_job(JOB, spec(vec![gang(12)]), None, false);
     plan_at(&mut planner, 3_200);
     let told = outcomes(&mut planner);
     add_claimed(&mut planner, "w3");
@@ -175,7 +175,7 @@
         plan_at(&mut planner, 10);
         planner.worker_over(gone);
         plan_at(&mut planner, 9_000);
-        planner.take_job(JOB, spec(vec![poison]), None, false);
+        planner.add_job(JOB, spec(vec![poison]), None, false);
 
         plan_at(&mut planner, 9_010);
 
@@ -195,7 +195,7 @@
     add_claimed(&mut planner, "w2");
     plan_at(&mut planner, 20);
     planner.worker_over(first);
-    planner.take_job(JOB, spec(vec![gang(6)]), None, false);
+    planner.add_job(JOB, spec(vec![gang(6)]), None, false);
 
     plan_at(&mut planner, 9_000);
 
--- a/crates/job/tests/late_ends.rs
+++ b/crates/job/tests/late_ends.rs
@@ -11,8 +11,8 @@
 
 use std::time::Duration;
 
+use job::Command;
 use job::Listing;
-use job::Order;
 use job::Planner;
 use job::RunEnd;
 use job::RunId;
@@ -45,7 +45,7 @@
 fn one_run() -> (Planner, WorkerKey, TaskKey, RunId) {
     let mut planner = planner(1);
     let first = add_claimed(&mut planner, "w1");
-    planner.take_job(JOB, spec(vec![step(1)]), None, false);
+    planner.add_job(JOB, spec(vec![step(1)]), None, false);
     let (task, run, _) = plan_at(&mut planner, 1)[0];
     planner.start_reply(first, task, run, StartReply::Started);
     (planner, first, task, run)
@@ -68,7 +68,7 @@
 
     assert_eq!(plan_at(&mut planner, LAPSED + 20), []);
     save(&mut planner);
-    assert_eq!(planner.shown(JOB), Some(Shown::Completed));
+    assert_eq!(planner.job_status(JOB), Some(Shown::Completed));
 }
 
 /// Guards against work that goes on elsewhere after it is known to be done.
@@ -87,12 +87,12 @@
     let done = listing(vec![], vec![ended(1, task, run, RunEnd::Done)]);
     list(&mut planner, first, LAPSED + 10, &done);
 
-    let stopped = planner.take_orders().into_iter().any(|order| {
-        matches!(order, Order::Stop { worker, run, .. } if worker == second && run == again)
+    let stopped = planner.take_commands().into_iter().any(|order| {
+        matches!(order, Command::Stop { worker, run, .. } if worker == second && run == again)
     });
     assert!(stopped, "the second run goes on");
     save(&mut planner);
-    assert_eq!(planner.shown(JOB), Some(Shown::Completed));
+    assert_eq!(planner.job_status(JOB), Some(Shown::Completed));
 }
 
 /// Guards against a task that starts again while the answer that tells of its end is
--- a/crates/job/tests/late_starts.rs
+++ b/crates/job/tests/late_starts.rs
@@ -6,9 +6,9 @@
 
 use std::time::Duration;
 
+use job::Command;
 use job::JobSpec;
 use job::Listing;
-use job::Order;
 use job::Planner;
 use job::Room;
 use job::RunEnd;
@@ -47,9 +47,9 @@
 
 /// Stops among the orders.
 fn stops(planner: &mut Planner) -> Vec<Sent> {
-    let orders = planner.take_orders();
+    let orders = planner.take_commands();
     let stops = orders.into_iter().filter_map(|order| match order {
-        Order::Stop {
+        Command::Stop {
             worker, task, run, ..
         } => Some((worker, task, run)),
         _ => None,
@@ -60,7 +60,7 @@
 /// Starts the only task of the job on a worker of its own; no answer comes.
 fn unanswered_start(planner: &mut Planner) -> Sent {
     add_claimed(planner, "w1");
-    planner.take_job(JOB, spec(vec![step(1)]), None, false);
+    planner.add_job(JOB, spec(vec![step(1)]), None, false);
     let starts = plan_at(planner, 1);
     let (task, run, key) = starts[0];
     planner.start_reply(key, task, run, StartReply::Unknown);
@@ -69,7 +69,7 @@
 
 /// Cancels the job.
 fn cancel(planner: &mut Planner) {
-    planner.take_job(JOB, canceled(vec![step(1)]), None, false);
+    planner.add_job(JOB, canceled(vec![step(1)]), None, false);
 }
 
 /// Lists one run at a time in milliseconds.
@@ -99,7 +99,7 @@
     planner.take_listing(key, Duration::from_millis(at + 20), &over);
     assert_eq!(stops(planner), vec![]);
     assert_eq!(planner.load().placed, 0);
-    assert_eq!(planner.load().used, Room::default());
+    assert_eq!(planner.load().booked, Room::default());
 }
 
 /// Symptom: a task of a cancelled job ran on. Sequence: its start gets no
@@ -121,7 +121,7 @@
 fn a_cancel_before_the_answer_to_the_start_stops_it() {
     let mut planner = planner(1);
     add_claimed(&mut planner, "w1");
-    planner.take_job(JOB, spec(vec![step(1)]), None, false);
+    planner.add_job(JOB, spec(vec![step(1)]), None, false);
     let (task, run, key) = plan_at(&mut planner, 1)[0];
     let sent = (key, task, run);
 
@@ -187,7 +187,7 @@
     let sent = unanswered_start(&mut planner);
     cancel(&mut planner);
     plan_at(&mut planner, LAPSED);
-    planner.forget(&[JOB]);
+    planner.remove_jobs(&[JOB]);
 
     list(&mut planner, LAPSED + 100, sent);
 
@@ -201,7 +201,7 @@
 fn a_successor_stops_what_its_predecessor_started_late() {
     let mut planner = planner(2);
     let key = add(&mut planner, "w1");
-    planner.take_job(JOB, canceled(vec![step(1)]), None, true);
+    planner.add_job(JOB, canceled(vec![step(1)]), None, true);
     let sent = (key, task(JOB, 0, 0), 1);
 
     list(&mut planner, 100, sent);
@@ -217,7 +217,7 @@
     for at in [100, LAPSED] {
         let mut planner = planner(2);
         let key = add(&mut planner, "w1");
-        planner.take_job(JOB, spec(vec![step(1)]), None, true);
+        planner.add_job(JOB, spec(vec![step(1)]), None, true);
         plan_at(&mut planner, at);
         let sent = (key, task(JOB, 0, 0), 1);
         list(&mut planner, at + 10, sent);
@@ -238,7 +238,7 @@
     let sent = (key, task(JOB, 0, 0), 1);
     list(&mut planner, 100, sent);
 
-    planner.take_job(JOB, canceled(vec![step(1)]), None, false);
+    planner.add_job(JOB, canceled(vec![step(1)]), None, false);
 
     assert_eq!(stops(&mut planner), vec![sent], "once");
     assert_stopped_until_confirmed(&mut planner, 200, sent);
@@ -253,7 +253,7 @@
 fn a_stop_beside_another_booked_run_is_repeated() {
     let mut planner = planner(2);
     let key = add_claimed(&mut planner, "w1");
-    planner.take_job(JOB, spec(vec![step(1)]), None, true);
+    planner.add_job(JOB, spec(vec![step(1)]), None, true);
     let (task, booked, _) = plan_at(&mut planner, 10)[0];
     let other = (key, task, 1);
     list(&mut planner, 20, other);
@@ -286,7 +286,7 @@
     planner.take_listing(key, Duration::from_millis(10), &listing(vec![], ends));
     planner.advance(Duration::from_secs(3));
 
-    planner.take_job(JOB + 1, spec(vec![step(1)]), None, false);
+    planner.add_job(JOB + 1, spec(vec![step(1)]), None, false);
 
     assert_eq!(stopped, vec![(key, task, 1), (key, task, 2)]);
     assert_eq!(plan_at(&mut planner, 3_010).len(), 1);
@@ -304,14 +304,14 @@
     let mut gang = step(2);
     gang.gang = true;
     gang.need = room(4000, 1000);
-    planner.take_job(JOB, spec(vec![gang.clone()]), None, false);
+    planner.add_job(JOB, spec(vec![gang.clone()]), None, false);
     let starts = plan_at(&mut planner, 1);
     let (late, run, slow) = starts[0];
     planner.start_reply(slow, late, run, StartReply::Unknown);
     let (other, _, fast) = starts[1];
     planner.start_reply(fast, other, run, StartReply::Started);
 
-    planner.take_job(JOB, canceled(vec![gang]), None, false);
+    planner.add_job(JOB, canceled(vec![gang]), None, false);
 
     let mut stopped = stops(&mut planner);
     stopped.sort_unstable();
@@ -334,7 +334,7 @@
     let mut gang = step(2);
     gang.gang = true;
     gang.need = room(4000, 1000);
-    planner.take_job(JOB, spec(vec![gang.clone()]), None, false);
+    planner.add_job(JOB, spec(vec![gang.clone()]), None, false);
     let starts = plan_at(&mut planner, 1);
     let (late, run, slow) = starts[0];
     planner.start_reply(slow, late, run, StartReply::Unknown);
@@ -342,7 +342,7 @@
     planner.start_reply(fast, other, run, StartReply::Refused);
     assert_eq!(stops(&mut planner), vec![(slow, late, run)]);
 
-    planner.take_job(JOB, canceled(vec![gang]), None, false);
+    planner.add_job(JOB, canceled(vec![gang]), None, false);
 
     assert_stopped_until_confirmed(&mut planner, 2_500, (slow, late, run));
 }
@@ -361,7 +361,7 @@
     let at = Duration::from_secs(2);
     planner.advance(at);
     planner.take_listing(key, at, &Listing::default());
-    let held = planner.load().used;
+    let held = planner.load().booked;
     planner.stop_reply(key, task, run, StopReply::Stopped);
     let later = Duration::from_millis(2_100);
     planner.advance(later);
@@ -369,7 +369,7 @@
     planner.take_listing(key, later, &Listing::default());
 
     assert_eq!(held, room(1000, 1000), "the start may still come");
-    assert_eq!(planner.load().used, Room::default());
+    assert_eq!(planner.load().booked, Room::default());
     planner.stop_reply(key, task, run, StopReply::Unknown);
     assert_eq!(stops(&mut planner), vec![], "the run is over");
 }
--- a/crates/job/tests/learning.rs
+++ b/crates/job/tests/learning.rs
@@ -73,20 +73,20 @@
     add_claimed(&mut planner, "w1");
     let (mut at, mut numbers) = (0, 0);
     for id in 1..=30 {
-        planner.take_job(id, gang(2, 500), None, false);
+        planner.add_job(id, gang(2, 500), None, false);
         let runs = start_all(&mut planner, at + 10);
         end_all(&mut planner, &runs, at + 5_010, &mut numbers);
         at += 5_010;
     }
     // Wanted within 11 s, by what the queue takes; within 2 s, as declared.
-    planner.take_job(80, gang(2, 500), None, false);
-    planner.take_job(81, gang(2, 500), None, false);
+    planner.add_job(80, gang(2, 500), None, false);
+    planner.add_job(81, gang(2, 500), None, false);
     let blocking = start_all(&mut planner, at + 10);
-    planner.take_job(OLDEST, gang(2, 500), None, false);
+    planner.add_job(OLDEST, gang(2, 500), None, false);
     planner.advance(Duration::from_millis(at + 100));
-    planner.take_job(WAITING, gang(2, 500), None, false);
+    planner.add_job(WAITING, gang(2, 500), None, false);
     planner.advance(Duration::from_millis(at + 4_000));
-    planner.take_job(LATER, gang(2, 500), None, false);
+    planner.add_job(LATER, gang(2, 500), None, false);
 
     end_all(&mut planner, &blocking, at + 5_000, &mut numbers);
     let starts = start_all(&mut planner, at + 5_010);
@@ -108,7 +108,7 @@
         each: Duration::from_millis(10),
         valid: Duration::from_millis(1500),
     });
-    planner.take_job(1, job, None, false);
+    planner.add_job(1, job, None, false);
 
     let timing = planner.timing(1).expect("the job");
 
@@ -130,7 +130,7 @@
     }
     let (mut at, mut numbers) = (0, 0);
     for id in 1..=8 {
-        planner.take_job(id, spec(vec![step(16)]), None, false);
+        planner.add_job(id, spec(vec![step(16)]), None, false);
         let runs = start_all(&mut planner, at + 10);
         let (late, early): (Vec<_>, Vec<_>) =
             runs.into_iter().partition(|(.., worker)| *worker == slow);
@@ -138,7 +138,7 @@
         end_all(&mut planner, &late, at + 1_310, &mut numbers);
         at += 1_310;
     }
-    planner.take_job(GANG, gang(12, 1_000), None, false);
+    planner.add_job(GANG, gang(12, 1_000), None, false);
 
     let starts = start_all(&mut planner, at + 10);
 
--- a/crates/job/tests/life_leases.rs
+++ b/crates/job/tests/life_leases.rs
@@ -34,7 +34,7 @@
 fn with_fresh_start(planner: &mut Planner) -> (WorkerKey, TaskKey, RunId) {
     let key = with_history(planner);
     tell(planner, key, 9990, &nothing(FIRST));
-    planner.take_job(JOB, spec(vec![step(1)]), None, false);
+    planner.add_job(JOB, spec(vec![step(1)]), None, false);
     let (task, run, _) = plan_at(planner, 10_000)[0];
     planner.advance(at(10_002));
     planner.start_reply(key, task, run, StartReply::Started);
@@ -47,7 +47,7 @@
 fn with_unanswered_start(planner: &mut Planner, count: u32) -> (WorkerKey, TaskKey, RunId) {
     let key = with_history(planner);
     tell(planner, key, 9990, &nothing(FIRST));
-    planner.take_job(JOB, spec(vec![step(count)]), None, false);
+    planner.add_job(JOB, spec(vec![step(count)]), None, false);
     let starts = plan_at(planner, 10_000);
     let (last, confirmed) = starts.split_last().expect("starts");
     planner.advance(at(10_002));
@@ -129,7 +129,7 @@
 fn what_a_claim_finds_is_waited_for_by_the_longest_lease() {
     let mut planner = planner(2);
     let old = Progress::default();
-    planner.take_job(JOB, spec(vec![step(1)]), Some(&old), true);
+    planner.add_job(JOB, spec(vec![step(1)]), Some(&old), true);
     let key = planner.recall_worker(info(FIRST)).expect("recalled");
     planner.take_worker(info(FIRST));
     let run = listing(vec![running(task(JOB, 0, 0), 3)], Vec::new());
@@ -150,7 +150,7 @@
 fn a_successor_waits_for_a_silent_worker_by_the_longest_lease() {
     let mut planner = planner(2);
     let old = Progress::default();
-    planner.take_job(JOB, spec(vec![step(1)]), Some(&old), true);
+    planner.add_job(JOB, spec(vec![step(1)]), Some(&old), true);
     planner.recall_worker(info(FIRST)).expect("recalled");
     let other = planner.recall_worker(worker("w2")).expect("recalled");
     planner.take_worker(worker("w2"));
@@ -188,7 +188,7 @@
     let mut planner = planner(1);
     let key = planner.take_worker(worker("w1")).expect("new worker");
     tell(&mut planner, key, 1, &Listing::default());
-    planner.take_job(JOB, spec(vec![step(1)]), None, false);
+    planner.add_job(JOB, spec(vec![step(1)]), None, false);
     let (task, run, _) = plan_at(&mut planner, 10)[0];
     planner.advance(at(260));
     planner.start_reply(key, task, run, StartReply::Unknown);
--- a/crates/job/tests/lives.rs
+++ b/crates/job/tests/lives.rs
@@ -45,7 +45,7 @@
     let mut planner = planner(1);
     let key = with_history(&mut planner);
     let next = claim_next(&mut planner, key, 100);
-    planner.take_job(JOB, spec(vec![step(1)]), None, false);
+    planner.add_job(JOB, spec(vec![step(1)]), None, false);
     let (task, run, there) = plan_at(&mut planner, 110)[0];
 
     let ends = listing(Vec::new(), vec![ended(1, task, run, RunEnd::Done)]);
@@ -56,7 +56,7 @@
     let batch = planner.take_batch(10);
     assert_eq!(batch.ends, vec![(next, 1)]);
     planner.batch_saved(&batch);
-    assert_eq!(planner.shown(JOB), Some(Shown::Completed));
+    assert_eq!(planner.job_status(JOB), Some(Shown::Completed));
 }
 
 /// Guards against failed runs that count as no attempt since the worker has started again.
@@ -64,7 +64,7 @@
 fn failed_runs_count_over_the_lives_of_their_worker() {
     let mut planner = planner(1);
     let mut key = with_history(&mut planner);
-    planner.take_job(JOB, spec(vec![step(1)]), None, false);
+    planner.add_job(JOB, spec(vec![step(1)]), None, false);
     let mut now = 10;
 
     for life in 1..=2 {
@@ -79,7 +79,7 @@
 
     assert_eq!(planner.unfinished(), 0);
     save(&mut planner);
-    assert_eq!(planner.shown(JOB), Some(Shown::Failed));
+    assert_eq!(planner.job_status(JOB), Some(Shown::Failed));
 }
 
 /// Guards against a registration that is read late, or whose clock went back, and ends the
@@ -104,7 +104,7 @@
 fn a_worker_that_has_registered_as_another_life_gets_no_work_until_it_answers() {
     let mut planner = planner(1);
     let key = with_history(&mut planner);
-    planner.take_job(JOB, spec(vec![step(1)]), None, false);
+    planner.add_job(JOB, spec(vec![step(1)]), None, false);
 
     planner.advance(at(100));
     planner.take_worker(info(NEXT));
@@ -177,7 +177,7 @@
 fn an_unconfirmed_start_waits_until_the_new_life_has_refused_it() {
     let mut planner = planner(1);
     let key = with_history(&mut planner);
-    planner.take_job(JOB, spec(vec![step(1)]), None, false);
+    planner.add_job(JOB, spec(vec![step(1)]), None, false);
     let (task, run, _) = plan_at(&mut planner, 10)[0];
     planner.start_reply(key, task, run, StartReply::Unknown);
 
@@ -243,7 +243,7 @@
 fn a_life_that_has_not_registered_gets_no_work() {
     let mut planner = planner(1);
     let key = with_history(&mut planner);
-    planner.take_job(JOB, spec(vec![step(6)]), None, false);
+    planner.add_job(JOB, spec(vec![step(6)]), None, false);
 
     tell(&mut planner, key, 100, &nothing(NEXT));
     let next = begun(&mut planner).expect("a next life");
@@ -277,7 +277,7 @@
     tell(&mut planner, other, 30, &Listing::default());
     let mut wide = step(1);
     wide.need = room(2000, 1000);
-    planner.take_job(JOB, spec(vec![wide]), None, false);
+    planner.add_job(JOB, spec(vec![wide]), None, false);
     plan_at(&mut planner, 100);
 
     plan_at(&mut planner, 5000);
@@ -387,7 +387,7 @@
 fn each_life_that_ends_under_a_task_counts_as_one_crash() {
     let mut planner = planner(1);
     let mut key = with_history(&mut planner);
-    planner.take_job(JOB, spec(vec![step(1)]), None, false);
+    planner.add_job(JOB, spec(vec![step(1)]), None, false);
     let mut starts = 0;
     for life in 1..=10_u64 {
         let now = 2000 * life;
@@ -405,7 +405,7 @@
     plan_saved(&mut planner, 30_000);
     save(&mut planner);
 
-    assert_eq!(planner.shown(JOB), Some(Shown::Failed));
+    assert_eq!(planner.job_status(JOB), Some(Shown::Failed));
     assert!((3..=5).contains(&starts), "{starts} starts");
 }
 
@@ -414,7 +414,7 @@
 fn a_successor_learns_that_the_life_it_was_left_is_over() {
     let mut planner = planner(2);
     let old = Progress::default();
-    planner.take_job(JOB, spec(vec![step(1)]), Some(&old), true);
+    planner.add_job(JOB, spec(vec![step(1)]), Some(&old), true);
     let key = planner.recall_worker(info(FIRST)).expect("recalled");
     let before = plan_at(&mut planner, 10);
 
@@ -441,18 +441,20 @@
         each: at(1),
         valid: at(1500),
     });
-    planner.take_job(JOB, job, None, false);
+    planner.add_job(JOB, job, None, false);
     plan_at(&mut planner, 10);
-    let ask = planner.next_ask(FreeHelpers::Most).expect("a call");
+    let ask = planner
+        .next_advice_request(FreeHelpers::Most)
+        .expect("a call");
 
     claim_next(&mut planner, key, 20);
     let ticket = Ticket {
         worker: "w1".to_owned(),
         text: "of the first life".to_owned(),
     };
-    planner.take_advice(ask.step, &ask.workers, &[ticket], at(2000));
+    planner.handle_advice(ask.step, &ask.workers, &[ticket], at(2000));
     let starts = plan_at(&mut planner, 100);
-    let again = planner.next_ask(FreeHelpers::Most);
+    let again = planner.next_advice_request(FreeHelpers::Most);
 
     assert_eq!(starts, vec![]);
     assert_eq!(again.map(|ask| ask.workers), Some(vec!["w1".to_owned()]));
--- a/crates/job/tests/load.rs
+++ b/crates/job/tests/load.rs
@@ -18,7 +18,7 @@
 fn a_run_counts_as_running_once_it_is_confirmed() {
     let mut planner = planner(1);
     let key = add_claimed(&mut planner, "w1");
-    planner.take_job(JOB, spec(vec![step(4)]), None, false);
+    planner.add_job(JOB, spec(vec![step(4)]), None, false);
     plan_at(&mut planner, 10);
     let ordered = planner.load().running;
     planner.start_reply(key, task(JOB, 0, 0), 1, StartReply::Started);
@@ -27,5 +27,5 @@
     let load = planner.load();
 
     assert_eq!((ordered, load.running), (0, 1));
-    assert_eq!(load.used.cpu, 4000, "room is held all the same");
+    assert_eq!(load.booked.cpu, 4000, "room is held all the same");
 }
--- a/crates/job/tests/planner.rs
+++ b/crates/job/tests/planner.rs
@@ -27,7 +27,7 @@
 fn a_worker_is_never_booked_over_its_capacity() {
     let mut planner = planner(1);
     add_claimed(&mut planner, "w1");
-    planner.take_job(JOB, spec(vec![step(6)]), None, false);
+    planner.add_job(JOB, spec(vec![step(6)]), None, false);
 
     let starts = plan_at(&mut planner, 10);
 
@@ -40,7 +40,7 @@
     add_claimed(&mut planner, "w1");
     let mut gang = step(6);
     gang.gang = true;
-    planner.take_job(JOB, spec(vec![gang]), None, false);
+    planner.add_job(JOB, spec(vec![gang]), None, false);
     let alone = plan_at(&mut planner, 10);
     add_claimed(&mut planner, "w2");
 
@@ -57,7 +57,7 @@
     let key = add_claimed(&mut planner, "w1");
     let mut second = step(1);
     second.after = vec![0];
-    planner.take_job(JOB, spec(vec![step(2), second]), None, false);
+    planner.add_job(JOB, spec(vec![step(2), second]), None, false);
     plan_at(&mut planner, 10);
     let one = listing(
         vec![running(task(JOB, 0, 1), 1)],
@@ -84,7 +84,7 @@
     let mut planner = planner(2);
     let first = add(&mut planner, "w1");
     let second = add(&mut planner, "w2");
-    planner.take_job(JOB, spec(vec![step(1)]), None, true);
+    planner.add_job(JOB, spec(vec![step(1)]), None, true);
     let newest = listing(vec![], vec![ended(1, task(JOB, 0, 0), 2, RunEnd::Failed)]);
     planner.take_listing(second, Duration::ZERO, &newest);
     let oldest = listing(vec![], vec![ended(1, task(JOB, 0, 0), 1, RunEnd::Failed)]);
@@ -95,7 +95,7 @@
     assert!(starts.is_empty(), "two attempts were allowed");
     let batch = planner.take_batch(10);
     planner.batch_saved(&batch);
-    assert_eq!(planner.shown(JOB), Some(Shown::Failed));
+    assert_eq!(planner.job_status(JOB), Some(Shown::Failed));
 }
 
 /// Symptom: tasks of a worker that died silently never ran again. Sequence:
@@ -105,7 +105,7 @@
 fn a_silent_workers_tasks_run_elsewhere_after_its_lease() {
     let mut planner = planner(1);
     let silent = add_claimed(&mut planner, "w1");
-    planner.take_job(JOB, spec(vec![step(1)]), None, false);
+    planner.add_job(JOB, spec(vec![step(1)]), None, false);
     plan_at(&mut planner, 10_000);
     planner.start_reply(silent, task(JOB, 0, 0), 1, StartReply::Started);
     planner.worker_silent(silent);
@@ -123,7 +123,7 @@
 fn an_end_from_before_the_lease_was_over_does_not_stand_after_it() {
     let mut planner = planner(1);
     let cut = add_claimed(&mut planner, "w1");
-    planner.take_job(JOB, spec(vec![step(1)]), None, false);
+    planner.add_job(JOB, spec(vec![step(1)]), None, false);
     plan_at(&mut planner, 10_000);
     planner.worker_silent(cut);
     add_claimed(&mut planner, "w2");
@@ -132,15 +132,19 @@
 
     planner.take_listing(cut, Duration::from_secs(15), &late);
 
-    assert_eq!(planner.shown(JOB), Some(Shown::Active), "run 2 decides");
+    assert_eq!(
+        planner.job_status(JOB),
+        Some(Shown::Active),
+        "run 2 decides"
+    );
 }
 
 #[test]
 fn an_end_is_recorded_only_with_the_progress_that_holds_it() {
     let mut planner = planner(1);
     let key = add_claimed(&mut planner, "w1");
-    planner.take_job(JOB, spec(vec![step(1)]), None, false);
-    planner.take_job(JOB + 1, spec(vec![step(1)]), None, false);
+    planner.add_job(JOB, spec(vec![step(1)]), None, false);
+    planner.add_job(JOB + 1, spec(vec![step(1)]), None, false);
     plan_at(&mut planner, 10);
     let ends = vec![
         ended(1, task(JOB, 0, 0), 1, RunEnd::Done),
@@ -154,7 +158,11 @@
     assert!(first.ends.is_empty(), "a job is left out");
     assert_eq!(second.ends, vec![(key, 2)]);
     assert_eq!(second.jobs[0].1.outcome, Some(Outcome::Completed));
-    assert_eq!(planner.shown(JOB), Some(Shown::Active), "not saved yet");
+    assert_eq!(
+        planner.job_status(JOB),
+        Some(Shown::Active),
+        "not saved yet"
+    );
 }
 
 #[test]
@@ -163,7 +171,7 @@
     add_claimed(&mut planner, "w1");
     let mut large = step(1);
     large.need = room(5000, 1);
-    planner.take_job(JOB, spec(vec![large]), None, false);
+    planner.add_job(JOB, spec(vec![large]), None, false);
     plan_at(&mut planner, 3_500);
 
     let batch = planner.take_batch(10);
@@ -178,7 +186,7 @@
     let mut leaving = worker("w1");
     leaving.draining = true;
     planner.take_worker(leaving);
-    planner.take_job(JOB, spec(vec![step(1)]), None, false);
+    planner.add_job(JOB, spec(vec![step(1)]), None, false);
 
     assert!(plan_at(&mut planner, 10).is_empty());
 }
@@ -187,7 +195,7 @@
 fn a_start_without_answer_keeps_its_room_until_it_was_stopped() {
     let mut planner = planner(1);
     let key = add_claimed(&mut planner, "w1");
-    planner.take_job(JOB, spec(vec![step(4)]), None, false);
+    planner.add_job(JOB, spec(vec![step(4)]), None, false);
     plan_at(&mut planner, 10);
     for index in 0..4 {
         planner.start_reply(key, task(JOB, 0, index), 1, StartReply::Unknown);
@@ -215,7 +223,7 @@
 fn a_task_that_stands_still_is_moved() {
     let mut planner = planner(1);
     let stuck = add_claimed(&mut planner, "w1");
-    planner.take_job(JOB, spec(vec![step(1)]), None, false);
+    planner.add_job(JOB, spec(vec![step(1)]), None, false);
     plan_at(&mut planner, 10_000);
     planner.start_reply(stuck, task(JOB, 0, 0), 1, StartReply::Started);
     add_claimed(&mut planner, "w2");
@@ -240,38 +248,38 @@
     let mut planner = planner(1);
     let mut canceled = spec(vec![step(1)]);
     canceled.canceled = true;
-    planner.take_job(JOB, canceled, None, false);
-    let unsaved = planner.expired(Duration::ZERO, 10);
+    planner.add_job(JOB, canceled, None, false);
+    let unsaved = planner.expired_jobs(Duration::ZERO, 10);
     let batch = planner.take_batch(10);
     planner.batch_saved(&batch);
-    let early = planner.expired(Duration::from_mins(1), 10);
+    let early = planner.expired_jobs(Duration::from_mins(1), 10);
     planner.advance(Duration::from_secs(61));
 
-    let late = planner.expired(Duration::from_mins(1), 10);
+    let late = planner.expired_jobs(Duration::from_mins(1), 10);
 
     assert!(unsaved.is_empty(), "its end was not recorded yet");
     assert!(early.is_empty());
     assert_eq!(late, vec![JOB]);
-    planner.forget(&late);
-    assert_eq!(planner.shown(JOB), None);
+    planner.remove_jobs(&late);
+    assert_eq!(planner.job_status(JOB), None);
 }
 
 #[test]
 fn a_run_that_is_stopping_holds_its_room_until_its_end_is_listed() {
     let mut planner = planner(1);
     let key = add_claimed(&mut planner, "w1");
-    planner.take_job(JOB, spec(vec![step(4)]), None, false);
+    planner.add_job(JOB, spec(vec![step(4)]), None, false);
     plan_at(&mut planner, 10_000);
     for index in 0..4 {
         planner.start_reply(key, task(JOB, 0, index), 1, StartReply::Started);
     }
     let mut canceled = spec(vec![step(4)]);
     canceled.canceled = true;
-    planner.take_job(JOB, canceled, None, false);
+    planner.add_job(JOB, canceled, None, false);
     for index in 0..4 {
         planner.stop_reply(key, task(JOB, 0, index), 1, job::StopReply::Stopped);
     }
-    planner.take_job(JOB + 1, spec(vec![step(4)]), None, false);
+    planner.add_job(JOB + 1, spec(vec![step(4)]), None, false);
     planner.advance(Duration::from_millis(10_100));
     let stopping = (0..4).map(|index| running(task(JOB, 0, index), 1));
     let stopping = listing(stopping.collect(), vec![]);
@@ -296,8 +304,8 @@
 fn a_listing_asked_for_before_a_start_was_confirmed_does_not_end_it() {
     let mut planner = planner(1);
     let key = add_claimed(&mut planner, "w1");
-    planner.take_job(JOB, spec(vec![step(4)]), None, false);
-    planner.take_job(JOB + 1, spec(vec![step(1)]), None, false);
+    planner.add_job(JOB, spec(vec![step(4)]), None, false);
+    planner.add_job(JOB + 1, spec(vec![step(1)]), None, false);
     plan_at(&mut planner, 10_000);
     planner.advance(Duration::from_millis(10_010));
     for index in 0..4 {
@@ -321,17 +329,17 @@
 fn a_late_gang_is_not_starved_by_less_urgent_tasks() {
     let mut planner = planner(1);
     let key = add_claimed(&mut planner, "w1");
-    planner.take_job(JOB, spec(vec![step(4)]), None, false);
+    planner.add_job(JOB, spec(vec![step(4)]), None, false);
     plan_at(&mut planner, 10_000);
     let mut gang = step(4);
     gang.gang = true;
-    planner.take_job(JOB + 1, spec(vec![gang]), None, false);
+    planner.add_job(JOB + 1, spec(vec![gang]), None, false);
     // Its objective of 3 s passes.
     planner.advance(Duration::from_secs(14));
     for nth in 0..4 {
         let mut small = spec(vec![step(1)]);
         small.queue.priority = 2;
-        planner.take_job(JOB + 2 + nth, small, None, false);
+        planner.add_job(JOB + 2 + nth, small, None, false);
     }
     let mut early = Vec::new();
     for nth in 0..4_u32 {
--- a/crates/job/tests/preempt.rs
+++ b/crates/job/tests/preempt.rs
@@ -4,8 +4,8 @@
 
 use std::time::Duration;
 
+use job::Command;
 use job::JobSpec;
-use job::Order;
 use job::Planner;
 use job::RunEnd;
 use job::RunId;
@@ -58,17 +58,17 @@
     planner.plan();
     let mut starts = 0;
     let mut stops = Vec::new();
-    for order in planner.take_orders() {
+    for order in planner.take_commands() {
         match order {
-            Order::Start { .. } => starts += 1,
-            Order::Stop {
+            Command::Start { .. } => starts += 1,
+            Command::Stop {
                 task, run, reason, ..
             } => {
                 let gang = reason.gang().expect("preempted for a gang");
                 assert!(gang.job >= GANG, "{gang:?}");
                 stops.push((task, run));
             }
-            Order::Drop { .. } | Order::Begin { .. } => {}
+            Command::Disconnect { .. } | Command::NewIncarnation { .. } => {}
         }
     }
     (starts, stops)
@@ -82,9 +82,9 @@
 #[test]
 fn a_gang_takes_the_room_of_tasks_that_can_go_on_later() {
     let mut planner = planner(1);
-    planner.take_job(LOOKUP, patient(saving(4)), None, false);
+    planner.add_job(LOOKUP, patient(saving(4)), None, false);
     let key = busy_worker(&mut planner, "w1", 10);
-    planner.take_job(GANG, gang(3), None, false);
+    planner.add_job(GANG, gang(3), None, false);
     let (early, stops) = orders_at(&mut planner, 20);
     let (again, more) = orders_at(&mut planner, 30);
     let mut ends = Vec::new();
@@ -113,9 +113,9 @@
 #[test]
 fn a_preempted_task_goes_on_from_its_checkpoint() {
     let mut planner = planner(1);
-    planner.take_job(LOOKUP, patient(saving(4)), None, false);
+    planner.add_job(LOOKUP, patient(saving(4)), None, false);
     let key = busy_worker(&mut planner, "w1", 10);
-    planner.take_job(GANG, gang(4), None, false);
+    planner.add_job(GANG, gang(4), None, false);
     let (_, stops) = orders_at(&mut planner, 20);
     let mut ends = Vec::new();
     for (number, &(task, run)) in (1..).zip(&stops) {
@@ -129,11 +129,11 @@
     planner.advance(Duration::from_millis(320));
     planner.plan();
 
-    let resumed = planner.take_orders();
+    let resumed = planner.take_commands();
 
     assert_eq!(resumed.len(), 4);
     for order in resumed {
-        let Order::Start {
+        let Command::Start {
             task, checkpoint, ..
         } = order
         else {
@@ -146,9 +146,9 @@
 #[test]
 fn tasks_that_would_lose_their_work_are_not_preempted() {
     let mut planner = planner(1);
-    planner.take_job(LOOKUP, patient(step(4)), None, false);
+    planner.add_job(LOOKUP, patient(step(4)), None, false);
     busy_worker(&mut planner, "w1", 10);
-    planner.take_job(GANG, gang(3), None, false);
+    planner.add_job(GANG, gang(3), None, false);
 
     let (_, stops) = orders_at(&mut planner, 20);
 
@@ -160,9 +160,9 @@
     let mut planner = planner(1);
     let mut equal = patient(saving(4));
     equal.queue.priority = 1;
-    planner.take_job(LOOKUP, equal, None, false);
+    planner.add_job(LOOKUP, equal, None, false);
     busy_worker(&mut planner, "w1", 10);
-    planner.take_job(GANG, gang(3), None, false);
+    planner.add_job(GANG, gang(3), None, false);
 
     let (_, stops) = orders_at(&mut planner, 20);
 
@@ -175,9 +175,9 @@
     let mut planner = planner(1);
     let mut tight = patient(saving(4));
     tight.queue.slack = Duration::ZERO;
-    planner.take_job(LOOKUP, tight, None, false);
+    planner.add_job(LOOKUP, tight, None, false);
     busy_worker(&mut planner, "w1", 10);
-    planner.take_job(GANG, gang(3), None, false);
+    planner.add_job(GANG, gang(3), None, false);
 
     let (_, stops) = orders_at(&mut planner, 20);
 
@@ -187,13 +187,13 @@
 #[test]
 fn nothing_is_stopped_for_a_gang_that_would_not_fit_all_the_same() {
     let mut planner = planner(1);
-    planner.take_job(LOOKUP, patient(saving(4)), None, false);
+    planner.add_job(LOOKUP, patient(saving(4)), None, false);
     busy_worker(&mut planner, "w1", 10);
-    planner.take_job(GANG, gang(5), None, false);
+    planner.add_job(GANG, gang(5), None, false);
     add_claimed(&mut planner, "w2");
     let mut other = patient(step(4));
     other.queue.priority = 0;
-    planner.take_job(LOOKUP + 2, other, None, false);
+    planner.add_job(LOOKUP + 2, other, None, false);
 
     let (_, stops) = orders_at(&mut planner, 20);
 
@@ -206,14 +206,14 @@
 #[test]
 fn a_task_is_preempted_twice_at_most() {
     let mut planner = planner(1);
-    planner.take_job(LOOKUP, patient(saving(4)), None, false);
+    planner.add_job(LOOKUP, patient(saving(4)), None, false);
     let key = busy_worker(&mut planner, "w1", 10);
     let mut preempted = Vec::new();
     let mut number = 0;
     for round in 0..3_u64 {
         let gang_id = GANG + round;
         let begin = 1_000 * (round + 1);
-        planner.take_job(gang_id, gang(4), None, false);
+        planner.add_job(gang_id, gang(4), None, false);
         let (_, stops) = orders_at(&mut planner, begin);
         preempted.push(stops.len());
         let mut ends = Vec::new();
--- a/crates/job/tests/recovery.rs
+++ b/crates/job/tests/recovery.rs
@@ -23,16 +23,16 @@
 fn a_job_is_undecided_until_the_workers_have_told() {
     let mut planner = planner(2);
     let key = add(&mut planner, "w1");
-    planner.take_job(JOB, spec(vec![step(1)]), None, true);
+    planner.add_job(JOB, spec(vec![step(1)]), None, true);
     plan_at(&mut planner, 10);
-    let before = planner.undecided(JOB);
+    let before = planner.status_undecided(JOB);
     let listed = listing(vec![running(task(JOB, 0, 0), 1)], vec![]);
     planner.take_listing(key, Duration::from_millis(20), &listed);
 
-    let after = planner.undecided(JOB);
+    let after = planner.status_undecided(JOB);
 
     assert_eq!((before, after), (true, false));
-    assert_eq!(planner.shown(JOB), Some(Shown::Active));
+    assert_eq!(planner.job_status(JOB), Some(Shown::Active));
 }
 
 /// A task ran in two places after a take-over. The row of a worker that a
@@ -41,11 +41,11 @@
 #[test]
 fn an_unknown_worker_holds_back_what_it_may_run() {
     let mut planner = planner(2);
-    planner.miss_worker();
+    planner.add_missing_worker();
     let key = planner.recall_worker(worker("w1")).expect("a new worker");
     planner.take_worker(worker("w1"));
     planner.take_listing(key, Duration::ZERO, &listing(vec![], vec![]));
-    planner.take_job(JOB, spec(vec![step(1)]), None, true);
+    planner.add_job(JOB, spec(vec![step(1)]), None, true);
     // The former owner, left with one of two workers, renews for 2.5 s more.
     plan_at(&mut planner, 10);
     let early = plan_at(&mut planner, 7_300);
--- a/crates/job/tests/saving.rs
+++ b/crates/job/tests/saving.rs
@@ -33,7 +33,7 @@
         add_claimed(planner, &format!("w{id}"));
         let mut whole = step(1);
         whole.need = room(4000, 1000);
-        planner.take_job(id, spec(vec![whole]), None, false);
+        planner.add_job(id, spec(vec![whole]), None, false);
     }
     let starts = plan_at(planner, 10);
     for &(task, run, key) in &starts {
@@ -56,7 +56,7 @@
 
     let first = planner.take_batch(BATCH);
     let mut jobs = first.jobs.len();
-    while planner.unsaved() {
+    while planner.has_unsaved() {
         jobs += planner.take_batch(BATCH).jobs.len();
     }
 
@@ -77,14 +77,14 @@
     plan_at(&mut planner, 10_000);
     let mut huge = step(1);
     huge.need = room(64_000, 1);
-    planner.take_job(7, spec(vec![huge]), None, false);
+    planner.add_job(7, spec(vec![huge]), None, false);
     plan_at(&mut planner, 20_000);
     let waiting = |planner: &Planner| planner.count_queue(&queue(2).name).waiting;
-    let before = (planner.shown(7), waiting(&planner));
+    let before = (planner.job_status(7), waiting(&planner));
     let batch = planner.take_batch(BATCH);
     planner.batch_saved(&batch);
 
-    let after = (planner.shown(7), waiting(&planner));
+    let after = (planner.job_status(7), waiting(&planner));
 
     assert_eq!(before, (Some(Shown::Pending), 1));
     assert_eq!(after, (Some(Shown::Failed), 0));
--- a/crates/job/tests/start_room.rs
+++ b/crates/job/tests/start_budget.rs
@@ -20,13 +20,13 @@
     for worker in ["w1", "w2", "w3"] {
         add_claimed(&mut planner, worker);
     }
-    planner.take_job(7, spec(vec![step(10)]), None, false);
+    planner.add_job(7, spec(vec![step(10)]), None, false);
 
-    planner.set_start_room(3);
+    planner.set_start_budget(3);
     let first = plan_at(&mut planner, 1).len();
-    planner.set_start_room(0);
+    planner.set_start_budget(0);
     let second = plan_at(&mut planner, 2).len();
-    planner.set_start_room(20);
+    planner.set_start_budget(20);
     let third = plan_at(&mut planner, 3).len();
 
     assert_eq!((first, second, third), (3, 0, 7));
@@ -41,11 +41,11 @@
     }
     let mut gang = step(10);
     gang.gang = true;
-    planner.take_job(7, spec(vec![gang]), None, false);
+    planner.add_job(7, spec(vec![gang]), None, false);
 
-    planner.set_start_room(0);
+    planner.set_start_budget(0);
     let none = plan_at(&mut planner, 1).len();
-    planner.set_start_room(2);
+    planner.set_start_budget(2);
     let all = plan_at(&mut planner, 2).len();
 
     assert_eq!((none, all), (0, 10));
--- a/crates/job/tests/support/lives.rs
+++ b/crates/job/tests/support/lives.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use job::Command;
 use job::Listing;
-use job::Order;
 use job::Planner;
 use job::RunEnd;
 use job::RunId;
@@ -70,9 +70,9 @@
 
 /// The life that a planner has found, by its orders.
 pub fn begun(planner: &mut Planner) -> Option<WorkerKey> {
-    let orders = planner.take_orders();
+    let orders = planner.take_commands();
     orders.into_iter().find_map(|order| match order {
-        Order::Begin { worker } => Some(worker),
+        Command::NewIncarnation { worker } => Some(worker),
         _ => None,
     })
 }
@@ -88,7 +88,7 @@
 
 /// Starts a job of one step at 10 ms; its starts are answered.
 pub fn start(planner: &mut Planner, count: u32) -> Vec<(TaskKey, RunId)> {
-    planner.take_job(JOB, spec(vec![step(count)]), None, false);
+    planner.add_job(JOB, spec(vec![step(count)]), None, false);
     let starts = plan_at(planner, 10);
     planner.advance(at(12));
     for &(task, run, key) in &starts {
--- a/crates/job/tests/support/mod.rs
+++ b/crates/job/tests/support/mod.rs
@@ -5,11 +5,11 @@
 
 use std::time::Duration;
 
+use job::Command;
 use job::EndedTask;
 use job::JobId;
 use job::JobSpec;
 use job::Listing;
-use job::Order;
 use job::Planner;
 use job::Policy;
 use job::Queue;
@@ -146,9 +146,9 @@
 
 /// Starts among the orders: task, run and worker.
 pub fn starts(planner: &mut Planner) -> Vec<(TaskKey, RunId, WorkerKey)> {
-    let orders = planner.take_orders();
+    let orders = planner.take_commands();
     let starts = orders.into_iter().filter_map(|order| match order {
-        Order::Start {
+        Command::Start {
             worker, task, run, ..
         } => Some((task, run, worker)),
         _ => None,
--- a/crates/job/tests/takeover.rs
+++ b/crates/job/tests/takeover.rs
@@ -32,8 +32,8 @@
     let key = add(&mut planner, "w1");
     let mut canceled = spec(vec![step(3)]);
     canceled.canceled = true;
-    planner.take_job(JOB, canceled, None, true);
-    planner.take_job(JOB + 1, spec(vec![step(3)]), None, false);
+    planner.add_job(JOB, canceled, None, true);
+    planner.add_job(JOB + 1, spec(vec![step(3)]), None, false);
     let left = (0..3).map(|index| running(task(JOB, 0, index), 1));
     planner.take_listing(key, Duration::ZERO, &listing(left.collect(), vec![]));
 
@@ -47,10 +47,10 @@
     let mut planner = planner(2);
     let key = add_claimed(&mut planner, "w1");
     add(&mut planner, "w2");
-    planner.take_job(JOB, spec(vec![step(1)]), None, true);
+    planner.add_job(JOB, spec(vec![step(1)]), None, true);
     // Later than any process may still tell the former owner of a job.
     planner.advance(Duration::from_millis(2100));
-    planner.take_job(JOB + 1, spec(vec![step(1)]), None, false);
+    planner.add_job(JOB + 1, spec(vec![step(1)]), None, false);
     let early = plan_at(&mut planner, 2110);
     planner.advance(Duration::from_secs(5));
     planner.lease_sent(key);
@@ -68,13 +68,13 @@
 fn a_running_task_is_adopted_at_take_over() {
     let mut planner = planner(2);
     let key = add(&mut planner, "w1");
-    planner.take_job(JOB, spec(vec![step(1)]), None, true);
+    planner.add_job(JOB, spec(vec![step(1)]), None, true);
     let left = listing(vec![running(task(JOB, 0, 0), 3)], vec![]);
 
     planner.take_listing(key, Duration::ZERO, &left);
 
     assert!(plan_at(&mut planner, 10).is_empty());
-    assert_eq!(planner.shown(JOB), Some(Shown::Active));
+    assert_eq!(planner.job_status(JOB), Some(Shown::Active));
 }
 
 /// Symptom: a task ran on two workers after a take-over. Sequence: the owner is
@@ -90,7 +90,7 @@
     add_claimed(&mut planner, "w2");
     let left = listing(vec![running(task(JOB, 0, 0), 1)], vec![]);
     planner.take_listing(key, Duration::ZERO, &left);
-    planner.take_job(JOB, spec(vec![step(1)]), None, false);
+    planner.add_job(JOB, spec(vec![step(1)]), None, false);
     let early = plan_at(&mut planner, 10);
     let gone = listing(vec![], vec![ended(1, task(JOB, 0, 0), 1, RunEnd::Stopped)]);
     planner.take_listing(key, Duration::from_millis(20), &gone);
@@ -108,7 +108,7 @@
     let key = add(&mut planner, "w1");
     add_claimed(&mut planner, "w2");
     planner.advance(Duration::from_millis(100));
-    planner.take_job(JOB, spec(vec![step(1)]), None, false);
+    planner.add_job(JOB, spec(vec![step(1)]), None, false);
     let early = plan_at(&mut planner, 110);
     planner.take_listing(key, Duration::from_millis(120), &listing(vec![], vec![]));
 
@@ -127,7 +127,7 @@
     let key = add(&mut planner, "w1");
     let left = listing(vec![], vec![ended(1, task(JOB, 0, 0), 1, RunEnd::Done)]);
     planner.take_listing(key, Duration::ZERO, &left);
-    planner.take_job(JOB, spec(vec![step(1)]), None, false);
+    planner.add_job(JOB, spec(vec![step(1)]), None, false);
 
     let starts = plan_at(&mut planner, 3_000);
 
@@ -151,7 +151,7 @@
     planner.take_listing(key, Duration::ZERO, &left);
     planner.take_worker(worker("w1"));
     planner.advance(Duration::from_secs(3));
-    planner.take_job(JOB + 1, spec(vec![step(1)]), None, false);
+    planner.add_job(JOB + 1, spec(vec![step(1)]), None, false);
     let early = plan_at(&mut planner, 3_010);
     let gone = listing(vec![], vec![ended(1, task(JOB, 0, 0), 1, RunEnd::Stopped)]);
     planner.take_listing(key, Duration::from_millis(3_020), &gone);
@@ -171,7 +171,7 @@
 fn a_successor_that_reaches_fewer_than_half_waits_longer() {
     let starts_after = |reached: usize| {
         let mut planner = planner(2);
-        planner.take_job(JOB, spec(vec![step(1)]), None, true);
+        planner.add_job(JOB, spec(vec![step(1)]), None, true);
         for at in 0..4 {
             let info = worker(&format!("w{at}"));
             let key = planner.recall_worker(info.clone()).expect("a new worker");
--- a/crates/job/tests/world/lives.rs
+++ b/crates/job/tests/world/lives.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use job::Order;
+use job::Command;
 use job::Policy;
 use job::Token;
 use job::WorkerInfo;
@@ -110,7 +110,7 @@
     /// Whether no start to a worker that got no answer may still be carried out.
     fn quiet(&self, at: usize) -> bool {
         let open = |sent: &Sent| {
-            let start = matches!(sent.order, Order::Start { .. });
+            let start = matches!(sent.order, Command::Start { .. });
             start && sent.worker == at && self.on_its_way(sent.at)
         };
         !self.late.iter().any(open)
@@ -118,7 +118,7 @@
 
     /// Whether an order that was sent then may still be carried out.
     fn on_its_way(&self, sent: Duration) -> bool {
-        self.now <= sent + Policy::default().order_late
+        self.now <= sent + Policy::default().command_delay
     }
 
     /// A start got no answer: orders after it carry a higher token.
@@ -273,7 +273,7 @@
         if late || worker.cut || worker.down || hold.token < worker.fence {
             return;
         }
-        worker.lease = worker.lease.max(self.now + Policy::default().longest_lease);
+        worker.lease = worker.lease.max(self.now + Policy::default().max_lease);
         self.note(hold.at, hold.seen);
     }
 
@@ -286,7 +286,7 @@
             return true;
         }
         match sent.order {
-            Order::Start { task, run, .. } => {
+            Command::Start { task, run, .. } => {
                 self.on_its_way(sent.at) && self.planner.holds(self.keys[sent.worker], task, run)
             }
             _ => false,
--- a/crates/job/tests/world/mod.rs
+++ b/crates/job/tests/world/mod.rs
@@ -17,10 +17,10 @@
 use std::time::Duration;
 
 use job::Batch;
+use job::Command;
 use job::JobId;
 use job::JobSpec;
 use job::Listing;
-use job::Order;
 use job::Planner;
 use job::Policy;
 use job::Progress;
@@ -64,7 +64,7 @@
     at: Duration,
     /// End of the lease that it carries.
     lease: Duration,
-    order: Order,
+    order: Command,
 }
 
 /// The world.
@@ -138,7 +138,7 @@
         self.planner = Planner::new(policy, self.epoch, self.now, Duration::ZERO);
         for (&id, spec) in &self.jobs {
             let progress = self.stored.get(&id);
-            self.planner.take_job(id, spec.clone(), progress, true);
+            self.planner.add_job(id, spec.clone(), progress, true);
         }
         let tenure = Tenure::new(self.now, names());
         let tenure = std::mem::replace(&mut self.tenure, tenure);
@@ -243,7 +243,7 @@
         spec.queue.priority = u32::from(pick % 3);
         spec.queue.slack = Duration::from_secs(u64::from(pick % 16));
         self.jobs.insert(id, spec.clone());
-        self.planner.take_job(id, spec, None, false);
+        self.planner.add_job(id, spec, None, false);
     }
 
     fn cancel(&mut self, pick: u8) {
@@ -252,7 +252,7 @@
             return;
         };
         spec.canceled = true;
-        self.planner.take_job(id, spec.clone(), None, false);
+        self.planner.add_job(id, spec.clone(), None, false);
     }
 
     /// A renewal: claims the worker, extends its lease, lists.
@@ -318,14 +318,14 @@
     fn plan(&mut self, pick: u8) {
         self.planner.advance(self.now);
         self.planner.plan();
-        for (nth, order) in self.planner.take_orders().into_iter().enumerate() {
+        for (nth, order) in self.planner.take_commands().into_iter().enumerate() {
             let worker = match &order {
-                Order::Start { worker, .. } | Order::Stop { worker, .. } => *worker,
-                Order::Begin { worker } => {
+                Command::Start { worker, .. } | Command::Stop { worker, .. } => *worker,
+                Command::NewIncarnation { worker } => {
                     self.begin(*worker);
                     continue;
                 }
-                Order::Drop { .. } => continue,
+                Command::Disconnect { .. } => continue,
             };
             let Some(at) = self.keys.iter().position(|key| *key == worker) else {
                 continue;
--- a/crates/job/tests/world/orders.rs
+++ b/crates/job/tests/world/orders.rs
@@ -1,6 +1,6 @@
 //! What becomes of orders: answered, lost, or carried out late.
 
-use job::Order;
+use job::Command;
 use job::Policy;
 use job::RunId;
 use job::StartReply;
@@ -14,15 +14,15 @@
     pub(super) fn unanswered(&mut self, sent: &Sent) {
         let key = self.keys[sent.worker];
         match sent.order {
-            Order::Start { task, run, .. } => {
+            Command::Start { task, run, .. } => {
                 let reply = StartReply::Unknown;
                 self.planner.start_reply(key, task, run, reply);
                 self.raise(sent.worker);
             }
-            Order::Stop { task, run, .. } => {
+            Command::Stop { task, run, .. } => {
                 self.planner.stop_reply(key, task, run, StopReply::Unknown);
             }
-            Order::Drop { .. } | Order::Begin { .. } => {}
+            Command::Disconnect { .. } | Command::NewIncarnation { .. } => {}
         }
     }
 
@@ -50,7 +50,7 @@
         }
         worker.fence = sent.token;
         match sent.order {
-            Order::Start { task, run, .. } => {
+            Command::Start { task, run, .. } => {
                 let reply = self.start(sent, task, run);
                 if answers {
                     if reply == StartReply::Started {
@@ -59,7 +59,7 @@
                     self.planner.start_reply(key, task, run, reply);
                 }
             }
-            Order::Stop { task, run, .. } => {
+            Command::Stop { task, run, .. } => {
                 let over = worker.over.entry(task).or_default();
                 *over = run.max(*over);
                 if worker.running.get(&task).is_some_and(|held| held.0 == run) {
@@ -73,7 +73,7 @@
                     self.planner.stop_reply(key, task, run, reply);
                 }
             }
-            Order::Drop { .. } | Order::Begin { .. } => {}
+            Command::Disconnect { .. } | Command::NewIncarnation { .. } => {}
         }
     }
 
@@ -84,7 +84,7 @@
         let lease = if sent.life == worker.life {
             sent.lease
         } else {
-            self.now + Policy::default().longest_lease
+            self.now + Policy::default().max_lease
         };
         if old || lease <= self.now {
             return StartReply::Refused;
--- a/crates/job/tests/world/rough.rs
+++ b/crates/job/tests/world/rough.rs
@@ -244,7 +244,7 @@
     fn check_failed(&self) {
         let Some(rough) = &self.rough else { return };
         for (&id, spec) in &self.jobs {
-            if self.planner.shown(id) != Some(Shown::Failed) {
+            if self.planner.job_status(id) != Some(Shown::Failed) {
                 continue;
             }
             let of = |found: &BTreeMap<TaskKey, usize>, least: usize| {
--- a/crates/job/tests/world/shown.rs
+++ b/crates/job/tests/world/shown.rs
@@ -38,7 +38,7 @@
         for task in self.workers[at].running.keys() {
             let spec = &self.jobs[&task.step.job];
             let gang = spec.steps[task.step.step as usize].gang;
-            let shown = self.planner.shown(task.step.job);
+            let shown = self.planner.job_status(task.step.job);
             if !gang && !spec.canceled {
                 assert_ne!(shown, Some(Shown::Pending), "{task} runs");
             }
@@ -54,7 +54,7 @@
                 continue;
             }
             assert_ne!(
-                self.planner.shown(*id),
+                self.planner.job_status(*id),
                 Some(Shown::Active),
                 "job {id} has not begun"
             );
