--- a/crates/job/src/planner/advice.rs
+++ b/crates/job/src/planner/advice.rs
@@ -105,30 +105,34 @@
             if !self.fits_next(key) {
                 continue;
             }
-            let Some(ask) = self.build_request(rank, key, free) else {
+            let Some(request) = self.build_request(rank, key, free) else {
                 continue;
             };
-            let wait = if ask.workers.is_empty() {
+            let wait = if request.workers.is_empty() {
                 NO_CANDIDATE_PAUSE
             } else {
-                ask.cost * 2 + CALL_GRACE
+                request.cost * 2 + CALL_GRACE
             };
             let now = self.now;
             let until = now + wait;
-            let lives = ask.workers.iter().map(|id| self.worker_of(id)).collect();
+            let lives = request
+                .workers
+                .iter()
+                .map(|id| self.worker_of(id))
+                .collect();
             let job = self.jobs.get_mut(&key.job)?;
             let (_, step) = job.step_mut(key)?;
             step.advised.calls.retain(|call| now < call.lost);
-            if ask.workers.is_empty() {
+            if request.workers.is_empty() {
                 step.advised.after = until;
                 continue;
             }
             step.advised.calls.push(AdviceCall {
-                workers: ask.workers.clone(),
+                workers: request.workers.clone(),
                 lives,
                 lost: until,
             });
-            return Some(ask);
+            return Some(request);
         }
         None
     }
@@ -138,18 +142,18 @@
     /// gangs far from their turn asked repeatedly, 559 of 1,430 s of the service's time led
     /// to no start, and single tasks got no answers.
     fn fits_next(&mut self, key: StepKey) -> bool {
-        let by_room = self.policy.switches.enabled(Mechanism::AdviceByRoom);
+        let by_resources = self.policy.switches.enabled(Mechanism::AdviceByRoom);
         let job = self.jobs.get(&key.job);
         let step = job.and_then(|job| job.step(key));
-        let Some((spec, step)) = step.filter(|(spec, _)| spec.gang && by_room) else {
+        let Some((spec, step)) = step.filter(|(spec, _)| spec.gang && by_resources) else {
             return true;
         };
         let waiting = u64::try_from(step.waiting()).unwrap_or(u64::MAX);
         let need = spec.need.cpu.saturating_mul(waiting);
-        let claimed = &mut self.advice_queue.needed_cpu;
-        let first = *claimed == 0;
-        *claimed = claimed.saturating_add(need);
-        first || *claimed <= self.gang_cpu
+        let needed = &mut self.advice_queue.needed_cpu;
+        let first = *needed == 0;
+        *needed = needed.saturating_add(need);
+        first || *needed <= self.gang_cpu
     }
 
     /// Whether a step of single tasks has had an answer already.
@@ -174,8 +178,8 @@
         let parallel = spec.gang
             && free == FreeHelpers::Most
             && self.policy.switches.enabled(Mechanism::ParallelAdvice);
-        let most = if parallel { MAX_CALLS } else { 1 };
-        if calls >= most || self.now < advised.after || step.waiting() == 0 {
+        let limit = if parallel { MAX_CALLS } else { 1 };
+        if calls >= limit || self.now < advised.after || step.waiting() == 0 {
             return None;
         }
         let workers = self.workers_to_ask(AdviceQuery {
@@ -186,10 +190,10 @@
             step,
             parallel,
         });
-        let named = u32::try_from(workers.len()).unwrap_or(u32::MAX);
+        let asked_count = u32::try_from(workers.len()).unwrap_or(u32::MAX);
         Some(AdviceRequest {
             step: key,
-            cost: advice.fixed + advice.each * named,
+            cost: advice.fixed + advice.each * asked_count,
             workers,
         })
     }
@@ -220,11 +224,11 @@
     ) {
         let asked_ids = asked;
         let lives = self.asked_incarnations(key, asked);
-        let life = |id: &WorkerId| lives.get(id).copied();
-        let asked: Vec<WorkerKey> = asked.iter().filter_map(life).collect();
+        let incarnation = |id: &WorkerId| lives.get(id).copied();
+        let asked: Vec<WorkerKey> = asked.iter().filter_map(incarnation).collect();
         let tickets: Vec<(WorkerKey, &Ticket)> = tickets
             .iter()
-            .filter_map(|ticket| Some((life(&ticket.worker)?, ticket)))
+            .filter_map(|ticket| Some((incarnation(&ticket.worker)?, ticket)))
             .collect();
         let job = self.jobs.get_mut(&key.job);
         let Some((_, step)) = job.and_then(|job| job.step_mut(key)) else {
@@ -232,10 +236,10 @@
         };
         let advised = &mut step.advised;
         advised.calls.retain(|call| call.workers != asked_ids);
-        let news = asked
+        let new_workers = asked
             .iter()
             .filter(|worker| !advised.asked.contains(*worker));
-        let new = news.count();
+        let new = new_workers.count();
         let found = tickets
             .iter()
             .filter(|(worker, _)| !advised.asked.contains(worker))
--- a/crates/job/src/planner/advice_candidates.rs
+++ b/crates/job/src/planner/advice_candidates.rs
@@ -18,11 +18,11 @@
 use crate::WorkerId;
 
 /// Maximum number of workers that the service accepts in one call.
-const MAX_NAMED: usize = 100;
+const MAX_ASKED: usize = 100;
 
 /// Minimum number of workers in a call about single tasks, if there are as many with free
 /// resources.
-const MIN_NAMED: usize = 8;
+const MIN_ASKED: usize = 8;
 
 /// Number of workers in a call about single tasks: their share of the call's duration is at
 /// most this multiple of its fixed part.
@@ -69,7 +69,7 @@
 /// Workers with enough capacity for a step, by what the advice service has answered about
 /// them.
 #[derive(Default)]
-struct KnownWorkers<'a> {
+struct ClassifiedWorkers<'a> {
     /// Workers that may run the step.
     allowed: Vec<AdviceCandidate<'a>>,
     /// Workers in calls that have no answer yet.
@@ -86,145 +86,147 @@
 impl Planner {
     /// Returns the workers to ask about: those that may run the step, if they have free
     /// resources, otherwise those not asked about yet.
-    pub(super) fn workers_to_ask(&self, seeker: AdviceQuery) -> Vec<WorkerId> {
+    pub(super) fn workers_to_ask(&self, query: AdviceQuery) -> Vec<WorkerId> {
         let AdviceQuery {
             job, spec, step, ..
-        } = seeker;
+        } = query;
         let Some(advice) = &job.spec.queue.advice else {
             return Vec::new();
         };
-        let known = self.classify_workers(seeker);
+        let classified = self.classify_workers(query);
         if !step.advised.calls.is_empty() {
-            return self.more_workers_to_ask(seeker, known, advice);
+            return self.more_workers_to_ask(query, classified, advice);
         }
         let soon = self.now + advice.fixed + self.policy.ticket_margin;
-        let fresh = step.advised.good.values().any(|(_, until)| *until > soon);
+        let has_valid = step.advised.good.values().any(|(_, until)| *until > soon);
         let needed = if spec.gang { step.waiting() as u64 } else { 1 };
-        let call = max_per_call(seeker, advice);
-        let enough = slots(&known.allowed) >= needed;
+        let call_size = max_per_call(query, advice);
+        let enough = slots(&classified.allowed) >= needed;
         let share = self.allowed_shares.get(&job.spec.queue.name);
         let share = share.copied().unwrap_or(DEFAULT_SHARE);
         #[allow(clippy::cast_precision_loss)]
-        let expected = slots(&known.allowed) as f64 + slots(&known.unasked) as f64 * share;
+        let expected =
+            slots(&classified.allowed) as f64 + slots(&classified.unasked) as f64 * share;
         #[allow(clippy::cast_precision_loss)]
-        let hopeless = !step.advised.asked.is_empty() && expected < needed as f64;
-        if enough && fresh || hopeless {
+        let unattainable = !step.advised.asked.is_empty() && expected < needed as f64;
+        if enough && has_valid || unattainable {
             // Another call would bring nothing new, or not enough. Calls are scarce, and
             // each waiting gang would make one every 2 s.
             return Vec::new();
         }
-        let again = match (spec.gang, fresh) {
+        let asked_again = match (spec.gang, has_valid) {
             // Single tasks do not need all their tickets at the same time.
             (false, true) => Vec::new(),
-            (true, _) if enough => most_slots(known.allowed, needed),
-            _ => known.allowed,
+            (true, _) if enough => most_slots(classified.allowed, needed),
+            _ => classified.allowed,
         };
         if enough {
-            return ids(again);
+            return worker_ids(asked_again);
         }
-        if seeker.parallel && again.len() >= call {
+        if query.parallel && asked_again.len() >= call_size {
             // Workers not asked about yet go into a parallel call.
-            return ids(again);
+            return worker_ids(asked_again);
         }
         let chosen = if spec.gang {
-            emptiest(known.unasked, call)
+            emptiest(classified.unasked, call_size)
         } else {
-            let most = max_named(advice.fixed, advice.each);
-            self.fullest_workers(known.unasked, seeker, share, most)
+            let limit = max_asked(advice.fixed, advice.each);
+            self.fullest_workers(classified.unasked, query, share, limit)
         };
-        ids(again.into_iter().chain(chosen))
+        worker_ids(asked_again.into_iter().chain(chosen))
     }
 
     /// Returns the workers for one more call parallel to those that a gang has without
     /// answer: workers not asked about yet, until enough slots are to be expected.
     fn more_workers_to_ask(
         &self,
-        seeker: AdviceQuery,
-        known: KnownWorkers,
+        query: AdviceQuery,
+        classified: ClassifiedWorkers,
         advice: &Advice,
     ) -> Vec<WorkerId> {
-        let share = self.allowed_shares.get(&seeker.job.spec.queue.name);
+        let share = self.allowed_shares.get(&query.job.spec.queue.name);
         let share = share.copied().unwrap_or(DEFAULT_SHARE);
-        let needed = seeker.step.waiting();
+        let needed = query.step.waiting();
         #[allow(clippy::cast_precision_loss)]
-        let expected = slots(&known.allowed) as f64 + slots(&known.in_call) as f64 * share;
+        let expected =
+            slots(&classified.allowed) as f64 + slots(&classified.in_call) as f64 * share;
         #[allow(clippy::cast_precision_loss)]
         let enough = expected >= needed as f64 * SLOT_MARGIN;
         if enough {
             return Vec::new();
         }
-        ids(emptiest(known.unasked, max_per_call(seeker, advice)))
+        worker_ids(emptiest(classified.unasked, max_per_call(query, advice)))
     }
 
     /// Classifies the workers that could run a step. For single tasks in a large pool, only
     /// a part of the workers not asked about is scanned; it differs by job and changes with
     /// time.
-    fn classify_workers(&self, seeker: AdviceQuery) -> KnownWorkers<'_> {
-        let advised = &seeker.step.advised;
-        let mut known = KnownWorkers::default();
+    fn classify_workers(&self, query: AdviceQuery) -> ClassifiedWorkers<'_> {
+        let advised = &query.step.advised;
+        let mut classified = ClassifiedWorkers::default();
         for &key in advised.good.keys() {
-            known.allowed.extend(self.advice_candidate(key, seeker));
+            classified.allowed.extend(self.advice_candidate(key, query));
         }
         let count = self.workers.len();
-        let most = if seeker.spec.gang { count } else { MAX_SCANNED };
-        let first = if count > most {
-            self.scan_start(seeker.key.job, count)
+        let limit = if query.spec.gang { count } else { MAX_SCANNED };
+        let first = if count > limit {
+            self.scan_start(query.key.job, count)
         } else {
             0
         };
         let keys = self.workers.keys();
-        let turned = keys.clone().skip(first).chain(keys.take(first));
-        for key in turned.take(most) {
+        let rotated = keys.clone().skip(first).chain(keys.take(first));
+        for key in rotated.take(limit) {
             if advised.asked.contains(&key) || advised.good.contains_key(&key) {
                 continue;
             }
-            let Some(candidate) = self.advice_candidate(key, seeker) else {
+            let Some(candidate) = self.advice_candidate(key, query) else {
                 continue;
             };
             let id = &candidate.worker.info.id;
             let mut calls = advised.calls.iter();
-            if calls.any(|call| call.workers.contains(id)) {
-                known.in_call.push(candidate);
+            if calls.any(|call_size| call_size.workers.contains(id)) {
+                classified.in_call.push(candidate);
             } else {
-                known.unasked.push(candidate);
+                classified.unasked.push(candidate);
             }
         }
-        known
+        classified
     }
 
     /// Returns the index at which the scan of a large pool now begins for a job.
     fn scan_start(&self, job: JobId, count: usize) -> usize {
-        let parts = self.now.as_millis() / SCAN_INTERVAL.as_millis();
-        let first = u128::from(job) + parts * MAX_SCANNED as u128;
+        let intervals = self.now.as_millis() / SCAN_INTERVAL.as_millis();
+        let first = u128::from(job) + intervals * MAX_SCANNED as u128;
         usize::try_from(first % count as u128).unwrap_or(0)
     }
 
     /// Returns a worker with its slots for a step if it could run the step.
-    fn advice_candidate(&self, key: WorkerKey, seeker: AdviceQuery) -> Option<AdviceCandidate<'_>> {
-        let AdviceQuery { job, spec, .. } = seeker;
+    fn advice_candidate(&self, key: WorkerKey, query: AdviceQuery) -> Option<AdviceCandidate<'_>> {
+        let AdviceQuery { job, spec, .. } = query;
         let queue = &job.spec.queue;
         let booked = spec.booked();
         let worker = self.workers.get(key)?;
-        let able = self.usable(worker)
+        let eligible = self.usable(worker)
             && may_run(worker, &queue.service, spec)
             && worker.info.capacity.holds(&booked);
-        if !able {
+        if !eligible {
             return None;
         }
         // Gangs may preempt less urgent tasks; single tasks may not.
         let headroom = self.headrooms.get(key).filter(|_| spec.gang);
-        let room = headroom.map_or_else(
+        let available = headroom.map_or_else(
             || worker.free(),
             |headroom| headroom.available_to(queue.priority),
         );
         // Resources reserved for a gang of higher rank cannot be used.
-        let room = self
+        let available = self
             .reservations
-            .remaining_for(key, room, seeker.rank, seeker.key);
+            .remaining_for(key, available, query.rank, query.key);
         Some(AdviceCandidate {
             key,
             worker,
-            slots: room.fit_count(&booked),
+            slots: available.fit_count(&booked),
             slow: self.slow(worker),
         })
     }
@@ -236,27 +238,27 @@
     fn fullest_workers<'a>(
         &self,
         workers: Vec<AdviceCandidate<'a>>,
-        seeker: AdviceQuery,
+        query: AdviceQuery,
         share: f64,
-        most: usize,
+        limit: usize,
     ) -> Vec<AdviceCandidate<'a>> {
-        let needed = seeker.step.waiting();
-        let prefers_slow = self.prefers_slow(seeker.key);
-        let kept = |candidate: &AdviceCandidate| {
+        let needed = query.step.waiting();
+        let prefers_slow = self.prefers_slow(query.key);
+        let reserved = |candidate: &AdviceCandidate| {
             self.reservations
-                .reserved_for_other(candidate.key, seeker.key)
+                .reserved_for_other(candidate.key, query.key)
         };
-        let (kept, open): (Vec<_>, Vec<_>) = workers.into_iter().partition(kept);
-        let mut chosen = tightest_fit(open, needed, share, most, prefers_slow);
-        if chosen.len() < MIN_NAMED {
-            chosen.extend(tightest_fit(kept, needed, share, most, prefers_slow));
+        let (reserved, unreserved): (Vec<_>, Vec<_>) = workers.into_iter().partition(reserved);
+        let mut chosen = tightest_fit(unreserved, needed, share, limit, prefers_slow);
+        if chosen.len() < MIN_ASKED {
+            chosen.extend(tightest_fit(reserved, needed, share, limit, prefers_slow));
         }
         chosen
     }
 }
 
-fn ids<'a>(workers: impl IntoIterator<Item = AdviceCandidate<'a>>) -> Vec<WorkerId> {
-    let workers = workers.into_iter().take(MAX_NAMED);
+fn worker_ids<'a>(workers: impl IntoIterator<Item = AdviceCandidate<'a>>) -> Vec<WorkerId> {
+    let workers = workers.into_iter().take(MAX_ASKED);
     workers
         .map(|candidate| candidate.worker.info.id.clone())
         .collect()
@@ -264,11 +266,11 @@
 
 /// Returns the maximum number of workers in a call about single tasks, from the service's
 /// fixed time for a call and its time for each worker.
-fn max_named(fixed: Duration, each: Duration) -> usize {
-    let even = fixed.as_secs_f64() / each.as_secs_f64().max(1e-6);
+fn max_asked(fixed: Duration, each: Duration) -> usize {
+    let ratio = fixed.as_secs_f64() / each.as_secs_f64().max(1e-6);
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    let most = (even * COST_RATIO) as usize;
-    most.clamp(MIN_NAMED, MAX_NAMED)
+    let limit = (ratio * COST_RATIO) as usize;
+    limit.clamp(MIN_ASKED, MAX_ASKED)
 }
 
 /// Returns the allowed workers with the most slots, enough of them for a gang even if some
@@ -293,26 +295,26 @@
 
 /// Returns `most` workers: fast ones first, and of these the ones with the most slots for a
 /// gang.
-fn emptiest(mut workers: Vec<AdviceCandidate>, most: usize) -> Vec<AdviceCandidate> {
+fn emptiest(mut workers: Vec<AdviceCandidate>, limit: usize) -> Vec<AdviceCandidate> {
     workers.sort_by_key(|candidate| {
-        let room = Reverse(candidate.worker.free().cpu);
+        let available = Reverse(candidate.worker.free().cpu);
         (
             candidate.slow,
             Reverse(candidate.slots.min(MAX_SLOTS)),
-            room,
+            available,
         )
     });
-    workers.truncate(most);
+    workers.truncate(limit);
     workers
 }
 
 /// Returns the maximum number of workers of one call. A call parallel to others has at most
 /// as many as take as long as the call's fixed part, and so takes half as long as one with 100.
-fn max_per_call(seeker: AdviceQuery, advice: &Advice) -> usize {
-    if seeker.parallel {
-        max_named(advice.fixed, advice.each)
+fn max_per_call(query: AdviceQuery, advice: &Advice) -> usize {
+    if query.parallel {
+        max_asked(advice.fixed, advice.each)
     } else {
-        MAX_NAMED
+        MAX_ASKED
     }
 }
 
@@ -322,7 +324,7 @@
     mut workers: Vec<AdviceCandidate>,
     needed: usize,
     share: f64,
-    most: usize,
+    limit: usize,
     prefers_slow: bool,
 ) -> Vec<AdviceCandidate> {
     workers.retain(|candidate| candidate.slots > 0);
@@ -332,8 +334,8 @@
     let mut slots: f64 = 0.0;
     let mut chosen = Vec::new();
     for candidate in workers {
-        let enough = slots >= wanted && chosen.len() >= MIN_NAMED;
-        if enough || chosen.len() >= most {
+        let enough = slots >= wanted && chosen.len() >= MIN_ASKED;
+        if enough || chosen.len() >= limit {
             break;
         }
         #[allow(clippy::cast_precision_loss)]
--- a/crates/job/src/planner/expected.rs
+++ b/crates/job/src/planner/expected.rs
@@ -47,8 +47,8 @@
         let call = call.map_or(Duration::ZERO, |advice| {
             advice.fixed + advice.each * WORKERS_PER_CALL
         });
-        let asked: Vec<Duration> = task_times.iter().map(|time| *time + call).collect();
-        let critical_path = longest_path(spec, &asked);
+        let with_call: Vec<Duration> = task_times.iter().map(|time| *time + call).collect();
+        let critical_path = longest_path(spec, &with_call);
         Expected {
             objective: critical_path.mul_f64(queue.stretch.max(0.0)) + queue.slack,
             critical_path: longest_path(spec, &task_times),
@@ -76,8 +76,8 @@
         for &earlier in &step.after {
             let earlier = earlier as usize;
             let own = task_times.get(earlier).copied().unwrap_or_default();
-            if let Some(known) = tail_times.get_mut(earlier) {
-                *known = (own + tail).max(*known);
+            if let Some(current) = tail_times.get_mut(earlier) {
+                *current = (own + tail).max(*current);
             }
         }
     }
@@ -109,8 +109,8 @@
     /// Learns a queue's run times from a completed run. Members of a gang end together, so
     /// only the first reported end of a gang counts.
     pub(super) fn learn_run_time(&mut self, task: TaskKey, run: &Placed) {
-        let on = self.policy.switches.enabled(Mechanism::LearntTimes);
-        if !on || !run.whole || run.phase != RunPhase::Running {
+        let learning = self.policy.switches.enabled(Mechanism::LearntTimes);
+        if !learning || !run.whole || run.phase != RunPhase::Running {
             return;
         }
         let Some(job) = self.jobs.get(&task.step.job) else {
--- a/crates/job/src/planner/headroom.rs
+++ b/crates/job/src/planner/headroom.rs
@@ -54,7 +54,7 @@
         let victims = self.victims.iter();
         victims
             .filter(|victim| victim.priority > priority)
-            .fold(self.free, |room, victim| room.plus(&victim.booked))
+            .fold(self.free, |sum, victim| sum.plus(&victim.booked))
     }
 }
 
@@ -105,16 +105,16 @@
 
     pub(super) fn headroom(&self, worker: &WorkerState) -> Headroom {
         let mut headroom = Headroom::default();
-        let mut staying = worker.used;
+        let mut remaining = worker.used;
         for (&task, placed) in &worker.runs {
             if matches!(placed.phase, RunPhase::Stopping | RunPhase::Stopped) {
-                staying = staying.less(&placed.booked);
+                remaining = remaining.less(&placed.booked);
             } else if let Some(victim) = self.victim(task, placed) {
                 headroom.victims.push(victim);
             }
         }
-        headroom.free = worker.room.less(&staying);
-        if !worker.room.holds(&staying) {
+        headroom.free = worker.room.less(&remaining);
+        if !worker.room.holds(&remaining) {
             // The capacity has shrunk below what runs there, so the resources of a stopped
             // run go to the remaining runs first. When they counted as free, runs were
             // preempted in vain.
@@ -140,15 +140,17 @@
         let job = self.jobs.get(&task.step.job)?;
         let (spec, step) = job.step(task.step)?;
         let state = step.tasks.get(task.index as usize)?;
-        let at_work = placed.phase == RunPhase::Running && placed.percent < NEARLY_DONE_PERCENT;
+        let in_progress = placed.phase == RunPhase::Running && placed.percent < NEARLY_DONE_PERCENT;
         let has_slack = self.has_slack(job, task.step);
-        let fresh = state.preempted < MAX_PREEMPTIONS;
-        let on = self.policy.switches.enabled(Mechanism::Preemption);
-        (on && preemptible(spec) && at_work && has_slack && fresh).then_some(Victim {
-            task,
-            run: placed.run,
-            priority: job.spec.queue.priority,
-            booked: placed.booked,
-        })
+        let below_limit = state.preempted < MAX_PREEMPTIONS;
+        let switched_on = self.policy.switches.enabled(Mechanism::Preemption);
+        (switched_on && preemptible(spec) && in_progress && has_slack && below_limit).then_some(
+            Victim {
+                task,
+                run: placed.run,
+                priority: job.spec.queue.priority,
+                booked: placed.booked,
+            },
+        )
     }
 }
--- a/crates/job/src/planner/impossible.rs
+++ b/crates/job/src/planner/impossible.rs
@@ -18,11 +18,12 @@
     pub(super) fn fail_impossible_jobs(&mut self) {
         self.peak_pools.update(&self.workers);
         // An incarnation that has not registered may have any capacity.
-        let unknown = |worker: &WorkerState| worker.gone && worker.info.capacity == Room::default();
-        if self.recovering || self.workers.values().any(unknown) {
+        let capacity_unknown =
+            |worker: &WorkerState| worker.gone && worker.info.capacity == Room::default();
+        if self.recovering || self.workers.values().any(capacity_unknown) {
             return;
         }
-        let hopeless = |key: &&StepKey| {
+        let unsatisfiable = |key: &&StepKey| {
             let Some(job) = self.jobs.get(&key.job) else {
                 return false;
             };
@@ -40,7 +41,7 @@
         let jobs: HashSet<JobId> = self
             .pending_steps
             .iter()
-            .filter(hopeless)
+            .filter(unsatisfiable)
             .map(|key| key.job)
             .collect();
         for id in jobs {
--- a/crates/job/src/planner/mod.rs
+++ b/crates/job/src/planner/mod.rs
@@ -437,19 +437,20 @@
         }
         let unclaimed = self.workers.values().filter(|worker| !worker.claimed);
         let inherited = unclaimed.clone().filter(|worker| worker.inherited);
-        let doubtful = inherited.clone().count() + self.missing_workers;
-        self.succession.update(self.now, doubtful);
-        let silent = unclaimed.count() > 0 || self.workers.is_empty() || self.missing_workers > 0;
+        let uncertain = inherited.clone().count() + self.missing_workers;
+        self.succession.update(self.now, uncertain);
+        let unreported =
+            unclaimed.count() > 0 || self.workers.is_empty() || self.missing_workers > 0;
         // A renewal meant for an earlier incarnation gives a new one a lease by its own
         // clock.
-        let renamed = inherited.clone().all(|worker| worker.info.life.is_none());
-        let lapse = if renamed {
+        let without_incarnation = inherited.clone().all(|worker| worker.info.life.is_none());
+        let lapse = if without_incarnation {
             self.policy.lease_expiry()
         } else {
             self.policy.max_lease_expiry()
         };
-        let over = self.succession.last_renewal() + lapse;
-        if silent && self.now < over {
+        let expires_at = self.succession.last_renewal() + lapse;
+        if unreported && self.now < expires_at {
             return;
         }
         self.recovering = false;
@@ -482,8 +483,8 @@
             round: u32::MAX,
             step: u32::MAX,
         };
-        let gone: Vec<StepKey> = self.pending_steps.range(first..=last).copied().collect();
-        for key in gone {
+        let pending: Vec<StepKey> = self.pending_steps.range(first..=last).copied().collect();
+        for key in pending {
             self.pending_steps.remove(&key);
         }
         for (task, worker, run) in alive {
--- a/crates/job/src/planner/peak_pools.rs
+++ b/crates/job/src/planner/peak_pools.rs
@@ -137,9 +137,10 @@
 fn distinct_workers(
     workers: &SlotMap<WorkerKey, WorkerState>,
 ) -> impl Iterator<Item = &WorkerState> {
-    let there = workers.values().filter(|worker| !worker.gone);
-    let there: HashSet<SocketAddr> = there.map(|worker| worker.info.address).collect();
-    let counts = move |worker: &&WorkerState| !worker.gone || !there.contains(&worker.info.address);
+    let present = workers.values().filter(|worker| !worker.gone);
+    let present: HashSet<SocketAddr> = present.map(|worker| worker.info.address).collect();
+    let counts =
+        move |worker: &&WorkerState| !worker.gone || !present.contains(&worker.info.address);
     workers.values().filter(counts)
 }
 
--- a/crates/job/src/planner/place.rs
+++ b/crates/job/src/planner/place.rs
@@ -52,10 +52,10 @@
 
 impl Planner {
     pub(super) fn usable(&self, worker: &WorkerState) -> bool {
-        let there = worker.claimed && !worker.silent && !worker.gone && worker.heir.is_none();
-        let there = there && worker.unsized_runs == 0;
-        let open = there && worker.trials == 0;
-        open && !worker.info.draining && worker.rest <= self.now
+        let reachable = worker.claimed && !worker.silent && !worker.gone && worker.heir.is_none();
+        let reachable = reachable && worker.unsized_runs == 0;
+        let accepting = reachable && worker.trials == 0;
+        accepting && !worker.info.draining && worker.rest <= self.now
     }
 
     /// Starts the waiting tasks that fit, in order of rank.
@@ -68,27 +68,27 @@
             .filter_map(|&key| Some((self.rank(key)?, key)))
             .collect();
         ranked.sort_unstable();
-        let mut kept = Reservations::default();
+        let mut reservations = Reservations::default();
         self.pool_cpu = self.usable_cpu();
         self.update_headrooms();
-        self.place_trials(&ranked, &mut kept);
+        self.place_trials(&ranked, &mut reservations);
         for (rank, key) in ranked {
             let Some(spec) = self.step_spec(key) else {
                 continue;
             };
             if !spec.gang {
-                self.place_tasks(key, &spec, &kept);
+                self.place_tasks(key, &spec, &reservations);
                 continue;
             }
             let in_time = rank.stage == 0;
-            let seated = self.start_budget > 0
-                && (self.place_gang(rank, key, &spec, &mut kept)
-                    || in_time && self.preempt_for_gang(rank, key, &spec, &mut kept));
-            if !seated {
-                self.reserve_resources(rank, key, &spec, &mut kept);
+            let handled = self.start_budget > 0
+                && (self.place_gang(rank, key, &spec, &mut reservations)
+                    || in_time && self.preempt_for_gang(rank, key, &spec, &mut reservations));
+            if !handled {
+                self.reserve_resources(rank, key, &spec, &mut reservations);
             }
         }
-        self.reservations = kept;
+        self.reservations = reservations;
     }
 
     pub(super) fn step_spec(&self, key: StepKey) -> Option<StepSpec> {
@@ -100,7 +100,7 @@
         &self,
         key: StepKey,
         spec: &StepSpec,
-        kept: &Reservations,
+        reservations: &Reservations,
     ) -> Vec<Candidate> {
         let Some(job) = self.jobs.get(&key.job) else {
             return Vec::new();
@@ -113,7 +113,7 @@
         let mut found = Vec::new();
         for (worker_key, worker) in self.allowed_workers(job, step, soon) {
             let info = &worker.info;
-            let free = kept.remaining(worker_key, worker.free());
+            let free = reservations.remaining(worker_key, worker.free());
             if !free.holds(&booked) || !self.usable(worker) {
                 continue;
             }
@@ -126,7 +126,7 @@
                 unused_cpu: free.cpu.saturating_sub(worker.fillers),
                 idle: worker.runs.is_empty(),
                 last_report: worker.heard,
-                tasks_here: members(worker, key, spec),
+                tasks_here: tasks_on_worker(worker, key, spec),
                 in_rack: spec.rack.is_empty() || info.labels.contains(&spec.rack),
                 reserved: self.reservations.reserved_for_other(worker_key, key),
                 strikes: worker.strikes,
@@ -153,8 +153,8 @@
             .collect()
     }
 
-    fn place_tasks(&mut self, key: StepKey, spec: &StepSpec, kept: &Reservations) {
-        let mut candidates = self.candidates(key, spec, kept);
+    fn place_tasks(&mut self, key: StepKey, spec: &StepSpec, reservations: &Reservations) {
+        let mut candidates = self.candidates(key, spec, reservations);
         if candidates.is_empty() {
             return;
         }
@@ -189,9 +189,9 @@
     ) -> Option<usize> {
         let booked = spec.booked();
         let fits = |candidate: &Candidate| {
-            let bounded = spec.spread > 0 && candidate.tasks_here >= spec.spread;
-            let again = self.workers[candidate.key].runs.contains_key(&task);
-            candidate.free.holds(&booked) && !bounded && !again
+            let at_limit = spec.spread > 0 && candidate.tasks_here >= spec.spread;
+            let already_here = self.workers[candidate.key].runs.contains_key(&task);
+            candidate.free.holds(&booked) && !at_limit && !already_here
         };
         let tightness = |candidate: &Candidate| {
             if spec.filler {
@@ -202,12 +202,12 @@
         };
         let fitting = candidates.iter().enumerate().filter(|(_, one)| fits(one));
         let best = fitting.min_by_key(|(_, one)| {
-            let pace = one.slow != prefers_slow;
+            let wrong_speed = one.slow != prefers_slow;
             (
                 one.reserved,
                 !one.in_rack,
                 one.strikes,
-                pace,
+                wrong_speed,
                 tightness(one),
             )
         });
@@ -221,7 +221,7 @@
         rank: Rank,
         key: StepKey,
         spec: &StepSpec,
-        kept: &mut Reservations,
+        reservations: &mut Reservations,
     ) -> bool {
         let tasks = self.waiting_tasks(key);
         if tasks.len() < spec.count as usize {
@@ -234,9 +234,9 @@
         }
         let trials = self.waiting_trials(key);
         if !trials.is_empty() {
-            return self.place_suspected_gang(rank, key, spec, (trials, kept));
+            return self.place_suspected_gang(rank, key, spec, (trials, reservations));
         }
-        let mut candidates = self.candidates(key, spec, kept);
+        let mut candidates = self.candidates(key, spec, reservations);
         let Some(slots) = slots(&candidates, tasks.len(), spec) else {
             return false;
         };
@@ -343,12 +343,12 @@
 }
 
 /// Number of tasks of a step on a worker; counted only for steps with a limit per worker.
-pub(super) fn members(worker: &WorkerState, key: StepKey, spec: &StepSpec) -> u32 {
+pub(super) fn tasks_on_worker(worker: &WorkerState, key: StepKey, spec: &StepSpec) -> u32 {
     if spec.spread == 0 {
         return 0;
     }
-    let members = worker.runs.keys().filter(|task| task.step == key);
-    u32::try_from(members.count()).unwrap_or(u32::MAX)
+    let tasks_on_worker = worker.runs.keys().filter(|task| task.step == key);
+    u32::try_from(tasks_on_worker.count()).unwrap_or(u32::MAX)
 }
 
 /// Assigns candidates to `count` members, by index, or returns `None` if they do not all
@@ -363,12 +363,12 @@
     });
     let mut slots = Vec::with_capacity(count);
     for at in order {
-        let bound = if spec.spread > 0 {
+        let limit = if spec.spread > 0 {
             u64::from(spec.spread.saturating_sub(candidates[at].tasks_here))
         } else {
             u64::MAX
         };
-        let fits = candidates[at].free.fit_count(&booked).min(bound);
+        let fits = candidates[at].free.fit_count(&booked).min(limit);
         for _ in 0..fits {
             if slots.len() == count {
                 return Some(slots);
--- a/crates/job/src/planner/preempt.rs
+++ b/crates/job/src/planner/preempt.rs
@@ -13,7 +13,7 @@
 use super::WorkerKey;
 use super::headroom::Victim;
 use super::place::may_run;
-use super::place::members;
+use super::place::tasks_on_worker;
 use super::rank::Rank;
 use super::reservations::Reservations;
 use crate::Room;
@@ -68,23 +68,28 @@
         rank: Rank,
         key: StepKey,
         spec: &StepSpec,
-        kept: &mut Reservations,
+        reservations: &mut Reservations,
     ) -> bool {
         let booked = spec.booked();
-        let mut sites = self.sites(key, spec, kept);
+        let mut sites = self.sites(key, spec, reservations);
         let Some(victims) = choose_victims(&mut sites, &booked, u64::from(spec.count)) else {
             return false;
         };
         for (worker, victim) in victims {
             self.preempt(worker, victim, key);
         }
-        reserve_slots(&mut sites, rank, key, spec, kept);
+        reserve_slots(&mut sites, rank, key, spec, reservations);
         true
     }
 
     /// Returns the workers that may run a step, with the resources available to it there,
     /// or nothing if these are not enough.
-    fn sites(&self, key: StepKey, spec: &StepSpec, kept: &Reservations) -> Vec<WorkerSlots> {
+    fn sites(
+        &self,
+        key: StepKey,
+        spec: &StepSpec,
+        reservations: &Reservations,
+    ) -> Vec<WorkerSlots> {
         let Some(job) = self.jobs.get(&key.job) else {
             return Vec::new();
         };
@@ -93,39 +98,42 @@
         };
         let queue = &job.spec.queue;
         let booked = spec.booked();
-        let mut able = Vec::new();
+        let mut eligible = Vec::new();
         let mut most = 0_u64;
         for (worker_key, worker) in self.allowed_workers(job, step, self.now + STOP_TIME) {
-            let able_here = self.usable(worker) && may_run(worker, &queue.service, spec);
+            let eligible_here = self.usable(worker) && may_run(worker, &queue.service, spec);
             let headroom = self.headrooms.get(worker_key);
-            let Some(headroom) = headroom.filter(|_| able_here) else {
+            let Some(headroom) = headroom.filter(|_| eligible_here) else {
                 continue;
             };
-            let free = kept.remaining(worker_key, headroom.free);
+            let free = reservations.remaining(worker_key, headroom.free);
             let max_tasks = match spec.spread {
                 0 => u64::MAX,
-                most => u64::from(most.saturating_sub(members(worker, key, spec))),
+                most => u64::from(most.saturating_sub(tasks_on_worker(worker, key, spec))),
             };
-            let most_room = kept.remaining(worker_key, headroom.available_to(queue.priority));
-            let slots = most_room.fit_count(&booked).min(max_tasks);
+            let most_available =
+                reservations.remaining(worker_key, headroom.available_to(queue.priority));
+            let slots = most_available.fit_count(&booked).min(max_tasks);
             most = most.saturating_add(slots);
             if slots > 0 {
-                able.push((worker_key, headroom, free, max_tasks));
+                eligible.push((worker_key, headroom, free, max_tasks));
             }
         }
         if most < u64::from(spec.count) {
             return Vec::new();
         }
-        let sites = able.into_iter().map(|(worker, headroom, free, max_tasks)| {
-            let victims = headroom.victims.iter();
-            let less = victims.filter(|victim| victim.priority > queue.priority);
-            WorkerSlots {
-                worker,
-                free,
-                max_tasks,
-                victims: less.copied().collect(),
-            }
-        });
+        let sites = eligible
+            .into_iter()
+            .map(|(worker, headroom, free, max_tasks)| {
+                let victims = headroom.victims.iter();
+                let less_urgent = victims.filter(|victim| victim.priority > queue.priority);
+                WorkerSlots {
+                    worker,
+                    free,
+                    max_tasks,
+                    victims: less_urgent.copied().collect(),
+                }
+            });
         sites.collect()
     }
 
@@ -181,7 +189,7 @@
     rank: Rank,
     key: StepKey,
     spec: &StepSpec,
-    kept: &mut Reservations,
+    reservations: &mut Reservations,
 ) {
     let booked = spec.booked();
     sites.sort_by_key(|one| Reverse(one.slots(&booked)));
@@ -193,6 +201,6 @@
         let missing = u64::from(spec.count) - slots;
         let taken = site.slots(&booked).min(missing);
         slots += taken;
-        kept.reserve(site.worker, rank, key, booked.times(taken));
+        reservations.reserve(site.worker, rank, key, booked.times(taken));
     }
 }
--- a/crates/job/src/planner/rank.rs
+++ b/crates/job/src/planner/rank.rs
@@ -48,12 +48,16 @@
         let (spec, _) = job.step(key)?;
         let due = job.born + objective;
         let switches = self.policy.switches;
-        let whole = spec.gang && switches.enabled(Mechanism::WholeChain);
-        let hope = if whole { GANG_WORK_SHARE } else { WORK_SHARE };
+        let whole_chain = spec.gang && switches.enabled(Mechanism::WholeChain);
+        let work_share = if whole_chain {
+            GANG_WORK_SHARE
+        } else {
+            WORK_SHARE
+        };
         let tail = job.expected.tail_times.get(key.step as usize).copied();
-        let ready = self.now + tail.unwrap_or(spec.estimate).mul_f64(hope);
-        let hopeful = ready <= due || !switches.enabled(Mechanism::Stages);
-        let stage = if hopeful || self.overdue_gang == Some(key) {
+        let ready = self.now + tail.unwrap_or(spec.estimate).mul_f64(work_share);
+        let in_time = ready <= due || !switches.enabled(Mechanism::Stages);
+        let stage = if in_time || self.overdue_gang == Some(key) {
             0
         } else if ready <= job.born + objective * LATE_FACTOR {
             1
--- a/crates/job/src/planner/reservations.rs
+++ b/crates/job/src/planner/reservations.rs
@@ -42,26 +42,26 @@
         gang: StepKey,
         resources: Room,
     ) {
-        let slots = Reservation {
+        let reservation = Reservation {
             rank,
             gang,
             resources,
         };
-        self.workers.entry(worker).or_default().push(slots);
+        self.workers.entry(worker).or_default().push(reservation);
         self.cpu += resources.cpu;
     }
 
     /// Whether a worker has a reservation for another gang.
     pub(super) fn reserved_for_other(&self, worker: WorkerKey, key: StepKey) -> bool {
-        let kept = self.workers.get(&worker);
-        kept.is_some_and(|kept| kept.iter().any(|slots| slots.gang != key))
+        let reserved = self.workers.get(&worker);
+        reserved.is_some_and(|reserved| reserved.iter().any(|reservation| reservation.gang != key))
     }
 
     /// Returns what all reservations leave of a worker's free resources.
     pub(super) fn remaining(&self, worker: WorkerKey, resources: Room) -> Room {
-        let kept = self.workers.get(&worker).into_iter().flatten();
-        kept.fold(resources, |resources, slots| {
-            resources.less(&slots.resources)
+        let reserved = self.workers.get(&worker).into_iter().flatten();
+        reserved.fold(resources, |resources, reservation| {
+            resources.less(&reservation.resources)
         })
     }
 
@@ -74,10 +74,11 @@
         rank: Rank,
         key: StepKey,
     ) -> Room {
-        let kept = self.workers.get(&worker).into_iter().flatten();
-        let before = kept.filter(|slots| slots.gang != key && slots.rank < rank);
-        before.fold(resources, |resources, slots| {
-            resources.less(&slots.resources)
+        let reserved = self.workers.get(&worker).into_iter().flatten();
+        let before =
+            reserved.filter(|reservation| reservation.gang != key && reservation.rank < rank);
+        before.fold(resources, |resources, reservation| {
+            resources.less(&reservation.resources)
         })
     }
 
@@ -109,13 +110,13 @@
         rank: Rank,
         key: StepKey,
         spec: &StepSpec,
-        kept: &mut Reservations,
+        reservations: &mut Reservations,
     ) {
         if !self.policy.switches.enabled(Mechanism::KeptRoom) {
             return;
         }
         #[allow(clippy::cast_precision_loss)]
-        let full = kept.cpu as f64 >= self.pool_cpu as f64 * MAX_RESERVED_SHARE;
+        let full = reservations.cpu as f64 >= self.pool_cpu as f64 * MAX_RESERVED_SHARE;
         let Some(job) = self.jobs.get(&key.job) else {
             return;
         };
@@ -127,23 +128,23 @@
         }
         let need = spec.booked();
         // Expired tickets count, too: they are renewed once there are enough resources.
-        let able = self.allowed_workers(job, step, Duration::ZERO);
-        let able = able.into_iter().filter(|(_, state)| self.usable(state));
-        let mut able: Vec<(WorkerKey, Room, u64)> = able
+        let allowed = self.allowed_workers(job, step, Duration::ZERO);
+        let allowed = allowed.into_iter().filter(|(_, state)| self.usable(state));
+        let mut allowed: Vec<(WorkerKey, Room, u64)> = allowed
             .map(|(worker, state)| {
                 let all = state.info.capacity.fit_count(&need);
-                (worker, kept.remaining(worker, state.free()), all)
+                (worker, reservations.remaining(worker, state.free()), all)
             })
             .collect();
-        let most: u64 = able.iter().map(|(.., all)| all).sum();
-        if most < u64::from(spec.count) {
+        let total: u64 = allowed.iter().map(|(.., all)| all).sum();
+        if total < u64::from(spec.count) {
             // Even empty, the allowed workers could not hold the gang: a reservation would
             // not help.
             return;
         }
-        able.sort_by_key(|(_, free, _)| Reverse(free.cpu));
+        allowed.sort_by_key(|(_, free, _)| Reverse(free.cpu));
         let mut missing = u64::from(spec.count);
-        for (worker, free, _) in able {
+        for (worker, free, _) in allowed {
             if missing == 0 {
                 break;
             }
@@ -151,7 +152,7 @@
             // more is free.
             let slots = free.fit_count(&need).clamp(1, missing);
             missing -= slots;
-            kept.reserve(worker, rank, key, need.times(slots).within(&free));
+            reservations.reserve(worker, rank, key, need.times(slots).within(&free));
         }
     }
 }
--- a/crates/job/src/planner/run_times.rs
+++ b/crates/job/src/planner/run_times.rs
@@ -27,7 +27,7 @@
 
 impl RegressionSums {
     fn add(&mut self, x: f64, y: f64, weight: f64) {
-        let kept = DECAY.powf(weight);
+        let decay = DECAY.powf(weight);
         for (sum, new) in [
             (&mut self.weight, 1.0),
             (&mut self.x, x),
@@ -35,7 +35,7 @@
             (&mut self.xx, x * x),
             (&mut self.xy, x * y),
         ] {
-            *sum = *sum * kept + new * weight;
+            *sum = *sum * decay + new * weight;
         }
     }
 
--- a/crates/job/src/planner/speed.rs
+++ b/crates/job/src/planner/speed.rs
@@ -42,9 +42,9 @@
 }
 
 impl Speed {
-    fn observe(&mut self, slower: f64) {
+    fn observe(&mut self, log_ratio: f64) {
         self.weight = self.weight * DECAY + 1.0;
-        self.sum = self.sum * DECAY + slower;
+        self.sum = self.sum * DECAY + log_ratio;
     }
 
     /// Whether the worker counts as slow.
@@ -98,9 +98,9 @@
         let Some((_, step)) = job.and_then(|job| job.step_mut(key)) else {
             return;
         };
-        for (worker, slower) in step.log_ratios() {
+        for (worker, log_ratio) in step.log_ratios() {
             if let Some(worker) = self.workers.get_mut(worker) {
-                worker.speed.observe(slower);
+                worker.speed.observe(log_ratio);
             }
         }
     }
--- a/crates/job/tests/advice.rs
+++ b/crates/job/tests/advice.rs
@@ -1,4 +1,4 @@
-//! Whom the planner asks about, and when.
+//! Calls for advice: which workers the planner asks about, and when.
 
 mod support;
 
@@ -24,7 +24,7 @@
 const LOOKUP: u64 = 7;
 const FILLING: u64 = 8;
 
-/// A job under advice; the service takes 80 ms and 1 ms a worker.
+/// A job under advice; a call takes 80 ms and 1 ms for each worker.
 fn advised(step: StepSpec) -> JobSpec {
     let mut job = patient(step);
     job.queue.advice = Some(Advice {
@@ -39,7 +39,7 @@
     task(LOOKUP, 0, 0).step
 }
 
-/// Answers that all of the workers asked about may run the step.
+/// Answers that all workers asked about may run the step.
 fn allow(planner: &mut Planner, asked: &[WorkerId], until: Duration) {
     let tickets: Vec<Ticket> = asked
         .iter()
@@ -51,10 +51,10 @@
     planner.handle_advice(step_key(), asked, &tickets, until);
 }
 
-/// Symptom: lookups waited a second and more with room for hundreds of their
-/// tasks in the pool. Sequence: the workers that may run a step are full by the
-/// time of the answer; its tickets last; others are asked about only when they
-/// are over. Cause: tickets counted, and not the room that they were good for.
+/// Guards against lookups that wait a second or more while the pool has room for hundreds
+/// of their tasks. The workers that may run a step are full when the answer comes, and as
+/// long as their tickets were valid, no others were asked about: the tickets counted
+/// without the free resources of their workers.
 #[test]
 fn a_step_whose_workers_are_full_asks_about_others_at_once() {
     let mut planner = planner(1);
@@ -86,14 +86,14 @@
 }
 
 #[test]
-fn nobody_is_asked_about_while_tickets_last_and_there_is_room() {
+fn no_call_is_made_while_tickets_are_valid_and_slots_are_free() {
     let mut planner = planner(1);
     add_claimed(&mut planner, "w1");
     add_claimed(&mut planner, "w2");
-    let mut apart = step(4);
-    apart.spread = 1;
+    let mut spread_step = step(4);
+    spread_step.spread = 1;
     plan_at(&mut planner, 5);
-    planner.add_job(LOOKUP, advised(apart), None, false);
+    planner.add_job(LOOKUP, advised(spread_step), None, false);
     planner.advance(Duration::from_millis(10));
     let first = planner
         .next_advice_request(FreeHelpers::Some)
@@ -106,10 +106,9 @@
     assert_eq!(second, None);
 }
 
-/// Symptom: wide lookups started a third of their tasks and asked again for the
-/// others. Sequence: each worker has room for one task; the call names too few
-/// workers for all tasks. Cause: a bound on a call's cost below what its own
-/// step needed.
+/// Guards against wide lookups that start a third of their tasks and ask again for the
+/// others. Each worker has room for one task, and the limit on a call's cost was below what
+/// the step needed.
 #[test]
 fn a_wide_step_asks_about_enough_workers_for_all_its_tasks() {
     let mut planner = planner(1);
@@ -122,16 +121,20 @@
     planner.add_job(LOOKUP, advised(large), None, false);
     planner.advance(Duration::from_millis(10));
 
-    let ask = planner
+    let request = planner
         .next_advice_request(FreeHelpers::Some)
         .expect("a call");
 
-    assert_eq!(ask.workers.len(), 80, "30 tasks, if two in five may run it");
+    assert_eq!(
+        request.workers.len(),
+        80,
+        "enough for 30 tasks if two in five workers may run them"
+    );
 }
 
-/// Symptom: with thousands of workers single tasks waited for good beside free ones.
-/// Sequence: only a part of a large pool is looked at for a call; it is full, and so is
-/// the part that is looked at next. Cause ruled out: the part moves on.
+/// Guards against single tasks that wait forever while workers are free. Only a part of a
+/// large pool is scanned for a call; here this part and the next one are full, so the scan
+/// must go on to later parts.
 #[test]
 fn free_workers_of_a_large_pool_are_found_wherever_they_are() {
     let mut planner = planner(1);
--- a/crates/job/tests/backlog.rs
+++ b/crates/job/tests/backlog.rs
@@ -1,4 +1,4 @@
-//! Gangs under a backlog: more of them wait than the pool can take.
+//! Gangs under a backlog: more of them wait than the pool can run.
 
 mod support;
 
@@ -20,7 +20,7 @@
 use support::spec;
 use support::step;
 
-/// A gang of two cores that takes four seconds and is wanted within nine.
+/// A gang of two cores that takes four seconds and has an objective of nine.
 fn gang() -> JobSpec {
     let mut step = step(2);
     step.gang = true;
@@ -28,21 +28,20 @@
     spec(vec![step])
 }
 
-/// Symptom: after a burst of gangs, nearly all of them ended just too late for
-/// as long as the backlog lasted. Sequence: they wait until room is free, in
-/// order of their due times; when it is a gang's turn, less time is left than it
-/// takes. Cause: a gang counted as in time while half of its work fitted.
+/// Guards against a backlog in which nearly all gangs end just too late. They wait in order
+/// of their due times, and at each gang's turn less time is left than it takes, because a
+/// gang counted as in time as soon as half of its work fitted.
 #[test]
 fn gangs_that_can_still_be_in_time_go_before_those_that_cannot() {
     const OLDEST: JobId = 1;
-    const HOPELESS: JobId = 2;
-    const HOPEFUL: JobId = 3;
+    const LATE: JobId = 2;
+    const IN_TIME: JobId = 3;
     let mut planner = planner(1);
     planner.add_job(OLDEST, gang(), None, false);
-    planner.add_job(HOPELESS, gang(), None, false);
+    planner.add_job(LATE, gang(), None, false);
     planner.advance(Duration::from_secs(4));
-    planner.add_job(HOPEFUL, gang(), None, false);
-    // Room for two of the three, three seconds before the first two are due.
+    planner.add_job(IN_TIME, gang(), None, false);
+    // Two of the three fit, three seconds before the first two are due.
     planner.advance(Duration::from_secs(6));
     add_claimed(&mut planner, "w1");
 
@@ -50,14 +49,13 @@
 
     let mut jobs: Vec<JobId> = starts.iter().map(|(task, ..)| task.step.job).collect();
     jobs.dedup();
-    // The oldest late gang keeps its rank, so that it starts at all.
-    assert_eq!(jobs, vec![OLDEST, HOPEFUL]);
+    // The oldest late gang keeps its rank, so that it starts eventually.
+    assert_eq!(jobs, vec![OLDEST, IN_TIME]);
 }
 
-/// Symptom: single tasks waited for seconds for advice while gangs wasted half
-/// of the service's time. Sequence: a hundred gangs wait for room for seconds;
-/// each asks which workers may run it, and asks anew when its tickets have run
-/// out. Cause: a gang asked however far it was from its turn.
+/// Guards against gangs that use half of the advice service's time in vain, so that single
+/// tasks wait seconds for advice. A hundred gangs wait for resources; each asked for
+/// advice, and asked again when its tickets had expired, however far it was from its turn.
 #[test]
 fn only_gangs_that_could_start_next_ask_for_advice() {
     let mut planner = planner(1);
@@ -77,17 +75,17 @@
     }
     plan_at(&mut planner, 10);
 
-    let mut asks = 0;
+    let mut calls = 0;
     while planner.next_advice_request(FreeHelpers::Some).is_some() {
-        asks += 1;
+        calls += 1;
     }
 
-    assert_eq!(asks, 2, "16 cores are free, each gang wants 8");
+    assert_eq!(calls, 2, "16 cores are free, each gang wants 8");
 }
 
-/// Symptom: under a backlog fewer gangs were in time than there was room for.
-/// Sequence: a large gang is due first; it takes the room of two small ones, which
-/// then miss their objective. Cause: gangs were served in order of due times alone.
+/// Guards against a backlog in which fewer gangs are in time than could be. A large gang
+/// that is due first takes the resources of two small ones, which then miss their
+/// objective, if gangs are served only in order of due times.
 #[test]
 fn small_gangs_go_first_when_not_all_can_be_in_time() {
     const LARGE: JobId = 1;
@@ -110,7 +108,7 @@
 
 /// A large gang that has waited for long goes before small ones that come later.
 #[test]
-fn large_gangs_are_not_left_over_for_good() {
+fn large_gangs_are_not_postponed_forever() {
     const LARGE: JobId = 1;
     const SMALL: JobId = 2;
     let mut planner = planner(1);
@@ -132,13 +130,13 @@
     assert!(starts.iter().all(|(task, ..)| task.step.job == LARGE));
 }
 
-/// Symptom: under a backlog two fifths of the workers were kept free for gangs, a fifth
-/// of all processors stood idle there, and the gangs did not start. Sequence: a gang
-/// waits for seats; as few workers as could hold it when empty are kept for it, and
-/// longer tasks run on there; seats that come free on other workers go to less urgent
-/// tasks. Cause: whole workers were kept, and not seats on all that may run the gang.
+/// Guards against reservations of whole workers: under a backlog, two fifths of the workers
+/// were reserved for gangs, a fifth of all processors were idle there, and the gangs did
+/// not start. As few workers as could hold a gang when empty were reserved while longer
+/// tasks ran on there, and slots that became free on other workers went to less urgent
+/// tasks.
 #[test]
-fn a_gang_gathers_the_seats_that_come_free_on_any_worker() {
+fn a_gang_reserves_slots_that_become_free_on_any_worker() {
     const LONG: JobId = 1;
     const SHORT: JobId = 2;
     const GANG: JobId = 3;
@@ -165,9 +163,9 @@
 
     let mut started = Vec::new();
     for (number, &(task, run, worker)) in (1..).zip(&short) {
-        let here = long.iter().find(|(.., other)| *other == worker);
+        let long_run = long.iter().find(|(.., other)| *other == worker);
         let listing = Listing {
-            running: here
+            running: long_run
                 .map(|&(task, run, _)| running(task, run))
                 .into_iter()
                 .collect(),
--- a/crates/job/tests/capacity.rs
+++ b/crates/job/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! Workers whose room shrinks and grows while tasks run there.
+//! Workers whose capacity shrinks and grows while tasks run there.
 
 mod support;
 
@@ -24,15 +24,15 @@
 use support::task;
 use support::worker;
 
-/// A worker of four cores that has so many now.
-fn sized(id: &str, cores: u64) -> WorkerInfo {
+/// A worker that had four cores at first and now has `cores`.
+fn worker_with_cores(id: &str, cores: u64) -> WorkerInfo {
     WorkerInfo {
         capacity: room(cores * 1000, 64_000),
         ..worker(id)
     }
 }
 
-/// Plans and confirms the starts; gives how many there were.
+/// Plans and confirms the starts; returns how many there were.
 fn start_at(planner: &mut Planner, millis: u64) -> usize {
     let starts = plan_at(planner, millis);
     for &(task, run, worker) in &starts {
@@ -47,7 +47,7 @@
     let key = add_claimed(&mut planner, "w1");
     planner.add_job(1, spec(vec![step(8)]), None, false);
     start_at(&mut planner, 10);
-    planner.take_worker(sized("w1", 2));
+    planner.take_worker(worker_with_cores("w1", 2));
     let done = vec![
         ended(1, task(1, 0, 0), 1, RunEnd::Done),
         ended(2, task(1, 0, 1), 1, RunEnd::Done),
@@ -56,16 +56,16 @@
     planner.take_listing(key, Duration::from_millis(100), &listing(rest, done));
 
     let full = start_at(&mut planner, 200);
-    planner.take_worker(sized("w1", 3));
+    planner.take_worker(worker_with_cores("w1", 3));
     let grown = start_at(&mut planner, 300);
 
     assert_eq!((full, grown), (0, 1));
 }
 
-/// A run that is being stopped holds its room until its end is listed, also in a room
-/// that has shrunk meanwhile.
+/// A run that is being stopped holds its resources until its end is reported, even if the
+/// capacity has shrunk meanwhile.
 #[test]
-fn what_is_being_stopped_counts_in_a_room_that_has_shrunk() {
+fn runs_being_stopped_count_against_a_shrunk_capacity() {
     let mut planner = planner(1);
     let key = add_claimed(&mut planner, "w1");
     planner.add_job(1, spec(vec![step(2)]), None, false);
@@ -73,7 +73,7 @@
     let mut canceled = spec(vec![step(2)]);
     canceled.canceled = true;
     planner.add_job(1, canceled, None, false);
-    planner.take_worker(sized("w1", 2));
+    planner.take_worker(worker_with_cores("w1", 2));
     planner.add_job(2, spec(vec![step(1)]), None, false);
 
     let stopping = start_at(&mut planner, 20);
@@ -84,19 +84,19 @@
     let ends = vec![ended(1, task(1, 0, 0), 1, RunEnd::Stopped)];
     let rest = vec![running(task(1, 0, 1), 1)];
     planner.take_listing(key, Duration::from_millis(40), &listing(rest, ends));
-    let listed = start_at(&mut planner, 50);
+    let reported = start_at(&mut planner, 50);
 
-    assert_eq!((stopping, stopped, listed), (0, 0, 1));
+    assert_eq!((stopping, stopped, reported), (0, 0, 1));
 }
 
-/// A job was shown as failed though it only had to wait. Its owner took over while the
-/// workers were small; the rows of its predecessor told how large they are, and what the
-/// workers said of themselves replaced that.
+/// Guards against a job that fails though it only has to wait. Its owner took over while
+/// the workers were small; the rows of the former owner stated how large they are, and the
+/// workers' own registrations replaced that.
 #[test]
 fn a_pool_that_has_shrunk_fails_no_job() {
     let mut planner = planner(2);
     let key = planner.recall_worker(worker("w1")).expect("a new worker");
-    planner.take_worker(sized("w1", 1));
+    planner.take_worker(worker_with_cores("w1", 1));
     planner.take_listing(key, Duration::ZERO, &listing(vec![], vec![]));
     let mut large = step(1);
     large.need = room(3000, 1000);
@@ -107,20 +107,20 @@
     planner.take_worker(worker("w1"));
     let grown = start_at(&mut planner, 10_100);
 
-    assert!(small.iter().all(|(_, told)| told.outcome.is_none()));
+    assert!(small.iter().all(|(_, saved)| saved.outcome.is_none()));
     assert_eq!(grown, 1);
     assert_ne!(planner.job_status(1), Some(Shown::Failed));
 }
 
-/// A gang that is too large for the pool waited for good. One worker had shrunk and
-/// grown again; it counted as two, one of each size.
+/// Guards against a gang that waits forever though it is too large for the pool. One worker
+/// had shrunk and grown again, and counted as two, one of each size.
 #[test]
 fn a_worker_of_two_sizes_counts_once() {
     let mut planner = planner(1);
     add_claimed(&mut planner, "w1");
     add_claimed(&mut planner, "w2");
     start_at(&mut planner, 1000);
-    planner.take_worker(sized("w1", 3));
+    planner.take_worker(worker_with_cores("w1", 3));
     start_at(&mut planner, 2000);
     planner.take_worker(worker("w1"));
     start_at(&mut planner, 3000);
@@ -134,17 +134,17 @@
     assert_eq!(batch.jobs[0].1.outcome, Some(job::Outcome::Failed));
 }
 
-/// Tasks were stopped for a gang that could not start there: their worker had shrunk,
-/// and what they left was still more than it had.
+/// Guards against tasks that are preempted for a gang which cannot start there. Their
+/// worker has shrunk, and the tasks that remain still use more than it has.
 #[test]
-fn nothing_is_stopped_where_that_makes_no_room() {
+fn no_run_is_preempted_where_that_frees_no_resources() {
     let mut planner = planner(1);
     let key = add_claimed(&mut planner, "w1");
-    let mut saving = step(4);
-    saving.checkpointed = true;
-    planner.add_job(1, patient(saving), None, false);
+    let mut checkpointed_step = step(4);
+    checkpointed_step.checkpointed = true;
+    planner.add_job(1, patient(checkpointed_step), None, false);
     start_at(&mut planner, 10);
-    planner.take_worker(sized("w1", 1));
+    planner.take_worker(worker_with_cores("w1", 1));
     let rest = (0..4).map(|index| running(task(1, 0, index), 1));
     planner.take_listing(
         key,
@@ -158,8 +158,8 @@
     planner.advance(Duration::from_millis(100));
     planner.plan();
 
-    let orders = planner.take_commands();
-    let stops = orders.iter();
-    let stops = stops.filter(|order| matches!(order, Command::Stop { .. }));
+    let commands = planner.take_commands();
+    let stops = commands.iter();
+    let stops = stops.filter(|command| matches!(command, Command::Stop { .. }));
     assert_eq!(stops.count(), 0);
 }
--- a/crates/job/tests/impossible.rs
+++ b/crates/job/tests/impossible.rs
@@ -1,4 +1,4 @@
-//! Which jobs are ended because no worker could ever take them.
+//! Jobs that fail because no worker could ever run them.
 
 mod support;
 
@@ -31,58 +31,66 @@
     gang
 }
 
-/// A worker whose label no other has.
-fn special(id: &str) -> WorkerInfo {
-    let mut special = worker(id);
-    special.labels = vec!["b".to_owned()];
-    special
+/// A worker with a label that no other has.
+fn labelled_worker(id: &str) -> WorkerInfo {
+    let mut labelled_worker = worker(id);
+    labelled_worker.labels = vec!["b".to_owned()];
+    labelled_worker
 }
 
-/// What a predecessor's row tells of a worker.
-fn recall(planner: &mut Planner, info: WorkerInfo) -> job::WorkerKey {
+/// Adds a worker as a former owner's row describes it.
+fn add_former_worker(planner: &mut Planner, info: WorkerInfo) -> job::WorkerKey {
     let id = info.id.clone();
-    let left = WorkerInfo {
+    let registration = WorkerInfo {
         draining: true,
         ..info
     };
-    let key = planner.take_worker(left).expect("new worker");
+    let key = planner.take_worker(registration).expect("new worker");
     planner.lose_worker(&id);
     key
 }
 
-/// Outcomes that are about to be recorded.
+/// Returns the outcomes that are about to be saved.
 fn outcomes(planner: &mut Planner) -> Vec<Option<Outcome>> {
     let batch = planner.take_batch(10);
-    batch.jobs.iter().map(|(_, told)| told.outcome).collect()
+    batch
+        .jobs
+        .iter()
+        .map(|(_, progress)| progress.outcome)
+        .collect()
 }
 
-/// A job was shown as failed though it could run. The only worker with its
-/// label crashed; the job arrived before the next one was there. It was judged
-/// by the workers of that moment.
+/// Guards against a job that fails though it can run. The only worker with its label
+/// crashed, the job arrived before the next one was there, and it was checked against the
+/// current workers.
 #[test]
-fn a_label_that_is_away_fails_no_job() {
+fn a_job_whose_label_has_no_current_worker_does_not_fail() {
     let mut planner = planner(1);
     add_claimed(&mut planner, "w1");
-    let away = planner.take_worker(special("w2")).expect("new worker");
+    let away = planner
+        .take_worker(labelled_worker("w2"))
+        .expect("new worker");
     planner.take_listing(away, Duration::ZERO, &listing(vec![], vec![]));
     plan_at(&mut planner, 10_000);
     planner.worker_over(away);
     planner.add_job(JOB, spec(vec![labelled("b")]), None, false);
     let early = plan_at(&mut planner, 20_000);
-    let told = outcomes(&mut planner);
-    let back = planner.take_worker(special("w3")).expect("new worker");
+    let early_outcomes = outcomes(&mut planner);
+    let back = planner
+        .take_worker(labelled_worker("w3"))
+        .expect("new worker");
     planner.take_listing(back, Duration::from_secs(20), &listing(vec![], vec![]));
 
     let late = plan_at(&mut planner, 21_000);
 
-    assert_eq!((early, told), (vec![], vec![]));
+    assert_eq!((early, early_outcomes), (vec![], vec![]));
     assert_eq!(late.len(), 1);
 }
 
-/// A gang was shown as failed though the pool could hold it. One of two workers
-/// crashed, and the gang was judged by the other.
+/// Guards against a gang that fails though the pool can hold it. One of two workers
+/// crashed, and the gang was checked against the other.
 #[test]
-fn a_pool_that_is_small_for_a_while_fails_no_gang() {
+fn a_temporarily_small_pool_fails_no_gang() {
     let mut planner = planner(1);
     add_claimed(&mut planner, "w1");
     let away = add_claimed(&mut planner, "w2");
@@ -90,50 +98,50 @@
     planner.worker_over(away);
     planner.add_job(JOB, spec(vec![gang(6)]), None, false);
     plan_at(&mut planner, 20_000);
-    let told = outcomes(&mut planner);
+    let early_outcomes = outcomes(&mut planner);
     add_claimed(&mut planner, "w3");
 
     let starts = plan_at(&mut planner, 21_000);
 
-    assert_eq!(told, vec![]);
+    assert_eq!(early_outcomes, vec![]);
     assert_eq!(starts.len(), 6);
 }
 
-/// Every job was shown as failed after a take-over. The registrations could
-/// not be read, so the workers were known only by the rows that the former
-/// owner had left of them; their size was not known, and was taken for none.
+/// Guards against a take-over after which every job fails. The registrations could not be
+/// read, so the workers were known only from rows of the former owner that do not state
+/// their capacity, which was taken for zero.
 #[test]
-fn workers_of_unknown_size_fail_no_job() {
+fn workers_of_unknown_capacity_fail_no_job() {
     let mut planner = planner(2);
-    let left = WorkerInfo {
+    let registration = WorkerInfo {
         capacity: room(0, 0),
         labels: vec![],
         ..worker("w1")
     };
-    let key = recall(&mut planner, left);
+    let key = add_former_worker(&mut planner, registration);
     planner.take_listing(key, Duration::ZERO, &listing(vec![], vec![]));
     planner.add_job(JOB, spec(vec![step(1)]), None, true);
     planner.lease_sent(key);
     plan_at(&mut planner, 3_500);
-    let told = outcomes(&mut planner);
+    let early_outcomes = outcomes(&mut planner);
     planner.take_worker(worker("w1"));
 
     let starts = plan_at(&mut planner, 4_000);
 
-    assert_eq!(told, vec![]);
+    assert_eq!(early_outcomes, vec![]);
     assert_eq!(starts.len(), 1);
 }
 
-/// A gang was shown as failed after a take-over. A worker died together with
-/// the owner; its successor judged by the workers that were left, though the
-/// row of the dead one tells what it was.
+/// Guards against a gang that fails after a take-over. A worker died together with the
+/// owner, and the successor counted only the remaining workers, though the row of the dead
+/// one states its capacity.
 #[test]
 fn workers_that_died_with_the_owner_count() {
     let mut planner = planner(2);
     add_claimed(&mut planner, "w1");
     let mut other = worker("w2");
     other.address = ([127, 0, 0, 1], 2).into();
-    let dead = recall(&mut planner, other);
+    let dead = add_former_worker(&mut planner, other);
     plan_at(&mut planner, 100);
     planner.worker_over(dead);
     planner.add_job(JOB, spec(vec![gang(6)]), None, false);
@@ -143,8 +151,8 @@
     assert_eq!(outcomes(&mut planner), vec![]);
 }
 
-/// A gang was shown as failed while the pool was still growing: judged a fixed
-/// time after the take-over, by the workers that had registered until then.
+/// Guards against a gang that fails while the pool is still growing: it was checked a fixed
+/// time after the take-over, against the workers that had registered by then.
 #[test]
 fn a_growing_pool_fails_no_gang() {
     let mut planner = planner(1);
@@ -154,28 +162,28 @@
     planner.take_listing(second, Duration::ZERO, &listing(vec![], vec![]));
     planner.add_job(JOB, spec(vec![gang(12)]), None, false);
     plan_at(&mut planner, 3_200);
-    let told = outcomes(&mut planner);
+    let early_outcomes = outcomes(&mut planner);
     add_claimed(&mut planner, "w3");
 
     let starts = plan_at(&mut planner, 4_000);
 
-    assert_eq!(told, vec![]);
+    assert_eq!(early_outcomes, vec![]);
     assert_eq!(starts.len(), 12);
 }
 
-/// What no worker has ever been able to take is refused at once.
+/// A job that no worker has ever been able to run fails at once.
 #[test]
-fn what_no_worker_ever_could_take_fails() {
+fn jobs_that_no_worker_could_ever_run_fail() {
     let mut large = step(1);
     large.need = room(5_000, 1);
-    for poison in [large, labelled("never"), gang(9)] {
+    for impossible_step in [large, labelled("never"), gang(9)] {
         let mut planner = planner(1);
         add_claimed(&mut planner, "w1");
         let gone = add_claimed(&mut planner, "w2");
         plan_at(&mut planner, 10);
         planner.worker_over(gone);
         plan_at(&mut planner, 9_000);
-        planner.add_job(JOB, spec(vec![poison]), None, false);
+        planner.add_job(JOB, spec(vec![impossible_step]), None, false);
 
         plan_at(&mut planner, 9_010);
 
@@ -183,10 +191,10 @@
     }
 }
 
-/// A worker that came back under a new id at its address is one worker, also
-/// while its former life is not given up yet.
+/// A worker that has come back under a new id at its address counts as one worker, even
+/// while its previous incarnation has not been written off.
 #[test]
-fn two_lives_of_a_worker_count_once() {
+fn two_incarnations_of_a_worker_count_once() {
     let mut planner = planner(1);
     let first = add_claimed(&mut planner, "w1");
     plan_at(&mut planner, 10);
--- a/crates/job/tests/learning.rs
+++ b/crates/job/tests/learning.rs
@@ -1,4 +1,4 @@
-//! What the planner learns from the runs that were done.
+//! What the planner learns from completed runs.
 
 mod support;
 
@@ -20,8 +20,8 @@
 use support::spec;
 use support::step;
 
-/// A gang of `count` members that its caller thinks to take `estimate`, wanted
-/// within twice its time and a second.
+/// A gang of `count` members with an estimate of `estimate` ms and an objective of twice
+/// that and a second.
 fn gang(count: u32, estimate: u64) -> JobSpec {
     let mut step = step(count);
     step.gang = true;
@@ -29,17 +29,22 @@
     spec(vec![step])
 }
 
-/// Lists the ends of these runs at this time; nothing else runs on their workers.
-fn end_all(planner: &mut Planner, runs: &[(TaskKey, u64, WorkerKey)], at: u64, numbers: &mut u64) {
+/// Reports the ends of these runs at this time; nothing else runs on their workers.
+fn end_all(
+    planner: &mut Planner,
+    runs: &[(TaskKey, u64, WorkerKey)],
+    at: u64,
+    last_number: &mut u64,
+) {
     let now = Duration::from_millis(at);
     planner.advance(now);
     let workers: BTreeSet<WorkerKey> = runs.iter().map(|(.., worker)| *worker).collect();
     for worker in workers {
         let mut listing = Listing::default();
         for &(task, run, _) in runs.iter().filter(|(.., of)| *of == worker) {
-            *numbers += 1;
+            *last_number += 1;
             listing.ended.push(EndedTask {
-                number: *numbers,
+                number: *last_number,
                 task,
                 run,
                 how: RunEnd::Done,
@@ -50,7 +55,7 @@
     }
 }
 
-/// Starts what waits, at this time, and has the workers confirm it.
+/// Starts what waits, at this time, and confirms the starts.
 fn start_all(planner: &mut Planner, at: u64) -> Vec<(TaskKey, u64, WorkerKey)> {
     let starts = plan_at(planner, at);
     for &(task, run, worker) in &starts {
@@ -59,26 +64,25 @@
     starts
 }
 
-/// Symptom: gangs that had time enough waited behind all others until it was too
-/// late, 24 of 210 on a day without faults. Sequence: callers declare a tenth of what
-/// their gangs take; when one has waited for a while, the objective worked out from
-/// that is over. Cause: declared times were taken at their word, though dozens of
-/// their queue had taken longer.
+/// Guards against gangs that have enough time but wait behind all others until it is too
+/// late, 24 of 210 on a day without faults. Callers declare a tenth of what their gangs
+/// take; after a gang has waited for a while, an objective derived from the declared time
+/// is over. The planner must use the run times of the queue's earlier gangs instead.
 #[test]
-fn a_gang_is_judged_by_what_its_queue_took_and_not_by_what_was_declared() {
+fn a_gang_is_ranked_by_learnt_and_not_by_declared_run_times() {
     const OLDEST: JobId = 89;
     const WAITING: JobId = 90;
     const LATER: JobId = 91;
     let mut planner = planner(1);
     add_claimed(&mut planner, "w1");
-    let (mut at, mut numbers) = (0, 0);
+    let (mut at, mut last_number) = (0, 0);
     for id in 1..=30 {
         planner.add_job(id, gang(2, 500), None, false);
         let runs = start_all(&mut planner, at + 10);
-        end_all(&mut planner, &runs, at + 5_010, &mut numbers);
+        end_all(&mut planner, &runs, at + 5_010, &mut last_number);
         at += 5_010;
     }
-    // Wanted within 11 s, by what the queue takes; within 2 s, as declared.
+    // The objective is 11 s by the learnt run time, 2 s by the declared one.
     planner.add_job(80, gang(2, 500), None, false);
     planner.add_job(81, gang(2, 500), None, false);
     let blocking = start_all(&mut planner, at + 10);
@@ -88,17 +92,21 @@
     planner.advance(Duration::from_millis(at + 4_000));
     planner.add_job(LATER, gang(2, 500), None, false);
 
-    end_all(&mut planner, &blocking, at + 5_000, &mut numbers);
+    end_all(&mut planner, &blocking, at + 5_000, &mut last_number);
     let starts = start_all(&mut planner, at + 5_010);
 
     let mut jobs: Vec<JobId> = starts.iter().map(|(task, ..)| task.step.job).collect();
     jobs.dedup();
-    assert_eq!(jobs, vec![OLDEST, WAITING], "it has 6 s left and takes 5 s");
+    assert_eq!(
+        jobs,
+        vec![OLDEST, WAITING],
+        "job WAITING has 6 s left and takes 5 s"
+    );
 }
 
-/// Symptom: jobs under advice counted as late that were not: their objective allows
-/// for one call for each step. Sequence: a call for a gang takes a second; its
-/// objective is that of a chain with the call in it. Cause: it was left out.
+/// Guards against jobs under advice that count as late but are not: the objective allows
+/// for one call for advice in each step, and a call for a gang takes a second, which was
+/// left out.
 #[test]
 fn an_objective_allows_for_a_call_for_advice_in_each_step() {
     let mut planner = planner(1);
@@ -112,30 +120,29 @@
 
     let timing = planner.timing(1).expect("the job");
 
-    // Twice the gang's second and the call's, and a second.
+    // Twice the sum of the gang's second and the call's, and a second.
     assert_eq!(timing.objective, Duration::from_secs(5));
 }
 
-/// Symptom: gangs took 1.3 times as long as they need, and each member held its
-/// processors for that time. Sequence: one worker in three is slow, which no label
-/// tells; a gang that has a member there goes on at that pace. Cause: workers were
-/// taken by their room alone.
+/// Guards against gangs that take 1.3 times as long as needed, with all members holding
+/// their processors. One worker in three is slow, which no label shows, and a gang with a
+/// member there runs at its speed if workers are chosen by free resources alone.
 #[test]
-fn a_gang_keeps_off_workers_that_have_shown_to_be_slow() {
+fn a_gang_avoids_workers_known_to_be_slow() {
     const GANG: JobId = 90;
     let mut planner = planner(1);
     let slow = add_claimed(&mut planner, "slow");
     for nth in 0..3 {
         add_claimed(&mut planner, &format!("fast-{nth}"));
     }
-    let (mut at, mut numbers) = (0, 0);
+    let (mut at, mut last_number) = (0, 0);
     for id in 1..=8 {
         planner.add_job(id, spec(vec![step(16)]), None, false);
         let runs = start_all(&mut planner, at + 10);
         let (late, early): (Vec<_>, Vec<_>) =
             runs.into_iter().partition(|(.., worker)| *worker == slow);
-        end_all(&mut planner, &early, at + 1_010, &mut numbers);
-        end_all(&mut planner, &late, at + 1_310, &mut numbers);
+        end_all(&mut planner, &early, at + 1_010, &mut last_number);
+        end_all(&mut planner, &late, at + 1_310, &mut last_number);
         at += 1_310;
     }
     planner.add_job(GANG, gang(12, 1_000), None, false);
--- a/crates/job/tests/planner.rs
+++ b/crates/job/tests/planner.rs
@@ -31,7 +31,7 @@
 
     let starts = plan_at(&mut planner, 10);
 
-    assert_eq!(starts.len(), 4, "four cores");
+    assert_eq!(starts.len(), 4, "the worker has four cores");
 }
 
 #[test]
@@ -41,14 +41,17 @@
     let mut gang = step(6);
     gang.gang = true;
     planner.add_job(JOB, spec(vec![gang]), None, false);
-    let alone = plan_at(&mut planner, 10);
+    let too_small = plan_at(&mut planner, 10);
     add_claimed(&mut planner, "w2");
 
     let starts = plan_at(&mut planner, 20);
 
-    assert!(alone.is_empty(), "six do not fit on four cores");
+    assert!(too_small.is_empty(), "six do not fit on four cores");
     assert_eq!(starts.len(), 6);
-    assert!(starts.iter().all(|(_, run, _)| *run == 1), "one run number");
+    assert!(
+        starts.iter().all(|(_, run, _)| *run == 1),
+        "all members have the same run number"
+    );
 }
 
 #[test]
@@ -75,10 +78,10 @@
     assert_eq!(late[0].0, task(JOB, 1, 0));
 }
 
-/// Symptom: a task was started again after as many failed runs as its queue
-/// allows. Sequence: the store is away; two runs fail on two workers, neither
-/// end is recorded; a successor claims the worker of the second run first.
-/// Cause: ends of runs older than the newest one known were passed over.
+/// Guards against a task that is started again after as many failed runs as its queue
+/// allows. The store is unavailable, two runs fail on two workers, and neither end is
+/// saved; the successor gets the report of the second run first, and ignored ends of runs
+/// older than the newest one.
 #[test]
 fn failed_ends_count_in_any_order() {
     let mut planner = planner(2);
@@ -92,17 +95,16 @@
 
     let starts = plan_at(&mut planner, 10);
 
-    assert!(starts.is_empty(), "two attempts were allowed");
+    assert!(starts.is_empty(), "only two attempts are allowed");
     let batch = planner.take_batch(10);
     planner.batch_saved(&batch);
     assert_eq!(planner.job_status(JOB), Some(Shown::Failed));
 }
 
-/// Symptom: tasks of a worker that died silently never ran again. Sequence:
-/// the worker stops answering; its calls are repeated. Cause: each repetition
-/// counted as a renewal of its lease.
+/// Guards against tasks of a worker that died silently and that never run again: each
+/// repeated call to the worker counted as a renewal of its lease.
 #[test]
-fn a_silent_workers_tasks_run_elsewhere_after_its_lease() {
+fn tasks_of_a_silent_worker_run_elsewhere_after_its_lease() {
     let mut planner = planner(1);
     let silent = add_claimed(&mut planner, "w1");
     planner.add_job(JOB, spec(vec![step(1)]), None, false);
@@ -114,28 +116,28 @@
 
     let starts = plan_at(&mut planner, 14_900);
 
-    assert!(early.is_empty(), "the lease may not be over yet");
+    assert!(early.is_empty(), "the lease may not have expired yet");
     assert_eq!(starts.len(), 1);
-    assert_eq!(starts[0].1, 2, "a higher run number");
+    assert_eq!(starts[0].1, 2, "the new run has a higher number");
 }
 
 #[test]
-fn an_end_from_before_the_lease_was_over_does_not_stand_after_it() {
+fn an_end_reported_after_the_lease_expired_does_not_count() {
     let mut planner = planner(1);
-    let cut = add_claimed(&mut planner, "w1");
+    let expired = add_claimed(&mut planner, "w1");
     planner.add_job(JOB, spec(vec![step(1)]), None, false);
     plan_at(&mut planner, 10_000);
-    planner.worker_silent(cut);
+    planner.worker_silent(expired);
     add_claimed(&mut planner, "w2");
     plan_at(&mut planner, 14_900);
     let late = listing(vec![], vec![ended(1, task(JOB, 0, 0), 1, RunEnd::Done)]);
 
-    planner.take_listing(cut, Duration::from_secs(15), &late);
+    planner.take_listing(expired, Duration::from_secs(15), &late);
 
     assert_eq!(
         planner.job_status(JOB),
         Some(Shown::Active),
-        "run 2 decides"
+        "only the end of run 2 counts"
     );
 }
 
@@ -155,13 +157,13 @@
     let first = planner.take_batch(1);
     let second = planner.take_batch(1);
 
-    assert!(first.ends.is_empty(), "a job is left out");
+    assert!(first.ends.is_empty(), "the batch leaves a job out");
     assert_eq!(second.ends, vec![(key, 2)]);
     assert_eq!(second.jobs[0].1.outcome, Some(Outcome::Completed));
     assert_eq!(
         planner.job_status(JOB),
         Some(Shown::Active),
-        "not saved yet"
+        "the outcome is not saved yet"
     );
 }
 
@@ -180,7 +182,7 @@
 }
 
 #[test]
-fn a_worker_that_leaves_gets_no_new_task() {
+fn a_draining_worker_gets_no_new_task() {
     let mut planner = planner(1);
     add_claimed(&mut planner, "w1");
     let mut leaving = worker("w1");
@@ -192,7 +194,7 @@
 }
 
 #[test]
-fn a_start_without_answer_keeps_its_room_until_it_was_stopped() {
+fn a_start_without_reply_holds_its_resources_until_it_is_stopped() {
     let mut planner = planner(1);
     let key = add_claimed(&mut planner, "w1");
     planner.add_job(JOB, spec(vec![step(4)]), None, false);
@@ -211,40 +213,46 @@
 
     let again = plan_at(&mut planner, 710);
 
-    assert!(unconfirmed.is_empty(), "a late start could still arrive");
+    assert!(
+        unconfirmed.is_empty(),
+        "the start commands could still arrive"
+    );
     assert_eq!(again.len(), 4);
     assert!(again.iter().all(|(_, run, _)| *run == 2));
 }
 
-/// Symptom: counter checks on a worker that stood still were late by seconds.
-/// Sequence: a worker answers, lists its tasks, and none of them makes
-/// progress; another worker has room.
+/// Guards against counter checks that are seconds late because their worker makes no
+/// progress, though it answers and reports its tasks, and another worker has free
+/// resources.
 #[test]
-fn a_task_that_stands_still_is_moved() {
+fn a_task_without_progress_is_moved() {
     let mut planner = planner(1);
-    let stuck = add_claimed(&mut planner, "w1");
+    let stalled = add_claimed(&mut planner, "w1");
     planner.add_job(JOB, spec(vec![step(1)]), None, false);
     plan_at(&mut planner, 10_000);
-    planner.start_reply(stuck, task(JOB, 0, 0), 1, StartReply::Started);
+    planner.start_reply(stalled, task(JOB, 0, 0), 1, StartReply::Started);
     add_claimed(&mut planner, "w2");
-    let still = listing(vec![running(task(JOB, 0, 0), 1)], vec![]);
+    let unchanged = listing(vec![running(task(JOB, 0, 0), 1)], vec![]);
     for millis in [10_500, 11_000, 11_500] {
         planner.advance(Duration::from_millis(millis));
-        planner.lease_sent(stuck);
-        planner.take_listing(stuck, Duration::from_millis(millis), &still);
+        planner.lease_sent(stalled);
+        planner.take_listing(stalled, Duration::from_millis(millis), &unchanged);
         planner.plan();
     }
-    let gone = listing(vec![], vec![ended(1, task(JOB, 0, 0), 1, RunEnd::Stopped)]);
-    planner.take_listing(stuck, Duration::from_millis(11_600), &gone);
+    let stopped = listing(vec![], vec![ended(1, task(JOB, 0, 0), 1, RunEnd::Stopped)]);
+    planner.take_listing(stalled, Duration::from_millis(11_600), &stopped);
 
     let starts = plan_at(&mut planner, 11_600);
 
     assert_eq!(starts.len(), 1);
-    assert_ne!(starts[0].2, stuck, "the worker rests");
+    assert_ne!(
+        starts[0].2, stalled,
+        "the stalled worker gets no work for a while"
+    );
 }
 
 #[test]
-fn an_ended_job_is_forgotten_after_its_retention() {
+fn an_ended_job_is_removed_after_its_retention() {
     let mut planner = planner(1);
     let mut canceled = spec(vec![step(1)]);
     canceled.canceled = true;
@@ -257,7 +265,7 @@
 
     let late = planner.expired_jobs(Duration::from_mins(1), 10);
 
-    assert!(unsaved.is_empty(), "its end was not recorded yet");
+    assert!(unsaved.is_empty(), "the end is not saved yet");
     assert!(early.is_empty());
     assert_eq!(late, vec![JOB]);
     planner.remove_jobs(&late);
@@ -265,7 +273,7 @@
 }
 
 #[test]
-fn a_run_that_is_stopping_holds_its_room_until_its_end_is_listed() {
+fn a_run_being_stopped_holds_its_resources_until_its_end_is_reported() {
     let mut planner = planner(1);
     let key = add_claimed(&mut planner, "w1");
     planner.add_job(JOB, spec(vec![step(4)]), None, false);
@@ -294,14 +302,17 @@
 
     let late = plan_at(&mut planner, 10_160);
 
-    assert!(early.is_empty(), "what is being stopped still counts");
+    assert!(
+        early.is_empty(),
+        "runs being stopped still hold their resources"
+    );
     assert_eq!(late.len(), 4);
 }
 
-/// What keeps a confirmed run from being taken for gone: a listing that was
-/// asked for before the confirmation says nothing of it.
+/// A report that was requested before a start was confirmed says nothing about that run, so
+/// the run must not be written off.
 #[test]
-fn a_listing_asked_for_before_a_start_was_confirmed_does_not_end_it() {
+fn a_report_requested_before_a_start_was_confirmed_does_not_end_the_run() {
     let mut planner = planner(1);
     let key = add_claimed(&mut planner, "w1");
     planner.add_job(JOB, spec(vec![step(4)]), None, false);
@@ -317,14 +328,14 @@
 
     assert!(
         plan_at(&mut planner, 10_020).is_empty(),
-        "the worker is full"
+        "the confirmed runs still fill the worker"
     );
 }
 
-/// Symptom: on a quiet day, a gang that only few workers may run waited 27 s.
-/// Sequence: its objective passes; less urgent tasks that are still in time go
-/// first, and take each processor as it becomes free. Cause: nothing kept room
-/// for a gang that was late.
+/// Guards against a gang that starves once it is late. On a quiet day, a gang that only few
+/// workers may run waited 27 s: its objective passed, and less urgent tasks that were still
+/// in time took each processor as it became free, since nothing was reserved for a late
+/// gang.
 #[test]
 fn a_late_gang_is_not_starved_by_less_urgent_tasks() {
     let mut planner = planner(1);
@@ -352,9 +363,12 @@
         early.push(plan_at(&mut planner, millis));
     }
 
-    let last = early.pop().expect("four rounds");
+    let last = early.pop().expect("four passes");
 
-    assert!(early.iter().all(Vec::is_empty), "room is kept: {early:?}");
+    assert!(
+        early.iter().all(Vec::is_empty),
+        "resources are reserved for the gang: {early:?}"
+    );
     assert_eq!(last.len(), 4);
     assert!(last.iter().all(|(task, ..)| task.step.job == JOB + 1));
 }
--- a/crates/job/tests/preempt.rs
+++ b/crates/job/tests/preempt.rs
@@ -1,4 +1,4 @@
-//! Gangs that take the room of less urgent tasks which save their progress.
+//! Gangs that preempt less urgent tasks with checkpoints.
 
 mod support;
 
@@ -27,7 +27,7 @@
 const LOOKUP: u64 = 7;
 const GANG: u64 = 8;
 
-fn saving(count: u32) -> StepSpec {
+fn checkpointed_step(count: u32) -> StepSpec {
     StepSpec {
         checkpointed: true,
         ..step(count)
@@ -43,7 +43,7 @@
     gang
 }
 
-/// A worker of four cores that runs what it was given.
+/// A worker of four cores that confirms what it was given to run.
 fn busy_worker(planner: &mut Planner, id: &str, millis: u64) -> WorkerKey {
     let key = add_claimed(planner, id);
     for (task, run, worker) in plan_at(planner, millis) {
@@ -52,19 +52,19 @@
     key
 }
 
-/// Plans and gives the starts and the stops.
-fn orders_at(planner: &mut Planner, millis: u64) -> (usize, Vec<(TaskKey, RunId)>) {
+/// Plans, and returns the number of starts and the stopped runs.
+fn commands_at(planner: &mut Planner, millis: u64) -> (usize, Vec<(TaskKey, RunId)>) {
     planner.advance(Duration::from_millis(millis));
     planner.plan();
     let mut starts = 0;
     let mut stops = Vec::new();
-    for order in planner.take_commands() {
-        match order {
+    for command in planner.take_commands() {
+        match command {
             Command::Start { .. } => starts += 1,
             Command::Stop {
                 task, run, reason, ..
             } => {
-                let gang = reason.gang().expect("preempted for a gang");
+                let gang = reason.gang().expect("the run was preempted for a gang");
                 assert!(gang.job >= GANG, "{gang:?}");
                 stops.push((task, run));
             }
@@ -74,19 +74,18 @@
     (starts, stops)
 }
 
-/// Symptom: on a pool with a fifth of its processors idle, gangs waited for
-/// seconds and were late. Sequence: tasks of a lookup fill the workers; a gang
-/// comes that needs several seats at the same time; workers are kept free for it
-/// and stand half empty until their last task has ended. Cause: lookups, which
-/// can wait and go on where they stopped, were never asked to make room.
+/// Guards against gangs that are late while a fifth of the pool's processors are idle.
+/// Tasks of a lookup fill the workers, and a gang needs several slots at the same time;
+/// workers reserved for it stood half empty until their last task had ended, because
+/// lookups, which can resume where they were stopped, were not preempted.
 #[test]
-fn a_gang_takes_the_room_of_tasks_that_can_go_on_later() {
+fn a_gang_preempts_tasks_that_can_resume_later() {
     let mut planner = planner(1);
-    planner.add_job(LOOKUP, patient(saving(4)), None, false);
+    planner.add_job(LOOKUP, patient(checkpointed_step(4)), None, false);
     let key = busy_worker(&mut planner, "w1", 10);
     planner.add_job(GANG, gang(3), None, false);
-    let (early, stops) = orders_at(&mut planner, 20);
-    let (again, more) = orders_at(&mut planner, 30);
+    let (early, stops) = commands_at(&mut planner, 20);
+    let (again, more) = commands_at(&mut planner, 30);
     let mut ends = Vec::new();
     for (number, &(task, run)) in (1..).zip(&stops) {
         let mut end = ended(number, task, run, RunEnd::Stopped);
@@ -100,23 +99,23 @@
 
     let late = plan_at(&mut planner, 310);
 
-    assert_eq!(stops.len(), 3, "no more than needed");
+    assert_eq!(stops.len(), 3, "only as many as needed are preempted");
     assert_eq!(
         (early, again, more.len()),
         (0, 0, 0),
-        "room is not free yet"
+        "the resources are not free yet"
     );
     assert_eq!(late.len(), 3);
     assert!(late.iter().all(|(task, ..)| task.step.job == GANG));
 }
 
 #[test]
-fn a_preempted_task_goes_on_from_its_checkpoint() {
+fn a_preempted_task_resumes_from_its_checkpoint() {
     let mut planner = planner(1);
-    planner.add_job(LOOKUP, patient(saving(4)), None, false);
+    planner.add_job(LOOKUP, patient(checkpointed_step(4)), None, false);
     let key = busy_worker(&mut planner, "w1", 10);
     planner.add_job(GANG, gang(4), None, false);
-    let (_, stops) = orders_at(&mut planner, 20);
+    let (_, stops) = commands_at(&mut planner, 20);
     let mut ends = Vec::new();
     for (number, &(task, run)) in (1..).zip(&stops) {
         let mut end = ended(number, task, run, RunEnd::Stopped);
@@ -124,7 +123,7 @@
         ends.push(end);
     }
     planner.take_listing(key, Duration::from_millis(300), &listing(vec![], ends));
-    orders_at(&mut planner, 310);
+    commands_at(&mut planner, 310);
     add_claimed(&mut planner, "w2");
     planner.advance(Duration::from_millis(320));
     planner.plan();
@@ -132,12 +131,12 @@
     let resumed = planner.take_commands();
 
     assert_eq!(resumed.len(), 4);
-    for order in resumed {
+    for command in resumed {
         let Command::Start {
             task, checkpoint, ..
-        } = order
+        } = command
         else {
-            panic!("not a start: {order:?}");
+            panic!("expected a start: {command:?}");
         };
         assert_eq!(checkpoint, format!("saved-{}", task.index));
     }
@@ -150,7 +149,7 @@
     busy_worker(&mut planner, "w1", 10);
     planner.add_job(GANG, gang(3), None, false);
 
-    let (_, stops) = orders_at(&mut planner, 20);
+    let (_, stops) = commands_at(&mut planner, 20);
 
     assert!(stops.is_empty(), "{stops:?}");
 }
@@ -158,36 +157,36 @@
 #[test]
 fn tasks_as_urgent_as_the_gang_are_not_preempted() {
     let mut planner = planner(1);
-    let mut equal = patient(saving(4));
+    let mut equal = patient(checkpointed_step(4));
     equal.queue.priority = 1;
     planner.add_job(LOOKUP, equal, None, false);
     busy_worker(&mut planner, "w1", 10);
     planner.add_job(GANG, gang(3), None, false);
 
-    let (_, stops) = orders_at(&mut planner, 20);
+    let (_, stops) = commands_at(&mut planner, 20);
 
     assert!(stops.is_empty(), "{stops:?}");
 }
 
-/// A lookup that could not be in time after a pause keeps its room.
+/// A lookup that could not be in time after a preemption keeps its resources.
 #[test]
 fn tasks_without_time_to_spare_are_not_preempted() {
     let mut planner = planner(1);
-    let mut tight = patient(saving(4));
+    let mut tight = patient(checkpointed_step(4));
     tight.queue.slack = Duration::ZERO;
     planner.add_job(LOOKUP, tight, None, false);
     busy_worker(&mut planner, "w1", 10);
     planner.add_job(GANG, gang(3), None, false);
 
-    let (_, stops) = orders_at(&mut planner, 20);
+    let (_, stops) = commands_at(&mut planner, 20);
 
     assert!(stops.is_empty(), "{stops:?}");
 }
 
 #[test]
-fn nothing_is_stopped_for_a_gang_that_would_not_fit_all_the_same() {
+fn nothing_is_preempted_for_a_gang_that_would_still_not_fit() {
     let mut planner = planner(1);
-    planner.add_job(LOOKUP, patient(saving(4)), None, false);
+    planner.add_job(LOOKUP, patient(checkpointed_step(4)), None, false);
     busy_worker(&mut planner, "w1", 10);
     planner.add_job(GANG, gang(5), None, false);
     add_claimed(&mut planner, "w2");
@@ -195,18 +194,18 @@
     other.queue.priority = 0;
     planner.add_job(LOOKUP + 2, other, None, false);
 
-    let (_, stops) = orders_at(&mut planner, 20);
+    let (_, stops) = commands_at(&mut planner, 20);
 
     assert!(stops.is_empty(), "{stops:?}");
 }
 
-/// Symptom: lookups came to nothing while gangs kept coming. Sequence: a task
-/// is preempted, resumes, is preempted again, and so on. Cause: each resumption
-/// costs time to restore, and nothing bounded how often it was paid.
+/// Guards against lookups that make no progress while gangs keep coming: a task is
+/// preempted, resumes, is preempted again, and so on, and each resumption costs the time to
+/// restore its checkpoint.
 #[test]
 fn a_task_is_preempted_twice_at_most() {
     let mut planner = planner(1);
-    planner.add_job(LOOKUP, patient(saving(4)), None, false);
+    planner.add_job(LOOKUP, patient(checkpointed_step(4)), None, false);
     let key = busy_worker(&mut planner, "w1", 10);
     let mut preempted = Vec::new();
     let mut number = 0;
@@ -214,7 +213,7 @@
         let gang_id = GANG + round;
         let begin = 1_000 * (round + 1);
         planner.add_job(gang_id, gang(4), None, false);
-        let (_, stops) = orders_at(&mut planner, begin);
+        let (_, stops) = commands_at(&mut planner, begin);
         preempted.push(stops.len());
         let mut ends = Vec::new();
         for &(task, run) in &stops {
--- a/crates/job/tests/start_budget.rs
+++ b/crates/job/tests/start_budget.rs
@@ -1,9 +1,9 @@
-//! Starts that an owner's link has room for.
+//! Limits on the starts sent over an owner's link.
 //!
-//! Symptom: members of gangs waited for the others in vain, and ends were heard of seconds
-//! late. Sequence: a burst of starts, or all that waits after a take-over, is sent at once
-//! over a thin link. Cause: nothing bounded the starts under way. Line 373 showed it: on a
-//! link of 2 Mbit/s, 199,304 bytes of orders in a second and answers that took 0.9 s.
+//! A burst of starts, such as those after a take-over, was sent at once over a slow link:
+//! on a link of 2 Mbit/s (line 373), 199,304 bytes of commands in a second, and answers
+//! that took 0.9 s. Members of gangs waited for the others in vain, and ends were reported
+//! seconds late.
 
 mod support;
 
@@ -13,9 +13,9 @@
 use support::spec;
 use support::step;
 
-/// Guards against more starts than the link has room for.
+/// Guards against more starts than the link can carry.
 #[test]
-fn no_more_tasks_start_than_there_is_room_for() {
+fn no_more_tasks_start_than_the_budget_allows() {
     let mut planner = planner(1);
     for worker in ["w1", "w2", "w3"] {
         add_claimed(&mut planner, worker);
@@ -34,7 +34,7 @@
 
 /// Guards against gangs of which only a part is started.
 #[test]
-fn a_gang_starts_whole_or_waits_for_room() {
+fn a_gang_starts_whole_or_waits_for_the_budget() {
     let mut planner = planner(1);
     for worker in ["w1", "w2", "w3"] {
         add_claimed(&mut planner, worker);
