--- a/crates/cell/src/owner/pool.rs
+++ b/crates/cell/src/owner/pool.rs
@@ -346,7 +346,7 @@
             self.planner.process_timeouts();
         }
         if recovering && !self.planner.recovering() {
-            let silent = self.planner.unclaimed();
+            let silent = self.planner.unclaimed_workers();
             log::info!(
                 code = 333, epoch = self.epoch, silent = silent, ms = millis(self.planner.uptime());
                 "tasks of the former owner may start"
--- a/crates/job/src/planner/advice.rs
+++ b/crates/job/src/planner/advice.rs
@@ -223,8 +223,8 @@
         until: Duration,
     ) {
         let asked_ids = asked;
-        let lives = self.asked_incarnations(key, asked);
-        let incarnation = |id: &WorkerId| lives.get(id).copied();
+        let incarnations = self.asked_incarnations(key, asked);
+        let incarnation = |id: &WorkerId| incarnations.get(id).copied();
         let asked: Vec<WorkerKey> = asked.iter().filter_map(incarnation).collect();
         let tickets: Vec<(WorkerKey, &Ticket)> = tickets
             .iter()
@@ -265,14 +265,14 @@
         let calls = job.and_then(|job| job.step(key));
         let calls = calls.map_or(&[][..], |(_, step)| &step.advised.calls);
         let call = calls.iter().find(|call| call.workers == asked);
-        let then = |nth: usize| call.map(|call| call.lives.get(nth).copied().flatten());
-        let lives = asked.iter().enumerate().filter_map(|(nth, id)| {
-            let now = self.worker_of(id)?;
+        let at_call = |nth: usize| call.map(|call| call.lives.get(nth).copied().flatten());
+        let incarnations = asked.iter().enumerate().filter_map(|(nth, id)| {
+            let current = self.worker_of(id)?;
             // An answer may still come to a call that was dropped as lost.
-            let then = then(nth).unwrap_or(Some(now));
-            (then == Some(now)).then_some((id, now))
+            let at_call = at_call(nth).unwrap_or(Some(current));
+            (at_call == Some(current)).then_some((id, current))
         });
-        lives.collect()
+        incarnations.collect()
     }
 
     /// Handles a failed call: the step may ask again after `pause`.
--- a/crates/job/src/planner/advice_candidates.rs
+++ b/crates/job/src/planner/advice_candidates.rs
@@ -18,14 +18,14 @@
 use crate::WorkerId;
 
 /// Maximum number of workers that the service accepts in one call.
-const MAX_ASKED: usize = 100;
+const MAX_CALL_WORKERS: usize = 100;
 
 /// Minimum number of workers in a call about single tasks, if there are as many with free
 /// resources.
-const MIN_ASKED: usize = 8;
+const MIN_CALL_WORKERS: usize = 8;
 
-/// Number of workers in a call about single tasks: their share of the call's duration is at
-/// most this multiple of its fixed part.
+/// Bound on the size of a call about single tasks: the time for its workers is at most this
+/// multiple of the fixed time of a call.
 const COST_RATIO: f64 = 1.0;
 
 /// Maximum number of workers scanned for a call about single tasks, ten times as many as
@@ -97,8 +97,12 @@
         if !step.advised.calls.is_empty() {
             return self.more_workers_to_ask(query, classified, advice);
         }
-        let soon = self.now + advice.fixed + self.policy.ticket_margin;
-        let has_valid = step.advised.good.values().any(|(_, until)| *until > soon);
+        let valid_beyond = self.now + advice.fixed + self.policy.ticket_margin;
+        let has_valid = step
+            .advised
+            .good
+            .values()
+            .any(|(_, until)| *until > valid_beyond);
         let needed = if spec.gang { step.waiting() as u64 } else { 1 };
         let call_size = max_per_call(query, advice);
         let enough = slots(&classified.allowed) >= needed;
@@ -128,9 +132,9 @@
             return worker_ids(asked_again);
         }
         let chosen = if spec.gang {
-            emptiest(classified.unasked, call_size)
+            emptiest_workers(classified.unasked, call_size)
         } else {
-            let limit = max_asked(advice.fixed, advice.each);
+            let limit = max_call_size(advice.fixed, advice.each);
             self.fullest_workers(classified.unasked, query, share, limit)
         };
         worker_ids(asked_again.into_iter().chain(chosen))
@@ -155,7 +159,10 @@
         if enough {
             return Vec::new();
         }
-        worker_ids(emptiest(classified.unasked, max_per_call(query, advice)))
+        worker_ids(emptiest_workers(
+            classified.unasked,
+            max_per_call(query, advice),
+        ))
     }
 
     /// Classifies the workers that could run a step. For single tasks in a large pool, only
@@ -250,7 +257,7 @@
         };
         let (reserved, unreserved): (Vec<_>, Vec<_>) = workers.into_iter().partition(reserved);
         let mut chosen = tightest_fit(unreserved, needed, share, limit, prefers_slow);
-        if chosen.len() < MIN_ASKED {
+        if chosen.len() < MIN_CALL_WORKERS {
             chosen.extend(tightest_fit(reserved, needed, share, limit, prefers_slow));
         }
         chosen
@@ -258,7 +265,7 @@
 }
 
 fn worker_ids<'a>(workers: impl IntoIterator<Item = AdviceCandidate<'a>>) -> Vec<WorkerId> {
-    let workers = workers.into_iter().take(MAX_ASKED);
+    let workers = workers.into_iter().take(MAX_CALL_WORKERS);
     workers
         .map(|candidate| candidate.worker.info.id.clone())
         .collect()
@@ -266,11 +273,11 @@
 
 /// Returns the maximum number of workers in a call about single tasks, from the service's
 /// fixed time for a call and its time for each worker.
-fn max_asked(fixed: Duration, each: Duration) -> usize {
+fn max_call_size(fixed: Duration, each: Duration) -> usize {
     let ratio = fixed.as_secs_f64() / each.as_secs_f64().max(1e-6);
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     let limit = (ratio * COST_RATIO) as usize;
-    limit.clamp(MIN_ASKED, MAX_ASKED)
+    limit.clamp(MIN_CALL_WORKERS, MAX_CALL_WORKERS)
 }
 
 /// Returns the allowed workers with the most slots, enough of them for a gang even if some
@@ -295,7 +302,7 @@
 
 /// Returns `most` workers: fast ones first, and of these the ones with the most slots for a
 /// gang.
-fn emptiest(mut workers: Vec<AdviceCandidate>, limit: usize) -> Vec<AdviceCandidate> {
+fn emptiest_workers(mut workers: Vec<AdviceCandidate>, limit: usize) -> Vec<AdviceCandidate> {
     workers.sort_by_key(|candidate| {
         let available = Reverse(candidate.worker.free().cpu);
         (
@@ -312,9 +319,9 @@
 /// as many as take as long as the call's fixed part, and so takes half as long as one with 100.
 fn max_per_call(query: AdviceQuery, advice: &Advice) -> usize {
     if query.parallel {
-        max_asked(advice.fixed, advice.each)
+        max_call_size(advice.fixed, advice.each)
     } else {
-        MAX_ASKED
+        MAX_CALL_WORKERS
     }
 }
 
@@ -334,7 +341,7 @@
     let mut slots: f64 = 0.0;
     let mut chosen = Vec::new();
     for candidate in workers {
-        let enough = slots >= wanted && chosen.len() >= MIN_ASKED;
+        let enough = slots >= wanted && chosen.len() >= MIN_CALL_WORKERS;
         if enough || chosen.len() >= limit {
             break;
         }
--- a/crates/job/src/planner/begin.rs
+++ b/crates/job/src/planner/begin.rs
@@ -25,7 +25,7 @@
 }
 
 impl Observation {
-    /// Classifies a running run of a worker report.
+    /// Classifies a running run in a worker report by its progress.
     pub(super) fn of_progress(percent: u32) -> Observation {
         if percent > 0 {
             Observation::Worked
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Classifies a reported end. Members of a gang may end with another result than these
-    /// before all members were present.
+    /// Classifies a reported end. Ends other than these may be reported of members of a
+    /// gang before all members were present.
     pub(super) fn of_end(end: &EndedTask) -> Observation {
         let worked = matches!(end.how, RunEnd::Done | RunEnd::Failed);
         if worked || !end.checkpoint.is_empty() {
@@ -49,8 +49,7 @@
 impl Planner {
     /// Handles evidence that a worker has or had a run; only this makes a job begin. When
     /// jobs counted as begun from the start command on, jobs whose starts had no reply were
-    /// missing from the queue's length: 1 was counted as waiting while 10 had waited for 5
-    /// s.
+    /// missing from the queue's length (1 counted as waiting while 10 had waited for 5 s).
     pub(super) fn run_observed(&mut self, task: TaskKey, run: RunId, observation: Observation) {
         let Some(job) = self.jobs.get(&task.step.job) else {
             return;
--- a/crates/job/src/planner/crash_count.rs
+++ b/crates/job/src/planner/crash_count.rs
@@ -163,6 +163,6 @@
 
     pub(super) fn give_up_suspect(&mut self, task: TaskKey, run: RunId) {
         self.note(task, run, Finding::GivenUp);
-        self.finish(task.step.job, Outcome::Failed);
+        self.finish_job(task.step.job, Outcome::Failed);
     }
 }
--- a/crates/job/src/planner/impossible.rs
+++ b/crates/job/src/planner/impossible.rs
@@ -45,7 +45,7 @@
             .map(|key| key.job)
             .collect();
         for id in jobs {
-            self.finish(id, Outcome::Failed);
+            self.finish_job(id, Outcome::Failed);
         }
     }
 }
--- a/crates/job/src/planner/job_state.rs
+++ b/crates/job/src/planner/job_state.rs
@@ -330,7 +330,7 @@
             return;
         };
         if job.complete() {
-            self.finish(id, Outcome::Completed);
+            self.finish_job(id, Outcome::Completed);
             return;
         }
         for (&round, steps) in &job.rounds {
--- a/crates/job/src/planner/load.rs
+++ b/crates/job/src/planner/load.rs
@@ -101,8 +101,8 @@
             };
             count.unfinished += 1;
             count.waiting += usize::from(!job.begun);
-            let ordered = !confirmed.contains(id) && !job.alive(*id).is_empty();
-            count.unconfirmed += usize::from(ordered);
+            let unconfirmed = !confirmed.contains(id) && !job.alive(*id).is_empty();
+            count.unconfirmed += usize::from(unconfirmed);
         }
         counts
     }
@@ -118,8 +118,8 @@
     /// Number of jobs that have not ended.
     #[must_use]
     pub fn unfinished(&self) -> usize {
-        let live = self.jobs.values().filter(|job| job.outcome.is_none());
-        live.count()
+        let open_jobs = self.jobs.values().filter(|job| job.outcome.is_none());
+        open_jobs.count()
     }
 
     /// Returns the load of the pool, for logs and metrics.
@@ -140,7 +140,7 @@
             let phases = worker.runs.values().map(|placed| placed.phase);
             load.running += phases.filter(|phase| *phase == RunPhase::Running).count();
         }
-        load.reserved_workers = self.reservations.workers();
+        load.reserved_workers = self.reservations.worker_count();
         load.reserved_cpu = self.reservations.cpu();
         let steps = self.pending_steps.iter().filter_map(|key| {
             let job = self.jobs.get(&key.job)?;
--- a/crates/job/src/planner/mod.rs
+++ b/crates/job/src/planner/mod.rs
@@ -182,7 +182,7 @@
     mean_work: HashMap<String, f64>,
     /// Gang past its objective whose job was accepted first; it keeps its rank.
     overdue_gang: Option<StepKey>,
-    /// Number of starts that may still be sent in this pass.
+    /// Number of starts that may still be sent.
     start_budget: usize,
     /// The workers' registrations are too old to rely on the capacities in them.
     stale_registrations: bool,
@@ -314,7 +314,7 @@
         let canceled = spec.canceled;
         let born = self.now.saturating_sub(age.min(self.policy.max_age));
         let mut job = JobState::new(spec, born, old || early, &self.run_times);
-        self.learn_work(&job.spec.queue.name, job.expected.work);
+        self.learn_mean_work(&job.spec.queue.name, job.expected.work);
         if let Some(progress) = progress {
             job.restore(progress);
             self.recall_suspects(id, progress);
@@ -325,7 +325,7 @@
         self.count_strangers(id);
         match (ended, canceled) {
             (true, _) => {}
-            (false, true) => self.finish(id, Outcome::Canceled),
+            (false, true) => self.finish_job(id, Outcome::Canceled),
             (false, false) => self.open_steps(id),
         }
         for (key, end) in self.orphan_ends.remove(&id).unwrap_or_default() {
@@ -336,12 +336,12 @@
     /// Cancels a known job that has not ended.
     pub fn cancel(&mut self, id: JobId) {
         if self.jobs.get(&id).is_some_and(|job| job.outcome.is_none()) {
-            self.finish(id, Outcome::Canceled);
+            self.finish_job(id, Outcome::Canceled);
         }
     }
 
-    /// Limits the starts of the next passes to `starts`. A gang that begins within the
-    /// limit is started whole.
+    /// Limits the starts of the next passes to `starts` in all. A gang that begins within
+    /// the limit is started whole.
     pub fn set_start_budget(&mut self, starts: usize) {
         self.start_budget = starts;
     }
@@ -378,26 +378,26 @@
     #[must_use]
     pub fn job_status(&self, id: JobId) -> Option<Shown> {
         let job = self.jobs.get(&id)?;
-        let live = if job.begun {
+        let unsaved = if job.begun {
             Shown::Active
         } else {
             Shown::Pending
         };
-        Some(job.saved.map_or(live, Shown::from))
+        Some(job.saved.map_or(unsaved, Shown::from))
     }
 
-    /// Whether it is open if a former owner has started the job, because not all workers
-    /// that could tell have reported yet. When such jobs were shown as pending, their
-    /// status went back from active to pending.
+    /// Whether a job's status is undecided: a former owner may have started it, and not all
+    /// workers that could tell have reported yet. When such jobs were shown as pending,
+    /// their status went back from active to pending.
     #[must_use]
     pub fn status_undecided(&self, id: JobId) -> bool {
-        let open = |job: &JobState| job.old && !job.begun && job.saved.is_none();
-        self.recovering && self.jobs.get(&id).is_none_or(open)
+        let undecided = |job: &JobState| job.old && !job.begun && job.saved.is_none();
+        self.recovering && self.jobs.get(&id).is_none_or(undecided)
     }
 
     /// Time since a job was accepted, as far as known.
     #[must_use]
-    pub fn age(&self, id: JobId) -> Option<Duration> {
+    pub fn job_age(&self, id: JobId) -> Option<Duration> {
         let job = self.jobs.get(&id)?;
         Some(self.now.saturating_sub(job.born))
     }
@@ -418,7 +418,7 @@
 
     /// Number of workers that have not accepted this epoch yet.
     #[must_use]
-    pub fn unclaimed(&self) -> usize {
+    pub fn unclaimed_workers(&self) -> usize {
         let workers = self.workers.values();
         workers.filter(|worker| !worker.claimed).count()
     }
@@ -464,7 +464,7 @@
     }
 
     /// Ends a job and stops its remaining runs.
-    fn finish(&mut self, id: JobId, outcome: Outcome) {
+    fn finish_job(&mut self, id: JobId, outcome: Outcome) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
--- a/crates/job/src/planner/peak_pools.rs
+++ b/crates/job/src/planner/peak_pools.rs
@@ -56,11 +56,11 @@
         }
         self.grown_at = now;
         self.sizes_by_label.clear();
-        for ((room, labels), count) in &self.peak_counts {
+        for ((capacity, labels), count) in &self.peak_counts {
             let labels: HashSet<&str> = labels.iter().map(String::as_str).collect();
             for label in labels.into_iter().chain([""]) {
                 let sizes = self.sizes_by_label.entry(label.to_owned()).or_default();
-                *sizes.entry(*room).or_default() += count;
+                *sizes.entry(*capacity).or_default() += count;
             }
         }
     }
@@ -69,8 +69,8 @@
     fn slots(&self, spec: &StepSpec) -> u64 {
         let booked = spec.booked();
         let sizes = self.sizes_by_label.get(&spec.label).into_iter().flatten();
-        sizes.fold(0, |slots, (room, count)| {
-            slots.saturating_add(room.fit_count(&booked).saturating_mul(*count))
+        sizes.fold(0, |slots, (capacity, count)| {
+            slots.saturating_add(capacity.fit_count(&booked).saturating_mul(*count))
         })
     }
 }
@@ -101,7 +101,7 @@
         for worker in distinct_workers(workers) {
             let info = &worker.info;
             let kinds = counts.entry(&info.service).or_default();
-            if size_unknown(worker) {
+            if capacity_unknown(worker) {
                 let pool = self.pools.entry(info.service.clone()).or_default();
                 pool.incomplete = true;
                 continue;
@@ -147,6 +147,6 @@
 /// Whether a worker is known only from a row that does not state its capacity. When such a
 /// worker counted as one without resources, a successor that could not read the
 /// registrations failed every job.
-fn size_unknown(worker: &WorkerState) -> bool {
+fn capacity_unknown(worker: &WorkerState) -> bool {
     worker.gone && worker.largest == Room::default()
 }
--- a/crates/job/src/planner/place.rs
+++ b/crates/job/src/planner/place.rs
@@ -109,9 +109,9 @@
             return Vec::new();
         };
         let booked = spec.booked();
-        let soon = self.now + self.policy.ticket_margin;
+        let valid_beyond = self.now + self.policy.ticket_margin;
         let mut found = Vec::new();
-        for (worker_key, worker) in self.allowed_workers(job, step, soon) {
+        for (worker_key, worker) in self.allowed_workers(job, step, valid_beyond) {
             let info = &worker.info;
             let free = reservations.remaining(worker_key, worker.free());
             if !free.holds(&booked) || !self.usable(worker) {
@@ -137,18 +137,18 @@
     }
 
     /// Returns the workers that may run a step: all workers, or under advice those with a
-    /// ticket that is valid beyond `soon`.
+    /// ticket that is valid beyond the time `valid_beyond`.
     pub(super) fn allowed_workers(
         &self,
         job: &JobState,
         step: &StepState,
-        soon: Duration,
+        valid_beyond: Duration,
     ) -> Vec<(WorkerKey, &WorkerState)> {
         if job.spec.queue.advice.is_none() {
             return self.workers.iter().collect();
         }
         let good = step.advised.good.iter();
-        good.filter(|(_, (_, until))| *until > soon)
+        good.filter(|(_, (_, until))| *until > valid_beyond)
             .filter_map(|(&key, _)| Some((key, self.workers.get(key)?)))
             .collect()
     }
@@ -167,11 +167,11 @@
             if self.start_budget == 0 {
                 return;
             }
-            let Some(at) = self.choose_worker(&candidates, task, spec, prefers_slow) else {
+            let Some(index) = self.choose_worker(&candidates, task, spec, prefers_slow) else {
                 return;
             };
             let run = self.next_run(task);
-            self.start_run((task, run), false, spec, &mut candidates[at]);
+            self.start_run((task, run), false, spec, &mut candidates[index]);
         }
         self.close_step(key);
     }
@@ -200,18 +200,21 @@
                 candidate.free.cpu
             }
         };
-        let fitting = candidates.iter().enumerate().filter(|(_, one)| fits(one));
-        let best = fitting.min_by_key(|(_, one)| {
-            let wrong_speed = one.slow != prefers_slow;
+        let fitting = candidates
+            .iter()
+            .enumerate()
+            .filter(|(_, candidate)| fits(candidate));
+        let best = fitting.min_by_key(|(_, candidate)| {
+            let wrong_speed = candidate.slow != prefers_slow;
             (
-                one.reserved,
-                !one.in_rack,
-                one.strikes,
+                candidate.reserved,
+                !candidate.in_rack,
+                candidate.strikes,
                 wrong_speed,
-                tightness(one),
+                tightness(candidate),
             )
         });
-        best.map(|(at, _)| at)
+        best.map(|(index, _)| index)
     }
 
     /// Starts all members of a gang, or none. Returns whether the gang needs no
@@ -237,13 +240,13 @@
             return self.place_suspected_gang(rank, key, spec, (trials, reservations));
         }
         let mut candidates = self.candidates(key, spec, reservations);
-        let Some(slots) = slots(&candidates, tasks.len(), spec) else {
+        let Some(slots) = assign_slots(&candidates, tasks.len(), spec) else {
             return false;
         };
         let run = tasks.iter().map(|&task| self.next_run(task)).max();
         let run = run.unwrap_or(self.run_base + 1);
-        for (&task, at) in tasks.iter().zip(slots) {
-            self.start_run((task, run), false, spec, &mut candidates[at]);
+        for (&task, index) in tasks.iter().zip(slots) {
+            self.start_run((task, run), false, spec, &mut candidates[index]);
         }
         self.close_step(key);
         true
@@ -275,7 +278,7 @@
         (task, run): (TaskKey, RunId),
         trial: bool,
         spec: &StepSpec,
-        slot: &mut Candidate,
+        candidate: &mut Candidate,
     ) {
         let Some(job) = self.jobs.get_mut(&task.step.job) else {
             return;
@@ -286,15 +289,15 @@
         };
         let checkpoint_of = if spec.gang { 0 } else { task.index as usize };
         let checkpoint = step.tasks[checkpoint_of].checkpoint.clone();
-        let ticket = step.advised.good.get(&slot.key);
+        let ticket = step.advised.good.get(&candidate.key);
         let ticket = ticket.map(|(text, _)| text.clone());
         let state = &mut step.tasks[task.index as usize];
-        state.phase = Phase::Active(slot.key, run);
+        state.phase = Phase::Active(candidate.key, run);
         state.run = run;
         let (booked, filler) = spec.takes();
-        slot.free = slot.free.less(&booked);
-        slot.unused_cpu = slot.unused_cpu.saturating_sub(spec.need.cpu);
-        slot.tasks_here += 1;
+        candidate.free = candidate.free.less(&booked);
+        candidate.unused_cpu = candidate.unused_cpu.saturating_sub(spec.need.cpu);
+        candidate.tasks_here += 1;
         let placed = Placed {
             run,
             booked,
@@ -304,20 +307,20 @@
             since: self.now,
             percent: 0,
             moved: self.now,
-            unsure: self.unsure(slot.key),
+            unsure: self.unsure(candidate.key),
             checkpoint: String::new(),
             whole: checkpoint.is_empty(),
             trial,
         };
-        self.workers[slot.key].book(task, placed);
-        if let Some(headroom) = self.headrooms.get_mut(slot.key) {
+        self.workers[candidate.key].book(task, placed);
+        if let Some(headroom) = self.headrooms.get_mut(candidate.key) {
             headroom.free = headroom.free.less(&booked);
         }
         // A start command renews the worker's lease.
-        self.lease_sent(slot.key);
+        self.lease_sent(candidate.key);
         self.start_budget = self.start_budget.saturating_sub(1);
         self.commands.push(Command::Start {
-            worker: slot.key,
+            worker: candidate.key,
             task,
             run,
             payload,
@@ -353,27 +356,37 @@
 
 /// Assigns candidates to `count` members, by index, or returns `None` if they do not all
 /// fit. Prefers fast workers, and of these the emptiest, so that a gang uses few workers.
-pub(super) fn slots(candidates: &[Candidate], count: usize, spec: &StepSpec) -> Option<Vec<usize>> {
+pub(super) fn assign_slots(
+    candidates: &[Candidate],
+    count: usize,
+    spec: &StepSpec,
+) -> Option<Vec<usize>> {
     let booked = spec.booked();
     let mut order: Vec<usize> = (0..candidates.len()).collect();
-    order.sort_by_key(|&at| {
-        let one = &candidates[at];
-        let room = std::cmp::Reverse(one.free.cpu);
-        (one.reserved, !one.in_rack, one.strikes, one.slow, room)
+    order.sort_by_key(|&index| {
+        let candidate = &candidates[index];
+        let most_free = std::cmp::Reverse(candidate.free.cpu);
+        (
+            candidate.reserved,
+            !candidate.in_rack,
+            candidate.strikes,
+            candidate.slow,
+            most_free,
+        )
     });
     let mut slots = Vec::with_capacity(count);
-    for at in order {
+    for index in order {
         let limit = if spec.spread > 0 {
-            u64::from(spec.spread.saturating_sub(candidates[at].tasks_here))
+            u64::from(spec.spread.saturating_sub(candidates[index].tasks_here))
         } else {
             u64::MAX
         };
-        let fits = candidates[at].free.fit_count(&booked).min(limit);
+        let fits = candidates[index].free.fit_count(&booked).min(limit);
         for _ in 0..fits {
             if slots.len() == count {
                 return Some(slots);
             }
-            slots.push(at);
+            slots.push(index);
         }
     }
     (slots.len() == count).then_some(slots)
--- a/crates/job/src/planner/policy.rs
+++ b/crates/job/src/planner/policy.rs
@@ -50,14 +50,14 @@
     /// `worked`.
     #[must_use]
     pub fn stall_timeout(&self, spec: &StepSpec, percent: u32, worked: Duration) -> Duration {
-        let usual = spec.estimate.clamp(self.min_stall, self.max_stall);
+        let by_estimate = spec.estimate.clamp(self.min_stall, self.max_stall);
         // A long task on a slow worker far from its data takes seconds for each percent; if
         // moved, it would start from the beginning each time.
-        let own = match percent {
+        let by_progress = match percent {
             0 => spec.estimate / 4,
             shown => worked / shown * 4,
         };
-        usual.max(own)
+        by_estimate.max(by_progress)
     }
 
     /// Returns the longest time from now until a lease of length `lease` has surely
@@ -67,14 +67,15 @@
         self.lease.mul_f64(CLOCK_MARGIN) + MAX_TRANSIT
     }
 
-    /// Returns the same for a lease measured on another clock than that of the incarnation
-    /// which holds it.
+    /// Returns the longest time from now until a lease of any length has surely expired, as
+    /// for a lease granted by a command meant for another incarnation, whose clock differs.
     #[must_use]
     pub fn max_lease_expiry(&self) -> Duration {
         self.max_lease.mul_f64(CLOCK_MARGIN) + MAX_TRANSIT
     }
 
-    /// Returns the same for a command that may be carried out late.
+    /// Returns the longest time from now until a lease has surely expired whose command may
+    /// be carried out late.
     #[must_use]
     pub fn late_lease_expiry(&self) -> Duration {
         self.command_delay + self.max_lease_expiry()
--- a/crates/job/src/planner/preempt.rs
+++ b/crates/job/src/planner/preempt.rs
@@ -25,7 +25,7 @@
 const STOP_TIME: Duration = Duration::from_millis(400);
 
 /// A worker that may run members of a gang.
-struct WorkerSlots {
+struct PreemptionCandidate {
     worker: WorkerKey,
     /// Resources that are free now or once the runs that are being stopped have ended.
     free: Room,
@@ -35,7 +35,7 @@
     victims: Vec<Victim>,
 }
 
-impl WorkerSlots {
+impl PreemptionCandidate {
     fn slots(&self, need: &Room) -> u64 {
         self.free.fit_count(need).min(self.max_tasks)
     }
@@ -71,25 +71,25 @@
         reservations: &mut Reservations,
     ) -> bool {
         let booked = spec.booked();
-        let mut sites = self.sites(key, spec, reservations);
-        let Some(victims) = choose_victims(&mut sites, &booked, u64::from(spec.count)) else {
+        let mut candidates = self.preemption_candidates(key, spec, reservations);
+        let Some(victims) = choose_victims(&mut candidates, &booked, u64::from(spec.count)) else {
             return false;
         };
         for (worker, victim) in victims {
             self.preempt(worker, victim, key);
         }
-        reserve_slots(&mut sites, rank, key, spec, reservations);
+        reserve_slots(&mut candidates, rank, key, spec, reservations);
         true
     }
 
     /// Returns the workers that may run a step, with the resources available to it there,
     /// or nothing if these are not enough.
-    fn sites(
+    fn preemption_candidates(
         &self,
         key: StepKey,
         spec: &StepSpec,
         reservations: &Reservations,
-    ) -> Vec<WorkerSlots> {
+    ) -> Vec<PreemptionCandidate> {
         let Some(job) = self.jobs.get(&key.job) else {
             return Vec::new();
         };
@@ -99,7 +99,7 @@
         let queue = &job.spec.queue;
         let booked = spec.booked();
         let mut eligible = Vec::new();
-        let mut most = 0_u64;
+        let mut total_slots = 0_u64;
         for (worker_key, worker) in self.allowed_workers(job, step, self.now + STOP_TIME) {
             let eligible_here = self.usable(worker) && may_run(worker, &queue.service, spec);
             let headroom = self.headrooms.get(worker_key);
@@ -109,32 +109,32 @@
             let free = reservations.remaining(worker_key, headroom.free);
             let max_tasks = match spec.spread {
                 0 => u64::MAX,
-                most => u64::from(most.saturating_sub(tasks_on_worker(worker, key, spec))),
+                limit => u64::from(limit.saturating_sub(tasks_on_worker(worker, key, spec))),
             };
             let most_available =
                 reservations.remaining(worker_key, headroom.available_to(queue.priority));
             let slots = most_available.fit_count(&booked).min(max_tasks);
-            most = most.saturating_add(slots);
+            total_slots = total_slots.saturating_add(slots);
             if slots > 0 {
                 eligible.push((worker_key, headroom, free, max_tasks));
             }
         }
-        if most < u64::from(spec.count) {
+        if total_slots < u64::from(spec.count) {
             return Vec::new();
         }
-        let sites = eligible
+        let candidates = eligible
             .into_iter()
             .map(|(worker, headroom, free, max_tasks)| {
                 let victims = headroom.victims.iter();
                 let less_urgent = victims.filter(|victim| victim.priority > queue.priority);
-                WorkerSlots {
+                PreemptionCandidate {
                     worker,
                     free,
                     max_tasks,
                     victims: less_urgent.copied().collect(),
                 }
             });
-        sites.collect()
+        candidates.collect()
     }
 
     fn preempt(&mut self, worker: WorkerKey, victim: Victim, gang: StepKey) {
@@ -156,28 +156,31 @@
 /// Chooses the runs to preempt so that `count` members fit, those with the fewest
 /// processors per slot first. Returns `None` if all of them are not enough.
 fn choose_victims(
-    sites: &mut [WorkerSlots],
+    candidates: &mut [PreemptionCandidate],
     need: &Room,
     count: u64,
 ) -> Option<Vec<(WorkerKey, Victim)>> {
-    let mut slots: u64 = sites.iter().map(|one| one.slots(need)).sum();
+    let mut slots: u64 = candidates
+        .iter()
+        .map(|candidate| candidate.slots(need))
+        .sum();
     let mut next: BinaryHeap<Reverse<(u64, usize, usize)>> = BinaryHeap::new();
-    for (at, site) in sites.iter().enumerate() {
-        let slot = site.next_slot(need);
+    for (at, candidate) in candidates.iter().enumerate() {
+        let slot = candidate.next_slot(need);
         next.extend(slot.map(|(cpu, victims)| Reverse((cpu, at, victims))));
     }
     let mut chosen = Vec::new();
     while slots < count {
         let Reverse((_, at, victims)) = next.pop()?;
-        let site = &mut sites[at];
-        let before = site.slots(need);
-        let first = site.victims.len() - victims;
-        for victim in site.victims.drain(first..) {
-            site.free = site.free.plus(&victim.booked);
-            chosen.push((site.worker, victim));
+        let candidate = &mut candidates[at];
+        let before = candidate.slots(need);
+        let first = candidate.victims.len() - victims;
+        for victim in candidate.victims.drain(first..) {
+            candidate.free = candidate.free.plus(&victim.booked);
+            chosen.push((candidate.worker, victim));
         }
-        slots += site.slots(need) - before;
-        let slot = site.next_slot(need);
+        slots += candidate.slots(need) - before;
+        let slot = candidate.next_slot(need);
         next.extend(slot.map(|(cpu, victims)| Reverse((cpu, at, victims))));
     }
     Some(chosen)
@@ -185,22 +188,22 @@
 
 /// Reserves enough slots for the gang, on the workers with the most slots first.
 fn reserve_slots(
-    sites: &mut [WorkerSlots],
+    candidates: &mut [PreemptionCandidate],
     rank: Rank,
     key: StepKey,
     spec: &StepSpec,
     reservations: &mut Reservations,
 ) {
     let booked = spec.booked();
-    sites.sort_by_key(|one| Reverse(one.slots(&booked)));
+    candidates.sort_by_key(|candidate| Reverse(candidate.slots(&booked)));
     let mut slots = 0;
-    for site in sites {
+    for candidate in candidates {
         if slots >= u64::from(spec.count) {
             break;
         }
         let missing = u64::from(spec.count) - slots;
-        let taken = site.slots(&booked).min(missing);
+        let taken = candidate.slots(&booked).min(missing);
         slots += taken;
-        reservations.reserve(site.worker, rank, key, booked.times(taken));
+        reservations.reserve(candidate.worker, rank, key, booked.times(taken));
     }
 }
--- a/crates/job/src/planner/rank.rs
+++ b/crates/job/src/planner/rank.rs
@@ -93,7 +93,7 @@
     }
 
     /// Updates the mean work of a queue's jobs with a new job.
-    pub(super) fn learn_work(&mut self, queue: &str, work: u64) {
+    pub(super) fn learn_mean_work(&mut self, queue: &str, work: u64) {
         #[allow(clippy::cast_precision_loss)]
         let work = work as f64;
         if let Some(mean) = self.mean_work.get_mut(queue) {
--- a/crates/job/src/planner/report.rs
+++ b/crates/job/src/planner/report.rs
@@ -363,7 +363,7 @@
             // the ends of several runs from several workers in any order.
             self.dirty_jobs.insert(task.step.job);
             if step.count_failure(task.index, end.run, gang) >= attempts as usize {
-                self.finish(task.step.job, Outcome::Failed);
+                self.finish_job(task.step.job, Outcome::Failed);
                 return;
             }
         }
--- a/crates/job/src/planner/reservations.rs
+++ b/crates/job/src/planner/reservations.rs
@@ -83,7 +83,7 @@
     }
 
     /// Number of workers with reservations.
-    pub(super) fn workers(&self) -> usize {
+    pub(super) fn worker_count(&self) -> usize {
         self.workers.len()
     }
 
--- a/crates/job/src/planner/trial.rs
+++ b/crates/job/src/planner/trial.rs
@@ -9,8 +9,8 @@
 use super::Finding;
 use super::Planner;
 use super::place::Candidate;
+use super::place::assign_slots;
 use super::place::may_run;
-use super::place::slots;
 use super::rank::Rank;
 use super::reservations::Reservations;
 use crate::Room;
@@ -136,7 +136,7 @@
         let run = sound.iter().map(|task| self.next_run(*task)).max();
         let run = run.unwrap_or_default();
         sound.retain(|task| !trials.contains(task));
-        let Some(slots) = slots(&others, sound.len(), spec) else {
+        let Some(slots) = assign_slots(&others, sound.len(), spec) else {
             return false;
         };
         for (task, slot) in trials.into_iter().zip(&mut candidates) {
--- a/crates/job/tests/advice.rs
+++ b/crates/job/tests/advice.rs
@@ -51,7 +51,7 @@
     planner.handle_advice(step_key(), asked, &tickets, until);
 }
 
-/// Guards against lookups that wait a second or more while the pool has room for hundreds
+/// Guards against lookups that wait a second or more while the pool has slots for hundreds
 /// of their tasks. The workers that may run a step are full when the answer comes, and as
 /// long as their tickets were valid, no others were asked about: the tickets counted
 /// without the free resources of their workers.
@@ -107,7 +107,7 @@
 }
 
 /// Guards against wide lookups that start a third of their tasks and ask again for the
-/// others. Each worker has room for one task, and the limit on a call's cost was below what
+/// others. Each worker has a slot for one task, and the limit on a call's cost was below what
 /// the step needed.
 #[test]
 fn a_wide_step_asks_about_enough_workers_for_all_its_tasks() {
