--- a/crates/cell/src/owner/helpers.rs
+++ b/crates/cell/src/owner/helpers.rs
@@ -93,7 +93,7 @@
         };
         self.helpers.known.insert(request.node.clone(), helper);
         if let Some(result) = request.result {
-            self.handle_advice(result, now);
+            self.take_advice(result, now);
         }
         self.helpers.idle.push_back(Idle {
             node: request.node,
@@ -102,7 +102,7 @@
         });
     }
 
-    fn handle_advice(&mut self, result: HelpResult, now: Duration) {
+    fn take_advice(&mut self, result: HelpResult, now: Duration) {
         let step = result.step;
         let Some(good) = result.good else {
             count(&self.context.metrics.advice, "failed");
--- a/crates/cell/src/owner/news.rs
+++ b/crates/cell/src/owner/news.rs
@@ -28,13 +28,13 @@
     pub(super) fn take_jobs(&mut self, change: Change) {
         let (Change::Full(rows) | Change::Some(rows)) = change;
         for row in rows {
-            self.add_job(&row, None);
+            self.take_job(&row, None);
         }
     }
 
     /// Takes a job's row. `left` is what a predecessor left of all jobs, when
     /// the row was read at take-over.
-    pub(super) fn add_job(&mut self, row: &Row, left: Option<&HashMap<JobId, Progress>>) {
+    pub(super) fn take_job(&mut self, row: &Row, left: Option<&HashMap<JobId, Progress>>) {
         if row.removed {
             return;
         }
--- a/crates/cell/src/owner/pool.rs
+++ b/crates/cell/src/owner/pool.rs
@@ -178,7 +178,7 @@
         // The jobs go first: an end that a worker lists before its job is known
         // would be passed over, and its task run again.
         for row in &left.jobs {
-            pool.add_job(row, Some(&left.progress));
+            pool.take_job(row, Some(&left.progress));
         }
         for _ in 0..left.used_unreadable {
             pool.planner.add_missing_worker();
--- a/crates/job/src/planner/adopt.rs
+++ b/crates/job/src/planner/adopt.rs
@@ -21,7 +21,7 @@
     pub(super) fn adopt(&mut self, key: WorkerKey, running: &RunningTask) {
         let task = running.task;
         let now = self.now;
-        let observation = Observation::of_progress(running.percent);
+        let sighting = Observation::of_progress(running.percent);
         if self.workers[key].runs.contains_key(&task) {
             // A booking of its own would replace that of the other run, whose
             // room would never come back: the worker would get no more work.
@@ -31,7 +31,7 @@
                 run: running.run,
                 reason: StopReason::OtherRun,
             });
-            self.run_observed(task, running.run, observation);
+            self.run_observed(task, running.run, sighting);
             return;
         }
         let trusted = self.workers[key].trusted;
@@ -77,7 +77,7 @@
             trial,
         };
         self.workers[key].book(task, placed);
-        self.run_observed(task, running.run, observation);
+        self.run_observed(task, running.run, sighting);
         if !wanted {
             self.stop(key, task, running.run, StopReason::NotWanted);
         }
--- a/crates/job/src/planner/report.rs
+++ b/crates/job/src/planner/report.rs
@@ -170,12 +170,12 @@
             let Some(placed) = placed.filter(|placed| placed.run == running.run) else {
                 continue;
             };
-            let stall_timeout = self.policy.stall_timeout(
+            let patience = self.policy.stall_timeout(
                 spec,
                 placed.percent,
                 placed.moved.saturating_sub(placed.since),
             );
-            let still = now.saturating_sub(placed.moved) > stall_timeout;
+            let still = now.saturating_sub(placed.moved) > patience;
             let single = !spec.gang && !spec.filler && !spec.lasting;
             if still && single && placed.phase == RunPhase::Running {
                 stalled.push((task, running.run));
@@ -249,8 +249,8 @@
                 placed.moved = now;
             }
             placed.checkpoint.clone_from(&running.checkpoint);
-            let observation = Observation::of_progress(running.percent);
-            self.run_observed(running.task, running.run, observation);
+            let sighting = Observation::of_progress(running.percent);
+            self.run_observed(running.task, running.run, sighting);
             return;
         }
         self.adopt(key, running);
@@ -331,8 +331,8 @@
     pub(super) fn task_ended(&mut self, key: WorkerKey, end: &EndedTask) {
         let task = end.task;
         let Some(job) = self.jobs.get_mut(&task.step.job) else {
-            let orphan_ends = self.orphan_ends.entry(task.step.job).or_default();
-            orphan_ends.push((key, end.clone()));
+            let orphans = self.orphan_ends.entry(task.step.job).or_default();
+            orphans.push((key, end.clone()));
             return;
         };
         if job.outcome.is_some() {
--- a/crates/job/src/planner/reservations.rs
+++ b/crates/job/src/planner/reservations.rs
@@ -25,7 +25,7 @@
     resources: Room,
 }
 
-/// Resources reserved for gangs, by worker.
+/// Resources reserved for gangs, and for trials of suspected tasks, by worker.
 #[derive(Debug, Default)]
 pub(super) struct Reservations {
     workers: HashMap<WorkerKey, Vec<Reservation>>,
--- a/crates/job/src/planner/trial.rs
+++ b/crates/job/src/planner/trial.rs
@@ -73,11 +73,11 @@
         }
     }
 
-    fn try_alone(&mut self, run: (TaskKey, RunId), spec: &StepSpec, slot: &mut Candidate) {
+    fn try_alone(&mut self, run: (TaskKey, RunId), spec: &StepSpec, seat: &mut Candidate) {
         self.note(run.0, run.1, Finding::Tried);
-        self.start_run(run, true, spec, slot);
+        self.start_run(run, true, spec, seat);
         // Nothing else goes there in this pass.
-        slot.free = Room::default();
+        seat.free = Room::default();
     }
 
     /// Keeps the workers that are nearest to being idle from getting other work.
@@ -136,13 +136,13 @@
         let run = sound.iter().map(|task| self.next_run(*task)).max();
         let run = run.unwrap_or_default();
         sound.retain(|task| !trials.contains(task));
-        let Some(slots) = assign_slots(&others, sound.len(), spec) else {
+        let Some(seats) = assign_slots(&others, sound.len(), spec) else {
             return false;
         };
-        for (task, slot) in trials.into_iter().zip(&mut candidates) {
-            self.try_alone((task, run), spec, slot);
+        for (task, seat) in trials.into_iter().zip(&mut candidates) {
+            self.try_alone((task, run), spec, seat);
         }
-        for (task, at) in sound.into_iter().zip(slots) {
+        for (task, at) in sound.into_iter().zip(seats) {
             self.start_run((task, run), false, spec, &mut others[at]);
         }
         self.close_step(key);
--- a/crates/job/tests/start_budget.rs
+++ b/crates/job/tests/start_budget.rs
@@ -1,7 +1,7 @@
 //! Limits on the starts sent over an owner's link.
 //!
 //! A burst of starts, such as those after a take-over, was sent at once over a slow link:
-//! on a link of 2 Mbit/s (line 373), 199,304 bytes of commands in a second, and answers
+//! on a link of 2 Mbit/s (log line 373), 199,304 bytes of commands in a second, and answers
 //! that took 0.9 s. Members of gangs waited for the others in vain, and ends were reported
 //! seconds late.
 
