--- a/crates/job/tests/backlog.rs
+++ b/crates/job/tests/backlog.rs
@@ -54,8 +54,8 @@
 }
 
 /// Guards against gangs that use half of the advice service's time in vain, so that single
-/// tasks wait seconds for advice. A hundred gangs wait for resources; each asked for
-/// advice, and asked again when its tickets had expired, however far it was from its turn.
+/// tasks wait seconds for advice. A hundred gangs wait for resources, and each asked for
+/// advice, again whenever its tickets had expired, however far it was from its turn.
 #[test]
 fn only_gangs_that_could_start_next_ask_for_advice() {
     let mut planner = planner(1);
@@ -140,7 +140,7 @@
     const LONG: JobId = 1;
     const SHORT: JobId = 2;
     const GANG: JobId = 3;
-    const PATIENT: JobId = 4;
+    const LESS_URGENT: JobId = 4;
     let mut planner = planner(1);
     for at in 0..4 {
         add_claimed(&mut planner, &format!("w{at}"));
@@ -159,7 +159,7 @@
     let mut many = patient(each);
     many.steps[0].count = 8;
     many.steps[0].spread = 0;
-    planner.add_job(PATIENT, many, None, false);
+    planner.add_job(LESS_URGENT, many, None, false);
 
     let mut started = Vec::new();
     for (number, &(task, run, worker)) in (1..).zip(&short) {
--- a/crates/job/tests/capacity.rs
+++ b/crates/job/tests/capacity.rs
@@ -90,8 +90,8 @@
 }
 
 /// Guards against a job that fails though it only has to wait. Its owner took over while
-/// the workers were small; the rows of the former owner stated how large they are, and the
-/// workers' own registrations replaced that.
+/// the workers were small; the former owner's rows stated their full capacity, but the
+/// workers' current registrations overwrote it.
 #[test]
 fn a_pool_that_has_shrunk_fails_no_job() {
     let mut planner = planner(2);
--- a/crates/job/tests/impossible.rs
+++ b/crates/job/tests/impossible.rs
@@ -67,19 +67,23 @@
 fn a_job_whose_label_has_no_current_worker_does_not_fail() {
     let mut planner = planner(1);
     add_claimed(&mut planner, "w1");
-    let away = planner
+    let crashed = planner
         .take_worker(labelled_worker("w2"))
         .expect("new worker");
-    planner.take_listing(away, Duration::ZERO, &listing(vec![], vec![]));
+    planner.take_listing(crashed, Duration::ZERO, &listing(vec![], vec![]));
     plan_at(&mut planner, 10_000);
-    planner.worker_over(away);
+    planner.worker_over(crashed);
     planner.add_job(JOB, spec(vec![labelled("b")]), None, false);
     let early = plan_at(&mut planner, 20_000);
     let early_outcomes = outcomes(&mut planner);
-    let back = planner
+    let replacement = planner
         .take_worker(labelled_worker("w3"))
         .expect("new worker");
-    planner.take_listing(back, Duration::from_secs(20), &listing(vec![], vec![]));
+    planner.take_listing(
+        replacement,
+        Duration::from_secs(20),
+        &listing(vec![], vec![]),
+    );
 
     let late = plan_at(&mut planner, 21_000);
 
@@ -93,9 +97,9 @@
 fn a_temporarily_small_pool_fails_no_gang() {
     let mut planner = planner(1);
     add_claimed(&mut planner, "w1");
-    let away = add_claimed(&mut planner, "w2");
+    let crashed = add_claimed(&mut planner, "w2");
     plan_at(&mut planner, 10_000);
-    planner.worker_over(away);
+    planner.worker_over(crashed);
     planner.add_job(JOB, spec(vec![gang(6)]), None, false);
     plan_at(&mut planner, 20_000);
     let early_outcomes = outcomes(&mut planner);
--- a/crates/job/tests/preempt.rs
+++ b/crates/job/tests/preempt.rs
@@ -92,10 +92,10 @@
         end.checkpoint = "saved".to_owned();
         ends.push(end);
     }
-    let left = (0..4).map(|at| task(LOOKUP, 0, at));
-    let left = left.filter(|task| stops.iter().all(|(stopped, _)| stopped != task));
-    let left = left.map(|task| running(task, 1)).collect();
-    planner.take_listing(key, Duration::from_millis(300), &listing(left, ends));
+    let remaining = (0..4).map(|at| task(LOOKUP, 0, at));
+    let remaining = remaining.filter(|task| stops.iter().all(|(stopped, _)| stopped != task));
+    let remaining = remaining.map(|task| running(task, 1)).collect();
+    planner.take_listing(key, Duration::from_millis(300), &listing(remaining, ends));
 
     let late = plan_at(&mut planner, 310);
 
