--- a/crates/job/src/planner/incarnations.rs
+++ b/crates/job/src/planner/incarnations.rs
@@ -1,11 +1,11 @@
-//! Lives of workers: one ends when another answers under the id.
+//! Incarnations of workers: one ends when another one answers under the same worker id.
 //!
-//! A worker may start again under its id. It then holds and knows nothing of before, and
-//! its clock and the numbers of its ends start anew. So everything that is known of a
-//! worker is kept by the key of its life, and dropped with it. What ends a life is the
-//! list of runs of another one, in answer to a call that was sent after the life was last
-//! heard of: nothing else shows which of the two is the newer one. Registrations are read
-//! late, and the times of their starts go back with the clock.
+//! A worker process may start again under its id. It then has no runs and no state, and its
+//! clock and the numbers of its ends start from the beginning. So the planner keeps its
+//! state of a worker per incarnation, and drops it when the incarnation ends. An incarnation
+//! is replaced when a report of another one answers a call that was sent after the last
+//! report of the first. Nothing else shows which of the two is newer: registrations are
+//! read late, and the start times in them may go back with the worker's clock.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -30,49 +30,52 @@
 use crate::WorkerId;
 use crate::WorkerInfo;
 
-/// Lives of a worker that are remembered as over, the newest ones: answers and
+/// Number of ended incarnations that are remembered per worker, the newest ones. Replies and
 /// registrations of older ones are not expected any more.
 const MAX_ENDED: usize = 16;
 
-/// Which life of a worker a list of runs is of.
+/// Which incarnation of a worker has sent a report.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 #[strum(serialize_all = "lowercase")]
 pub enum ReportOrigin {
-    /// The one that is known.
+    /// The current one.
     #[strum(to_string = "known")]
     Current,
-    /// A newer one: the one that is known is over.
+    /// A newer one, so the current one has ended.
     #[strum(to_string = "next")]
     Newer,
-    /// One that is over, or may be: it tells nothing.
+    /// One that has ended or may have ended; the report is ignored.
     #[strum(to_string = "past")]
     Ended,
-    /// It does not say, though the worker's registration does: it tells nothing.
+    /// The report names no incarnation, though the worker's registration does; it is ignored.
     Unnamed,
 }
 
-/// Lives that are over, by worker.
+/// Newest ended incarnations of each worker, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct EndedIncarnations(HashMap<WorkerId, Vec<LifeId>>);
 
 impl EndedIncarnations {
-    fn add(&mut self, id: &str, life: Option<LifeId>) {
-        let Some(life) = life else { return };
-        let lives = self.0.entry(id.to_owned()).or_default();
-        if lives.len() == MAX_ENDED {
-            lives.remove(0);
+    fn add(&mut self, id: &str, incarnation: Option<LifeId>) {
+        let Some(incarnation) = incarnation else {
+            return;
+        };
+        let ended = self.0.entry(id.to_owned()).or_default();
+        if ended.len() == MAX_ENDED {
+            ended.remove(0);
         }
-        lives.push(life);
+        ended.push(incarnation);
     }
 
-    pub(super) fn has_ended(&self, id: &str, life: Option<LifeId>) -> bool {
-        let lives = self.0.get(id);
-        life.is_some_and(|life| lives.is_some_and(|lives| lives.contains(&life)))
+    pub(super) fn has_ended(&self, id: &str, incarnation: Option<LifeId>) -> bool {
+        let ended = self.0.get(id);
+        incarnation
+            .is_some_and(|incarnation| ended.is_some_and(|ended| ended.contains(&incarnation)))
     }
 }
 
 impl Planner {
-    /// Which life of the worker a list of runs is of that was asked for at `sent`.
+    /// Which incarnation of the worker has sent a report, in answer to a call sent at `sent`.
     #[must_use]
     pub fn match_incarnation(
         &self,
@@ -83,24 +86,24 @@
         let Some(worker) = self.workers.get(key) else {
             return ReportOrigin::Ended;
         };
-        let known = worker.info.life;
+        let current = worker.info.life;
         match listing.life {
-            life if life == known => ReportOrigin::Current,
+            incarnation if incarnation == current => ReportOrigin::Current,
             None => ReportOrigin::Unnamed,
-            // A row of an earlier version does not tell the life.
-            Some(_) if known.is_none() && worker.last_report == Duration::ZERO => {
+            // Rows of an earlier version do not name the incarnation.
+            Some(_) if current.is_none() && worker.last_report == Duration::ZERO => {
                 ReportOrigin::Current
             }
-            // Answers overtake each other.
+            // Replies may overtake each other, so this one may be older than the last report.
             Some(_) if sent < worker.last_report => ReportOrigin::Ended,
-            life if self.past.has_ended(&worker.info.id, life) => ReportOrigin::Ended,
+            incarnation if self.past.has_ended(&worker.info.id, incarnation) => ReportOrigin::Ended,
             Some(_) => ReportOrigin::Newer,
         }
     }
 
-    /// The worker has started again under its id: its former life is over, and with it
-    /// what ran there. A start that the former life has not confirmed may have reached the
-    /// new one, or may reach it yet: it stays booked until the new life has refused it.
+    /// Replaces an incarnation of a worker by a newer one that has sent a report. The runs of the
+    /// former one are lost, except for starts that it has not confirmed: these may reach the new
+    /// one, or may have reached it already. They stay booked until the new one has refused them.
     pub(super) fn replace_incarnation(
         &mut self,
         key: WorkerKey,
@@ -108,26 +111,26 @@
         listing: &Listing,
     ) {
         let now = self.now;
-        let longest = self.policy.longest_lapse();
+        let longest_lease = self.policy.longest_lapse();
         let worker = &mut self.workers[key];
-        let (id, life) = (worker.info.id.clone(), worker.info.life);
+        let (id, incarnation) = (worker.info.id.clone(), worker.info.life);
         let inherited = worker.inherited && !worker.claimed;
-        let heir = worker.reregistration.take().map(|(info, _)| info);
-        let registered = heir.filter(|info| info.life == listing.life);
-        let gone = registered.is_none();
+        let next_info = worker.reregistration.take().map(|(info, _)| info);
+        let registered = next_info.filter(|info| info.life == listing.life);
+        let unregistered = registered.is_none();
         let info = registered.unwrap_or_else(|| placeholder_info(&worker.info, listing));
-        let moving = transferable_runs(worker, sent, listing);
-        let moved: Vec<(TaskKey, PlacedRun)> = moving
+        let transferable = transferable_runs(worker, sent, listing);
+        let moved: Vec<(TaskKey, PlacedRun)> = transferable
             .into_iter()
             .filter_map(|(task, run)| Some((task, worker.release(task, run)?)))
             .collect();
-        let left = worker.info.draining;
-        let cause = if left { Loss::Left } else { Loss::Crashed };
+        let drained = worker.info.draining;
+        let cause = if drained { Loss::Left } else { Loss::Crashed };
         self.end_incarnation(key, cause, moved.len());
-        self.past.add(&id, life);
-        let mut next = WorkerState::new(info, now + STORE_VOUCH + longest);
+        self.past.add(&id, incarnation);
+        let mut next = WorkerState::new(info, now + STORE_VOUCH + longest_lease);
         next.inherited = inherited;
-        next.unregistered = gone;
+        next.unregistered = unregistered;
         let next = self.workers.insert(next);
         self.by_id.insert(id, next);
         for (task, placed) in moved {
@@ -136,7 +139,7 @@
         self.orders.push(Order::Begin { worker: next });
     }
 
-    /// Books a run on the new life of its worker that may have reached it.
+    /// Books a run that may have reached the new incarnation of its worker there.
     fn rebook_run(&mut self, next: WorkerKey, task: TaskKey, mut placed: PlacedRun) {
         placed.phase = RunPhase::Unanswered;
         placed.phase_since = self.now;
@@ -154,27 +157,27 @@
         self.workers[next].book(task, placed);
     }
 
-    /// Silent workers that have registered as another life, and where that is reached.
+    /// Unresponsive workers that have registered as another incarnation, with its address.
     #[must_use]
     pub fn reregistered(&self) -> Vec<(WorkerKey, SocketAddr)> {
         let workers = self.workers.iter();
-        let silent = workers.filter(|(_, worker)| worker.unresponsive);
-        silent
+        let unresponsive = workers.filter(|(_, worker)| worker.unresponsive);
+        unresponsive
             .filter_map(|(key, worker)| Some((key, worker.reregistration.as_ref()?.0.address)))
             .collect()
     }
 
-    /// Whether a registration is of another life than the one that is known. Whether that
-    /// one is over, the list of runs of the other will tell.
+    /// Whether a registration is of another incarnation than the current one. Only a report of
+    /// the other one will show whether the current one has ended.
     pub(super) fn is_other_incarnation(&self, key: WorkerKey, info: &WorkerInfo) -> bool {
         let worker = &self.workers[key];
-        let known = worker.info.life;
-        known != info.life && (known.is_some() || worker.last_report > Duration::ZERO)
+        let current = worker.info.life;
+        current != info.life && (current.is_some() || worker.last_report > Duration::ZERO)
     }
 }
 
-/// What is known of a life before its registration is read: not its room, so it gets no
-/// work.
+/// Registration to use for an incarnation until its own is read. Its capacity is unknown, so
+/// the worker gets no work.
 fn placeholder_info(former: &WorkerInfo, listing: &Listing) -> WorkerInfo {
     WorkerInfo {
         life: listing.life,
@@ -185,8 +188,8 @@
     }
 }
 
-/// Runs that are on the new life of their worker, or may come to be: those that it lists,
-/// and those that the former one has not confirmed before the list was asked for.
+/// Runs that are on the new incarnation of a worker or may still reach it: those in its
+/// report, and those that the former one had not confirmed when the report was asked for.
 fn transferable_runs(
     worker: &WorkerState,
     sent: Duration,
@@ -196,10 +199,12 @@
     let ended = listing.ended.iter().map(|end| (end.task, end.run));
     let listed: HashMap<TaskKey, RunId> = running.chain(ended).collect();
     let runs = worker.runs.iter();
-    let moving = runs.filter(|(task, placed)| {
+    let transferable = runs.filter(|(task, placed)| {
         let confirmed = matches!(placed.phase, RunPhase::Running | RunPhase::Stopped);
-        let before = confirmed && placed.phase_since < sent;
-        listed.get(task) == Some(&placed.run) || !before
+        let confirmed_before = confirmed && placed.phase_since < sent;
+        listed.get(task) == Some(&placed.run) || !confirmed_before
     });
-    moving.map(|(task, placed)| (*task, placed.run)).collect()
+    transferable
+        .map(|(task, placed)| (*task, placed.run))
+        .collect()
 }
--- a/crates/job/src/planner/roster.rs
+++ b/crates/job/src/planner/roster.rs
@@ -1,4 +1,4 @@
-//! Workers as the planner tracks them: room, runs, lease and health.
+//! The planner's state of workers: resources, runs, lease and health.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -18,101 +18,103 @@
 use crate::WorkerId;
 use crate::WorkerInfo;
 
-/// Room of a worker, which may shrink and grow while it runs.
+/// Capacity of a worker, which may shrink and grow while it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capacity {
-    /// What it has, by its newest registration.
+    /// Resources in its newest registration.
     pub current: Room,
-    /// The most that it has had.
+    /// Largest amount of each resource that it has registered.
     pub largest: Room,
 }
 
-/// Where a run on a worker stands.
+/// Phase of a run on a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RunPhase {
-    /// The start was sent; no answer yet.
+    /// The start was sent and not answered yet.
     Sent,
-    /// The worker said that it has started.
+    /// The worker has confirmed that the run started.
     Running,
-    /// The start got no answer: it may run, now or seconds later.
+    /// The start was not answered: the run may have started, or may start seconds later.
     Unanswered,
-    /// A stop was sent and not confirmed.
+    /// A stop was sent and not confirmed yet.
     Stopping,
-    /// The worker confirmed a stop: gone with the next listing.
+    /// The worker has confirmed the stop. The run is dropped with the next report that does not
+    /// list it.
     Stopped,
 }
 
-/// A run that holds room on a worker.
+/// A run that has resources booked on a worker.
 #[derive(Debug)]
 pub(super) struct PlacedRun {
     pub run: RunId,
     pub booked: Room,
-    /// Processors asked for without being booked.
+    /// Processors that a filler asks for; they are not booked.
     pub filler_cpu: u64,
-    /// Its size is not known, since its job is not.
+    /// The needed resources are unknown, since the job is.
     pub unknown_size: bool,
     pub phase: RunPhase,
-    /// When the phase began.
+    /// When the current phase began.
     pub phase_since: Duration,
-    /// Progress, and when it last changed.
+    /// Reported progress in per cent, and when it last changed.
     pub percent: u32,
     pub progressed_at: Duration,
-    /// When it is surely over if it is on another life of its worker, whose clock is not the
-    /// one that the lease was reckoned on. Zero once a list of the life has shown it.
+    /// When the run has surely ended if another incarnation of the worker has it, whose clock is
+    /// not the one that the lease was computed for. Zero once this incarnation has reported it.
     pub late_expiry: Duration,
-    /// Newest checkpoint seen.
+    /// Newest reported checkpoint; empty for none.
     pub checkpoint: String,
-    /// We started it, from the beginning: its end tells how long it takes.
+    /// Started by this planner without a checkpoint, so that its duration can be learnt.
     pub from_start: bool,
-    /// Workers crashed under its task: it runs alone.
+    /// The run is a trial: no other run may start on the worker.
     pub alone: bool,
 }
 
-/// One life of a worker.
+/// One incarnation of a worker.
 #[derive(Debug)]
 #[allow(clippy::struct_excessive_bools)] // independent facts
 pub(super) struct WorkerState {
     pub info: WorkerInfo,
-    /// Registration of another life, which may be the next one, and when it was read.
-    /// Until the worker has answered since then it gets no work: the next life may be
-    /// smaller.
+    /// Registration of another incarnation, which may be the next one, and when it was read.
+    /// The worker gets no work until it has answered a later call, since the next incarnation
+    /// may have a smaller capacity.
     pub reregistration: Option<(WorkerInfo, Duration)>,
-    /// The most that it has had: what has shrunk may grow again.
+    /// Largest amount of each resource that it has registered; a capacity that has shrunk may
+    /// grow again.
     pub largest: Room,
-    /// The least that it has had.
+    /// Smallest amount of each resource that it has registered.
     pub least: Room,
-    /// How far it may be filled.
+    /// Resources up to which it may be filled.
     pub fill_limit: Room,
     pub total_booked: Room,
     pub total_filler: u64,
-    /// Runs of unknown size: while there are any, it gets no work.
+    /// Number of runs of unknown size. While there are any, the worker gets no work.
     pub unknown_sizes: u32,
-    /// Runs that must stay alone: while there are any, it gets no work.
+    /// Number of trials. While there are any, the worker gets no work.
     pub lone_runs: u32,
     pub runs: HashMap<TaskKey, PlacedRun>,
-    /// It has accepted our epoch and told what it runs.
+    /// It has accepted this owner's epoch and sent a report.
     pub claimed: bool,
-    /// A predecessor may have used it, and may still renew its lease: that is
-    /// not over before the predecessor's tenure is.
+    /// A former owner may have used it and may still renew its lease, so the lease does not
+    /// expire before that owner's tenure has ended.
     pub inherited: bool,
-    /// Ends of a predecessor's runs count: it answered before its lease could
-    /// be over.
+    /// Ends of the former owner's runs count, since the worker sent its first report before its
+    /// lease could have expired.
     pub ends_trusted: bool,
-    /// It did not answer the last call: it gets no work until it does.
+    /// It did not answer the last call, and gets no work until it does.
     pub unresponsive: bool,
-    /// When its newest listing came.
+    /// When its newest report arrived; zero if there was none.
     pub last_report: Duration,
-    /// Its registration has vanished.
+    /// Its registration has been removed, or was not read yet.
     pub unregistered: bool,
-    /// When its lease is over by the slowest clock.
+    /// When its lease has expired even by the slowest clock.
     pub lease_expiry: Duration,
-    /// Until when an answer may come that it gave under that lease.
+    /// Latest arrival of a reply that the worker may have sent under that lease.
     pub reply_until: Duration,
-    /// Newest end that was taken in.
+    /// Number of the newest end of a run that was processed.
     pub last_end: u64,
-    /// How fast it is against others.
+    /// Its speed relative to other workers.
     pub speed: Speed,
-    /// Failures in a row, and the job of the last one.
+    /// Number of consecutive failures of different jobs, and the job of the last one.
     pub failure_streak: u32,
     pub failed_job: Option<JobId>,
     /// No new work before this time.
@@ -148,11 +150,15 @@
         }
     }
 
-    /// Takes note of what it has now.
+    /// Updates the largest and the smallest capacity with the current one.
     fn resize(&mut self, now: &Room) {
-        // A former version's row does not tell a worker's size.
-        let known = self.largest != Room::default();
-        self.least = if known { self.least.within(now) } else { *now };
+        // Rows of an earlier version do not state a worker's capacity.
+        let has_capacity = self.largest != Room::default();
+        self.least = if has_capacity {
+            self.least.within(now)
+        } else {
+            *now
+        };
         self.largest = self.largest.either(now);
     }
 
@@ -168,7 +174,7 @@
         self.runs.insert(task, placed);
     }
 
-    /// Removes a run and gives its room back.
+    /// Removes a run and frees its resources; `None` if another run of the task is booked.
     pub(super) fn release(&mut self, task: TaskKey, run: RunId) -> Option<PlacedRun> {
         if self.runs.get(&task)?.run != run {
             return None;
@@ -183,17 +189,17 @@
 }
 
 impl Planner {
-    /// Takes a worker's registration; gives its key if it is new.
+    /// Processes a worker's registration; returns the worker's key if it is new.
     pub fn register_worker(&mut self, info: WorkerInfo) -> Option<WorkerKey> {
         self.kinds.change(self.now);
         if let Some(key) = self.worker_key(&info.id) {
-            let other = self.is_other_incarnation(key, &info);
-            let past = self.past.has_ended(&info.id, info.life);
+            let is_other = self.is_other_incarnation(key, &info);
+            let ended = self.past.has_ended(&info.id, info.life);
             let now = self.now;
             let worker = &mut self.workers[key];
-            if other {
-                // Without a life it is of another writer: what is known holds.
-                if info.life.is_some() && !past {
+            if is_other {
+                // A registration without an incarnation is from another writer: ignored.
+                if info.life.is_some() && !ended {
                     worker.reregistration = Some((info, now));
                 }
                 return None;
@@ -209,13 +215,13 @@
             return None;
         }
         let id = info.id.clone();
-        let lapse = self.now + STORE_VOUCH + self.policy.lapse();
-        let key = self.workers.insert(WorkerState::new(info, lapse));
+        let expiry = self.now + STORE_VOUCH + self.policy.lapse();
+        let key = self.workers.insert(WorkerState::new(info, expiry));
         self.by_id.insert(id, key);
         Some(key)
     }
 
-    /// Takes a worker that a predecessor may have used, until it registers.
+    /// Adds a worker that a former owner may have used, until its registration is read.
     pub fn restore_worker(&mut self, info: WorkerInfo) -> Option<WorkerKey> {
         let key = self.register_worker(info)?;
         let worker = &mut self.workers[key];
@@ -225,8 +231,8 @@
         Some(key)
     }
 
-    /// A worker's registration has vanished. What runs there stays booked
-    /// until its lease is over.
+    /// Marks a worker as unregistered, since its registration was removed. Its runs stay booked
+    /// until its lease has expired.
     pub fn deregister_worker(&mut self, id: &str) {
         self.kinds.change(self.now);
         if let Some(key) = self.worker_key(id) {
@@ -235,7 +241,7 @@
         }
     }
 
-    /// What a known worker has, and the most that it has had.
+    /// Current and largest capacity of a worker; `None` if it is unknown.
     #[must_use]
     pub fn capacity(&self, id: &str) -> Option<Capacity> {
         let worker = self.workers.get(self.worker_key(id)?)?;
@@ -245,31 +251,31 @@
         })
     }
 
-    /// The key of a known worker.
+    /// Key of the current incarnation of a worker; `None` if the worker is unknown.
     #[must_use]
     pub fn worker_key(&self, id: &str) -> Option<WorkerKey> {
         self.by_id.get(id).copied()
     }
 
-    /// Registration of a worker.
+    /// Newest registration of an incarnation.
     #[must_use]
     pub fn worker_info(&self, key: WorkerKey) -> Option<&WorkerInfo> {
         self.workers.get(key).map(|worker| &worker.info)
     }
 
-    /// Whether the worker has accepted our epoch.
+    /// Whether the worker has accepted this owner's epoch.
     #[must_use]
     pub fn claimed(&self, key: WorkerKey) -> bool {
         self.workers.get(key).is_some_and(|worker| worker.claimed)
     }
 
-    /// Number of the newest end of the worker that was taken in.
+    /// Number of the worker's newest end of a run that was processed.
     #[must_use]
     pub fn newest_end(&self, key: WorkerKey) -> u64 {
         self.workers.get(key).map_or(0, |worker| worker.last_end)
     }
 
-    /// Whether a run is taken to be on the worker.
+    /// Whether a run is booked on the worker.
     #[must_use]
     pub fn holds(&self, key: WorkerKey, task: TaskKey, run: RunId) -> bool {
         let placed = self
@@ -279,27 +285,28 @@
         placed.is_some_and(|placed| placed.run == run)
     }
 
-    /// An order that renews the worker's lease is being sent.
+    /// Extends the worker's lease, since a command that renews it is being sent.
     pub fn lease_renewed(&mut self, key: WorkerKey) {
-        let lapse = self.now + self.policy.lapse();
+        let expiry = self.now + self.policy.lapse();
         if let Some(worker) = self.workers.get_mut(key) {
-            worker.lease_expiry = worker.lease_expiry.max(lapse);
+            worker.lease_expiry = worker.lease_expiry.max(expiry);
         }
     }
 
-    /// When a start that is sent now is surely over, whichever life of the worker it reaches
-    /// late, and whatever late renewal comes there after it; zero if the worker names no lives.
+    /// When a start that is sent now has surely ended, whichever incarnation of the worker it
+    /// reaches late, and whatever late renewal follows it there. Zero if the worker does not
+    /// name its incarnations.
     pub(super) fn late_run_expiry(&self, key: WorkerKey) -> Duration {
-        let named = self.workers[key].info.life.is_some();
-        if named {
+        let names_incarnations = self.workers[key].info.life.is_some();
+        if names_incarnations {
             self.now + self.policy.late_lapse()
         } else {
             Duration::ZERO
         }
     }
 
-    /// The answer to a call that was sent at `sent` is late, and may come until `until`.
-    /// It may tell that a run is done, which must not start again.
+    /// Waits until `until` for the late reply to a call that was sent at `sent`, before runs are
+    /// counted as lost. The reply may report a run as done, and its task must not start again.
     pub fn await_reply(&mut self, key: WorkerKey, sent: Duration, until: Duration) {
         if let Some(worker) = self.workers.get_mut(key)
             && sent < worker.lease_expiry
@@ -308,50 +315,50 @@
         }
     }
 
-    /// The worker did not answer.
+    /// Marks a worker as unresponsive, since it did not answer a call.
     pub fn worker_unresponsive(&mut self, key: WorkerKey) {
         if let Some(worker) = self.workers.get_mut(key) {
             worker.unresponsive = true;
         }
     }
 
-    /// Workers that do not answer while it matters: they hold runs, tasks of a
-    /// predecessor wait for what they run, or they went down with one whose task is
-    /// about to be judged. Without the last, a rack of idle workers that lost power
-    /// looked as if only the one with a trial had crashed.
+    /// Unresponsive workers whose fate matters: they have runs booked, tasks of the former owner
+    /// wait for their reports, or a verdict on a suspect is due and they may have crashed with
+    /// its worker. Without the last case, when a rack of idle workers lost power, only the one
+    /// with a trial seemed to have crashed.
     #[must_use]
     pub fn unresponsive_workers(&self) -> Vec<(WorkerKey, WorkerId)> {
         let recovering = self.recovering;
-        let doubtful = self.workers.iter().filter(|(_, worker)| {
-            let unclaimed = recovering && !worker.claimed;
-            let silent = worker.unresponsive || worker.unregistered;
-            let matters = !worker.runs.is_empty() || self.suspects.judging;
-            unclaimed || silent && matters
+        let awaited = self.workers.iter().filter(|(_, worker)| {
+            let report_due = recovering && !worker.claimed;
+            let absent = worker.unresponsive || worker.unregistered;
+            let needed = !worker.runs.is_empty() || self.suspects.judging;
+            report_due || absent && needed
         });
-        doubtful
+        awaited
             .map(|(key, worker)| (key, worker.info.id.clone()))
             .collect()
     }
 
-    /// This life of the worker is over, and with it all that it ran.
+    /// Ends an incarnation of a worker that has left or crashed, and all of its runs.
     pub fn worker_ended(&mut self, key: WorkerKey) {
         let worker = self.workers.get(key);
-        let left = worker.is_some_and(|worker| worker.info.draining);
-        let cause = if left { Loss::Left } else { Loss::Crashed };
+        let drained = worker.is_some_and(|worker| worker.info.draining);
+        let cause = if drained { Loss::Left } else { Loss::Crashed };
         self.drop_worker(key, cause);
     }
 
     fn drop_worker(&mut self, key: WorkerKey, cause: Loss) {
         if let Some(worker) = self.end_incarnation(key, cause, 0)
-            && let Some((heir, _)) = worker.reregistration
-            && let Some(next) = self.register_worker(heir)
+            && let Some((next_info, _)) = worker.reregistration
+            && let Some(next) = self.register_worker(next_info)
         {
             self.orders.push(Order::Begin { worker: next });
         }
     }
 
-    /// Gives up a life of a worker with all that ran there. `moved` runs beside them may
-    /// have been on its next life instead.
+    /// Removes an incarnation of a worker and counts its runs as lost. `moved` further runs were
+    /// moved to the next incarnation, and may have been on this one.
     pub(super) fn end_incarnation(
         &mut self,
         key: WorkerKey,
@@ -372,7 +379,7 @@
         Some(worker)
     }
 
-    /// Gives up runs that a worker held.
+    /// Counts runs of a worker as lost.
     fn lose_runs(
         &mut self,
         key: WorkerKey,
@@ -382,7 +389,7 @@
     ) {
         let now = self.now;
         let worker = &self.workers[key];
-        let known = worker.claimed || !worker.inherited;
+        let reported = worker.claimed || !worker.inherited;
         let beside = (runs.len() + worker.runs.len()).saturating_sub(1) + moved;
         let lost = runs.iter().map(|(task, placed)| {
             let id = worker.info.id.clone();
@@ -396,22 +403,22 @@
             }
         }
         if cause == Loss::Crashed {
-            self.count_crash(runs, known, moved);
+            self.count_crash(runs, reported, moved);
         }
     }
 
-    /// Gives up what is surely over by the leases of workers: those that vanished are
-    /// dropped, silent ones keep their place but lose their runs.
+    /// Counts the runs of workers with expired leases as lost. Unregistered workers are dropped;
+    /// others stay, without their runs.
     pub(super) fn expire_workers(&mut self) {
         let now = self.now;
-        let held = |worker: &WorkerState| worker.inherited && !worker.claimed;
-        let over = |worker: &WorkerState| {
-            worker.lease_expiry.max(worker.reply_until) <= now && !held(worker)
+        let renewable = |worker: &WorkerState| worker.inherited && !worker.claimed;
+        let past_expiry = |worker: &WorkerState| {
+            worker.lease_expiry.max(worker.reply_until) <= now && !renewable(worker)
         };
         let expired: Vec<WorkerKey> = self
             .workers
             .iter()
-            .filter(|(_, worker)| over(worker))
+            .filter(|(_, worker)| past_expiry(worker))
             .map(|(key, _)| key)
             .collect();
         for key in expired {
@@ -427,20 +434,23 @@
         let now = self.now;
         let worker = &mut self.workers[key];
         let runs = worker.runs.iter();
-        let over = runs.filter(|(_, placed)| placed.late_expiry <= now);
-        let over: Vec<(TaskKey, RunId)> = over.map(|(task, placed)| (*task, placed.run)).collect();
-        if over.is_empty() {
+        let past_expiry = runs.filter(|(_, placed)| placed.late_expiry <= now);
+        let past_expiry: Vec<(TaskKey, RunId)> = past_expiry
+            .map(|(task, placed)| (*task, placed.run))
+            .collect();
+        if past_expiry.is_empty() {
             return;
         }
-        let over = over.into_iter();
-        let over = over.filter_map(|(task, run)| Some((task, worker.release(task, run)?)));
-        let over: Vec<(TaskKey, PlacedRun)> = over.collect();
-        // It must answer again before it gets work.
+        let past_expiry = past_expiry.into_iter();
+        let past_expiry =
+            past_expiry.filter_map(|(task, run)| Some((task, worker.release(task, run)?)));
+        let past_expiry: Vec<(TaskKey, PlacedRun)> = past_expiry.collect();
+        // It must send a new report before it gets work.
         worker.claimed = false;
-        self.lose_runs(key, &over, Loss::LeaseExpired, 0);
+        self.lose_runs(key, &past_expiry, Loss::LeaseExpired, 0);
     }
 
-    /// Orders a stop; the room stays booked until the run has ended.
+    /// Sends a stop command; the resources stay booked until the run has ended.
     pub(super) fn stop_run(
         &mut self,
         worker: WorkerKey,
--- a/crates/job/src/planner/suspicion.rs
+++ b/crates/job/src/planner/suspicion.rs
@@ -60,9 +60,10 @@
 /// Worker crashes that count against a task.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Suspicion {
-    /// Runs whose worker crashed after it had confirmed them, with no other crashes nearby.
+    /// Runs whose worker crashed after it had confirmed them, without a sign of a common cause.
     pub(super) crashes: BTreeSet<RunId>,
-    /// Runs that may not have been on the worker that crashed, or not have caused the crash.
+    /// Other runs that may have been on a worker that crashed: the start was not answered, or
+    /// the crash may have a common cause with others.
     pub(super) uncertain: BTreeSet<RunId>,
     /// Intent of the next start, or of the start whose end is not known yet.
     pub(super) intent: Option<StartIntent>,
@@ -179,7 +180,7 @@
         self.suspicion(task).is_some_and(Suspicion::needs_trial)
     }
 
-    /// Phase of a task; `None` if its step is not open or does not exist.
+    /// Phase of a task; `None` if its round is not open or the task does not exist.
     pub(super) fn phase(&self, task: TaskKey) -> Option<Phase> {
         let (_, step) = self.step(task.step)?;
         Some(step.tasks.get(task.index as usize)?.phase)
--- a/crates/job/src/planner/trial.rs
+++ b/crates/job/src/planner/trial.rs
@@ -19,11 +19,11 @@
 use crate::StepSpec;
 use crate::TaskKey;
 
-/// Workers per worker that may run a trial or be kept idle for one; at least one worker may.
-/// A trial takes a whole worker from other work.
+/// One worker in this many, and at least one, may run a trial or be kept idle for one. A
+/// trial takes a whole worker from other work.
 const WORKERS_PER_TRIAL: usize = 12;
 
-/// Idle workers per worker that may run a trial, if that allows more of them.
+/// One idle worker in this many may run a trial, if that allows more trials.
 const IDLE_PER_TRIAL: usize = 2;
 
 /// Sorts idle workers first, the ones with the newest reports before others. If a trial were
