--- a/crates/job/src/planner/crash_count.rs
+++ b/crates/job/src/planner/crash_count.rs
@@ -60,11 +60,16 @@
         });
     }
 
-    /// Counts the crash of a worker against the runs that were on it. `known` says that `runs`
-    /// are all of its runs, except for `moved` runs that may have been on it or on its next
-    /// incarnation.
-    pub(super) fn count_crash(&mut self, runs: &[(TaskKey, PlacedRun)], known: bool, moved: usize) {
-        let alone = known && runs.len() == 1 && moved == 0;
+    /// Counts the crash of a worker against the runs that were on it. `all_known` says that
+    /// `runs` are all of its runs, except for `moved` runs that may have been on it or on its
+    /// next incarnation.
+    pub(super) fn count_crash(
+        &mut self,
+        runs: &[(TaskKey, PlacedRun)],
+        all_known: bool,
+        moved: usize,
+    ) {
+        let alone = all_known && runs.len() == 1 && moved == 0;
         let now = self.now;
         let recent = self.suspects.crash_times.iter();
         let recent = recent.filter(|crash| now < **crash + COMMON_CAUSE_WINDOW);
@@ -75,11 +80,11 @@
             let certain = placed.phase == RunPhase::Running && !common;
             any_suspect |= self.record_crash(*task, placed.run, certain, alone);
         }
-        if known && !any_suspect {
+        if all_known && !any_suspect {
             self.suspects.crash_times.push_back(self.now);
         }
         // The worker may have had a run for which the former owner saved a start intent.
-        self.suspects.unreported |= !known && self.recovering;
+        self.suspects.unreported |= !all_known && self.recovering;
     }
 
     /// Counts a crash against a task; returns whether the task now needs a trial.
--- a/crates/job/src/planner/incarnations.rs
+++ b/crates/job/src/planner/incarnations.rs
@@ -56,21 +56,18 @@
 pub(super) struct EndedIncarnations(HashMap<WorkerId, Vec<LifeId>>);
 
 impl EndedIncarnations {
-    fn add(&mut self, id: &str, incarnation: Option<LifeId>) {
-        let Some(incarnation) = incarnation else {
-            return;
-        };
-        let ended = self.0.entry(id.to_owned()).or_default();
-        if ended.len() == MAX_ENDED {
-            ended.remove(0);
+    fn add(&mut self, id: &str, old: Option<LifeId>) {
+        let Some(old) = old else { return };
+        let ids = self.0.entry(id.to_owned()).or_default();
+        if ids.len() == MAX_ENDED {
+            ids.remove(0);
         }
-        ended.push(incarnation);
+        ids.push(old);
     }
 
     pub(super) fn has_ended(&self, id: &str, incarnation: Option<LifeId>) -> bool {
-        let ended = self.0.get(id);
-        incarnation
-            .is_some_and(|incarnation| ended.is_some_and(|ended| ended.contains(&incarnation)))
+        let ids = self.0.get(id);
+        incarnation.is_some_and(|incarnation| ids.is_some_and(|ids| ids.contains(&incarnation)))
     }
 }
 
--- a/crates/job/src/planner/report.rs
+++ b/crates/job/src/planner/report.rs
@@ -1,4 +1,4 @@
-//! What workers' answers and listings mean.
+//! Processes workers' replies to commands, and their reports.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -24,38 +24,38 @@
 use crate::RunningTask;
 use crate::TaskKey;
 
-/// How a worker answered a start.
+/// A worker's reply to a start command.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 #[strum(serialize_all = "lowercase")]
 pub enum StartReply {
-    /// It runs.
+    /// The run has started.
     Started,
-    /// It was refused, and this run will never start there.
+    /// The worker refused the start; the run will never start there.
     Refused,
-    /// It was refused because the ticket is not valid any more.
+    /// The worker refused the start because the ticket is no longer valid.
     #[strum(to_string = "ticket")]
     InvalidTicket,
-    /// It may have started, or may start later.
+    /// No usable reply: the run may have started, or may start later.
     Unknown,
 }
 
-/// How a worker answered a stop.
+/// A worker's reply to a stop command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReply {
-    /// The run ends, or will never start.
+    /// The run is ending, or will never start.
     Stopped,
-    /// No answer; the stop has to be sent again.
+    /// No reply; the stop command has to be sent again.
     Unknown,
 }
 
 impl Planner {
-    /// Takes a worker's answer to a start.
+    /// Processes a worker's reply to a start command.
     pub fn start_reply(&mut self, key: WorkerKey, task: TaskKey, run: RunId, reply: StartReply) {
         let now = self.now;
         if !self.workers.contains_key(key) {
             return;
         }
-        let unsure = self.late_run_expiry(key);
+        let late_expiry = self.late_run_expiry(key);
         let worker = &mut self.workers[key];
         let placed = worker
             .runs
@@ -64,19 +64,19 @@
         let Some(placed) = placed else { return };
         match reply {
             StartReply::Started => {
-                // An answer that comes after a listing has told as much.
+                // If a report has already shown the run, the reply adds nothing.
                 if matches!(placed.phase, RunPhase::Sent | RunPhase::Unanswered) {
                     placed.phase = RunPhase::Running;
                     placed.phase_since = now;
                     placed.progressed_at = now;
-                    placed.late_expiry = unsure;
+                    placed.late_expiry = late_expiry;
                 }
                 self.sighted(task, run, Sighting::There);
             }
             StartReply::Unknown if placed.phase == RunPhase::Sent => {
                 placed.phase = RunPhase::Unanswered;
                 placed.phase_since = now;
-                placed.late_expiry = unsure;
+                placed.late_expiry = late_expiry;
                 worker.unresponsive = true;
             }
             StartReply::Unknown => {}
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Takes a worker's answer to a stop.
+    /// Processes a worker's reply to a stop command.
     pub fn stop_reply(&mut self, key: WorkerKey, task: TaskKey, run: RunId, reply: StopReply) {
         let now = self.now;
         let worker = self.workers.get_mut(key);
@@ -101,8 +101,8 @@
             return;
         };
         match reply {
-            // Room is given back with the run that is booked, not with another
-            // one of its task that was stopped beside it.
+            // Only the booked run changes its phase. Another run of the task, which was
+            // stopped as a duplicate, holds no resources.
             StopReply::Stopped if placed.run == run => {
                 placed.phase = RunPhase::Stopped;
                 placed.phase_since = now;
@@ -117,20 +117,21 @@
         }
     }
 
-    /// Takes a listing that the worker made after `sent`. Runs that it does
-    /// not list, though it had answered before `sent`, are over.
+    /// Processes a report that the worker made after `sent`. Runs that the worker had confirmed
+    /// before `sent` and that the report does not list are lost.
     pub fn apply_report(&mut self, key: WorkerKey, sent: Duration, listing: &Listing) {
         match self.match_incarnation(key, sent, listing) {
             ReportOrigin::Current => {}
             ReportOrigin::Newer => return self.replace_incarnation(key, sent, listing),
             ReportOrigin::Ended | ReportOrigin::Unnamed => return,
         }
-        let longest = self.now + self.policy.longest_lapse();
+        let longest_expiry = self.now + self.policy.longest_lapse();
         let Some(worker) = self.workers.get_mut(key) else {
             return;
         };
         worker.info.life = listing.life;
-        // A registration that was read before a call which this life has answered is older.
+        // This incarnation answered a call that was sent after the other registration was
+        // read, so that registration is older.
         worker.reregistration.take_if(|(_, read)| *read <= sent);
         worker.unresponsive = false;
         worker.reply_until = Duration::ZERO;
@@ -138,8 +139,8 @@
         if !worker.claimed {
             worker.claimed = true;
             if worker.info.life.is_some() {
-                // Calls that were meant for a former life may have given it a lease.
-                worker.lease_expiry = worker.lease_expiry.max(longest);
+                // Calls that were meant for a former incarnation may have given it a longer lease.
+                worker.lease_expiry = worker.lease_expiry.max(longest_expiry);
             }
             worker.ends_trusted = self.recovering;
         }
@@ -155,9 +156,9 @@
         }
     }
 
-    /// Stops runs that stand still, so that their tasks start elsewhere, and
-    /// lets the worker rest. Members of a gang are left: they stand still while
-    /// any other member does. So are fillers, which may get no processor.
+    /// Stops stalled runs, so that their tasks start elsewhere, and pauses the worker. Members of
+    /// a gang are not stopped, since they stall whenever another member does; nor are fillers,
+    /// which may get no processor time, or lasting tasks.
     fn stop_stalled(&mut self, key: WorkerKey, listing: &Listing) {
         let now = self.now;
         let mut stalled = Vec::new();
@@ -171,12 +172,12 @@
             let Some(placed) = placed.filter(|placed| placed.run == running.run) else {
                 continue;
             };
-            let patience = self.policy.patience(
+            let stall_limit = self.policy.patience(
                 spec,
                 placed.percent,
                 placed.progressed_at.saturating_sub(placed.phase_since),
             );
-            let still = now.saturating_sub(placed.progressed_at) > patience;
+            let still = now.saturating_sub(placed.progressed_at) > stall_limit;
             let single = !spec.gang && !spec.filler && !spec.lasting;
             if still && single && placed.phase == RunPhase::Running {
                 stalled.push((task, running.run));
@@ -185,9 +186,9 @@
         if stalled.is_empty() {
             return;
         }
-        let rest = now + self.policy.stall_rest;
+        let pause_end = now + self.policy.stall_rest;
         let worker = &mut self.workers[key];
-        worker.paused_until = worker.paused_until.max(rest);
+        worker.paused_until = worker.paused_until.max(pause_end);
         for (task, run) in stalled {
             self.stop_run(key, task, run, StopReason::Stalled);
         }
@@ -200,7 +201,7 @@
         }
         worker.last_end = end.number;
         let placed = worker.release(end.task, end.run);
-        let known = placed.is_some();
+        let was_booked = placed.is_some();
         let job = end.task.step.job;
         match end.how {
             RunEnd::Done => {
@@ -210,8 +211,8 @@
             RunEnd::Failed if worker.failed_job != Some(job) => {
                 worker.failure_streak += 1;
                 worker.failed_job = Some(job);
-                let rests = self.policy.switches.has(Mechanism::Rest);
-                if rests && worker.failure_streak >= self.policy.strikes {
+                let pauses = self.policy.switches.has(Mechanism::Rest);
+                if pauses && worker.failure_streak >= self.policy.strikes {
                     worker.paused_until = self.now + self.policy.rest;
                 }
             }
@@ -222,18 +223,18 @@
             self.learn_from(end.task, &placed);
             self.note_run(key, end.task, &placed);
         }
-        // A predecessor's end that could not be recorded before the lease ran
-        // out does not stand: its task may run elsewhere by now. What is done is done.
-        let stands = trusted || end.how == RunEnd::Done;
-        if !known && end.run <= self.run_base && !stands {
+        // An end of the former owner's run that was not saved before the lease expired does
+        // not count, since its task may run elsewhere by now. A run that is done always counts.
+        let counts = trusted || end.how == RunEnd::Done;
+        if !was_booked && end.run <= self.run_base && !counts {
             self.sighted(end.task, end.run, Sighting::of_end(end));
             return;
         }
         self.task_ended(key, end);
     }
 
-    /// A run that the worker lists: confirm it, adopt it from a predecessor,
-    /// or stop it.
+    /// Confirms a run that the worker reports as running, or adopts or stops it if it is not
+    /// booked.
     fn apply_running(&mut self, key: WorkerKey, running: &RunningTask) {
         let now = self.now;
         let worker = &mut self.workers[key];
@@ -257,7 +258,8 @@
         self.adopt(key, running);
     }
 
-    /// Ends what the worker would list if it were still there.
+    /// Counts confirmed runs that the report does not list as lost, and stops runs whose start
+    /// was not answered.
     fn drop_unlisted(&mut self, key: WorkerKey, sent: Duration, listing: &Listing) {
         let listed: HashMap<TaskKey, RunId> = listing
             .running
@@ -265,36 +267,37 @@
             .map(|running| (running.task, running.run))
             .collect();
         let worker = &self.workers[key];
-        let mut over = Vec::new();
-        let mut doubtful = Vec::new();
+        let mut unlisted = Vec::new();
+        let mut unanswered = Vec::new();
         for (&task, placed) in &worker.runs {
             if listed.get(&task) == Some(&placed.run) || placed.phase_since >= sent {
                 continue;
             }
             match placed.phase {
-                RunPhase::Running | RunPhase::Stopped => over.push((task, placed.run)),
-                RunPhase::Unanswered => doubtful.push((task, placed.run)),
+                RunPhase::Running | RunPhase::Stopped => unlisted.push((task, placed.run)),
+                RunPhase::Unanswered => unanswered.push((task, placed.run)),
                 RunPhase::Sent | RunPhase::Stopping => {}
             }
         }
-        for (task, run) in doubtful {
+        for (task, run) in unanswered {
             self.stop_run(key, task, run, StopReason::StartUnanswered);
         }
-        let beside = self.workers[key].runs.len().saturating_sub(1);
-        for (task, run) in over {
+        let other_runs = self.workers[key].runs.len().saturating_sub(1);
+        for (task, run) in unlisted {
             let worker = &mut self.workers[key];
             let Some(placed) = worker.release(task, run) else {
                 continue;
             };
             let id = worker.info.id.clone();
-            let lost = LostRun::new((task, &placed), id, (Loss::Unlisted, beside), self.now);
+            let lost = LostRun::new((task, &placed), id, (Loss::Unlisted, other_runs), self.now);
             self.losses.push(lost);
             self.close_run(task, key, run, &placed.checkpoint);
             self.clear_run(task, run);
         }
     }
 
-    /// A run is over without an end that counts; its task waits again.
+    /// Closes a run that was lost or refused. Its task waits again unless another run of it is
+    /// active, or its job has ended.
     pub(super) fn close_run(
         &mut self,
         task: TaskKey,
@@ -329,7 +332,7 @@
         }
     }
 
-    /// A start was refused: nothing ran.
+    /// Closes a run whose start was refused; it counts for no crash.
     fn start_refused(&mut self, task: TaskKey, key: WorkerKey, run: RunId) {
         self.close_run(task, key, run, "");
         self.clear_run(task, run);
@@ -362,20 +365,20 @@
         let Some(state) = step.tasks.get(task.index as usize) else {
             return;
         };
-        let over = state.phase == Phase::Done;
-        let ours = state.phase == Phase::Active(key, end.run);
-        let earlier = state.phase == Phase::Waiting && end.run > state.last_closed;
-        if end.how == RunEnd::Failed && !lasting && !over {
-            // Counted whatever has come of the task since: a successor learns
-            // the ends of several runs from several workers in any order.
+        let already_done = state.phase == Phase::Done;
+        let is_current = state.phase == Phase::Active(key, end.run);
+        let may_count = state.phase == Phase::Waiting && end.run > state.last_closed;
+        if end.how == RunEnd::Failed && !lasting && !already_done {
+            // Counted whatever the task's phase is now: a successor receives the ends of
+            // several runs from several workers in any order.
             self.dirty.insert(task.step.job);
             if step.count_failure(task.index, end.run, gang) >= attempts as usize {
                 self.finish(task.step.job, Outcome::Failed);
                 return;
             }
         }
-        if !ours && !earlier {
-            if end.how == RunEnd::Done && !lasting && !over {
+        if !is_current && !may_count {
+            if end.how == RunEnd::Done && !lasting && !already_done {
                 self.accept_late_end(end, gang);
             }
             return;
@@ -400,7 +403,7 @@
         self.open.insert(task.step);
     }
 
-    /// A task that is no member of a gang was done.
+    /// Marks a task as done that is no member of a gang.
     pub(super) fn task_done(&mut self, task: TaskKey) {
         let job = self.jobs.get_mut(&task.step.job);
         let Some((_, step)) = job.and_then(|job| job.step_mut(task.step)) else {
@@ -413,7 +416,7 @@
         self.step_advanced(task);
     }
 
-    /// A task of a step was done: steps after it may open.
+    /// Updates a step after one of its tasks is done; steps that follow it may open.
     pub(super) fn step_advanced(&mut self, task: TaskKey) {
         let job = self.jobs.get(&task.step.job);
         let Some((_, step)) = job.and_then(|job| job.step(task.step)) else {
@@ -429,5 +432,5 @@
     }
 }
 
-/// Rest of a worker that refuses starts, so that it is not asked in a loop.
+/// Pause of a worker after it refused a start, so that starts are not sent to it in a loop.
 const REFUSAL_PAUSE: Duration = Duration::from_millis(400);
--- a/crates/job/src/planner/stale_capacity.rs
+++ b/crates/job/src/planner/stale_capacity.rs
@@ -24,7 +24,7 @@
     ratio(least.cpu, cpu).min(ratio(least.memory, memory))
 }
 
-fn scaled(room: &Room, share: Share) -> Room {
+fn scaled(resources: &Room, share: Share) -> Room {
     #[allow(
         clippy::cast_precision_loss,
         clippy::cast_possible_truncation,
@@ -32,9 +32,9 @@
     )]
     let part = |whole: u64| (whole as f64 * share) as u64;
     Room {
-        cpu: part(room.cpu),
-        memory: part(room.memory),
-        gpu: part(room.gpu),
+        cpu: part(resources.cpu),
+        memory: part(resources.memory),
+        gpu: part(resources.gpu),
     }
 }
 
--- a/crates/job/tests/begun.rs
+++ b/crates/job/tests/begun.rs
@@ -1,4 +1,4 @@
-//! When a job counts as begun: what callers are told of jobs that wait.
+//! When a job counts as begun, and so is shown as active and not counted as waiting.
 
 mod support;
 
@@ -27,20 +27,19 @@
 
 const JOB: u64 = 7;
 
-/// Jobs of the queue that wait.
+/// Number of waiting jobs of the queue.
 fn waiting(planner: &Planner) -> usize {
     planner.count_queue(&queue(2).name).waiting
 }
 
-/// Workers left half of the orders unanswered and carried them out seconds
-/// later. Callers who asked for the length of a queue were told that one job
-/// waits, while ten had waited for 5 s without a task of theirs running. The
-/// owner knew them all, and logged "queue counted" with waiting=1, ordered=41,
-/// unfinished=176: it counted a job as begun once it had ordered the first
-/// start, and never took that back when the start got no answer, was refused,
-/// or was withdrawn.
+/// Guards against a queue length that misses jobs whose starts were not confirmed. Workers
+/// left half of the commands unanswered and carried them out seconds later. The queue length
+/// was given as 1, while 10 jobs had waited for 5 s without a running task; the owner logged
+/// "queue counted" with waiting=1, ordered=41, unfinished=176. It counted a job as begun when
+/// the first start was sent, and kept it so when the start was not answered, was refused, or
+/// was stopped.
 #[test]
-fn a_job_waits_until_a_worker_says_that_a_task_of_it_runs() {
+fn a_job_waits_until_a_worker_confirms_a_run_of_it() {
     let mut planner = planner(1);
     let key = add_claimed(&mut planner, "w1");
     planner.take_job(JOB, spec(vec![step(1)]), None, false);
@@ -51,7 +50,7 @@
     counts.push(waiting(&planner));
     planner.start_reply(key, first, 1, StartReply::Unknown);
     counts.push(waiting(&planner));
-    // Listed nowhere, so withdrawn; the worker confirms that it is gone.
+    // The report does not list the run, so it is stopped; the worker confirms the stop.
     planner.apply_report(key, Duration::from_millis(20), &listing(vec![], vec![]));
     planner.stop_reply(key, first, 1, StopReply::Stopped);
     planner.advance(Duration::from_millis(40));
@@ -70,7 +69,7 @@
     assert_eq!(planner.shown(JOB), Some(Shown::Active));
 }
 
-/// Orders the start of a gang of two tasks, on two workers; gives its seats.
+/// Starts a gang of two tasks on two workers; returns the start commands sent.
 fn gang_of_two(planner: &mut Planner) -> Vec<(TaskKey, RunId, WorkerKey)> {
     add_claimed(planner, "w1");
     add_claimed(planner, "w2");
@@ -81,19 +80,18 @@
     plan_at(planner, 10)
 }
 
-/// One member of a gang ran and waited for another, whose start had got no
-/// answer. The job was shown as active, and was missing from those that wait,
-/// though a gang starts only when all its members are there.
+/// Guards against a gang that counts as begun while only one member runs and waits for another
+/// whose start was not answered. A gang begins only when all of its members are running.
 #[test]
-fn a_gang_waits_until_all_its_members_are_there() {
+fn a_gang_waits_until_all_its_members_run() {
     let mut planner = planner(1);
-    let seats = gang_of_two(&mut planner);
+    let starts = gang_of_two(&mut planner);
 
-    planner.start_reply(seats[0].2, seats[0].0, 1, StartReply::Started);
-    planner.start_reply(seats[1].2, seats[1].0, 1, StartReply::Unknown);
+    planner.start_reply(starts[0].2, starts[0].0, 1, StartReply::Started);
+    planner.start_reply(starts[1].2, starts[1].0, 1, StartReply::Unknown);
     let early = (waiting(&planner), planner.shown(JOB));
-    let late = listing(vec![running(seats[1].0, 1)], vec![]);
-    planner.apply_report(seats[1].2, Duration::from_millis(20), &late);
+    let report = listing(vec![running(starts[1].0, 1)], vec![]);
+    planner.apply_report(starts[1].2, Duration::from_millis(20), &report);
 
     assert_eq!(early, (1, Some(Shown::Pending)));
     assert_eq!(
@@ -102,10 +100,9 @@
     );
 }
 
-/// The same with a member that gave up waiting for the others: it ended
-/// without having worked.
+/// The same with members that stopped waiting for the others and ended without doing work.
 #[test]
-fn a_gang_whose_members_waited_in_vain_still_waits() {
+fn a_gang_whose_members_ended_alone_still_waits() {
     let mut planner = planner(1);
     for (task, run, key) in gang_of_two(&mut planner) {
         let alone = listing(vec![], vec![ended(1, task, run, RunEnd::Alone)]);
@@ -123,18 +120,18 @@
     );
 }
 
-/// A start got no answer, and the task ran and ended before the worker was
-/// heard again: the end tells that the job had begun.
+/// The start is not answered, and the run has ended by the next report: the reported end
+/// shows that the job had begun.
 #[test]
-fn a_job_of_which_only_an_end_is_known_has_begun() {
+fn a_job_of_which_only_an_end_is_reported_has_begun() {
     let mut planner = planner(1);
     let key = add_claimed(&mut planner, "w1");
     planner.take_job(JOB, spec(vec![step(2)]), None, false);
     plan_at(&mut planner, 10);
     planner.start_reply(key, task(JOB, 0, 0), 1, StartReply::Unknown);
 
-    let gone = ended(1, task(JOB, 0, 0), 1, RunEnd::Stopped);
-    planner.apply_report(key, Duration::from_millis(20), &listing(vec![], vec![gone]));
+    let end = ended(1, task(JOB, 0, 0), 1, RunEnd::Stopped);
+    planner.apply_report(key, Duration::from_millis(20), &listing(vec![], vec![end]));
 
     assert_eq!(
         (waiting(&planner), planner.shown(JOB)),
@@ -142,26 +139,25 @@
     );
 }
 
-/// After a take-over, a job of which a worker lists a task has begun; one of
-/// which nothing is known waits.
+/// After a take-over, a job has begun if a worker reports a run of it; a job of which no run
+/// is reported is waiting.
 #[test]
-fn a_successor_counts_what_workers_list() {
+fn a_successor_counts_reported_runs() {
     let mut planner = planner(2);
     let key = add(&mut planner, "w1");
     planner.take_job(JOB, spec(vec![step(1)]), None, true);
     planner.take_job(JOB + 1, spec(vec![step(1)]), None, true);
 
-    let left = listing(vec![running(task(JOB, 0, 0), 1)], vec![]);
-    planner.apply_report(key, Duration::ZERO, &left);
+    let report = listing(vec![running(task(JOB, 0, 0), 1)], vec![]);
+    planner.apply_report(key, Duration::ZERO, &report);
 
     assert_eq!(waiting(&planner), 1);
     assert_eq!(planner.shown(JOB), Some(Shown::Active));
     assert_eq!(planner.shown(JOB + 1), Some(Shown::Pending));
 }
 
-/// Callers who had seen a job as active were told after a take-over that none
-/// of its tasks had started, for as long as the worker that ran it could not be
-/// reached: nothing that lasts said that it had begun.
+/// Guards against an active job that is shown as pending after a take-over while its worker
+/// cannot be reached, because the begin of the job was not saved.
 #[test]
 fn a_job_that_has_begun_stays_begun_after_a_take_over() {
     let mut former = planner(1);
@@ -179,11 +175,9 @@
     assert_eq!(successor.shown(JOB), Some(Shown::Active));
 }
 
-/// The owner learns of a run in three more ways. Each tells that the job has
-/// begun: a worker lists another run of a task than the one that is booked
-/// there,
+/// A job has begun if a worker reports another run of a task than the one booked there.
 #[test]
-fn another_run_of_a_booked_task_has_begun() {
+fn a_job_with_an_unbooked_run_of_a_booked_task_has_begun() {
     let mut planner = planner(2);
     let key = add_claimed(&mut planner, "w1");
     planner.take_job(JOB, spec(vec![step(1)]), None, false);
@@ -195,29 +189,30 @@
     assert_eq!(planner.shown(JOB), Some(Shown::Active));
 }
 
-/// or a run of a job that becomes known later,
+/// A job has begun if a worker reported a run of it before the job was known.
 #[test]
-fn a_run_listed_before_its_job_was_known_has_begun() {
+fn a_job_with_a_run_reported_before_it_was_known_has_begun() {
     let mut planner = planner(2);
     let key = add(&mut planner, "w1");
-    let left = listing(vec![running(task(JOB, 0, 0), 1)], vec![]);
-    planner.apply_report(key, Duration::ZERO, &left);
+    let report = listing(vec![running(task(JOB, 0, 0), 1)], vec![]);
+    planner.apply_report(key, Duration::ZERO, &report);
 
     planner.take_job(JOB, spec(vec![step(1)]), None, false);
 
     assert_eq!(waiting(&planner), 0);
 }
 
-/// or an end that does not count any more, since the lease was over.
+/// A job has begun if a worker reports an end of a run that does not count any more, since
+/// the lease had expired.
 #[test]
-fn an_end_that_comes_too_late_has_begun() {
+fn a_job_with_an_end_reported_too_late_has_begun() {
     let mut planner = planner(2);
     let key = add(&mut planner, "w1");
     planner.take_job(JOB, spec(vec![step(1)]), None, true);
     plan_at(&mut planner, 9_000);
-    let late = listing(vec![], vec![ended(1, task(JOB, 0, 0), 1, RunEnd::Done)]);
+    let report = listing(vec![], vec![ended(1, task(JOB, 0, 0), 1, RunEnd::Done)]);
 
-    planner.apply_report(key, Duration::from_millis(9_010), &late);
+    planner.apply_report(key, Duration::from_millis(9_010), &report);
 
     assert_eq!(planner.shown(JOB), Some(Shown::Active));
 }
--- a/crates/job/tests/crash_lives.rs
+++ b/crates/job/tests/crash_incarnations.rs
@@ -1,5 +1,5 @@
-//! Tasks that take down workers which start again under their id, 0.1 s later: no list of
-//! machines ever misses them.
+//! Tasks that crash workers which start again under the same id 0.1 s later, so that no list
+//! of machines ever shows them as missing.
 
 mod field;
 mod support;
@@ -13,16 +13,16 @@
 use field::SOON;
 use support::task;
 
-/// A pool that is nearly full, with bad tasks among sound ones.
+/// A nearly full pool in which the jobs `bad` have tasks that crash their workers.
 fn busy(workers: usize, bad: &[u64]) -> Field {
     let mut field = Field::with_same_ids(workers);
     field.submit_busy(bad);
     field
 }
 
-/// Guards against crashes that nobody notices since the worker is there again.
+/// Guards against crashes that are not noticed because the worker has already restarted.
 #[test]
-fn a_task_that_crashes_workers_with_lasting_ids_is_given_up() {
+fn a_task_that_crashes_workers_which_keep_their_ids_fails() {
     let bad = [3];
     let mut field = busy(12, &bad);
 
@@ -32,9 +32,10 @@
     field.check_starts(&bad);
 }
 
-/// Guards against neighbours of bad tasks that are counted for more than their crashes.
+/// Guards against too many crashes being counted against tasks that share workers with those
+/// that crash them.
 #[test]
-fn neighbours_on_workers_with_lasting_ids_are_completed() {
+fn other_tasks_on_workers_which_keep_their_ids_complete() {
     let bad = [3, 8, 13, 18, 23];
     let mut field = busy(12, &bad);
 
@@ -44,9 +45,9 @@
     field.check_busy(&bad);
 }
 
-/// Guards against sound tasks that are given up since many workers start again at once.
+/// Guards against failed jobs after many workers restart at the same time.
 #[test]
-fn many_workers_that_start_again_are_no_reason_to_give_tasks_up() {
+fn a_restart_of_many_workers_fails_no_job() {
     let mut field = busy(12, &[]);
 
     field.crash_many();
@@ -54,15 +55,15 @@
     field.check_busy(&[]);
 }
 
-/// Guards against a count of crashes that a successor begins anew, since the row of the
-/// worker tells another life.
+/// Guards against a count of crashes that starts from zero with a successor, because the
+/// worker's row names another incarnation.
 #[test]
-fn crashes_of_lives_that_a_successor_never_met_are_counted() {
+fn crashes_of_incarnations_unknown_to_a_successor_are_counted() {
     let mut field = Field::with_same_ids(8);
     field.submit_tasks(1, 1, 800);
     field.bad.insert(task(1, 0, 0), AT_ONCE);
 
-    // The crash is known after 0.1 s, and saved 0.03 s later.
+    // The crash is noticed after 0.1 s and saved 0.03 s later.
     field.change_owners(task(1, 0, 0), Duration::from_millis(200));
 
     assert_eq!(field.shown(1), Some(Shown::Failed));
--- a/crates/job/tests/crash_owners.rs
+++ b/crates/job/tests/crash_owners.rs
@@ -1,5 +1,4 @@
-//! Tasks that take down their workers while the owner changes, or cannot record what it
-//! knows.
+//! Tasks that crash their workers while owners change or cannot save progress.
 
 mod field;
 mod support;
@@ -13,7 +12,7 @@
 use field::MOST_STARTS;
 use support::task;
 
-/// Jobs of one task each, all of which take their workers down, beside sound ones.
+/// `bad` jobs with one task each that crashes its worker, and twice as many ordinary jobs.
 fn many_bad(workers: usize, bad: u64) -> Field {
     let mut field = Field::new(workers);
     for id in 1..=bad {
@@ -27,11 +26,11 @@
 }
 
 fn ended(field: &Field, jobs: u64) -> bool {
-    let over = |shown| shown != Shown::Pending && shown != Shown::Active;
-    (1..=jobs).all(|id| field.shown(id).is_some_and(over))
+    let is_final = |shown| shown != Shown::Pending && shown != Shown::Active;
+    (1..=jobs).all(|id| field.shown(id).is_some_and(is_final))
 }
 
-/// Guards against starts that rest on a crash which nobody but their owner knows of.
+/// Guards against a second start of a suspect before its first crash is saved.
 #[test]
 fn a_task_does_not_start_again_before_its_first_crash_is_recorded() {
     let mut field = many_bad(8, 1);
@@ -46,9 +45,10 @@
     assert_eq!(field.shown(1), Some(Shown::Failed));
 }
 
-/// Guards against more than one start by each owner of a row of owners that can record nothing.
+/// Guards against several starts of a suspect by one owner in a series of owners that cannot
+/// save progress.
 #[test]
-fn owners_without_the_store_start_a_bad_task_once_each() {
+fn owners_without_the_store_start_a_suspect_once_each() {
     let mut field = many_bad(8, 1);
     field.store_away = true;
 
@@ -61,8 +61,8 @@
     assert!(starts <= 3, "{starts} starts by 3 owners");
 }
 
-/// Guards against tasks that start four times beside others, since so many workers go down
-/// that no crash counts as sure.
+/// Guards against suspects that start four times on shared workers because many workers crash
+/// at the same time, so that no crash counts as certain.
 #[test]
 fn a_task_is_tried_alone_after_three_crashes_of_any_kind() {
     let mut field = many_bad(30, 12);
@@ -80,9 +80,10 @@
     }
 }
 
-/// Guards against a start too many where an owner dies before it has recorded the first crash.
+/// Guards against one start more than allowed after an owner died before it saved the first
+/// crash.
 #[test]
-fn an_owner_that_takes_the_first_crash_along_makes_for_no_start_too_many() {
+fn an_unsaved_first_crash_does_not_exceed_the_start_limit() {
     let mut field = many_bad(30, 12);
     field.run(Duration::from_millis(300));
     field.take_over();
