--- a/crates/cell/src/owner/news.rs
+++ b/crates/cell/src/owner/news.rs
@@ -154,8 +154,8 @@
             return;
         }
         match news {
-            WorkerNews::LeaseSent => self.planner.lease_renewed(key),
-            WorkerNews::Silent => self.planner.worker_unresponsive(key),
+            WorkerNews::LeaseSent => self.planner.extend_lease(key),
+            WorkerNews::Silent => self.planner.mark_unresponsive(key),
             WorkerNews::Late(sent, until) => self.planner.await_reply(key, sent, until),
             WorkerNews::Listed(sent, listing) => self.take_list(key, sent, &listing),
             WorkerNews::StartAnswered(task, run, reply) => {
@@ -231,7 +231,7 @@
     fn report_passed(&self, key: WorkerKey, listing: &Listing) {
         let taken = self.planner.newest_end(key);
         let passed = listing.ended.iter().filter(|end| end.number <= taken);
-        for end in passed.filter(|end| self.planner.holds(key, end.task, end.run)) {
+        for end in passed.filter(|end| self.planner.has_booked(key, end.task, end.run)) {
             log::warn!(
                 code = 385, task:% = end.task, run = end.run, how:% = end.how, number = end.number,
                 taken = taken, worker = self.worker_name(key), life = listing.life; "end passed over"
--- a/crates/cell/src/owner/pool.rs
+++ b/crates/cell/src/owner/pool.rs
@@ -369,7 +369,7 @@
     fn check_registrations(&mut self, now: Duration) {
         let age = now.saturating_sub(self.registered);
         let stale = age > STALE_AFTER;
-        if self.planner.set_stale(stale) {
+        if self.planner.set_registrations_stale(stale) {
             log::warn!(
                 code = 383, epoch = self.epoch, stale = stale, read_ms = millis(age),
                 share = self.planner.smallest_share(); "age of the registrations"
--- a/crates/job/src/planner/adopt.rs
+++ b/crates/job/src/planner/adopt.rs
@@ -19,7 +19,7 @@
 impl Planner {
     /// Adopts a reported run if its task is waiting, and stops it otherwise. Either way the run
     /// keeps its resources booked until it has ended.
-    pub(super) fn adopt(&mut self, key: WorkerKey, running: &RunningTask) {
+    pub(super) fn adopt_run(&mut self, key: WorkerKey, running: &RunningTask) {
         let task = running.task;
         let now = self.now;
         let sighting = Sighting::of_progress(running.percent);
@@ -37,7 +37,7 @@
         }
         let trusted = self.workers[key].ends_trusted;
         let Some(job) = self.jobs.get_mut(&task.step.job) else {
-            self.adopt_unknown(key, running);
+            self.book_unknown(key, running);
             return;
         };
         // Tasks of an ended job keep their resources booked until they have stopped.
@@ -47,7 +47,7 @@
             .get(task.step.step as usize)
             .map_or_else(Default::default, StepSpec::takes);
         let mut adopted = false;
-        let alone = job.needs_trial(task);
+        let trial = job.needs_trial(task);
         if job.outcome.is_none() {
             // The former owner may have opened rounds that this planner has not.
             while job.opened_rounds <= task.step.round && job.opened_rounds < job.spec.rounds() {
@@ -76,7 +76,7 @@
             late_expiry: Duration::ZERO,
             checkpoint: running.checkpoint.clone(),
             from_start: false,
-            alone,
+            trial,
         };
         self.workers[key].book(task, placed);
         self.sighted(task, running.run, sighting);
@@ -87,7 +87,7 @@
 
     /// Books and stops a run of an unknown job. The resources that it needs are unknown, too, so
     /// the worker gets no work until the run has stopped.
-    fn adopt_unknown(&mut self, key: WorkerKey, running: &RunningTask) {
+    fn book_unknown(&mut self, key: WorkerKey, running: &RunningTask) {
         let placed = PlacedRun {
             run: running.run,
             booked: Room::default(),
@@ -100,14 +100,14 @@
             late_expiry: Duration::ZERO,
             checkpoint: String::new(),
             from_start: false,
-            alone: false,
+            trial: false,
         };
         self.workers[key].book(running.task, placed);
         self.stop_run(key, running.task, running.run, StopReason::JobUnknown);
     }
 
-    /// Assigns runs that workers reported before their job was known to its tasks, so that no
-    /// task starts elsewhere before its run has stopped.
+    /// Marks tasks of a newly read job as active if a worker reported a run of them before, so
+    /// that no task starts elsewhere before that run has stopped.
     pub(super) fn bind_unknown_runs(&mut self, id: JobId) {
         let mut found = Vec::new();
         for (key, worker) in &self.workers {
--- a/crates/job/src/planner/advice.rs
+++ b/crates/job/src/planner/advice.rs
@@ -113,7 +113,7 @@
             };
             let now = self.now;
             let until = now + wait;
-            let lives = ask.workers.iter().map(|id| self.worker_key(id)).collect();
+            let incarnations = ask.workers.iter().map(|id| self.worker_key(id)).collect();
             let job = self.jobs.get_mut(&key.job)?;
             let (_, step) = job.step_mut(key)?;
             step.advised.calls.retain(|call| now < call.timeout_at);
@@ -123,7 +123,7 @@
             }
             step.advised.calls.push(AdviceCall {
                 workers: ask.workers.clone(),
-                lives,
+                incarnations,
                 timeout_at: until,
             });
             return Some(ask);
@@ -257,7 +257,7 @@
         let calls = job.and_then(|job| job.step(key));
         let calls = calls.map_or(&[][..], |(_, step)| &step.advised.calls);
         let call = calls.iter().find(|call| call.workers == asked);
-        let then = |nth: usize| call.map(|call| call.lives.get(nth).copied().flatten());
+        let then = |nth: usize| call.map(|call| call.incarnations.get(nth).copied().flatten());
         let lives = asked.iter().enumerate().filter_map(|(nth, id)| {
             let now = self.worker_key(id)?;
             // A call that counted as lost is answered all the same.
--- a/crates/job/src/planner/batch.rs
+++ b/crates/job/src/planner/batch.rs
@@ -53,7 +53,7 @@
             if let Some(job) = self.jobs.get_mut(id) {
                 job.saved_outcome = progress.outcome;
             }
-            self.intents_saved(*id, progress);
+            self.mark_intents_saved(*id, progress);
         }
     }
 
--- a/crates/job/src/planner/crash_count.rs
+++ b/crates/job/src/planner/crash_count.rs
@@ -51,7 +51,7 @@
 
     pub(super) fn record_finding(&mut self, task: TaskKey, run: RunId, finding: Finding) {
         let crashes = self.suspicion_of(task);
-        let crashes = crashes.map_or(0, |suspicion| suspicion.count());
+        let crashes = crashes.map_or(0, |suspicion| suspicion.crash_count());
         self.suspects.findings.push(Suspect {
             task,
             run,
@@ -84,7 +84,7 @@
             self.suspects.crash_times.push_back(self.now);
         }
         // The worker may have had a run for which the former owner saved a start intent.
-        self.suspects.unreported |= !all_known && self.recovering;
+        self.suspects.unreported_crash |= !all_known && self.recovering;
     }
 
     /// Counts a crash against a task; returns whether the task now needs a trial.
@@ -102,7 +102,7 @@
             return false;
         };
         let suspicion = state.suspicion.get_or_insert_default();
-        suspicion.intent = suspicion.intent.filter(|ahead| ahead.run != run);
+        suspicion.intent = suspicion.intent.filter(|intent| intent.run != run);
         if certain {
             suspicion.crashes.insert(run);
         } else {
@@ -143,7 +143,7 @@
             .crash_times
             .retain(|crash| *crash + COMMON_CAUSE_WINDOW + TRIAL_DELAY >= now);
         let mut culprits = Vec::new();
-        self.suspects.judging = false;
+        self.suspects.verdict_due = false;
         for task in std::mem::take(&mut self.suspects.tasks) {
             let job = self.jobs.get_mut(&task.step.job);
             let Some(job) = job.filter(|job| job.outcome.is_none()) else {
@@ -154,7 +154,7 @@
             };
             self.suspects.tasks.insert(task);
             if now < suspicion.not_before {
-                self.suspects.judging |= suspicion.alone_crash.is_some();
+                self.suspects.verdict_due |= suspicion.alone_crash.is_some();
                 continue;
             }
             let alone = suspicion.alone_crash.take();
--- a/crates/job/src/planner/incarnations.rs
+++ b/crates/job/src/planner/incarnations.rs
@@ -13,7 +13,7 @@
 
 use strum::Display;
 
-use super::Loss;
+use super::LossCause;
 use super::Order;
 use super::Planner;
 use super::WorkerKey;
@@ -122,7 +122,11 @@
             .filter_map(|(task, run)| Some((task, worker.release(task, run)?)))
             .collect();
         let drained = worker.info.draining;
-        let cause = if drained { Loss::Left } else { Loss::Crashed };
+        let cause = if drained {
+            LossCause::Left
+        } else {
+            LossCause::Crashed
+        };
         self.end_incarnation(key, cause, moved.len());
         self.past.add(&id, incarnation);
         let mut next = WorkerState::new(info, now + STORE_VOUCH + longest_lease);
--- a/crates/job/src/planner/job_state.rs
+++ b/crates/job/src/planner/job_state.rs
@@ -57,7 +57,7 @@
     /// Workers that the call asks about.
     pub workers: Vec<WorkerId>,
     /// Incarnation of each worker when the call was made; the answer is valid for it alone.
-    pub lives: Vec<Option<WorkerKey>>,
+    pub incarnations: Vec<Option<WorkerKey>>,
     /// Time from which on the call counts as lost.
     pub timeout_at: Duration,
 }
@@ -145,9 +145,9 @@
 
     /// Crash records of the tasks that are not done, by task index.
     fn crash_records(&self) -> impl Iterator<Item = (u32, CrashRecord)> {
-        let open = (0..).zip(&self.tasks);
-        let open = open.filter(|(_, task)| task.phase != Phase::Done);
-        open.filter_map(|(index, task)| Some((index, task.suspicion.as_ref()?.record()?)))
+        let unfinished = (0..).zip(&self.tasks);
+        let unfinished = unfinished.filter(|(_, task)| task.phase != Phase::Done);
+        unfinished.filter_map(|(index, task)| Some((index, task.suspicion.as_ref()?.record()?)))
     }
 
     fn restore(&mut self, progress: &StepProgress) {
@@ -183,7 +183,7 @@
     pub opened_rounds: u32,
     pub outcome: Option<Outcome>,
     /// When the job ended, or was read as ended.
-    pub ended: Duration,
+    pub ended_at: Duration,
     /// Outcome that is saved in the store; `None` before that.
     pub saved_outcome: Option<Outcome>,
 }
@@ -204,7 +204,7 @@
             rounds: BTreeMap::new(),
             opened_rounds: 0,
             outcome: None,
-            ended: accepted_at,
+            ended_at: accepted_at,
             saved_outcome: None,
         };
         if job.spec.schedule.is_none() {
@@ -284,7 +284,7 @@
 
     /// Runs of the job that may be alive.
     pub(super) fn live_runs(&self, id: JobId) -> Vec<(TaskKey, WorkerKey, RunId)> {
-        let mut alive = Vec::new();
+        let mut runs = Vec::new();
         for (&round, steps) in &self.rounds {
             for (step, state) in (0..).zip(steps) {
                 for (index, task) in (0..).zip(&state.tasks) {
@@ -294,12 +294,12 @@
                         step,
                     };
                     if let Phase::Active(worker, run) = task.phase {
-                        alive.push((TaskKey { step, index }, worker, run));
+                        runs.push((TaskKey { step, index }, worker, run));
                     }
                 }
             }
         }
-        alive
+        runs
     }
 
     /// Frees the rounds and the payload, which an ended job does not need.
@@ -325,8 +325,8 @@
 
     /// Whether all rounds were opened and all their tasks are done.
     pub(super) fn complete(&self) -> bool {
-        let all = self.opened_rounds >= self.spec.rounds();
-        all && self.rounds.values().flatten().all(StepState::complete)
+        let all_opened = self.opened_rounds >= self.spec.rounds();
+        all_opened && self.rounds.values().flatten().all(StepState::complete)
     }
 }
 
--- a/crates/job/src/planner/loss.rs
+++ b/crates/job/src/planner/loss.rs
@@ -1,4 +1,4 @@
-//! Lost runs, for logs and metrics: runs that will not be reported as ended any more.
+//! Lost runs, for logs and metrics: runs that count as ended without a report of their end.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 
 /// Why a run counts as lost.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Loss {
+pub enum LossCause {
     /// The incarnation of its worker has ended without having been drained.
     #[strum(to_string = "worker crashed")]
     Crashed,
@@ -38,7 +38,7 @@
     /// Worker that the run was sent to, or that reported it.
     pub worker: WorkerId,
     /// Why the run counts as lost.
-    pub cause: Loss,
+    pub cause: LossCause,
     /// The worker had confirmed that the run started.
     pub confirmed: bool,
     /// Time since the run entered its last phase: since its start was sent or confirmed, for
@@ -52,7 +52,7 @@
     pub(super) fn new(
         (task, placed): (TaskKey, &PlacedRun),
         worker: WorkerId,
-        (cause, other_runs): (Loss, usize),
+        (cause, other_runs): (LossCause, usize),
         now: Duration,
     ) -> LostRun {
         LostRun {
--- a/crates/job/src/planner/mod.rs
+++ b/crates/job/src/planner/mod.rs
@@ -78,7 +78,7 @@
 pub use load::Load;
 pub use load::QueueCount;
 pub use load::Timing;
-pub use loss::Loss;
+pub use loss::LossCause;
 pub use loss::LostRun;
 pub use policy::Policy;
 pub use report::StartReply;
@@ -279,7 +279,7 @@
     #[must_use]
     pub fn expired(&self, keep: Duration, most: usize) -> Vec<JobId> {
         let old = |job: &JobState| {
-            let ended = job.saved_outcome.is_some().then_some(job.ended);
+            let ended = job.saved_outcome.is_some().then_some(job.ended_at);
             ended.is_some_and(|ended| ended + keep <= self.now)
         };
         let old = self.jobs.iter().filter(|(_, job)| old(job));
@@ -316,7 +316,7 @@
             job.restore(progress);
             self.restore_suspects(id, progress);
         }
-        job.ended = self.now;
+        job.ended_at = self.now;
         let ended = job.outcome.is_some();
         self.jobs.insert(id, job);
         self.bind_unknown_runs(id);
@@ -461,7 +461,7 @@
             return;
         };
         job.outcome = Some(outcome);
-        job.ended = self.now;
+        job.ended_at = self.now;
         let alive = job.live_runs(id);
         job.drop_details();
         self.dirty.insert(id);
--- a/crates/job/src/planner/place.rs
+++ b/crates/job/src/planner/place.rs
@@ -57,7 +57,7 @@
             && !worker.unregistered
             && worker.reregistration.is_none();
         let there = there && worker.unknown_sizes == 0;
-        let open = there && worker.lone_runs == 0;
+        let open = there && worker.trials == 0;
         open && !worker.info.draining && worker.paused_until <= self.now
     }
 
@@ -257,7 +257,7 @@
     pub(super) fn start(
         &mut self,
         (task, run): (TaskKey, RunId),
-        alone: bool,
+        trial: bool,
         spec: &StepSpec,
         seat: &mut Candidate,
     ) {
@@ -291,14 +291,14 @@
             late_expiry: self.late_run_expiry(seat.key),
             checkpoint: String::new(),
             from_start: checkpoint.is_empty(),
-            alone,
+            trial,
         };
         self.workers[seat.key].book(task, placed);
         if let Some(reach) = self.reaches.get_mut(seat.key) {
             reach.room = reach.room.less(&booked);
         }
         // A start renews the lease of its worker.
-        self.lease_renewed(seat.key);
+        self.extend_lease(seat.key);
         self.start_room = self.start_room.saturating_sub(1);
         self.orders.push(Order::Start {
             worker: seat.key,
--- a/crates/job/src/planner/report.rs
+++ b/crates/job/src/planner/report.rs
@@ -5,7 +5,7 @@
 
 use strum::Display;
 
-use super::Loss;
+use super::LossCause;
 use super::LostRun;
 use super::Order;
 use super::Planner;
@@ -177,9 +177,9 @@
                 placed.percent,
                 placed.progressed_at.saturating_sub(placed.phase_since),
             );
-            let still = now.saturating_sub(placed.progressed_at) > stall_limit;
-            let single = !spec.gang && !spec.filler && !spec.lasting;
-            if still && single && placed.phase == RunPhase::Running {
+            let is_stalled = now.saturating_sub(placed.progressed_at) > stall_limit;
+            let movable = !spec.gang && !spec.filler && !spec.lasting;
+            if is_stalled && movable && placed.phase == RunPhase::Running {
                 stalled.push((task, running.run));
             }
         }
@@ -255,7 +255,7 @@
             self.sighted(running.task, running.run, sighting);
             return;
         }
-        self.adopt(key, running);
+        self.adopt_run(key, running);
     }
 
     /// Counts confirmed runs that the report does not list as lost, and stops runs whose start
@@ -289,15 +289,20 @@
                 continue;
             };
             let id = worker.info.id.clone();
-            let lost = LostRun::new((task, &placed), id, (Loss::Unlisted, other_runs), self.now);
+            let lost = LostRun::new(
+                (task, &placed),
+                id,
+                (LossCause::Unlisted, other_runs),
+                self.now,
+            );
             self.losses.push(lost);
             self.close_run(task, key, run, &placed.checkpoint);
             self.clear_run(task, run);
         }
     }
 
-    /// Closes a run that was lost or refused. Its task waits again unless another run of it is
-    /// active, or its job has ended.
+    /// Closes a run that was lost or refused. Its task waits again unless the task is done,
+    /// another run of it is active, or its job has ended.
     pub(super) fn close_run(
         &mut self,
         task: TaskKey,
--- a/crates/job/src/planner/roster.rs
+++ b/crates/job/src/planner/roster.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::Loss;
+use super::LossCause;
 use super::LostRun;
 use super::Order;
 use super::Planner;
@@ -66,7 +66,7 @@
     /// Started by this planner without a checkpoint, so that its duration can be learnt.
     pub from_start: bool,
     /// The run is a trial: no other run may start on the worker.
-    pub alone: bool,
+    pub trial: bool,
 }
 
 /// One incarnation of a worker.
@@ -90,7 +90,7 @@
     /// Number of runs of unknown size. While there are any, the worker gets no work.
     pub unknown_sizes: u32,
     /// Number of trials. While there are any, the worker gets no work.
-    pub lone_runs: u32,
+    pub trials: u32,
     pub runs: HashMap<TaskKey, PlacedRun>,
     /// It has accepted this owner's epoch and sent a report.
     pub claimed: bool,
@@ -132,7 +132,7 @@
             total_booked: Room::default(),
             total_filler: 0,
             unknown_sizes: 0,
-            lone_runs: 0,
+            trials: 0,
             runs: HashMap::new(),
             claimed: false,
             inherited: false,
@@ -151,15 +151,15 @@
     }
 
     /// Updates the largest and the smallest capacity with the current one.
-    fn resize(&mut self, now: &Room) {
+    fn resize(&mut self, size: &Room) {
         // Rows of an earlier version do not state a worker's capacity.
         let has_capacity = self.largest != Room::default();
         self.least = if has_capacity {
-            self.least.within(now)
+            self.least.within(size)
         } else {
-            *now
+            *size
         };
-        self.largest = self.largest.either(now);
+        self.largest = self.largest.either(size);
     }
 
     pub(super) fn free(&self) -> Room {
@@ -170,7 +170,7 @@
         self.total_booked = self.total_booked.plus(&placed.booked);
         self.total_filler += placed.filler_cpu;
         self.unknown_sizes += u32::from(placed.unknown_size);
-        self.lone_runs += u32::from(placed.alone);
+        self.trials += u32::from(placed.trial);
         self.runs.insert(task, placed);
     }
 
@@ -183,7 +183,7 @@
         self.total_booked = self.total_booked.less(&placed.booked);
         self.total_filler -= placed.filler_cpu;
         self.unknown_sizes -= u32::from(placed.unknown_size);
-        self.lone_runs -= u32::from(placed.alone);
+        self.trials -= u32::from(placed.trial);
         Some(placed)
     }
 }
@@ -198,7 +198,7 @@
             let now = self.now;
             let worker = &mut self.workers[key];
             if is_other {
-                // A registration without an incarnation is from another writer: ignored.
+                // A registration without an incarnation comes from another writer and is ignored.
                 if info.life.is_some() && !ended {
                     worker.reregistration = Some((info, now));
                 }
@@ -277,7 +277,7 @@
 
     /// Whether a run is booked on the worker.
     #[must_use]
-    pub fn holds(&self, key: WorkerKey, task: TaskKey, run: RunId) -> bool {
+    pub fn has_booked(&self, key: WorkerKey, task: TaskKey, run: RunId) -> bool {
         let placed = self
             .workers
             .get(key)
@@ -286,7 +286,7 @@
     }
 
     /// Extends the worker's lease, since a command that renews it is being sent.
-    pub fn lease_renewed(&mut self, key: WorkerKey) {
+    pub fn extend_lease(&mut self, key: WorkerKey) {
         let expiry = self.now + self.policy.lapse();
         if let Some(worker) = self.workers.get_mut(key) {
             worker.lease_expiry = worker.lease_expiry.max(expiry);
@@ -316,23 +316,24 @@
     }
 
     /// Marks a worker as unresponsive, since it did not answer a call.
-    pub fn worker_unresponsive(&mut self, key: WorkerKey) {
+    pub fn mark_unresponsive(&mut self, key: WorkerKey) {
         if let Some(worker) = self.workers.get_mut(key) {
             worker.unresponsive = true;
         }
     }
 
-    /// Unresponsive workers whose fate matters: they have runs booked, tasks of the former owner
-    /// wait for their reports, or a verdict on a suspect is due and they may have crashed with
-    /// its worker. Without the last case, when a rack of idle workers lost power, only the one
-    /// with a trial seemed to have crashed.
+    /// Workers that may have ended, where that matters. During recovery, these are the workers
+    /// that have not sent a report; otherwise, unresponsive or unregistered ones that have runs,
+    /// or all of these while a verdict on a suspect is due, since they may have crashed with its
+    /// worker. Without the last case, when a rack of idle workers lost power, only the one with
+    /// a trial seemed to have crashed.
     #[must_use]
     pub fn unresponsive_workers(&self) -> Vec<(WorkerKey, WorkerId)> {
         let recovering = self.recovering;
         let awaited = self.workers.iter().filter(|(_, worker)| {
             let report_due = recovering && !worker.claimed;
             let absent = worker.unresponsive || worker.unregistered;
-            let needed = !worker.runs.is_empty() || self.suspects.judging;
+            let needed = !worker.runs.is_empty() || self.suspects.verdict_due;
             report_due || absent && needed
         });
         awaited
@@ -344,11 +345,15 @@
     pub fn worker_ended(&mut self, key: WorkerKey) {
         let worker = self.workers.get(key);
         let drained = worker.is_some_and(|worker| worker.info.draining);
-        let cause = if drained { Loss::Left } else { Loss::Crashed };
+        let cause = if drained {
+            LossCause::Left
+        } else {
+            LossCause::Crashed
+        };
         self.drop_worker(key, cause);
     }
 
-    fn drop_worker(&mut self, key: WorkerKey, cause: Loss) {
+    fn drop_worker(&mut self, key: WorkerKey, cause: LossCause) {
         if let Some(worker) = self.end_incarnation(key, cause, 0)
             && let Some((next_info, _)) = worker.reregistration
             && let Some(next) = self.register_worker(next_info)
@@ -362,7 +367,7 @@
     pub(super) fn end_incarnation(
         &mut self,
         key: WorkerKey,
-        cause: Loss,
+        cause: LossCause,
         moved: usize,
     ) -> Option<WorkerState> {
         if !self.workers.contains_key(key) {
@@ -384,31 +389,31 @@
         &mut self,
         key: WorkerKey,
         runs: &[(TaskKey, PlacedRun)],
-        cause: Loss,
+        cause: LossCause,
         moved: usize,
     ) {
         let now = self.now;
         let worker = &self.workers[key];
-        let reported = worker.claimed || !worker.inherited;
-        let beside = (runs.len() + worker.runs.len()).saturating_sub(1) + moved;
+        let all_known = worker.claimed || !worker.inherited;
+        let other_runs = (runs.len() + worker.runs.len()).saturating_sub(1) + moved;
         let lost = runs.iter().map(|(task, placed)| {
             let id = worker.info.id.clone();
-            LostRun::new((*task, placed), id, (cause, beside), now)
+            LostRun::new((*task, placed), id, (cause, other_runs), now)
         });
         self.losses.extend(lost);
         for (task, placed) in runs {
             self.close_run(*task, key, placed.run, &placed.checkpoint);
-            if cause != Loss::Crashed {
+            if cause != LossCause::Crashed {
                 self.clear_run(*task, placed.run);
             }
         }
-        if cause == Loss::Crashed {
-            self.count_crash(runs, reported, moved);
+        if cause == LossCause::Crashed {
+            self.count_crash(runs, all_known, moved);
         }
     }
 
-    /// Counts the runs of workers with expired leases as lost. Unregistered workers are dropped;
-    /// others stay, without their runs.
+    /// Counts the runs of workers with expired leases as lost, except for those that may still be
+    /// alive on another incarnation. Unregistered workers without runs are dropped.
     pub(super) fn expire_workers(&mut self) {
         let now = self.now;
         let renewable = |worker: &WorkerState| worker.inherited && !worker.claimed;
@@ -425,7 +430,7 @@
             self.expire_runs(key);
             let worker = &self.workers[key];
             if worker.unregistered && worker.runs.is_empty() {
-                self.drop_worker(key, Loss::LeaseExpired);
+                self.drop_worker(key, LossCause::LeaseExpired);
             }
         }
     }
@@ -447,10 +452,10 @@
         let past_expiry: Vec<(TaskKey, PlacedRun)> = past_expiry.collect();
         // It must send a new report before it gets work.
         worker.claimed = false;
-        self.lose_runs(key, &past_expiry, Loss::LeaseExpired, 0);
+        self.lose_runs(key, &past_expiry, LossCause::LeaseExpired, 0);
     }
 
-    /// Sends a stop command; the resources stay booked until the run has ended.
+    /// Queues a stop command; the resources stay booked until the run has ended.
     pub(super) fn stop_run(
         &mut self,
         worker: WorkerKey,
--- a/crates/job/src/planner/stale_capacity.rs
+++ b/crates/job/src/planner/stale_capacity.rs
@@ -41,7 +41,7 @@
 impl Planner {
     /// Sets whether the workers' registrations are too old to rely on the capacities in them;
     /// returns whether that has changed.
-    pub fn set_stale(&mut self, stale: bool) -> bool {
+    pub fn set_registrations_stale(&mut self, stale: bool) -> bool {
         if stale == self.stale {
             return false;
         }
@@ -68,10 +68,10 @@
 
 /// Resources up to which a worker may be filled.
 fn fill_bound(worker: &WorkerState, stale: bool, smallest: Share) -> Room {
-    let now = worker.info.capacity;
+    let current = worker.info.capacity;
     if stale {
-        now.within(&scaled(&worker.largest, smallest))
+        current.within(&scaled(&worker.largest, smallest))
     } else {
-        now
+        current
     }
 }
--- a/crates/job/src/planner/start_intent.rs
+++ b/crates/job/src/planner/start_intent.rs
@@ -23,13 +23,13 @@
     }
 
     /// Resolves the start intents of the former owner, once each of its workers has sent a
-    /// report, has been replaced by a new incarnation, or has lost its lease. A start that no
-    /// worker reports never happened, unless a worker crashed before it sent a report: then the
-    /// start counts as an uncertain crash.
+    /// report, its incarnation has ended, or its lease has expired. A start that no worker
+    /// reports never happened, unless a worker crashed before it sent a report: then the start
+    /// counts as an uncertain crash.
     pub(super) fn resolve_intents(&mut self) {
-        let unseen = std::mem::take(&mut self.suspects.unreported);
-        let all: Vec<TaskKey> = self.suspects.tasks.iter().copied().collect();
-        for task in all {
+        let unreported = std::mem::take(&mut self.suspects.unreported_crash);
+        let suspects: Vec<TaskKey> = self.suspects.tasks.iter().copied().collect();
+        for task in suspects {
             let Some(job) = self.jobs.get_mut(&task.step.job) else {
                 continue;
             };
@@ -41,7 +41,7 @@
                 continue;
             };
             self.dirty.insert(task.step.job);
-            if unseen {
+            if unreported {
                 suspicion.uncertain.insert(intent.run);
             }
         }
@@ -57,10 +57,10 @@
             let Some(suspicion) = self.suspicion_of(task) else {
                 continue;
             };
-            if now < suspicion.not_before || suspicion.count() == 0 {
+            if now < suspicion.not_before || suspicion.crash_count() == 0 {
                 continue;
             }
-            if suspicion.count() >= MAX_CRASHES {
+            if suspicion.crash_count() >= MAX_CRASHES {
                 self.fail_suspect(task, run);
                 return;
             }
@@ -88,7 +88,7 @@
     }
 
     /// Marks the start intents in a job's progress as saved.
-    pub(super) fn intents_saved(&mut self, job: JobId, progress: &Progress) {
+    pub(super) fn mark_intents_saved(&mut self, job: JobId, progress: &Progress) {
         for (&(round, step, index), record) in &progress.crashes {
             let step = StepKey { job, round, step };
             let suspicion = self.suspicion_of(TaskKey { step, index });
--- a/crates/job/src/planner/suspicion.rs
+++ b/crates/job/src/planner/suspicion.rs
@@ -11,7 +11,7 @@
 //!   or if other workers without suspects crashed just before;
 //! - after the first crash, each start is saved as an intent before it is sent, however long
 //!   that takes. A successor that finds no such run, and not all workers alive, counts a crash;
-//! - with [`SURE_CRASH_LIMIT`] certain crashes, or [`ANY_CRASH_LIMIT`] of any kind, the next
+//! - with [`CERTAIN_CRASH_LIMIT`] certain crashes, or [`ANY_CRASH_LIMIT`] of any kind, the next
 //!   start is a trial: alone on a worker, after a delay;
 //! - the task's job fails if that worker crashes as well, unless other workers without
 //!   suspects crashed at the same time, and in any case after [`MAX_CRASHES`] crashes,
@@ -31,11 +31,11 @@
 
 /// Certain crashes after which a task is tried alone. A task that crashes no workers rarely
 /// meets two, though a crash ends the runs on all cores of the worker.
-const SURE_CRASH_LIMIT: usize = 2;
+const CERTAIN_CRASH_LIMIT: usize = 2;
 
 /// Crashes of any kind after which a task is tried alone. If many tasks crash workers at the
-/// same time, hardly any crash is certain. One start is left for an owner that dies before
-/// it has saved the first crash, so that its successor does not count that one.
+/// same time, hardly any crash is certain. The limit leaves room for one more start: an owner
+/// may die before it has saved the first crash, and its successor cannot count that one.
 const ANY_CRASH_LIMIT: usize = 3;
 
 /// Crashes after which a task's job fails, whatever other workers crashed meanwhile. The
@@ -48,9 +48,9 @@
     /// All suspects, including those that may still share a worker with other runs.
     pub(super) tasks: BTreeSet<TaskKey>,
     /// A suspect was alone on a worker that crashed, and the verdict on it is still due.
-    pub(super) judging: bool,
+    pub(super) verdict_due: bool,
     /// A worker crashed before it reported which runs of the former owner it had.
-    pub(super) unreported: bool,
+    pub(super) unreported_crash: bool,
     /// Times of recent crashes of workers that had no suspects.
     pub(super) crash_times: VecDeque<Duration>,
     /// Findings that were not taken yet, for logs and metrics.
@@ -97,42 +97,42 @@
         let record = CrashRecord {
             runs: self.crashes.clone(),
             unsure: self.uncertain.clone(),
-            ahead: self.intent.map(|ahead| ahead.run),
+            ahead: self.intent.map(|intent| intent.run),
         };
         (record != CrashRecord::default()).then_some(record)
     }
 
     /// Number of crashes, including uncertain ones.
-    pub(super) fn count(&self) -> usize {
+    pub(super) fn crash_count(&self) -> usize {
         self.crashes.len() + self.uncertain.len()
     }
 
     /// Whether the task may only start alone on a worker. No task is blamed for crashes of
     /// workers that it shared with other runs.
     pub(super) fn needs_trial(&self) -> bool {
-        self.crashes.len() >= SURE_CRASH_LIMIT || self.count() >= ANY_CRASH_LIMIT
+        self.crashes.len() >= CERTAIN_CRASH_LIMIT || self.crash_count() >= ANY_CRASH_LIMIT
     }
 
     /// Whether a crash during a trial proves that the task caused it.
     pub(super) fn trial_decides(&self) -> bool {
-        self.crashes.len() > SURE_CRASH_LIMIT || self.count() > ANY_CRASH_LIMIT
+        self.crashes.len() > CERTAIN_CRASH_LIMIT || self.crash_count() > ANY_CRASH_LIMIT
     }
 
     /// Whether the next start may be sent: nothing counts against the task, or its start intent
     /// is saved and the delay before a trial has passed.
     pub(super) fn may_start(&self, now: Duration) -> bool {
-        let Some(ahead) = self.intent else {
-            return self.count() == 0;
+        let Some(intent) = self.intent else {
+            return self.crash_count() == 0;
         };
-        now >= self.not_before && ahead.saved
+        now >= self.not_before && intent.saved
     }
 
     /// Removes a run that ended in another way than by a worker crash; returns whether it was
     /// counted or had a start intent.
     pub(super) fn clear_run(&mut self, run: RunId) -> bool {
-        let ahead = self.intent.take_if(|ahead| ahead.run == run);
+        let intent = self.intent.take_if(|intent| intent.run == run);
         let counted = self.crashes.remove(&run) | self.uncertain.remove(&run);
-        counted || ahead.is_some()
+        counted || intent.is_some()
     }
 }
 
--- a/crates/job/src/planner/trial.rs
+++ b/crates/job/src/planner/trial.rs
@@ -48,7 +48,7 @@
         if self.suspects.tasks.is_empty() {
             return;
         }
-        let trials = self.workers.values().filter(|worker| worker.lone_runs > 0);
+        let trials = self.workers.values().filter(|worker| worker.trials > 0);
         let mut remaining = self.max_trials().saturating_sub(trials.count());
         for &(rank, key) in ranked {
             self.record_intents(key);
@@ -100,8 +100,8 @@
         let eligible = self.permitted(job, step, Duration::ZERO);
         let eligible = eligible.into_iter().filter(|(worker, state)| {
             let fits = state.info.capacity.holds(&spec.booked());
-            let taken = kept.holds(*worker, key);
-            self.usable(state) && may_run(state, service, spec) && fits && !taken
+            let reserved = kept.holds(*worker, key);
+            self.usable(state) && may_run(state, service, spec) && fits && !reserved
         });
         let mut eligible: Vec<_> = eligible.collect();
         eligible.sort_unstable_by_key(|(worker, state)| (state.total_booked.cpu, *worker));
--- a/crates/job/tests/field/mod.rs
+++ b/crates/job/tests/field/mod.rs
@@ -379,10 +379,10 @@
                     life.known = true;
                     self.planner.worker_ended(key);
                 }
-                Some(_) => self.planner.worker_unresponsive(key),
-                None if life.cut => self.planner.worker_unresponsive(key),
+                Some(_) => self.planner.mark_unresponsive(key),
+                None if life.cut => self.planner.mark_unresponsive(key),
                 None => {
-                    self.planner.lease_renewed(key);
+                    self.planner.extend_lease(key);
                     let listing = life.listing(self.now);
                     self.planner.apply_report(key, self.now, &listing);
                 }
--- a/crates/job/tests/impossible.rs
+++ b/crates/job/tests/impossible.rs
@@ -113,7 +113,7 @@
     let key = recall(&mut planner, left);
     planner.apply_report(key, Duration::ZERO, &listing(vec![], vec![]));
     planner.take_job(JOB, spec(vec![step(1)]), None, true);
-    planner.lease_renewed(key);
+    planner.extend_lease(key);
     plan_at(&mut planner, 3_500);
     let told = outcomes(&mut planner);
     planner.register_worker(worker("w1"));
@@ -191,7 +191,7 @@
     let first = add_claimed(&mut planner, "w1");
     plan_at(&mut planner, 10);
     planner.deregister_worker("w1");
-    planner.lease_renewed(first);
+    planner.extend_lease(first);
     add_claimed(&mut planner, "w2");
     plan_at(&mut planner, 20);
     planner.worker_ended(first);
--- a/crates/job/tests/incarnation_leases.rs
+++ b/crates/job/tests/incarnation_leases.rs
@@ -59,7 +59,7 @@
     tell(planner, key, 10_004, &runs);
     planner.advance(at(10_250));
     planner.start_reply(key, last.0, last.1, StartReply::Unknown);
-    planner.worker_unresponsive(key);
+    planner.mark_unresponsive(key);
     support::add_claimed(planner, "w2");
     (key, last.0, last.1)
 }
@@ -71,7 +71,7 @@
 fn an_unreported_start_is_kept_until_no_late_renewal_can_arrive() {
     let mut planner = planner(1);
     let (key, task, _) = with_fresh_start(&mut planner);
-    planner.worker_unresponsive(key);
+    planner.mark_unresponsive(key);
 
     let early = plan_at(&mut planner, 20_300);
     let late = plan_at(&mut planner, 20_500);
@@ -89,7 +89,7 @@
     let (key, task, run) = with_fresh_start(&mut planner);
     let report = list(FIRST, listing(vec![running(task, run)], Vec::new()));
     tell(&mut planner, key, 10_010, &report);
-    planner.worker_unresponsive(key);
+    planner.mark_unresponsive(key);
 
     let late = plan_at(&mut planner, 15_000);
 
@@ -139,7 +139,7 @@
     let run = listing(vec![running(task(JOB, 0, 0), 3)], Vec::new());
     tell(&mut planner, key, 5000, &list(FIRST, run));
     support::add_claimed(&mut planner, "w2");
-    planner.worker_unresponsive(key);
+    planner.mark_unresponsive(key);
 
     let early = plan_at(&mut planner, 11_300);
     let late = plan_at(&mut planner, 11_500);
@@ -203,7 +203,7 @@
     planner.register_worker(info(FIRST));
     tell(&mut planner, key, 300, &nothing(FIRST));
     let next = begun(&mut planner).expect("a next incarnation");
-    planner.worker_unresponsive(next);
+    planner.mark_unresponsive(next);
     support::add_claimed(&mut planner, "w2");
 
     let early = plan_at(&mut planner, 10_600);
--- a/crates/job/tests/incarnations.rs
+++ b/crates/job/tests/incarnations.rs
@@ -102,7 +102,7 @@
         let again = plan_at(&mut planner, 100);
 
         assert_eq!(again, vec![], "registered as {incarnation}");
-        assert!(planner.holds(key, runs[0].0, runs[0].1));
+        assert!(planner.has_booked(key, runs[0].0, runs[0].1));
     }
 }
 
@@ -221,7 +221,7 @@
     tell(&mut planner, next, 110, &there);
     let again = plan_saved(&mut planner, 120);
 
-    assert!(planner.holds(next, task, run));
+    assert!(planner.has_booked(next, task, run));
     assert_eq!(again.len(), 1);
     assert_eq!(again[0].0, runs[1].0);
     let losses = planner.take_losses();
@@ -308,7 +308,7 @@
 fn the_end_of_a_former_incarnation_does_not_end_the_next() {
     let mut planner = planner(1);
     let key = with_history(&mut planner);
-    planner.worker_unresponsive(key);
+    planner.mark_unresponsive(key);
     let next = claim_next(&mut planner, key, 100);
 
     planner.worker_ended(key);
@@ -331,7 +331,7 @@
     let unnamed = planner.match_incarnation(key, at(100), &Listing::default());
     assert_eq!(unnamed, ReportOrigin::Unnamed);
     assert_eq!(again, vec![]);
-    assert!(planner.holds(key, runs[0].0, runs[0].1));
+    assert!(planner.has_booked(key, runs[0].0, runs[0].1));
     assert_eq!(
         planner.worker_info(key).and_then(|info| info.life),
         Some(FIRST)
@@ -379,7 +379,7 @@
     });
     let before = planner.reregistered();
 
-    planner.worker_unresponsive(key);
+    planner.mark_unresponsive(key);
 
     assert_eq!(before, vec![]);
     assert_eq!(planner.reregistered(), vec![(key, elsewhere)]);
@@ -391,7 +391,7 @@
     let mut planner = planner(1);
     let key = with_history(&mut planner);
     planner.register_worker(info(NEXT));
-    planner.worker_unresponsive(key);
+    planner.mark_unresponsive(key);
 
     planner.worker_ended(key);
 
--- a/crates/job/tests/late_ends.rs
+++ b/crates/job/tests/late_ends.rs
@@ -60,7 +60,7 @@
 #[test]
 fn a_task_whose_lost_run_was_done_does_not_start_again() {
     let (mut planner, first, task, run) = one_run();
-    planner.worker_unresponsive(first);
+    planner.mark_unresponsive(first);
     assert_eq!(plan_at(&mut planner, EXPIRED), []);
 
     let done = listing(vec![], vec![ended(1, task, run, RunEnd::Done)]);
@@ -75,7 +75,7 @@
 #[test]
 fn a_replacement_of_a_run_that_was_done_is_stopped() {
     let (mut planner, first, task, run) = one_run();
-    planner.worker_unresponsive(first);
+    planner.mark_unresponsive(first);
     plan_at(&mut planner, EXPIRED);
     let second = add(&mut planner, "w2");
     report_at(&mut planner, second, EXPIRED + 5, &listing(vec![], vec![]));
@@ -104,7 +104,7 @@
     report_at(&mut planner, second, 2, &listing(vec![], vec![]));
     let sent = Duration::from_secs(4);
     planner.await_reply(first, sent, Duration::from_millis(EXPIRED + 500));
-    planner.worker_unresponsive(first);
+    planner.mark_unresponsive(first);
 
     assert_eq!(plan_at(&mut planner, EXPIRED + 400), []);
     assert_eq!(plan_at(&mut planner, EXPIRED + 600).len(), 1);
@@ -116,7 +116,7 @@
     let (mut planner, first, _, _) = one_run();
     let second = add(&mut planner, "w2");
     report_at(&mut planner, second, 2, &listing(vec![], vec![]));
-    planner.worker_unresponsive(first);
+    planner.mark_unresponsive(first);
 
     let sent = Duration::from_millis(EXPIRED);
     planner.await_reply(first, sent, Duration::from_millis(EXPIRED + 500));
--- a/crates/job/tests/planner.rs
+++ b/crates/job/tests/planner.rs
@@ -108,7 +108,7 @@
     planner.take_job(JOB, spec(vec![step(1)]), None, false);
     plan_at(&mut planner, 10_000);
     planner.start_reply(silent, task(JOB, 0, 0), 1, StartReply::Started);
-    planner.worker_unresponsive(silent);
+    planner.mark_unresponsive(silent);
     add_claimed(&mut planner, "w2");
     let early = plan_at(&mut planner, 14_600);
 
@@ -125,7 +125,7 @@
     let cut = add_claimed(&mut planner, "w1");
     planner.take_job(JOB, spec(vec![step(1)]), None, false);
     plan_at(&mut planner, 10_000);
-    planner.worker_unresponsive(cut);
+    planner.mark_unresponsive(cut);
     add_claimed(&mut planner, "w2");
     plan_at(&mut planner, 14_900);
     let late = listing(vec![], vec![ended(1, task(JOB, 0, 0), 1, RunEnd::Done)]);
@@ -222,7 +222,7 @@
     let still = listing(vec![running(task(JOB, 0, 0), 1)], vec![]);
     for millis in [10_500, 11_000, 11_500] {
         planner.advance(Duration::from_millis(millis));
-        planner.lease_renewed(stuck);
+        planner.extend_lease(stuck);
         planner.apply_report(stuck, Duration::from_millis(millis), &still);
         planner.plan();
     }
@@ -339,7 +339,7 @@
         let rest = (nth + 1..4).map(|at| running(task(JOB, 0, at), 1));
         let end = ended(u64::from(nth) + 1, task(JOB, 0, nth), 1, RunEnd::Done);
         let listed = listing(rest.collect(), vec![end]);
-        planner.lease_renewed(key);
+        planner.extend_lease(key);
         planner.apply_report(key, Duration::from_millis(millis), &listed);
         early.push(plan_at(&mut planner, millis));
     }
--- a/crates/job/tests/preempt.rs
+++ b/crates/job/tests/preempt.rs
@@ -221,7 +221,7 @@
             number += 1;
             ends.push(ended(number, task, run, RunEnd::Stopped));
         }
-        planner.lease_renewed(key);
+        planner.extend_lease(key);
         planner.apply_report(
             key,
             Duration::from_millis(begin + 300),
--- a/crates/job/tests/takeover.rs
+++ b/crates/job/tests/takeover.rs
@@ -52,7 +52,7 @@
     planner.take_job(JOB + 1, spec(vec![step(1)]), None, false);
     let early = plan_at(&mut planner, 2110);
     planner.advance(Duration::from_secs(5));
-    planner.lease_renewed(key);
+    planner.extend_lease(key);
 
     let late = plan_at(&mut planner, 7000);
 
--- a/crates/job/tests/world/lives.rs
+++ b/crates/job/tests/world/lives.rs
@@ -290,7 +290,8 @@
         }
         match sent.order {
             Order::Start { task, run, .. } => {
-                self.on_its_way(sent.at) && self.planner.holds(self.keys[sent.worker], task, run)
+                self.on_its_way(sent.at)
+                    && self.planner.has_booked(self.keys[sent.worker], task, run)
             }
             _ => false,
         }
--- a/crates/job/tests/world/mod.rs
+++ b/crates/job/tests/world/mod.rs
@@ -263,7 +263,7 @@
             return;
         }
         if self.workers[at].cut || self.workers[at].down {
-            self.planner.worker_unresponsive(key);
+            self.planner.mark_unresponsive(key);
             self.workers[at].linked = false;
             return;
         }
@@ -271,7 +271,7 @@
         // To a worker that names its lives, a lease goes only after an answer: the clock
         // of a new life is not known.
         if self.workers[at].linked || self.workers[at].life.is_none() {
-            self.planner.lease_renewed(key);
+            self.planner.extend_lease(key);
             let worker = &mut self.workers[at];
             worker.lease = worker.lease.max(self.now + Policy::default().lease);
         }
--- a/crates/job/tests/world/rough.rs
+++ b/crates/job/tests/world/rough.rs
@@ -149,7 +149,7 @@
         }
         // Its connections are reset; some resets are lost.
         if !self.now.as_millis().is_multiple_of(4) {
-            self.planner.worker_unresponsive(self.keys[at]);
+            self.planner.mark_unresponsive(self.keys[at]);
         }
         let key = self.keys[at];
         let told = worker.told.into_iter();
--- a/crates/job/tests/world/shown.rs
+++ b/crates/job/tests/world/shown.rs
@@ -28,7 +28,7 @@
         let mut lost = self.lost_members().iter();
         held.any(|(number, _)| *number == run)
             || lost.any(|&(key, member, number)| {
-                (member, number) == (task, run) && self.planner.holds(key, task, run)
+                (member, number) == (task, run) && self.planner.has_booked(key, task, run)
             })
     }
 
