--- a/crates/job/tests/crash_incarnations.rs
+++ b/crates/job/tests/crash_incarnations.rs
@@ -13,42 +13,42 @@
 use field::SOON;
 use support::task;
 
-/// A nearly full pool in which the jobs `bad` have tasks that crash their workers.
-fn busy(workers: usize, bad: &[u64]) -> Field {
+/// A nearly full pool in which the jobs `crashing` have tasks that crash their workers.
+fn busy_pool(workers: usize, crashing: &[u64]) -> Field {
     let mut field = Field::with_same_ids(workers);
-    field.submit_busy(bad);
+    field.submit_busy(crashing);
     field
 }
 
 /// Guards against crashes that are not noticed because the worker has already restarted.
 #[test]
 fn a_task_that_crashes_workers_which_keep_their_ids_fails() {
-    let bad = [3];
-    let mut field = busy(12, &bad);
+    let crashing = [3];
+    let mut field = busy_pool(12, &crashing);
 
     let failed = field.run_until(SOON, |field| field.shown(3) == Some(Shown::Failed));
 
     assert!(failed, "shown as {:?}", field.shown(3));
-    field.check_starts(&bad);
+    field.check_starts(&crashing);
 }
 
 /// Guards against too many crashes being counted against tasks that share workers with those
 /// that crash them.
 #[test]
 fn other_tasks_on_workers_which_keep_their_ids_complete() {
-    let bad = [3, 8, 13, 18, 23];
-    let mut field = busy(12, &bad);
+    let crashing = [3, 8, 13, 18, 23];
+    let mut field = busy_pool(12, &crashing);
 
     field.run(Duration::from_secs(90));
 
-    field.check_starts(&bad);
-    field.check_busy(&bad);
+    field.check_starts(&crashing);
+    field.check_busy(&crashing);
 }
 
 /// Guards against failed jobs after many workers restart at the same time.
 #[test]
 fn a_restart_of_many_workers_fails_no_job() {
-    let mut field = busy(12, &[]);
+    let mut field = busy_pool(12, &[]);
 
     field.crash_many();
 
--- a/crates/job/tests/crash_owners.rs
+++ b/crates/job/tests/crash_owners.rs
@@ -12,36 +12,36 @@
 use field::MOST_STARTS;
 use support::task;
 
-/// `bad` jobs with one task each that crashes its worker, and twice as many ordinary jobs.
-fn many_bad(workers: usize, bad: u64) -> Field {
+/// `crashing` jobs with one task each that crashes its worker, and twice as many ordinary jobs.
+fn with_crashing_tasks(workers: usize, crashing: u64) -> Field {
     let mut field = Field::new(workers);
-    for id in 1..=bad {
+    for id in 1..=crashing {
         field.submit_tasks(id, 1, 800);
         field.bad.insert(task(id, 0, 0), AT_ONCE);
     }
-    for id in bad + 1..=3 * bad {
+    for id in crashing + 1..=3 * crashing {
         field.submit_tasks(id, 2, 900);
     }
     field
 }
 
-fn ended(field: &Field, jobs: u64) -> bool {
+fn jobs_ended(field: &Field, jobs: u64) -> bool {
     let is_final = |shown| shown != Shown::Pending && shown != Shown::Active;
     (1..=jobs).all(|id| field.shown(id).is_some_and(is_final))
 }
 
 /// Guards against a second start of a suspect before its first crash is saved.
 #[test]
-fn a_task_does_not_start_again_before_its_first_crash_is_recorded() {
-    let mut field = many_bad(8, 1);
+fn a_task_does_not_start_again_before_its_first_crash_is_saved() {
+    let mut field = with_crashing_tasks(8, 1);
     field.store_away = true;
 
     field.run(Duration::from_secs(10));
-    let without = field.starts_of(task(1, 0, 0));
+    let starts_without_store = field.starts_of(task(1, 0, 0));
     field.store_away = false;
     field.run(Duration::from_secs(30));
 
-    assert_eq!(without, 1);
+    assert_eq!(starts_without_store, 1);
     assert_eq!(field.shown(1), Some(Shown::Failed));
 }
 
@@ -49,7 +49,7 @@
 /// save progress.
 #[test]
 fn owners_without_the_store_start_a_suspect_once_each() {
-    let mut field = many_bad(8, 1);
+    let mut field = with_crashing_tasks(8, 1);
     field.store_away = true;
 
     for _ in 0..3 {
@@ -65,11 +65,11 @@
 /// at the same time, so that no crash counts as certain.
 #[test]
 fn a_task_is_tried_alone_after_three_crashes_of_any_kind() {
-    let mut field = many_bad(30, 12);
+    let mut field = with_crashing_tasks(30, 12);
 
-    let all = field.run_until(Duration::from_mins(2), |field| ended(field, 36));
+    let all_ended = field.run_until(Duration::from_mins(2), |field| jobs_ended(field, 36));
 
-    assert!(all, "some job has not ended");
+    assert!(all_ended, "some job has not ended");
     for id in 1..=12 {
         let starts = field.starts_of(task(id, 0, 0));
         assert!(starts < MOST_STARTS, "job {id}: {starts} starts");
@@ -84,13 +84,13 @@
 /// crash.
 #[test]
 fn an_unsaved_first_crash_does_not_exceed_the_start_limit() {
-    let mut field = many_bad(30, 12);
+    let mut field = with_crashing_tasks(30, 12);
     field.run(Duration::from_millis(300));
     field.take_over();
 
-    let all = field.run_until(Duration::from_mins(2), |field| ended(field, 36));
+    let all_ended = field.run_until(Duration::from_mins(2), |field| jobs_ended(field, 36));
 
-    assert!(all, "some job has not ended");
+    assert!(all_ended, "some job has not ended");
     for id in 1..=12 {
         let starts = field.starts_of(task(id, 0, 0));
         assert!(starts <= MOST_STARTS, "job {id}: {starts} starts");
--- a/crates/job/tests/crashes.rs
+++ b/crates/job/tests/crashes.rs
@@ -34,21 +34,21 @@
     }
 }
 
-/// A nearly full pool in which the jobs `bad` have tasks that crash their workers.
-fn busy(workers: usize, bad: &[u64]) -> Field {
+/// A nearly full pool in which the jobs `crashing` have tasks that crash their workers.
+fn busy_pool(workers: usize, crashing: &[u64]) -> Field {
     let mut field = Field::new(workers);
-    field.submit_busy(bad);
+    field.submit_busy(crashing);
     field
 }
 
 /// Guards against failed jobs whose tasks only shared workers with those that crash them.
-/// Such tasks start again, some of them on a worker that the next bad task crashes.
+/// Such tasks start again, some of them on a worker that another such task crashes next.
 #[test]
-fn tasks_that_share_workers_with_bad_tasks_complete() {
-    let bad = [3, 8, 13, 18, 23];
-    let mut field = busy(12, &bad);
+fn tasks_that_share_workers_with_crashing_tasks_complete() {
+    let crashing = [3, 8, 13, 18, 23];
+    let mut field = busy_pool(12, &crashing);
 
-    let ended = field.run_until(Duration::from_secs(90), |field| {
+    let all_ended = field.run_until(Duration::from_secs(90), |field| {
         (1..=36).all(|id| {
             field
                 .shown(id)
@@ -56,16 +56,16 @@
         })
     });
 
-    assert!(ended, "some job has not ended");
-    field.check_starts(&bad);
-    field.check_busy(&bad);
+    assert!(all_ended, "some job has not ended");
+    field.check_starts(&crashing);
+    field.check_busy(&crashing);
 }
 
 /// Guards against failed jobs after a rack lost power. After three times in a row, its tasks
 /// had met as many crashes as a task that causes them.
 #[test]
 fn a_lost_rack_fails_no_job() {
-    let mut field = busy(12, &[]);
+    let mut field = busy_pool(12, &[]);
 
     field.crash_many();
 
@@ -199,7 +199,7 @@
 /// Guards against relying on the time since the start: a task may crash its worker late.
 #[test]
 fn a_task_that_crashes_its_workers_late_fails() {
-    let mut field = busy(12, &[]);
+    let mut field = busy_pool(12, &[]);
     field.bad.insert(task(5, 0, 1), Duration::from_millis(900));
 
     let failed = field.run_until(SOON, |field| field.shown(5) == Some(Shown::Failed));
@@ -216,8 +216,8 @@
 /// Guards against trials that share a worker with other runs.
 #[test]
 fn a_trial_runs_alone() {
-    let bad = [3];
-    let mut field = busy(8, &bad);
+    let crashing = [3];
+    let mut field = busy_pool(8, &crashing);
     let mut trials = 0;
 
     for _ in 0..3000 {
@@ -235,12 +235,12 @@
     }
 
     assert!(trials > 0, "no trial was seen");
-    field.check_starts(&bad);
+    field.check_starts(&crashing);
 }
 
-/// Guards against a gang whose bad member is started more often than a single task would be.
+/// Guards against a gang whose crashing member is started more often than a single task would be.
 #[test]
-fn a_gang_with_a_bad_member_fails() {
+fn a_gang_with_a_crashing_member_fails() {
     let mut field = Field::new(8);
     let mut step = support::step(12);
     step.gang = true;
--- a/crates/job/tests/incarnations.rs
+++ b/crates/job/tests/incarnations.rs
@@ -48,12 +48,12 @@
     let key = with_history(&mut planner);
     let next = claim_next(&mut planner, key, 100);
     planner.take_job(JOB, spec(vec![step(1)]), None, false);
-    let (task, run, there) = plan_at(&mut planner, 110)[0];
+    let (task, run, started_on) = plan_at(&mut planner, 110)[0];
 
     let ends = listing(Vec::new(), vec![ended(1, task, run, RunEnd::Done)]);
     tell(&mut planner, next, 200, &list(NEXT, ends));
 
-    assert_eq!(there, next);
+    assert_eq!(started_on, next);
     assert_eq!(planner.newest_end(next), 1);
     let batch = planner.take_batch(10);
     assert_eq!(batch.ends, vec![(next, 1)]);
@@ -151,17 +151,17 @@
     let mut planner = planner(1);
     let key = with_history(&mut planner);
     let next = claim_next(&mut planner, key, 100);
-    let late = list(FIRST, listing(vec![running(task(9, 0, 0), 3)], Vec::new()));
+    let late_report = list(FIRST, listing(vec![running(task(9, 0, 0), 3)], Vec::new()));
 
     let registered = planner.register_worker(info(FIRST));
-    tell(&mut planner, next, 50, &late);
-    let overtaken = planner.match_incarnation(next, at(50), &late);
-    tell(&mut planner, next, 200, &late);
+    tell(&mut planner, next, 50, &late_report);
+    let overtaken = planner.match_incarnation(next, at(50), &late_report);
+    tell(&mut planner, next, 200, &late_report);
 
     assert_eq!(registered, None);
     assert_eq!(overtaken, ReportOrigin::Ended);
     assert_eq!(
-        planner.match_incarnation(next, at(200), &late),
+        planner.match_incarnation(next, at(200), &late_report),
         ReportOrigin::Ended
     );
     assert_eq!(planner.worker_key("w1"), Some(next));
@@ -213,12 +213,12 @@
     let key = with_history(&mut planner);
     let runs = start(&mut planner, 2);
     let (task, run) = runs[0];
-    let there = list(NEXT, listing(vec![running(task, run)], Vec::new()));
+    let report = list(NEXT, listing(vec![running(task, run)], Vec::new()));
 
     planner.register_worker(info(NEXT));
-    tell(&mut planner, key, 100, &there);
+    tell(&mut planner, key, 100, &report);
     let next = begun(&mut planner).expect("a next incarnation");
-    tell(&mut planner, next, 110, &there);
+    tell(&mut planner, next, 110, &report);
     let again = plan_saved(&mut planner, 120);
 
     assert!(planner.has_booked(next, task, run));
@@ -410,15 +410,15 @@
     for incarnation in 1..=10_u64 {
         let now = 2000 * incarnation;
         tell(&mut planner, key, now, &nothing(FIRST + incarnation - 1));
-        for (task, run, there) in plan_saved(&mut planner, now + 10) {
+        for (task, run, started_on) in plan_saved(&mut planner, now + 10) {
             starts += 1;
-            planner.start_reply(there, task, run, StartReply::Started);
-            let there = listing(vec![running(task, run)], Vec::new());
+            planner.start_reply(started_on, task, run, StartReply::Started);
+            let running_list = listing(vec![running(task, run)], Vec::new());
             tell(
                 &mut planner,
                 key,
                 now + 20,
-                &list(FIRST + incarnation - 1, there),
+                &list(FIRST + incarnation - 1, running_list),
             );
         }
         planner.register_worker(info(FIRST + incarnation));
