--- a/crates/job/src/planner/crash_count.rs
+++ b/crates/job/src/planner/crash_count.rs
@@ -73,11 +73,11 @@
         let now = self.now;
         let recent = self.suspects.crash_times.iter();
         let recent = recent.filter(|crash| now < **crash + COMMON_CAUSE_WINDOW);
-        let common = recent.count() >= MASS_CRASH_WORKERS;
+        let common_cause = recent.count() >= MASS_CRASH_WORKERS;
         let mut any_suspect = false;
         for (task, placed) in runs {
             // An unanswered start may have reached the worker after the crash, or never.
-            let certain = placed.phase == RunPhase::Running && !common;
+            let certain = placed.phase == RunPhase::Running && !common_cause;
             any_suspect |= self.record_crash(*task, placed.run, certain, alone);
         }
         if all_known && !any_suspect {
@@ -136,7 +136,8 @@
         }
     }
 
-    /// Fails the jobs of suspects that crashed a worker on which they were alone.
+    /// Fails the jobs of suspects that crashed a worker on which they were alone, once crashes
+    /// with a common cause would have been noticed.
     pub(super) fn judge_suspects(&mut self) {
         let now = self.now;
         self.suspects
--- a/crates/job/src/planner/trial.rs
+++ b/crates/job/src/planner/trial.rs
@@ -30,7 +30,7 @@
 /// sent to a worker that has just crashed for another reason, the crash would count against
 /// the task, and its job might fail without cause.
 fn sort_for_trials(candidates: &mut [Candidate]) {
-    candidates.sort_by_key(|one| (!one.idle, Reverse(one.heard)));
+    candidates.sort_by_key(|candidate| (!candidate.idle, Reverse(candidate.heard)));
 }
 
 impl Planner {
@@ -62,7 +62,7 @@
                 remaining -= 1;
                 let mut candidates = self.candidates(key, &spec, kept);
                 sort_for_trials(&mut candidates);
-                if let Some(at) = candidates.iter().position(|one| one.idle) {
+                if let Some(at) = candidates.iter().position(|candidate| candidate.idle) {
                     let run = self.next_run(task);
                     self.start_trial((task, run), &spec, &mut candidates[at]);
                 } else {
@@ -128,7 +128,7 @@
         }
         let mut candidates = self.candidates(key, spec, kept);
         sort_for_trials(&mut candidates);
-        let idle = candidates.iter().filter(|one| one.idle).count();
+        let idle = candidates.iter().filter(|candidate| candidate.idle).count();
         if idle < trials.len() {
             self.reserve_idle(trials.len(), rank, key, spec, kept);
             return true;
