--- a/crates/job/src/id.rs
+++ b/crates/job/src/id.rs
@@ -1,4 +1,4 @@
-//! Identities of jobs, steps, tasks and their runs.
+//! Identifiers of jobs, steps, tasks, runs, workers and owners.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,24 +8,24 @@
 use snafu::OptionExt;
 use snafu::Snafu;
 
-/// Identity of a job, chosen by its caller: 16 hexadecimal digits.
+/// Identifier of a job, chosen by its caller and written as 16 hexadecimal digits.
 pub type JobId = u64;
 
-/// Number of one start of a task; it rises with each start, over owners too.
+/// Number of one run (attempt) of a task. It rises with each start, also across owners.
 pub type RunId = u64;
 
-/// Number of an ownership of the pool.
+/// Number of one ownership of the pool; each take-over raises it.
 pub type Epoch = u64;
 
-/// Number that an order carries; a worker refuses lower ones than it has seen.
+/// Fencing token of a command: a worker refuses tokens below the highest one that it has seen.
 pub type Token = u64;
 
-/// Tokens of an epoch: the epoch itself at first, and a higher one whenever a worker must
-/// refuse what was sent before. An owner that acknowledges ends ten times a second has
-/// enough for a day; beyond that it goes on with the highest one.
+/// Fencing tokens reserved for each epoch. The owner starts with the epoch itself and takes the
+/// next token whenever a worker must refuse earlier commands. A million last for a day at ten
+/// acknowledged run ends a second; after that the owner reuses the highest one.
 const EPOCH_TOKENS: Token = 1_000_000;
 
-/// The epoch that follows one.
+/// Returns the epoch that follows `epoch`; the first one is 1.
 #[must_use]
 pub fn next_epoch(epoch: Epoch) -> Epoch {
     if epoch == 0 {
@@ -34,35 +34,35 @@
     (epoch / EPOCH_TOKENS + 1) * EPOCH_TOKENS + 1
 }
 
-/// The token of an epoch after it was raised so often.
+/// Returns the fencing token of `epoch` after `raised` increments.
 #[must_use]
 pub fn token(epoch: Epoch, raised: u64) -> Token {
     epoch + raised.min(EPOCH_TOKENS - 2)
 }
 
-/// Identity of a worker; it may start again under it.
+/// Identifier of a worker; a worker process may start again under the same identifier.
 pub type WorkerId = String;
 
-/// Start of a life of a worker, in Unix milliseconds by its own clock. It tells the lives
-/// of a worker apart and does not order them: clocks jump.
+/// Identifier of a worker's incarnation: its start time in Unix milliseconds by the worker's
+/// clock. It only distinguishes incarnations; it does not order them, since clocks may go back.
 pub type LifeId = u64;
 
-/// Digits of a job's identity.
+/// Number of hexadecimal digits in a job's identifier.
 const ID_DIGITS: usize = 16;
 
-/// A text that names no job, step or task.
+/// Error for a text that is not a valid identifier of a job, step or task.
 #[derive(Debug, Snafu)]
 #[snafu(display("id {text:?}: allowed: 16 lower-case hexadecimal digits, then numbers"))]
 pub struct IdError {
-    /// The text.
+    /// The rejected text.
     text: String,
 }
 
-/// Parses the identity of a job. Upper-case digits are refused, because two
-/// spellings of one id would be two jobs to the caller.
+/// Parses a job's identifier. Upper-case digits are refused, because two spellings of one
+/// identifier would be two jobs to the caller.
 ///
 /// # Errors
-/// The text is not 16 lower-case hexadecimal digits.
+/// The text does not consist of 16 lower-case hexadecimal digits.
 pub fn parse_job(text: &str) -> Result<JobId, IdError> {
     let plain = text.len() == ID_DIGITS
         && text
@@ -74,14 +74,14 @@
         .context(IdSnafu { text })
 }
 
-/// A step of one round of a job.
+/// Identifies a step in one round of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StepKey {
-    /// The job.
+    /// Job that contains the step.
     pub job: JobId,
     /// Occurrence of a repeated job, from 0.
     pub round: u32,
-    /// Step within the job, from 0.
+    /// Index of the step within the job, from 0.
     pub step: u32,
 }
 
@@ -91,12 +91,12 @@
     }
 }
 
-/// A task of a step.
+/// Identifies a task of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskKey {
-    /// The step.
+    /// Step that contains the task.
     pub step: StepKey,
-    /// Task within the step, from 0.
+    /// Index of the task within the step, from 0.
     pub index: u32,
 }
 
--- a/crates/job/src/lib.rs
+++ b/crates/job/src/lib.rs
@@ -1,7 +1,7 @@
-//! Jobs of steps and tasks, and the pure planner that places them on workers.
+//! Model of jobs, steps, tasks and workers, and the planner that places tasks on workers.
 //!
-//! Nothing here does I/O or reads a clock: the owner process feeds events with
-//! the time of its own monotonic clock and carries out the orders that result.
+//! This crate does no I/O and reads no clock: the owner process passes in events with the time of
+//! its monotonic clock and sends the commands that the planner returns.
 
 mod id;
 mod mechanism;
--- a/crates/job/src/progress.rs
+++ b/crates/job/src/progress.rs
@@ -1,4 +1,4 @@
-//! What the store keeps of a job's progress.
+//! Progress of a job as it is kept in the store.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -9,31 +9,31 @@
 
 use crate::RunId;
 
-/// How a job ended.
+/// Final result of a job.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[strum(serialize_all = "lowercase")]
 pub enum Outcome {
-    /// All tasks ended as done.
+    /// All tasks ended successfully.
     Completed,
-    /// A task or gang failed too often, or can never run.
+    /// A task or gang used up its attempts, or can never run.
     Failed,
-    /// A caller cancelled it.
+    /// A caller cancelled the job.
     Canceled,
 }
 
-/// What callers are shown of a job.
+/// State of a job as reported to callers.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[strum(serialize_all = "lowercase")]
 pub enum Shown {
-    /// No task has started.
+    /// No task has started yet.
     Pending,
-    /// A task has started.
+    /// At least one task has started.
     Active,
-    /// All tasks ended as done.
+    /// All tasks ended successfully.
     Completed,
-    /// A task or gang failed too often, or can never run.
+    /// A task or gang used up its attempts, or can never run.
     Failed,
-    /// A caller cancelled it.
+    /// A caller cancelled the job.
     Canceled,
 }
 
@@ -47,46 +47,47 @@
     }
 }
 
-/// Progress of one step of one round.
+/// Progress of a step in one round of a job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepProgress {
-    /// Tasks that ended as done.
+    /// Indexes of the tasks that ended successfully.
     pub done: Vec<u32>,
-    /// Failed runs by task; a gang's count for its task 0. Runs and not their
-    /// number, since ends of one task may be learnt in any order and twice.
+    /// Failed runs by task; a gang's failures are kept under its task 0. The runs are stored
+    /// instead of a count, since the reports of a task's ends may arrive in any order and more
+    /// than once.
     pub failures: BTreeMap<u32, BTreeSet<RunId>>,
-    /// Newest checkpoint by task; a gang keeps it on its task 0.
+    /// Newest checkpoint by task; a gang's checkpoint is kept under its task 0.
     pub checkpoints: BTreeMap<u32, String>,
 }
 
-/// What is known against a task under which workers crashed.
+/// Worker crashes that may have been caused by one task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashRecord {
-    /// Runs whose worker crashed by itself after it had said that they run.
+    /// Runs whose worker crashed alone after it had reported or confirmed that the run is active.
     pub runs: BTreeSet<RunId>,
-    /// Runs that may have been on a worker that crashed, since their starts got no
-    /// answer, or on one that went down together with others.
+    /// Runs that may have been on a crashed worker, because their start got no reply, or that
+    /// were on a worker which crashed together with others.
     pub unsure: BTreeSet<RunId>,
-    /// A run that may be under way: it is recorded before it is sent.
+    /// Run that may be active: it is stored before its start is sent.
     pub ahead: Option<RunId>,
 }
 
-/// Progress of a job: only what an owner may not forget.
+/// Progress of a job that must survive a change of owner.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
-    /// How it ended, once it has.
+    /// Result of the job, once it has ended.
     pub outcome: Option<Outcome>,
-    /// Steps by round and number, those with anything to tell. Any entry says
-    /// that the job has begun; its first step has an empty one if need be.
+    /// Progress by round and step, for steps that have any. Each entry marks the job as started;
+    /// if nothing else is to be stored, the first step gets an empty entry for this.
     pub steps: BTreeMap<(u32, u32), StepProgress>,
-    /// What is known against tasks, by round, step and task. The last field: earlier
-    /// versions read a row without it.
+    /// Crash records by round, step and task. Must stay the last field, so that rows written by
+    /// versions without it can be decoded.
     pub crashes: BTreeMap<(u32, u32, u32), CrashRecord>,
 }
 
 impl Progress {
-    /// Whether a worker has begun a task. Members of a gang that waited for the
-    /// others in vain leave progress without any.
+    /// Whether a worker has started a task of this job. A gang whose members did not all start in
+    /// time leaves progress without step entries.
     #[must_use]
     pub fn begun(&self) -> bool {
         !self.steps.is_empty()
--- a/crates/job/src/spec.rs
+++ b/crates/job/src/spec.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for: a job and its steps.
+//! Specification of a job and its steps, as submitted by a caller.
 
 use std::time::Duration;
 
@@ -7,25 +7,25 @@
 
 use crate::Queue;
 
-/// Processors, memory and accelerators.
+/// Amounts of processor time, memory and accelerators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Room {
-    /// Thousandths of a core.
+    /// Processors, in thousandths of a core.
     pub cpu: u64,
     /// Memory, in megabytes.
     pub memory: u64,
-    /// Accelerators.
+    /// Number of accelerators.
     pub gpu: u64,
 }
 
 impl Room {
-    /// Whether `need` fits into this room.
+    /// Whether `need` is at most this amount for each resource.
     #[must_use]
     pub fn holds(&self, need: &Room) -> bool {
         need.cpu <= self.cpu && need.memory <= self.memory && need.gpu <= self.gpu
     }
 
-    /// What is left after `taken`; never below nothing.
+    /// Subtracts `taken` from each resource, down to 0.
     #[must_use]
     pub fn less(&self, taken: &Room) -> Room {
         Room {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Room for so many of these.
+    /// Multiplies each resource by `count`.
     #[must_use]
     pub fn times(&self, count: u64) -> Room {
         Room {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// As much of this as there is in `bound`.
+    /// Returns the smaller amount of each resource.
     #[must_use]
     pub fn within(&self, bound: &Room) -> Room {
         Room {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The larger of both, of each kind.
+    /// Returns the larger amount of each resource.
     #[must_use]
     pub fn either(&self, other: &Room) -> Room {
         Room {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Both together.
+    /// Adds up each resource.
     #[must_use]
     pub fn plus(&self, other: &Room) -> Room {
         Room {
@@ -76,48 +76,48 @@
     }
 }
 
-/// A number of like tasks.
+/// A group of identical tasks within a job.
 #[allow(clippy::struct_excessive_bools)] // independent wishes of the caller
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepSpec {
-    /// How many tasks.
+    /// Number of tasks.
     pub count: u32,
-    /// What one task needs.
+    /// Resources that one task needs.
     pub need: Room,
-    /// Rough duration of a task, as the caller guesses it.
+    /// Expected duration of a task, as estimated by the caller.
     pub estimate: Duration,
-    /// Earlier steps that must be done first.
+    /// Indexes of earlier steps that must complete before this one starts.
     pub after: Vec<u32>,
-    /// The tasks work only together, and end together.
+    /// The tasks are a gang: they run at the same time and end together.
     pub gang: bool,
-    /// The tasks are slower when they run on more than one rack.
+    /// The tasks run slower when they are spread over several racks.
     pub same_rack: bool,
-    /// The tasks save their progress now and then.
+    /// The tasks write checkpoints from which a later run can resume.
     pub checkpointed: bool,
-    /// Label that a worker must have; empty for any.
+    /// Label that a worker must have; empty if any worker will do.
     pub label: String,
-    /// Rack on which the tasks are fast; empty for any.
+    /// Rack on which the tasks run fast; empty if all racks are equal.
     pub rack: String,
-    /// Most tasks of the step on one worker; 0 for any number.
+    /// Maximum number of this step's tasks on one worker; 0 for no limit.
     pub spread: u32,
-    /// Copies may run at the same time; the first to end counts.
+    /// Several runs of a task may be active at the same time; the first to complete counts.
     pub copies: bool,
     /// The tasks run until the job is cancelled.
     pub lasting: bool,
-    /// The processors are taken only from what others leave unused.
+    /// The tasks use only processors that other tasks leave free.
     pub filler: bool,
 }
 
 impl StepSpec {
-    /// What one task takes from a worker's room.
+    /// Resources that one task books on a worker.
     #[must_use]
     pub fn booked(&self) -> Room {
         let cpu = if self.filler { 0 } else { self.need.cpu };
         Room { cpu, ..self.need }
     }
 
-    /// What one task takes from a worker's room, and the processors that it
-    /// takes only from what others leave unused.
+    /// Resources that one task books on a worker, and the processors that it uses only while
+    /// other tasks leave them free.
     #[must_use]
     pub fn takes(&self) -> (Room, u64) {
         let filler = if self.filler { self.need.cpu } else { 0 };
@@ -125,37 +125,37 @@
     }
 }
 
-/// When a repeated job is due.
+/// Times at which a repeated job runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Schedule {
-    /// How many times the steps run.
+    /// Number of rounds, each of which runs all steps.
     pub rounds: u32,
-    /// First due time, since 1970.
+    /// Time of the first round, since 1970.
     pub first: Duration,
-    /// Time between two due times.
+    /// Time between the starts of two rounds.
     pub every: Duration,
 }
 
-/// An accepted job, as it is stored.
+/// An accepted job in the form in which it is stored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Queue as it was configured when the job was accepted. The current
-    /// configuration goes first, as long as it still names the queue.
+    /// Queue as configured when the job was accepted. The current configuration of the queue
+    /// takes precedence while it exists.
     pub queue: Queue,
-    /// Text handed to each task unchanged.
+    /// Text passed unchanged to each task.
     pub payload: String,
     /// Steps in the caller's order.
     pub steps: Vec<StepSpec>,
-    /// Present when the job is repeated at set times.
+    /// Set for a job that is repeated at fixed times.
     pub schedule: Option<Schedule>,
     /// Wall-clock time of acceptance, since 1970.
     pub received: Duration,
-    /// A caller has cancelled the job.
+    /// Set when a caller has cancelled the job.
     pub canceled: bool,
 }
 
 impl JobSpec {
-    /// How many times the steps run.
+    /// Number of rounds; 1 for a job without a schedule.
     #[must_use]
     pub fn rounds(&self) -> u32 {
         self.schedule.map_or(1, |schedule| schedule.rounds.max(1))
--- a/crates/job/src/tenure.rs
+++ b/crates/job/src/tenure.rs
@@ -1,50 +1,49 @@
-//! Who may renew the leases of workers, and when a successor may take them for
-//! over.
+//! Decides how long an owner may renew the leases of workers, and when its successor may treat
+//! them as expired.
 //!
-//! Without a rule that both owners can judge alone, an owner that is cut off
-//! from the store and shares no reachable worker with its successor renews
-//! leases for good, while the successor counts them as over: tasks run on two
-//! workers at a time. The rule:
+//! Each owner must be able to decide this alone. Otherwise an owner that is cut off from the
+//! store and shares no reachable worker with its successor would renew leases forever, while the
+//! successor treats them as expired and starts the same tasks on other workers. The rule:
 //!
-//! - An owner renews for [`STORE_VOUCH`] after the start of its newest write
-//!   that was done. Beyond that, it renews for [`WORKER_VOUCH`] after over half
-//!   of its workers have obeyed it, but not for longer than [`LONGEST_CUT`].
-//! - "Its workers" are those with a row in the store. The successor reads the
-//!   same rows, since none changes without a write of the owner. A worker obeys
-//!   one owner at a time; so once the successor has claimed half of them, or
-//!   knows that they are dead, its predecessor renews for `WORKER_VOUCH` more.
-//!   One that reaches fewer waits for `LONGEST_CUT`.
+//! - An owner renews leases for [`STORE_VOUCH`] after the start of its newest successful write to
+//!   the store. Beyond that, it renews them for [`WORKER_VOUCH`] after over half of its workers
+//!   have accepted a command, but at most [`LONGEST_CUT`] after the start of that write.
+//! - "Its workers" are those with a row in the store. The successor reads the same rows, since
+//!   only a write of the owner changes them. A worker accepts commands of one owner at a time, so
+//!   once the successor has claimed half of the workers, or knows that they have crashed, its
+//!   predecessor renews leases for at most `WORKER_VOUCH` more. A successor that reaches fewer
+//!   workers waits for `LONGEST_CUT`.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use crate::WorkerId;
 
-/// How long a write that was done shows that the pool is ours: five renewals of
-/// the ownership, 0.4 s apart.
+/// How long a successful write proves that this process owns the pool: five renewals of the
+/// ownership, 0.4 s apart.
 pub const STORE_VOUCH: Duration = Duration::from_secs(2);
 
-/// How long a worker that obeyed vouches, from when the call was sent: a call
-/// waits there for 0.4 s, and two that are left unanswered take 0.8 s each.
+/// How long an accepted command counts, from when it was sent. It covers a renewal call, which
+/// waits for 0.4 s at the worker, and two calls without a reply, which time out after 0.8 s each.
 pub const WORKER_VOUCH: Duration = Duration::from_millis(2500);
 
-/// Longest time for which an owner goes on without the store. A successor that reaches fewer
-/// than half of the workers waits as long.
+/// Maximum time for which an owner renews leases without the store. A successor that reaches
+/// fewer than half of the workers waits for the same time.
 pub const LONGEST_CUT: Duration = Duration::from_mins(2);
 
-/// What an owner's right to renew leases rests on.
+/// State from which an owner derives until when it may renew leases.
 #[derive(Debug)]
 pub struct Tenure {
-    /// The newest write that was done began then.
+    /// Start of the newest successful write to the store.
     written: Duration,
-    /// Workers with a row.
+    /// Workers with a row in the store.
     rows: BTreeSet<WorkerId>,
-    /// Workers whose row is being written or removed: it may be there or not.
+    /// Workers whose row is being written or removed, so that it may or may not exist.
     open: BTreeSet<WorkerId>,
 }
 
 impl Tenure {
-    /// Tenure of an owner that has read the rows of `workers` at `now`.
+    /// Creates the state of an owner that read the rows of `workers` at `now`.
     #[must_use]
     pub fn new(now: Duration, workers: impl IntoIterator<Item = WorkerId>) -> Tenure {
         Tenure {
@@ -54,68 +53,69 @@
         }
     }
 
-    /// When the newest write that was done began.
+    /// Start of the newest successful write to the store.
     #[must_use]
     pub fn written(&self) -> Duration {
         self.written
     }
 
-    /// Until when the store alone vouches.
+    /// Time until which the newest write alone allows renewals.
     #[must_use]
     pub fn by_store(&self) -> Duration {
         self.written + STORE_VOUCH
     }
 
-    /// A write that began at `begun` was done.
+    /// Records a successful write to the store that started at `begun`.
     pub fn wrote(&mut self, begun: Duration) {
         self.written = self.written.max(begun);
     }
 
-    /// A write that changes the row of this worker is being sent.
+    /// Records that a write which adds or removes the row of this worker is being sent.
     pub fn changing(&mut self, worker: &str) {
         self.open.insert(worker.to_owned());
     }
 
-    /// The row of this worker was written.
+    /// Records that the row of this worker was written.
     pub fn added(&mut self, worker: &str) {
         self.open.remove(worker);
         self.rows.insert(worker.to_owned());
     }
 
-    /// The row of this worker was removed.
+    /// Records that the row of this worker was removed.
     pub fn removed(&mut self, worker: &str) {
         self.open.remove(worker);
         self.rows.remove(worker);
     }
 
-    /// Until when leases may be renewed. `heard` gives when the newest call was
-    /// sent that a worker obeyed.
+    /// Time until which leases may be renewed. `heard` returns when the newest command that a
+    /// worker accepted was sent.
     #[must_use]
     pub fn until(&self, heard: impl Fn(&str) -> Option<Duration>) -> Duration {
         let by_workers = self.vouched(heard).min(self.written + LONGEST_CUT);
         self.by_store().max(by_workers)
     }
 
-    /// Until when over half of the workers vouch, whether a write without an
-    /// answer was done or not: with its rows, and without them.
+    /// Time until which a majority of the workers allows renewals, whether or not a write without
+    /// a reply has changed their rows.
     fn vouched(&self, heard: impl Fn(&str) -> Option<Duration>) -> Duration {
         let settled = self.rows.difference(&self.open);
         let mut times: Vec<Duration> = settled.filter_map(|worker| heard(worker)).collect();
         times.sort_unstable_by(|one, other| other.cmp(one));
-        // None of the workers in doubt counts for us, each counts as one.
+        // Workers with an unconfirmed row count in the total but not towards the majority.
         let all = self.rows.union(&self.open).count();
         let last = times.get(all / 2);
         last.map_or(Duration::ZERO, |last| *last + WORKER_VOUCH)
     }
 }
 
-/// What a successor knows of its predecessor's tenure.
+/// What a successor knows of how long its predecessor may renew leases.
 #[derive(Debug)]
 pub(crate) struct Succession {
     began: Duration,
-    /// Workers with a row when we took over.
+    /// Number of workers with a row at the take-over.
     rows: usize,
-    /// Since when the predecessor cannot have over half of them.
+    /// When it became certain that at most half of these workers accept commands of the
+    /// predecessor.
     outvoted: Option<Duration>,
 }
 
@@ -132,14 +132,14 @@
         self.rows += 1;
     }
 
-    /// Takes note of how many of the workers may still obey the predecessor.
+    /// Records how many of the workers may still accept commands of the predecessor.
     pub(crate) fn update(&mut self, now: Duration, doubtful: usize) {
         if self.outvoted.is_none() && doubtful * 2 <= self.rows {
             self.outvoted = Some(now);
         }
     }
 
-    /// When the predecessor has sent its last renewal.
+    /// Latest time at which the predecessor may have sent a renewal.
     pub(crate) fn last_renewal(&self) -> Duration {
         let by_store = self.began + STORE_VOUCH;
         match self.outvoted {
--- a/crates/job/src/worker.rs
+++ b/crates/job/src/worker.rs
@@ -1,4 +1,4 @@
-//! What workers say of themselves and of what they run.
+//! Registrations and reports of workers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,24 +12,24 @@
 use crate::TaskKey;
 use crate::WorkerId;
 
-/// A worker as it is registered.
+/// Registration of a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerInfo {
-    /// The worker.
+    /// Identifier of the worker.
     pub id: WorkerId,
-    /// This life of it; nothing if it is not known.
+    /// Incarnation of the worker; `None` if it is unknown.
     pub life: Option<LifeId>,
-    /// Pool that it belongs to.
+    /// Pool to which the worker belongs.
     pub service: String,
-    /// Where it takes orders.
+    /// Address at which the worker accepts commands.
     pub address: SocketAddr,
-    /// Processors, memory and accelerators in all.
+    /// Total resources of the worker.
     pub capacity: Room,
-    /// Kind and rack.
+    /// Labels of the worker: its kind and its rack.
     pub labels: Vec<String>,
-    /// It will leave and takes no new work.
+    /// The worker will shut down and accepts no new runs.
     pub draining: bool,
-    /// Least time until it leaves, while it drains.
+    /// Minimum time until a draining worker shuts down.
     pub remaining: Option<Duration>,
 }
 
@@ -37,66 +37,66 @@
 #[derive(Clone, Copy, Debug, Display, EnumString, PartialEq, Eq)]
 #[strum(serialize_all = "lowercase")]
 pub enum RunEnd {
-    /// With success.
+    /// Successfully.
     Done,
-    /// By its own fault or the worker's.
+    /// By a failure of the task or the worker.
     Failed,
-    /// By an order.
+    /// By a stop command.
     Stopped,
     /// The worker's lease expired.
     Lapsed,
-    /// Another member of its gang ended.
+    /// Another member of the gang ended.
     Broken,
-    /// The other members of its gang did not come in time.
+    /// The other members of the gang did not start in time.
     Alone,
 }
 
-/// A run that is at work.
+/// A run that is active on a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunningTask {
-    /// The task.
+    /// Task that the run executes.
     pub task: TaskKey,
-    /// The run.
+    /// Number of the run.
     pub run: RunId,
-    /// Newest checkpoint; empty for none.
+    /// Newest checkpoint; empty if there is none.
     pub checkpoint: String,
-    /// Progress, 0 to 100.
+    /// Progress in percent, 0 to 100.
     pub percent: u32,
 }
 
 /// A run that has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndedTask {
-    /// Number of the end in this life of the worker, from 1.
+    /// Sequence number of the end within this incarnation of the worker, from 1.
     pub number: u64,
-    /// The task.
+    /// Task that the run executed.
     pub task: TaskKey,
-    /// The run.
+    /// Number of the run.
     pub run: RunId,
-    /// How it ended.
+    /// How the run ended.
     pub how: RunEnd,
-    /// Newest checkpoint; empty for none.
+    /// Newest checkpoint; empty if there is none.
     pub checkpoint: String,
 }
 
-/// Everything that a worker runs, and the ends that it still remembers.
+/// A worker's reply that lists its active runs and the ended runs that it still keeps.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listing {
-    /// The life of the worker that made it; nothing if it does not say.
+    /// Incarnation of the worker that replied; `None` if the worker does not report it.
     pub life: Option<LifeId>,
-    /// The worker's own steady clock.
+    /// Time of the worker's monotonic clock.
     pub clock: Duration,
-    /// Runs at work.
+    /// Active runs.
     pub running: Vec<RunningTask>,
-    /// Ends, oldest first.
+    /// Ended runs, oldest first.
     pub ended: Vec<EndedTask>,
 }
 
-/// A worker that may run a step, with the proof to show it.
+/// A worker that may run a step, with the ticket that proves it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ticket {
-    /// The worker.
+    /// Worker for which the ticket is valid.
     pub worker: WorkerId,
-    /// Text to hand over with each start.
+    /// Text of the ticket, which is sent with each start.
     pub text: String,
 }
