--- a/crates/job/tests/field/mod.rs
+++ b/crates/job/tests/field/mod.rs
@@ -1,6 +1,6 @@
-//! Workers that tasks take down, around the planner. They come back after some seconds under
-//! another id, or at once under theirs, and the owner may change at any time. Starts and
-//! crashes are counted from the workers' side.
+//! Simulation of workers that are taken down by tasks. They come back after some seconds under
+//! another id, or at once under the same one, and the owner may change at any time. Starts and
+//! crashes are counted on the workers' side.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -28,73 +28,73 @@
 
 use crate::support;
 
-/// Time of one tick.
+/// Simulated time per tick.
 pub const TICK: Duration = Duration::from_millis(10);
 
-/// Most starts of a task that crashes each worker: the platform bears two more after three
-/// crashes.
+/// Maximum number of starts of a task that crashes each worker: after three crashes, up to two
+/// more starts are accepted by the platform.
 pub const MOST_STARTS: usize = 5;
 
-/// Time of a crash after the start.
+/// Time from the start of such a task to the crash of its worker.
 pub const AT_ONCE: Duration = Duration::from_millis(10);
 
-/// Time within which a task that crashes its workers is given up.
+/// Time within which the job of a task that crashes its workers must fail.
 pub const SOON: Duration = Duration::from_secs(30);
 
-/// Time from a crash until the owner learns of it: the list of machines is asked for
+/// Time from a crash until the owner learns of it from the list of machines, which it requests
 /// twice a second.
 const CRASH_KNOWN: Duration = Duration::from_millis(500);
 
-/// Time from a crash until the worker is back.
+/// Time from a crash until a worker comes back under another id.
 const RETURN_TIME: Duration = Duration::from_secs(3);
 
-/// The same of one that comes back under its id.
+/// Time from a crash until a worker comes back under the same id.
 const QUICK_RETURN: Duration = Duration::from_millis(100);
 
-/// Time for a save.
+/// Duration of a write to the store.
 const SAVE_TIME: Duration = Duration::from_millis(30);
 
-/// A life of a worker.
+/// An incarnation of a worker.
 #[derive(Debug, Default)]
 pub struct Life {
     pub id: String,
-    /// Start of this life, where workers name it.
+    /// Start of the incarnation, if the worker reports it.
     name: Option<u64>,
     pub key: Option<WorkerKey>,
-    /// Run, begin and end of what is at work.
+    /// Number, start and end of the active run of each task.
     pub running: BTreeMap<TaskKey, (RunId, Duration, Duration)>,
     ended: Vec<EndedTask>,
-    /// When it died, if it has.
+    /// Time of the crash, if there was one.
     pub died: Option<Duration>,
-    /// The owner knows that it is over.
+    /// The owner knows that the incarnation has ended.
     known: bool,
-    /// It answers nobody, and lives.
+    /// The worker runs but answers no calls.
     pub cut: bool,
     pub draining: bool,
     pub cores: u64,
 }
 
-/// Workers and an owner.
+/// Workers and the planner of their owner.
 pub struct Field {
     pub now: Duration,
     pub epoch: u64,
     pub planner: Planner,
-    /// All lives of the worker of each place, the newest last.
+    /// All incarnations of the worker at each place, the newest last.
     pub places: Vec<Vec<Life>>,
     jobs: BTreeMap<JobId, JobSpec>,
     stored: BTreeMap<JobId, Progress>,
     saving: Option<(Duration, job::Batch)>,
-    /// The store takes no writes.
+    /// All writes to the store fail.
     pub store_away: bool,
-    /// Tasks that take their worker down so long after their start.
+    /// Tasks that crash their worker, with the time from start to crash.
     pub bad: HashMap<TaskKey, Duration>,
-    /// Starts by task: when, and where.
+    /// Time and place of each start, by task.
     pub starts: HashMap<TaskKey, Vec<(Duration, usize)>>,
-    /// Workers that died while the task was at work.
+    /// Number of workers that crashed while the task ran on them.
     pub crashes: HashMap<TaskKey, usize>,
-    /// Ends as failed, by task.
+    /// Number of failed runs, by task.
     pub failures: HashMap<TaskKey, usize>,
-    /// Workers come back under their ids.
+    /// Workers come back under the same id.
     same_ids: bool,
 }
 
@@ -103,7 +103,7 @@
         Field::open(workers, false)
     }
 
-    /// Workers that come back under their ids.
+    /// Creates workers that come back under the same id.
     pub fn with_same_ids(workers: usize) -> Field {
         Field::open(workers, true)
     }
@@ -131,7 +131,7 @@
         field
     }
 
-    /// The owner dies; its successor knows what was saved.
+    /// Replaces the owner by one that knows only what was stored.
     pub fn take_over(&mut self) {
         self.epoch += 1;
         self.saving = None;
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Lives by worker, as the rows say that the owner leaves.
+    /// Incarnation of each worker in the rows that the owner leaves in the store.
     fn rows(&self) -> HashMap<String, Option<u64>> {
         let lives = self.places.iter().flatten();
         let known = lives.filter_map(|life| {
@@ -173,15 +173,15 @@
         self.planner.take_job(id, spec, None, false);
     }
 
-    /// A job whose tasks take `millis` each.
+    /// Submits a job whose tasks take `millis` each.
     pub fn submit_tasks(&mut self, id: JobId, count: u32, millis: u64) {
         let mut step = support::step(count);
         step.estimate = Duration::from_millis(millis);
         self.submit(id, support::spec(vec![step]));
     }
 
-    /// Three jobs of two tasks for each worker; the first tasks of the jobs `bad` take their
-    /// workers down at once.
+    /// Submits three jobs of two tasks for each worker; the first task of each job in `bad`
+    /// crashes its workers at once.
     pub fn submit_busy(&mut self, bad: &[JobId]) {
         for id in 1..=self.busy_jobs() {
             self.submit_tasks(id, 2, 1000 + 40 * id);
@@ -191,12 +191,12 @@
         }
     }
 
-    /// The jobs of [`Field::submit_busy`].
+    /// Number of jobs that [`Field::submit_busy`] submits.
     fn busy_jobs(&self) -> JobId {
         3 * self.places.len() as JobId
     }
 
-    /// Checks that of these jobs the bad ones have failed, and the others are completed.
+    /// Checks that of these jobs the bad ones have failed and the others have completed.
     pub fn check_busy(&self, bad: &[JobId]) {
         for id in 1..=self.busy_jobs() {
             let expected = if bad.contains(&id) {
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Checks that no bad task was started too often.
+    /// Checks that no bad task was started more than [`MOST_STARTS`] times.
     pub fn check_starts(&self, bad: &[JobId]) {
         for &id in bad {
             let starts = self.starts_of(support::task(id, 0, 0));
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Eight workers go down at once, four times, 4.9 s apart, and a minute passes.
+    /// Crashes eight workers at once, four times, 4.9 s apart, and then runs for a minute.
     pub fn crash_many(&mut self) {
         for _ in 0..4 {
             self.run(Duration::from_millis(900));
@@ -228,7 +228,7 @@
         self.run(Duration::from_mins(1));
     }
 
-    /// The owner changes `known` after each crash under the task, until its job has failed.
+    /// Replaces the owner `known` after each crash under the task, until its job has failed.
     pub fn change_owners(&mut self, task: TaskKey, known: Duration) {
         let mut crashes = 0;
         let job = task.step.job;
@@ -255,18 +255,18 @@
         self.crashes.get(&task).copied().unwrap_or(0)
     }
 
-    /// The newest life of a place.
+    /// Newest incarnation of the worker at a place.
     pub fn life(&mut self, place: usize) -> &mut Life {
         self.places[place].last_mut().expect("a life")
     }
 
-    /// Where a task is at work.
+    /// Place at which a task is running.
     pub fn place_of(&self, task: TaskKey) -> Option<usize> {
         let at = |lives: &Vec<Life>| lives.last().is_some_and(|life| life.holds(task));
         self.places.iter().position(at)
     }
 
-    /// Goes on for a time.
+    /// Runs the simulation for a time.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -274,7 +274,7 @@
         }
     }
 
-    /// Goes on until a condition holds; gives whether it came about within a time.
+    /// Runs the simulation until a condition holds; returns whether that happened within `time`.
     pub fn run_until(&mut self, time: Duration, holds: impl Fn(&Field) -> bool) -> bool {
         let end = self.now + time;
         while self.now < end {
@@ -286,7 +286,7 @@
         holds(self)
     }
 
-    /// The worker of a place goes down, with all that runs there.
+    /// Crashes the worker at a place, with all its runs.
     pub fn crash(&mut self, place: usize) {
         let now = self.now;
         let life = self.life(place);
@@ -300,7 +300,7 @@
         }
     }
 
-    /// The worker of a place announces that it leaves.
+    /// Marks the worker at a place as draining.
     pub fn drain(&mut self, place: usize) {
         let life = self.life(place);
         life.draining = true;
@@ -356,11 +356,11 @@
             };
             if former.died.is_some_and(|died| died + pause <= self.now) {
                 let key = former.key;
-                // No list of machines misses an id that is there again.
+                // The list of machines never lacks an id that is in use again.
                 former.known |= self.same_ids;
                 let mut life = Life::new(place, lives.len(), self.same_ids);
                 life.key = self.planner.take_worker(life.info());
-                // Its entry alone does not end the former life.
+                // A new registration alone does not end the former incarnation.
                 let key = key.filter(|key| self.planner.worker(*key).is_some());
                 life.key = life.key.or(key.filter(|_| self.same_ids));
                 lives.push(life);
@@ -369,7 +369,7 @@
     }
 
     fn tell_owner(&mut self) {
-        // The list of machines is asked for those of which it matters.
+        // The owner requests the list of machines only if it doubts that some worker still runs.
         let asked = self.planner.doubtful();
         for life in self.places.iter_mut().flatten().filter(|life| !life.known) {
             let Some(key) = life.key else { continue };
@@ -524,7 +524,7 @@
     }
 }
 
-/// All tasks that ever started, by name.
+/// All tasks that were ever started.
 pub fn tasks(field: &Field) -> HashSet<TaskKey> {
     field.starts.keys().copied().collect()
 }
--- a/crates/job/tests/invariants.rs
+++ b/crates/job/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! The planner in a world of losses, driven by arbitrary events.
+//! Checks the planner's invariants in a simulation with faults, driven by arbitrary events.
 
 mod support;
 mod world;
@@ -6,7 +6,7 @@
 use world::Event;
 use world::World;
 
-/// The next number of a linear congruential generator, of 31 bits.
+/// Returns the next number of a linear congruential generator, of 31 bits.
 fn draw(state: &mut u64) -> u64 {
     *state = state
         .wrapping_mul(6_364_136_223_846_793_005)
@@ -14,8 +14,8 @@
     *state >> 33
 }
 
-/// Draws `count` events, most of them out of `usual`, and `any` and one more in 256 arbitrary
-/// ones.
+/// Carries out `count` events. Most are drawn from `usual`; `any` and one more in 256 are
+/// arbitrary.
 fn drive(state: &mut u64, count: usize, usual: &[(u8, u8)], any: u8, mut step: impl FnMut(Event)) {
     for _ in 0..count {
         let bytes = draw(state).to_le_bytes();
@@ -30,11 +30,11 @@
     }
 }
 
-/// Whatever the order of events: no task on two workers at a time, none again
-/// after its recorded end, none before the steps it waits for, and no worker
-/// over its capacity; and no job is said to have begun before a worker has
-/// started a task of it. Owners die, orders are lost or carried out late, saves
-/// fail, workers are cut off until their lease is over.
+/// For any order of events: no task runs on two workers at a time, none starts after a successful
+/// end of it was stored or before the steps on which it depends, no worker is used beyond its
+/// capacity, and no job is shown as started before a worker has started a task of it. Owners
+/// crash, commands are lost or carried out late, writes fail, and workers are cut off until their
+/// lease expires.
 #[test]
 fn invariants_hold_for_any_order_of_events() {
     bolero::check!()
@@ -47,8 +47,7 @@
         });
 }
 
-/// The same over long seeded sequences, which reach states that short ones do
-/// not.
+/// Checks the same with long seeded sequences, which reach states that short ones do not.
 #[test]
 fn invariants_hold_over_long_sequences() {
     let mut state: u64 = 0x9e37_79b9_7f4a_7c15;
@@ -70,9 +69,9 @@
     assert!(starts > 10_000, "the sequences start tasks: {starts}");
 }
 
-/// Guards against a former owner, cut off from the store, that renews leases for longer than
-/// its successor waits for them. Random sequences seldom hold that for the seven seconds it
-/// takes; here, most events are calls of the former owner, 0.1 s apart.
+/// Guards against a former owner, cut off from the store, that renews leases for longer than its
+/// successor waits. Random sequences seldom keep this up for the seven seconds it takes, so most
+/// events here are calls of the former owner, 0.1 s apart.
 #[test]
 fn a_successor_outwaits_a_former_owner_that_goes_on() {
     const EVENTS: [(u8, u8); 12] = [
@@ -94,7 +93,7 @@
 
     for _ in 0..300 {
         let mut world = World::new();
-        // All three workers run something when the owner is cut off.
+        // All three workers have active runs when the owner is cut off.
         for event in [
             (0, 1),
             (0, 3),
@@ -118,12 +117,11 @@
     }
 }
 
-/// The same where tasks take their workers down, workers come back under another id, and
-/// rooms shrink and grow: no start fills a room beyond what it was when the start was
-/// sent, a task that crashes each worker is started five times at most, once more for
-/// each owner that died, and no job fails without a task that failed too often or under
-/// which two workers crashed. Most events are those of an owner at work, since a task is
-/// given up only seconds after its first crash.
+/// Checks the same where tasks crash their workers, workers come back under another id, and
+/// capacities shrink and grow. No start may exceed the capacity at the time when it was sent. A
+/// task that crashes each worker is started five times at most, plus once for each owner that
+/// crashed. A job fails only if a task failed too often or two workers crashed under it. Most
+/// events are those of an owner at work, since a job fails only seconds after the first crash.
 #[test]
 fn invariants_hold_where_tasks_crash_their_workers() {
     const EVENTS: [(u8, u8); 20] = [
@@ -165,10 +163,10 @@
     assert!(bad > 500, "{bad} starts of bad tasks");
 }
 
-/// The same where two of three workers come back under their id: at once or later, one or
-/// all, with orders that cross the restart, entries that are read late and clocks that go
-/// back. No task runs again after an end as done that was recorded, or after as many failed
-/// ones as it has attempts.
+/// Checks the same where two of three workers come back under the same id: at once or later, one
+/// or all, with commands that arrive after the restart, registrations that are read late, and
+/// clocks that go back. No task runs again after a stored successful end, or after as many stored
+/// failures as it has attempts.
 #[test]
 fn invariants_hold_where_workers_start_again_under_their_id() {
     const EVENTS: [(u8, u8); 22] = [
--- a/crates/job/tests/support/lives.rs
+++ b/crates/job/tests/support/lives.rs
@@ -1,4 +1,4 @@
-//! Workers that start again under their id.
+//! Fixtures for workers that start again under the same id.
 
 use std::time::Duration;
 
@@ -20,11 +20,11 @@
 use super::task;
 use super::worker;
 
-/// Start of the first life of a worker, and of the next one.
+/// Start of the first incarnation of the worker, and of the next one.
 pub const FIRST: u64 = 1_790_000_000_000;
 pub const NEXT: u64 = FIRST + 5000;
 
-/// The job of these tests.
+/// Job of these tests.
 pub const JOB: u64 = 7;
 
 pub fn at(millis: u64) -> Duration {
@@ -49,13 +49,13 @@
     list(life, Listing::default())
 }
 
-/// A list that was asked for at a time and comes 2 ms later.
+/// Passes in a worker report that was requested at `sent` and arrives 2 ms later.
 pub fn tell(planner: &mut Planner, key: WorkerKey, sent: u64, of: &Listing) {
     planner.advance(at(sent + 2));
     planner.take_listing(key, at(sent), of);
 }
 
-/// Plans, saves what has to be saved before a start, and plans again 5 ms later.
+/// Plans, completes the writes that must precede a start, and plans again 5 ms later.
 pub fn plan_saved(planner: &mut Planner, now: u64) -> Vec<(TaskKey, RunId, WorkerKey)> {
     let mut starts = plan_at(planner, now);
     save(planner);
@@ -68,7 +68,7 @@
     planner.batch_saved(&batch);
 }
 
-/// The life that a planner has found, by its orders.
+/// Key of the new incarnation that the planner has found, according to its commands.
 pub fn begun(planner: &mut Planner) -> Option<WorkerKey> {
     let orders = planner.take_orders();
     orders.into_iter().find_map(|order| match order {
@@ -77,7 +77,8 @@
     })
 }
 
-/// A worker in its first life, claimed, whose first 20 ends are taken in.
+/// Adds a worker in its first incarnation that is claimed and has reported its first 20 ended
+/// runs.
 pub fn with_history(planner: &mut Planner) -> WorkerKey {
     let key = planner.take_worker(info(FIRST)).expect("new worker");
     let ends = (1..=20).map(|number| ended(number, task(1, 0, 0), number, RunEnd::Stopped));
@@ -86,7 +87,7 @@
     key
 }
 
-/// Starts a job of one step at 10 ms; its starts are answered.
+/// Starts a job of one step at 10 ms, and confirms its starts.
 pub fn start(planner: &mut Planner, count: u32) -> Vec<(TaskKey, RunId)> {
     planner.take_job(JOB, spec(vec![step(count)]), None, false);
     let starts = plan_at(planner, 10);
@@ -97,7 +98,7 @@
     starts.iter().map(|(task, run, _)| (*task, *run)).collect()
 }
 
-/// The worker registers and is claimed in its next life.
+/// Registers and claims the next incarnation of the worker.
 pub fn claim_next(planner: &mut Planner, key: WorkerKey, sent: u64) -> WorkerKey {
     planner.take_worker(info(NEXT));
     tell(planner, key, sent, &nothing(NEXT));
--- a/crates/job/tests/support/mod.rs
+++ b/crates/job/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures of the planner's tests.
+//! Fixtures for the tests of the planner.
 #![allow(dead_code, missing_docs)]
 
 pub mod lives;
@@ -23,12 +23,12 @@
 use job::WorkerInfo;
 use job::WorkerKey;
 
-/// A planner of the given epoch, at time 0.
+/// Creates a planner of the given epoch at time 0.
 pub fn planner(epoch: u64) -> Planner {
     Planner::new(Policy::default(), epoch, Duration::ZERO, Duration::ZERO)
 }
 
-/// A queue without advice.
+/// Creates a queue without advice.
 pub fn queue(attempts: u32) -> Queue {
     Queue {
         name: "bins".to_owned(),
@@ -44,7 +44,7 @@
     }
 }
 
-/// A step of `count` tasks of one core each.
+/// Creates a step of `count` tasks of one core each.
 pub fn step(count: u32) -> StepSpec {
     StepSpec {
         count,
@@ -73,7 +73,7 @@
     }
 }
 
-/// A job of low priority with time to spare.
+/// Creates a job of low priority that may wait for 20 s.
 pub fn patient(step: StepSpec) -> JobSpec {
     let mut job = spec(vec![step]);
     job.queue.priority = 2;
@@ -81,7 +81,7 @@
     job
 }
 
-/// A worker of four cores.
+/// Creates a worker of four cores.
 pub fn worker(id: &str) -> WorkerInfo {
     WorkerInfo {
         id: id.to_owned(),
@@ -100,7 +100,7 @@
     planner.take_worker(worker(id)).expect("new worker")
 }
 
-/// Registers a worker that has accepted our epoch and runs nothing.
+/// Registers a worker that has accepted the owner's epoch and has no active runs.
 pub fn add_claimed(planner: &mut Planner, id: &str) -> WorkerKey {
     let key = add(planner, id);
     planner.take_listing(key, Duration::ZERO, &Listing::default());
@@ -144,7 +144,7 @@
     }
 }
 
-/// Starts among the orders: task, run and worker.
+/// Takes the planner's commands and returns task, run and worker of each start.
 pub fn starts(planner: &mut Planner) -> Vec<(TaskKey, RunId, WorkerKey)> {
     let orders = planner.take_orders();
     let starts = orders.into_iter().filter_map(|order| match order {
@@ -156,7 +156,7 @@
     starts.collect()
 }
 
-/// Plans at a time in milliseconds and gives the starts.
+/// Plans at a time in milliseconds and returns the starts.
 pub fn plan_at(planner: &mut Planner, millis: u64) -> Vec<(TaskKey, RunId, WorkerKey)> {
     planner.advance(Duration::from_millis(millis));
     planner.plan();
--- a/crates/job/tests/tenure.rs
+++ b/crates/job/tests/tenure.rs
@@ -1,4 +1,4 @@
-//! Who may renew leases, judged by an owner alone.
+//! Tests of how long an owner may renew leases, judged by that owner alone.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     Tenure::new(Duration::from_secs(now), workers)
 }
 
-/// Workers heard at these seconds, in order of their names.
+/// Times in seconds at which the workers accepted a command, in order of their names.
 fn heard(times: &[u64]) -> impl Fn(&str) -> Option<Duration> {
     move |worker| {
         let at = WORKERS.iter().position(|one| *one == worker)?;
@@ -44,7 +44,7 @@
     assert_eq!(more, Duration::from_secs(30) + WORKER_VOUCH);
 }
 
-/// An owner that was cut off alone would go on for good with workers that no
+/// Guards against an owner that is cut off alone and renews leases forever on workers that no
 /// successor reaches.
 #[test]
 fn workers_vouch_for_a_limited_time_only() {
@@ -55,8 +55,8 @@
     assert_eq!(until, LONGEST_CUT);
 }
 
-/// A successor may have read the rows with or without those of a write that got
-/// no answer. Judged by the other set, both owners had over half of the workers.
+/// Guards against two owners that both see a majority of workers: a successor may have read the
+/// rows with or without those of a write that got no reply.
 #[test]
 fn workers_in_doubt_count_against_the_owner_only() {
     let mut tenure = tenure(0);
--- a/crates/job/tests/world/checks.rs
+++ b/crates/job/tests/world/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold at each start.
+//! Invariants that are checked at each start.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +11,7 @@
 use crate::support;
 
 impl World {
-    /// What must hold at each start, whoever ordered it.
+    /// Checks the invariants for a start, whichever owner has sent it.
     pub(super) fn check(&self, sent: &Sent, task: TaskKey) {
         let at = sent.worker;
         let elsewhere = self.workers.iter().enumerate();
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Whether a task (or its gang) has ever ended as done.
+    /// Whether a task, or any task of its gang, has ever ended successfully.
     fn ever_done(&self, task: TaskKey) -> bool {
         let gang = self.jobs[&task.step.job].steps[task.step.step as usize].gang;
         let ended = self.workers.iter().flat_map(|worker| &worker.ended);
--- a/crates/job/tests/world/former.rs
+++ b/crates/job/tests/world/former.rs
@@ -1,5 +1,5 @@
-//! A former owner that is cut off from the store and goes on with the workers
-//! that its successor may not reach.
+//! A former owner that is cut off from the store and still renews leases of workers that its
+//! successor may not reach.
 
 use std::time::Duration;
 
@@ -8,11 +8,11 @@
 
 use super::WORKERS;
 
-/// What it goes on with.
+/// State of the former owner.
 pub struct Former {
     pub epoch: u64,
     tenure: Tenure,
-    /// When it last called a worker that obeyed it.
+    /// When it sent the newest command that each worker accepted.
     heard: [Option<Duration>; WORKERS],
 }
 
@@ -25,12 +25,13 @@
         }
     }
 
-    /// Whether a call reaches a worker; most do.
+    /// Whether a call of the former owner reaches a worker; most do.
     pub fn reaches(at: usize, pick: u8) -> bool {
         !(usize::from(pick) / WORKERS + at).is_multiple_of(5)
     }
 
-    /// A worker obeys a call; gives the end of its lease if it is renewed.
+    /// Records that a worker accepts a renewal; returns the new expiry if the lease may be
+    /// renewed.
     pub fn renew(&mut self, at: usize, now: Duration) -> Option<Duration> {
         let heard = self.heard;
         let until = self.tenure.until(|worker| {
--- a/crates/job/tests/world/lives.rs
+++ b/crates/job/tests/world/lives.rs
@@ -1,5 +1,5 @@
-//! Workers that start again under their id: their orders cross the restart, and their
-//! entries are read late.
+//! Workers that start again under the same id: commands arrive after the restart, and
+//! registrations are read late.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,27 +15,27 @@
 use super::WORKERS;
 use super::World;
 
-/// Start of the first lives.
+/// Start of the first incarnations.
 const FIRST: u64 = 1_000_000;
 
-/// What a world knows of workers that keep their ids.
+/// State of the simulation for workers that keep their ids.
 #[derive(Debug, Default)]
 pub struct Lasting {
-    /// Lives that have begun.
+    /// Number of incarnations that have started.
     lives: u64,
-    /// Entries that the workers are still to write.
+    /// Whether the newest incarnation of each worker is still to write its registration.
     unwritten: [bool; WORKERS],
-    /// Entries of former lives, which may be read late.
+    /// Registrations of former incarnations, which may be read late.
     stale: Vec<WorkerInfo>,
-    /// Holds that former lives have left unanswered.
+    /// Renewals to which former incarnations did not reply.
     holds: Vec<LateHold>,
-    /// Ends that are recorded, by the link that is to acknowledge them.
+    /// Highest stored end for each worker key, which a renewal under that key may acknowledge.
     recorded: HashMap<WorkerKey, u64>,
-    /// Lives that began.
+    /// Number of restarts.
     pub restarts: usize,
 }
 
-/// A renewal that a former life did not answer.
+/// A renewal to which a former incarnation did not reply.
 #[derive(Clone, Copy, Debug)]
 struct LateHold {
     at: usize,
@@ -45,7 +45,8 @@
 }
 
 impl World {
-    /// A rough world in which two of three workers come back under their ids.
+    /// Creates a simulation with crashes in which two of three workers come back under the same
+    /// id.
     pub fn lasting() -> World {
         let mut world = World::rough();
         if let Some(rough) = &mut world.rough {
@@ -60,11 +61,11 @@
         world
     }
 
-    /// A step of a world with such workers.
+    /// Carries out an event in such a simulation.
     pub fn lasting_step(&mut self, event: Event) {
         let at = usize::from(event.pick) % WORKERS;
         match event.kind {
-            // So short that nobody misses it.
+            // A restart that is too short for anyone to notice.
             232..236 => {
                 self.crash(at);
                 self.come_back(at);
@@ -87,7 +88,7 @@
         self.rough.as_mut()?.lasting.as_mut()
     }
 
-    /// Whether a worker comes back under its id.
+    /// Whether a worker comes back under the same id.
     pub(super) fn lasts(&self, at: usize) -> bool {
         let lasting = self
             .rough
@@ -96,18 +97,18 @@
         lasting && at != 0
     }
 
-    /// Lives by worker, as the rows say that the owner leaves.
+    /// Incarnation of each worker in the rows that the owner leaves in the store.
     pub(super) fn rows(&self) -> HashMap<String, Option<u64>> {
         let known = self.keys.iter().filter_map(|key| self.planner.worker(*key));
         known.map(|info| (info.id.clone(), info.life)).collect()
     }
 
-    /// What orders to a worker carry.
+    /// Fencing token of commands to a worker.
     pub(super) fn token(&self, at: usize) -> Token {
         job::token(self.epoch, self.raised[at])
     }
 
-    /// Whether no start to a worker that got no answer may still be carried out.
+    /// Whether no start without a reply can still be carried out by a worker.
     fn quiet(&self, at: usize) -> bool {
         let open = |sent: &Sent| {
             let start = matches!(sent.order, Order::Start { .. });
@@ -116,24 +117,24 @@
         !self.late.iter().any(open)
     }
 
-    /// Whether an order that was sent then may still be carried out.
+    /// Whether a command that was sent at this time may still be carried out.
     fn on_its_way(&self, sent: Duration) -> bool {
         self.now <= sent + Policy::default().order_late
     }
 
-    /// A start got no answer: orders after it carry a higher token.
+    /// Raises the token of commands to a worker, after a start without a reply.
     pub(super) fn raise(&mut self, at: usize) {
         self.raised[at] += u64::from(self.lasts(at));
     }
 
-    /// The life that an order to a worker is meant for.
+    /// Incarnation for which a command to a worker is meant.
     pub(super) fn linked_life(&self, at: usize) -> Option<u64> {
         self.planner
             .worker(self.keys[at])
             .and_then(|info| info.life)
     }
 
-    /// The planner has found a new life of a worker.
+    /// Records that the planner has found a new incarnation of a worker.
     pub(super) fn begin(&mut self, key: WorkerKey) {
         let id = self.planner.worker(key).map(|info| info.id.clone());
         let at = (0..WORKERS).find(|at| Some(self.id(*at)) == id);
@@ -144,7 +145,7 @@
         }
     }
 
-    /// A worker is there again under its id. Its clock may have gone back.
+    /// Starts a worker again under the same id. Its clock may have gone back.
     pub(super) fn start_again(&mut self, at: usize) {
         let former = self.info(at);
         let back = self.now.as_millis().is_multiple_of(3);
@@ -173,13 +174,14 @@
         }
     }
 
-    /// The worker that is there has written its entry; whether it was still to do so.
+    /// Marks the registration of a worker as written; returns whether it was still to be written.
     pub(super) fn entry_written(&mut self, at: usize) -> bool {
         let lasting = self.lasting_mut();
         lasting.is_some_and(|lasting| std::mem::take(&mut lasting.unwritten[at]))
     }
 
-    /// The entry of a former life is read late, before the one that has replaced it.
+    /// Reads the registration of a former incarnation late, and then the one that has replaced
+    /// it.
     fn read_stale(&mut self, pick: u8) {
         let Some(lasting) = self.lasting_mut() else {
             return;
@@ -205,7 +207,7 @@
         }
     }
 
-    /// The list of machines misses the ids of workers that are down.
+    /// Reads the list of machines, which lacks the ids of crashed workers.
     pub(super) fn learn_lasting(&mut self) {
         for at in 0..WORKERS {
             if self.lasts(at) && self.workers[at].down {
@@ -214,8 +216,8 @@
         }
     }
 
-    /// Ends up to a number are recorded: the next renewal says so, if the worker has
-    /// answered the one before.
+    /// Records that ends up to a number are stored. The next renewal acknowledges them if the
+    /// worker has replied to the one before.
     pub(super) fn recorded(&mut self, at: usize, number: u64) {
         let key = self.keys[at];
         match self.lasting_mut() {
@@ -226,7 +228,7 @@
         }
     }
 
-    /// A renewal acknowledges what is recorded.
+    /// Acknowledges the stored ends with a renewal.
     pub(super) fn acknowledge(&mut self, at: usize, key: WorkerKey) {
         let linked = self.workers[at].linked || self.workers[at].life.is_none();
         let number = self
@@ -237,8 +239,8 @@
         }
     }
 
-    /// A renewal is on its way to a worker that goes down, and acknowledges what is recorded
-    /// if it may.
+    /// Keeps a renewal that is on its way to a worker when it crashes. The renewal acknowledges
+    /// the stored ends if no start without a reply can still be carried out.
     pub(super) fn keep_late_hold(&mut self, at: usize) {
         if !self.lasts(at) || !self.workers[at].linked {
             return;
@@ -258,7 +260,7 @@
         self.raised[at] += u64::from(seen.is_some());
     }
 
-    /// A renewal that was meant for a former life reaches the one that is there.
+    /// Delivers a renewal for a former incarnation to the present one.
     fn deliver_hold(&mut self, pick: u8) {
         let Some(lasting) = self.lasting_mut() else {
             return;
@@ -277,9 +279,9 @@
         self.note(hold.at, hold.seen);
     }
 
-    /// Whether a late order is played. One that was given up, or is later than orders are
-    /// taken to be, and reaches a next life before that is claimed is left out: nothing could
-    /// refuse it.
+    /// Whether a late command is delivered. Left out are commands that nothing could refuse:
+    /// those that the planner no longer tracks, or that are later than its limit, if they reach a
+    /// new incarnation before that is claimed.
     pub(super) fn may_come_late(&self, sent: &Sent) -> bool {
         let worker = &self.workers[sent.worker];
         if sent.life == worker.life || worker.fence > 0 {
@@ -293,7 +295,7 @@
         }
     }
 
-    /// Restarts so far.
+    /// Number of restarts so far.
     pub fn restarts(&self) -> usize {
         let lasting = self.rough.as_ref().and_then(|rough| rough.lasting.as_ref());
         lasting.map_or(0, |lasting| lasting.restarts)
--- a/crates/job/tests/world/mod.rs
+++ b/crates/job/tests/world/mod.rs
@@ -1,6 +1,6 @@
-//! A small world around the planner: workers that obey the protocol, orders
-//! that are lost or late, owners that die, saves that fail. It checks the
-//! invariants at every start that a worker carries out.
+//! Simulation around the planner: workers that follow the protocol, commands that are lost or
+//! late, owners that crash, writes that fail. The invariants are checked at every start that a
+//! worker carries out.
 
 mod checks;
 mod former;
@@ -40,40 +40,40 @@
 use shown::Begun;
 use worker::Worker;
 
-/// Workers of the world, of four cores each.
+/// Number of workers, of four cores each.
 const WORKERS: usize = 3;
 
-/// Time that a stop takes.
+/// Time from a stop command to the end of the run.
 const STOP_TIME: Duration = Duration::from_millis(150);
 
-/// A step of the world, decoded from two arbitrary bytes.
+/// An event of the simulation, decoded from two arbitrary bytes.
 #[derive(Clone, Copy, Debug)]
 pub struct Event {
     pub kind: u8,
     pub pick: u8,
 }
 
-/// An order on its way.
+/// A command that was sent to a worker.
 #[derive(Clone, Debug)]
 struct Sent {
     worker: usize,
     id: String,
-    /// The life that it is meant for, if the worker names its lives.
+    /// Incarnation for which the command is meant, if the worker reports its incarnation.
     life: Option<u64>,
     token: Token,
     at: Duration,
-    /// End of the lease that it carries.
+    /// Expiry of the lease that the command carries.
     lease: Duration,
     order: Order,
 }
 
-/// The world.
+/// The simulated owner, its workers and the store.
 pub struct World {
     now: Duration,
     epoch: u64,
     planner: Planner,
     keys: Vec<WorkerKey>,
-    /// How often this owner has raised the token of each worker.
+    /// How often this owner has raised the fencing token of each worker.
     raised: Vec<u64>,
     workers: Vec<Worker>,
     jobs: BTreeMap<JobId, JobSpec>,
@@ -81,14 +81,14 @@
     late: Vec<Sent>,
     saving: Option<(Duration, Batch)>,
     tenure: Tenure,
-    /// The owner before, cut off from the store, that goes on.
+    /// Former owner that is cut off from the store and still renews leases.
     former: Option<Former>,
-    /// Ends that were recorded as done.
+    /// Stored ends of successful runs.
     noted: HashMap<TaskKey, RunId>,
-    /// Ends that were recorded as failed.
+    /// Stored ends of failed runs.
     noted_failures: HashMap<TaskKey, BTreeSet<RunId>>,
     begun: Begun,
-    /// Tasks that ever ended as done, on workers that are gone.
+    /// Tasks that have ended successfully on any worker, also on one that has crashed since.
     done: HashSet<TaskKey>,
     rough: Option<Rough>,
     pub starts: usize,
@@ -124,7 +124,7 @@
         world
     }
 
-    /// The owner dies; a successor knows what was stored, and nothing else.
+    /// Replaces the owner by one that knows only what was stored.
     fn take_over(&mut self) {
         let before = self.epoch;
         let rows = self.rows();
@@ -147,10 +147,11 @@
         self.recall_dead();
     }
 
-    /// A worker with a row, which then registers.
+    /// Adds a worker to the new planner from its row, and then from its registration.
     fn recall(&mut self, at: usize, rows: &HashMap<String, Option<u64>>) -> WorkerKey {
         let info: WorkerInfo = self.info(at);
-        // The row of a worker tells the most that it has had, and the life that was known.
+        // The row holds the largest capacity that the worker has had, and its last known
+        // incarnation.
         let row = WorkerInfo {
             life: rows.get(&info.id).copied().unwrap_or(info.life),
             ..support::worker(&info.id)
@@ -162,7 +163,7 @@
         key.expect("a new worker")
     }
 
-    /// The former owner calls a worker that its successor may not reach.
+    /// Sends a renewal of the former owner to a worker that its successor may not reach.
     fn renew_former(&mut self, pick: u8) {
         let at = usize::from(pick) % WORKERS;
         let Some(former) = &mut self.former else {
@@ -194,7 +195,7 @@
             11 => self.deliver_late(event.pick),
             12 if event.pick.is_multiple_of(4) => {
                 self.take_over();
-                // The former owner may go on with most of the workers.
+                // The former owner may still reach most of the workers.
                 for worker in &mut self.workers[1..] {
                     worker.cut = event.pick.is_multiple_of(8);
                 }
@@ -239,7 +240,7 @@
             vec![first, second]
         };
         let mut spec = support::spec(steps);
-        // Gangs preempt what is less urgent.
+        // Different priorities and deadlines let gangs preempt less urgent jobs.
         spec.queue.priority = u32::from(pick % 3);
         spec.queue.slack = Duration::from_secs(u64::from(pick % 16));
         self.jobs.insert(id, spec.clone());
@@ -255,7 +256,7 @@
         self.planner.take_job(id, spec.clone(), None, false);
     }
 
-    /// A renewal: claims the worker, extends its lease, lists.
+    /// Renews a lease: claims the worker, extends the lease and passes in the worker report.
     fn hold(&mut self, at: usize) {
         self.planner.advance(self.now);
         let key = self.keys[at];
@@ -268,8 +269,8 @@
             return;
         }
         let token = self.token(at);
-        // To a worker that names its lives, a lease goes only after an answer: the clock
-        // of a new life is not known.
+        // A worker that reports its incarnation gets a lease only after it has replied, since the
+        // clock of a new incarnation is unknown.
         if self.workers[at].linked || self.workers[at].life.is_none() {
             self.planner.lease_sent(key);
             let worker = &mut self.workers[at];
@@ -304,7 +305,7 @@
                 .collect(),
         };
         self.planner.take_listing(key, self.now, &listing);
-        // What another life than the known one lists is asked for again.
+        // The planner requests another report if this one came from an unknown incarnation.
         if self.workers[at].linked {
             let worker = &mut self.workers[at];
             let running = worker.running.iter();
@@ -339,7 +340,7 @@
                 lease: self.now + Policy::default().lease,
                 order,
             };
-            // Some orders get no answer; of these, some are carried out late.
+            // Some commands get no reply, and some of those are carried out late.
             if (nth + usize::from(pick)).is_multiple_of(5)
                 || self.workers[at].cut
                 || self.workers[at].down
@@ -416,7 +417,7 @@
         }
     }
 
-    /// Ends up to `number` are recorded, if the worker hears of it.
+    /// Records the stored ends up to `number` as acknowledged, if the worker can be reached.
     fn note(&mut self, at: usize, number: u64) {
         let worker = &mut self.workers[at];
         if worker.cut {
--- a/crates/job/tests/world/orders.rs
+++ b/crates/job/tests/world/orders.rs
@@ -1,4 +1,4 @@
-//! What becomes of orders: answered, lost, or carried out late.
+//! Delivery of commands: with a reply, without one, or late.
 
 use job::Order;
 use job::Policy;
@@ -35,8 +35,8 @@
         if self.workers[sent.worker].cut || self.workers[sent.worker].down {
             return;
         }
-        // A worker that has come back under another id does nothing of what its former life
-        // was told.
+        // A worker that has come back under another id ignores commands to its former
+        // incarnation.
         if self.id(sent.worker) == sent.id && self.may_come_late(&sent) {
             self.carry_out(&sent, false);
         }
@@ -80,7 +80,8 @@
     fn start(&mut self, sent: &Sent, task: TaskKey, run: RunId) -> StartReply {
         let worker = &mut self.workers[sent.worker];
         let old = worker.over.get(&task).is_some_and(|over| *over >= run);
-        // On the clock of another life a lease may be as long as the worker grants it.
+        // The lease was computed for the clock of another incarnation, so it may last up to the
+        // longest lease that a worker grants.
         let lease = if sent.life == worker.life {
             sent.lease
         } else {
--- a/crates/job/tests/world/rough.rs
+++ b/crates/job/tests/world/rough.rs
@@ -1,5 +1,5 @@
-//! Workers that go down and come back under another id, tasks that take them down, and
-//! rooms that shrink and grow.
+//! Workers that crash and come back under another id, tasks that crash their workers, and
+//! capacities that shrink and grow.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,48 +20,48 @@
 use super::worker::Worker;
 use crate::support;
 
-/// Most starts of a task that takes each worker down, if no owner dies: the platform
-/// bears two more after three crashes.
+/// Maximum number of starts of a task that crashes each worker, if no owner crashes: after three
+/// crashes, up to two more starts are accepted by the platform.
 const MOST_STARTS: usize = 5;
 
-/// Crashes under a task after which it may be given up.
+/// Minimum number of crashes under a task after which its job may fail.
 const FEWEST_CRASHES: usize = 2;
 
-/// What a rough world knows besides.
+/// State of a simulation with crashes.
 #[derive(Debug, Default)]
 pub struct Rough {
-    /// Lives of workers that have begun, by place.
+    /// Number of restarts of the worker at each place.
     lives: [usize; WORKERS],
-    /// Lives that are over, and of which the owner does not know that.
+    /// Ids of incarnations that have ended without the owner knowing it.
     unknown: Vec<String>,
-    /// Cores of each worker, and when they changed last.
+    /// Cores of each worker, and when they last changed.
     cores: BTreeMap<usize, (u64, Duration)>,
-    /// Starts of tasks that take each worker down.
+    /// Number of starts of each task that crashes its workers.
     bad_starts: BTreeMap<TaskKey, usize>,
-    /// Workers that went down under a task.
+    /// Number of worker crashes under each task.
     crashes: BTreeMap<TaskKey, usize>,
-    /// Runs that failed, by task.
+    /// Number of failed runs of each task.
     failures: BTreeMap<TaskKey, usize>,
-    /// Owners that died.
+    /// Number of owners that crashed.
     owners: usize,
-    /// Runs that workers which went down had told of.
+    /// Runs that crashed workers had reported as active.
     lost: Vec<(WorkerKey, TaskKey, RunId)>,
-    /// What is played of workers that come back under their ids.
+    /// State for workers that come back under the same id.
     pub(super) lasting: Option<Lasting>,
 }
 
 impl World {
-    /// A world in which workers and tasks crash.
+    /// Creates a simulation in which workers and tasks crash.
     pub fn rough() -> World {
         let mut world = World::new();
         world.rough = Some(Rough::default());
         world
     }
 
-    /// A step of a rough world: most are those of any world.
+    /// Carries out an event; most are events of any simulation.
     pub fn rough_step(&mut self, event: Event) {
         let at = usize::from(event.pick) % WORKERS;
-        // The former owner does not outlive this: whom it reaches is another matter.
+        // Former owners are left out here, since whom they reach is covered by other tests.
         self.former = None;
         match event.kind {
             0..200 => self.step(event),
@@ -89,24 +89,24 @@
         info
     }
 
-    /// Cores of a worker, and since when.
+    /// Cores of a worker, and when they last changed.
     fn cores(&self, at: usize) -> (u64, Duration) {
         let changed = self.rough.as_ref().and_then(|rough| rough.cores.get(&at));
         changed.copied().unwrap_or((4, Duration::ZERO))
     }
 
-    /// Cores that a start which was sent then may fill.
+    /// Cores that a start which was sent at this time may use.
     pub(super) fn cores_for(&self, at: usize, sent: Duration) -> u64 {
         let (cores, since) = self.cores(at);
         if sent <= since { 4 } else { cores }
     }
 
-    /// Whether a task takes each worker down.
+    /// Whether a task crashes each worker that runs it.
     fn bad(&self, task: TaskKey) -> bool {
         self.rough.is_some() && task.step.job.is_multiple_of(4) && task.index == 0
     }
 
-    /// A worker has begun a task; gives its answer, if that is not the usual one.
+    /// Crashes the worker if the task is a bad one; returns its reply to the start in that case.
     pub(super) fn crash_of(&mut self, at: usize, task: TaskKey, run: RunId) -> Option<StartReply> {
         if !self.bad(task) {
             return None;
@@ -118,8 +118,8 @@
         self.check_bad(task);
         let answered = !run.is_multiple_of(4);
         if answered {
-            // Its word that it runs is true when it is given: with the other members of
-            // a gang, which come later, it makes the gang begin as far as anyone knows.
+            // The worker was running the task when it confirmed the start. Together with later
+            // starts of the other members, this counts as the start of a gang.
             self.begun.insert(task.step.job);
         }
         Some(if answered {
@@ -147,7 +147,7 @@
         if !lasts {
             rough.unknown.push(id);
         }
-        // Its connections are reset; some resets are lost.
+        // The crash resets the worker's connections; some of these resets get lost.
         if !self.now.as_millis().is_multiple_of(4) {
             self.planner.worker_silent(self.keys[at]);
         }
@@ -205,7 +205,7 @@
         self.planner.take_worker(info);
     }
 
-    /// A successor knows the workers whose rows its predecessor left.
+    /// Adds the crashed workers that still have a row to the planner of a new owner.
     pub(super) fn recall_dead(&mut self) {
         let Some(rough) = &mut self.rough else {
             return;
@@ -222,13 +222,14 @@
         }
     }
 
-    /// Runs that workers which went down had told of, by the life that the owner knew.
+    /// Runs that crashed workers had reported as active, by the worker key of the owner at that
+    /// time.
     pub(super) fn lost_members(&self) -> &[(WorkerKey, TaskKey, RunId)] {
         self.rough.as_ref().map_or(&[], |rough| &rough.lost)
     }
 
-    /// An owner that dies before it has recorded a first crash takes it along; nothing
-    /// else makes for more starts.
+    /// Checks the number of starts of a bad task. An owner that crashes before it has stored a
+    /// first crash forgets it, which allows one more start; nothing else does.
     fn check_bad(&self, task: TaskKey) {
         let Some(rough) = &self.rough else { return };
         let starts = rough.bad_starts.get(&task).copied().unwrap_or_default();
@@ -240,7 +241,7 @@
         );
     }
 
-    /// A job fails only by tasks that failed, or under which workers crashed.
+    /// Checks that a job fails only if a task failed too often or workers crashed under it.
     fn check_failed(&self) {
         let Some(rough) = &self.rough else { return };
         for (&id, spec) in &self.jobs {
@@ -258,7 +259,7 @@
         }
     }
 
-    /// Failed runs of a job's gangs: they count for the gang, whoever failed.
+    /// Failed runs of a job's gangs; the failure of any member counts for the gang.
     fn gang_failures(&self, id: JobId) -> usize {
         let Some(rough) = &self.rough else { return 0 };
         let gang = |task: &TaskKey| self.jobs[&id].steps[task.step.step as usize].gang;
@@ -269,7 +270,7 @@
             .sum()
     }
 
-    /// Jobs that were given up for a bad task, and starts of such tasks.
+    /// Number of jobs that failed, and of starts of bad tasks.
     pub fn given_up(&self) -> (usize, usize) {
         let Some(rough) = &self.rough else {
             return (0, 0);
--- a/crates/job/tests/world/shown.rs
+++ b/crates/job/tests/world/shown.rs
@@ -1,5 +1,4 @@
-//! What the world knows of jobs that have begun, against what the planner
-//! shows callers.
+//! Checks the job status and the counts of waiting jobs against the jobs that have started.
 
 use std::collections::BTreeSet;
 
@@ -12,8 +11,8 @@
 use crate::support;
 
 impl World {
-    /// A worker has started a task. A gang begins when all its members are
-    /// there, or had been when the owner last heard of them.
+    /// Records a start on a worker. A gang has started when all its members run, or ran when the
+    /// owner last received a report of them.
     pub(super) fn note_start(&mut self, task: TaskKey, run: RunId) {
         let step = task.step;
         let spec = &self.jobs[&step.job].steps[step.step as usize];
@@ -32,8 +31,8 @@
             })
     }
 
-    /// Each job of which a listed worker runs a single task has begun. A cancel
-    /// that comes first ends the job as far as callers are concerned.
+    /// Checks that no job is pending while the worker's report lists a task of it that is not in
+    /// a gang. A cancelled job is exempt, since its status is final for callers.
     pub(super) fn check_listed(&self, at: usize) {
         for task in self.workers[at].running.keys() {
             let spec = &self.jobs[&task.step.job];
@@ -45,8 +44,8 @@
         }
     }
 
-    /// No job is shown as active, or left out of those that wait, unless a
-    /// worker has begun it.
+    /// Checks that no job is shown as active, or missing among the waiting ones, before a worker
+    /// has started a task of it.
     pub(super) fn check_shown(&self) {
         let mut waiting = 0;
         for (id, spec) in &self.jobs {
@@ -65,5 +64,5 @@
     }
 }
 
-/// Jobs of which a worker has ever begun a task.
+/// Jobs of which a worker has started a task.
 pub(super) type Begun = BTreeSet<JobId>;
--- a/crates/job/tests/world/worker.rs
+++ b/crates/job/tests/world/worker.rs
@@ -1,4 +1,4 @@
-//! A worker of the world: it obeys the protocol.
+//! A simulated worker that follows the protocol.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,27 +12,27 @@
 
 #[derive(Debug, Default)]
 pub struct Worker {
-    /// Start of this life, if it names it.
+    /// Start of this incarnation, if the worker reports it.
     pub life: Option<u64>,
     pub fence: u64,
     pub lease: Duration,
     pub running: BTreeMap<TaskKey, (RunId, Duration)>,
-    /// Runs that it has told the owner of.
+    /// Runs that the worker has reported as active.
     pub told: BTreeSet<(TaskKey, RunId)>,
-    /// Runs that are being stopped: still listed.
+    /// Runs that are being stopped and are still reported as active.
     pub stopping: BTreeMap<TaskKey, (RunId, Duration)>,
     pub ended: Vec<EndedTask>,
     pub count: u64,
     pub seen: u64,
-    /// The owner's link has been answered by this life, and by no other since.
+    /// The current incarnation has replied to the newest renewal, and it is the one that the
+    /// owner knows.
     pub linked: bool,
-    /// Ends up to this number were listed before a lease ran out: they do not
-    /// stand any more.
+    /// Ends up to this number were reported before a lease expired, so they no longer count.
     pub void: u64,
     /// Highest run stopped or ended here, by task.
     pub over: HashMap<TaskKey, RunId>,
     pub cut: bool,
-    /// It is not there.
+    /// The worker has crashed and is not back yet.
     pub down: bool,
 }
 
