--- a/crates/cell/src/owner/holder.rs
+++ b/crates/cell/src/owner/holder.rs
@@ -256,11 +256,11 @@
 
     fn prepare(&mut self, sent: Duration) -> LeaseRenewal {
         let recorded = *self.seen.borrow_and_update();
-        let (acknowledged, token) = self.acknowledgement(recorded);
+        let (acked_end, token) = self.acknowledgement(recorded);
         let kept = self.listed > recorded || self.life.is_some() && self.listed > self.acknowledged;
         let clock = self.clock.filter(|_| self.renews);
         let tenured = sent < *self.pace.tenure.borrow();
-        let acknowledges = self.life.is_some() && acknowledged > 0;
+        let acknowledges = self.life.is_some() && acked_end > 0;
         let wait = if kept || acknowledges || clock.is_none() {
             Duration::ZERO
         } else {
@@ -268,7 +268,7 @@
         };
         LeaseRenewal {
             token,
-            acknowledged,
+            acked_end,
             lease_end: clock
                 .filter(|_| tenured)
                 .map(|clock| clock.at(sent) + self.lease),
--- a/crates/job/src/spec.rs
+++ b/crates/job/src/spec.rs
@@ -99,10 +99,13 @@
     /// Rack on which the tasks run fast; empty if all racks are equal.
     pub rack: String,
     /// Maximum number of this step's tasks on one worker; 0 for no limit.
+    #[serde(rename = "spread")]
     pub worker_limit: u32,
     /// Several runs of a task may be active at the same time; the first to complete counts.
+    #[serde(rename = "copies")]
     pub speculative: bool,
     /// The tasks run until the job is cancelled.
+    #[serde(rename = "lasting")]
     pub long_running: bool,
     /// The tasks use only processors that other tasks leave free.
     pub filler: bool,
@@ -133,6 +136,7 @@
     /// Time of the first round, since 1970.
     pub first: Duration,
     /// Time between the starts of two rounds.
+    #[serde(rename = "every")]
     pub interval: Duration,
 }
 
--- a/crates/job/tests/advice.rs
+++ b/crates/job/tests/advice.rs
@@ -13,10 +13,10 @@
 use job::Ticket;
 use job::WorkerId;
 use support::add_claimed;
-use support::patient;
+use support::deferrable;
 use support::plan_at;
 use support::planner;
-use support::room;
+use support::resources;
 use support::spec;
 use support::step;
 use support::task;
@@ -26,7 +26,7 @@
 
 /// A job under advice; the service takes 80 ms and 1 ms a worker.
 fn advised(step: StepSpec) -> JobSpec {
-    let mut job = patient(step);
+    let mut job = deferrable(step);
     job.queue.advice = Some(Advice {
         fixed: Duration::from_millis(80),
         each: Duration::from_millis(1),
@@ -111,7 +111,7 @@
         add_claimed(&mut planner, &format!("w{nth}"));
     }
     let mut large = step(30);
-    large.need = room(3000, 1000);
+    large.need = resources(3000, 1000);
     plan_at(&mut planner, 5);
     planner.take_job(LOOKUP, advised(large), None, false);
     planner.advance(Duration::from_millis(10));
--- a/crates/job/tests/backlog.rs
+++ b/crates/job/tests/backlog.rs
@@ -11,11 +11,11 @@
 use job::RunEnd;
 use job::WorkerReport;
 use support::add_claimed;
+use support::deferrable;
 use support::ended;
-use support::patient;
 use support::plan_at;
 use support::planner;
-use support::room;
+use support::resources;
 use support::running;
 use support::spec;
 use support::step;
@@ -67,7 +67,7 @@
     for id in 1..=9 {
         let mut job = gang();
         job.steps[0].count = 4;
-        job.steps[0].need = room(2000, 1000);
+        job.steps[0].need = resources(2000, 1000);
         job.queue.advice = Some(Advice {
             fixed: Duration::from_millis(40),
             each: Duration::from_millis(1),
@@ -148,7 +148,7 @@
         add_claimed(&mut planner, &format!("w{at}"));
     }
     let mut each = step(4);
-    each.need = room(2000, 1000);
+    each.need = resources(2000, 1000);
     each.worker_limit = 1;
     planner.take_job(LONG, spec(vec![each.clone()]), None, false);
     let long = plan_at(&mut planner, 10);
@@ -156,9 +156,9 @@
     let short = plan_at(&mut planner, 20);
     let mut wide = gang();
     wide.steps[0].count = 4;
-    wide.steps[0].need = room(2000, 1000);
+    wide.steps[0].need = resources(2000, 1000);
     planner.take_job(GANG, wide, None, false);
-    let mut many = patient(each);
+    let mut many = deferrable(each);
     many.steps[0].count = 8;
     many.steps[0].worker_limit = 0;
     planner.take_job(PATIENT, many, None, false);
--- a/crates/job/tests/begun.rs
+++ b/crates/job/tests/begun.rs
@@ -15,15 +15,15 @@
 use support::add;
 use support::add_claimed;
 use support::ended;
-use support::listing;
 use support::plan_at;
 use support::planner;
 use support::queue;
-use support::room;
+use support::resources;
 use support::running;
 use support::spec;
 use support::step;
 use support::task;
+use support::worker_report;
 
 const JOB: u64 = 7;
 
@@ -52,10 +52,18 @@
     planner.start_reply(key, first, 1, StartReply::Unknown);
     counts.push(waiting(&planner));
     // Listed nowhere, so withdrawn; the worker confirms that it is gone.
-    planner.take_listing(key, Duration::from_millis(20), &listing(vec![], vec![]));
+    planner.take_listing(
+        key,
+        Duration::from_millis(20),
+        &worker_report(vec![], vec![]),
+    );
     planner.stop_reply(key, first, 1, StopReply::Stopped);
     planner.advance(Duration::from_millis(40));
-    planner.take_listing(key, Duration::from_millis(30), &listing(vec![], vec![]));
+    planner.take_listing(
+        key,
+        Duration::from_millis(30),
+        &worker_report(vec![], vec![]),
+    );
     counts.push(waiting(&planner));
     plan_at(&mut planner, 50);
     planner.start_reply(key, first, 2, StartReply::Refused);
@@ -75,7 +83,7 @@
     add_claimed(planner, "w1");
     add_claimed(planner, "w2");
     let mut gang = step(2);
-    gang.need = room(3000, 1000);
+    gang.need = resources(3000, 1000);
     gang.gang = true;
     planner.take_job(JOB, spec(vec![gang]), None, false);
     plan_at(planner, 10)
@@ -92,7 +100,7 @@
     planner.start_reply(seats[0].2, seats[0].0, 1, StartReply::Started);
     planner.start_reply(seats[1].2, seats[1].0, 1, StartReply::Unknown);
     let early = (waiting(&planner), planner.shown(JOB));
-    let late = listing(vec![running(seats[1].0, 1)], vec![]);
+    let late = worker_report(vec![running(seats[1].0, 1)], vec![]);
     planner.take_listing(seats[1].2, Duration::from_millis(20), &late);
 
     assert_eq!(early, (1, Some(JobStatus::Pending)));
@@ -108,7 +116,7 @@
 fn a_gang_whose_members_waited_in_vain_still_waits() {
     let mut planner = planner(1);
     for (task, run, key) in gang_of_two(&mut planner) {
-        let alone = listing(vec![], vec![ended(1, task, run, RunEnd::GangIncomplete)]);
+        let alone = worker_report(vec![], vec![ended(1, task, run, RunEnd::GangIncomplete)]);
         planner.take_listing(key, Duration::from_millis(20), &alone);
     }
     let batch = planner.take_batch(10);
@@ -134,7 +142,11 @@
     planner.start_reply(key, task(JOB, 0, 0), 1, StartReply::Unknown);
 
     let gone = ended(1, task(JOB, 0, 0), 1, RunEnd::Stopped);
-    planner.take_listing(key, Duration::from_millis(20), &listing(vec![], vec![gone]));
+    planner.take_listing(
+        key,
+        Duration::from_millis(20),
+        &worker_report(vec![], vec![gone]),
+    );
 
     assert_eq!(
         (waiting(&planner), planner.shown(JOB)),
@@ -151,7 +163,7 @@
     planner.take_job(JOB, spec(vec![step(1)]), None, true);
     planner.take_job(JOB + 1, spec(vec![step(1)]), None, true);
 
-    let left = listing(vec![running(task(JOB, 0, 0), 1)], vec![]);
+    let left = worker_report(vec![running(task(JOB, 0, 0), 1)], vec![]);
     planner.take_listing(key, Duration::ZERO, &left);
 
     assert_eq!(waiting(&planner), 1);
@@ -188,7 +200,7 @@
     let key = add_claimed(&mut planner, "w1");
     planner.take_job(JOB, spec(vec![step(1)]), None, false);
     plan_at(&mut planner, 2_100);
-    let other = listing(vec![running(task(JOB, 0, 0), 3)], vec![]);
+    let other = worker_report(vec![running(task(JOB, 0, 0), 3)], vec![]);
 
     planner.take_listing(key, Duration::from_millis(2_110), &other);
 
@@ -200,7 +212,7 @@
 fn a_run_listed_before_its_job_was_known_has_begun() {
     let mut planner = planner(2);
     let key = add(&mut planner, "w1");
-    let left = listing(vec![running(task(JOB, 0, 0), 1)], vec![]);
+    let left = worker_report(vec![running(task(JOB, 0, 0), 1)], vec![]);
     planner.take_listing(key, Duration::ZERO, &left);
 
     planner.take_job(JOB, spec(vec![step(1)]), None, false);
@@ -215,7 +227,7 @@
     let key = add(&mut planner, "w1");
     planner.take_job(JOB, spec(vec![step(1)]), None, true);
     plan_at(&mut planner, 9_000);
-    let late = listing(vec![], vec![ended(1, task(JOB, 0, 0), 1, RunEnd::Done)]);
+    let late = worker_report(vec![], vec![ended(1, task(JOB, 0, 0), 1, RunEnd::Done)]);
 
     planner.take_listing(key, Duration::from_millis(9_010), &late);
 
--- a/crates/job/tests/capacity.rs
+++ b/crates/job/tests/capacity.rs
@@ -12,22 +12,22 @@
 use job::StopReply;
 use job::WorkerInfo;
 use support::add_claimed;
+use support::deferrable;
 use support::ended;
-use support::listing;
-use support::patient;
 use support::plan_at;
 use support::planner;
-use support::room;
+use support::resources;
 use support::running;
 use support::spec;
 use support::step;
 use support::task;
 use support::worker;
+use support::worker_report;
 
 /// A worker of four cores that has so many now.
 fn sized(id: &str, cores: u64) -> WorkerInfo {
     WorkerInfo {
-        capacity: room(cores * 1000, 64_000),
+        capacity: resources(cores * 1000, 64_000),
         ..worker(id)
     }
 }
@@ -53,7 +53,7 @@
         ended(2, task(1, 0, 1), 1, RunEnd::Done),
     ];
     let rest = vec![running(task(1, 0, 2), 1), running(task(1, 0, 3), 1)];
-    planner.take_listing(key, Duration::from_millis(100), &listing(rest, done));
+    planner.take_listing(key, Duration::from_millis(100), &worker_report(rest, done));
 
     let full = start_at(&mut planner, 200);
     planner.take_worker(sized("w1", 3));
@@ -83,7 +83,7 @@
     let stopped = start_at(&mut planner, 30);
     let ends = vec![ended(1, task(1, 0, 0), 1, RunEnd::Stopped)];
     let rest = vec![running(task(1, 0, 1), 1)];
-    planner.take_listing(key, Duration::from_millis(40), &listing(rest, ends));
+    planner.take_listing(key, Duration::from_millis(40), &worker_report(rest, ends));
     let listed = start_at(&mut planner, 50);
 
     assert_eq!((stopping, stopped, listed), (0, 0, 1));
@@ -97,9 +97,9 @@
     let mut planner = planner(2);
     let key = planner.recall_worker(worker("w1")).expect("a new worker");
     planner.take_worker(sized("w1", 1));
-    planner.take_listing(key, Duration::ZERO, &listing(vec![], vec![]));
+    planner.take_listing(key, Duration::ZERO, &worker_report(vec![], vec![]));
     let mut large = step(1);
-    large.need = room(3000, 1000);
+    large.need = resources(3000, 1000);
     planner.take_job(1, spec(vec![large]), None, false);
 
     start_at(&mut planner, 10_000);
@@ -142,14 +142,14 @@
     let key = add_claimed(&mut planner, "w1");
     let mut saving = step(4);
     saving.checkpointed = true;
-    planner.take_job(1, patient(saving), None, false);
+    planner.take_job(1, deferrable(saving), None, false);
     start_at(&mut planner, 10);
     planner.take_worker(sized("w1", 1));
     let rest = (0..4).map(|index| running(task(1, 0, index), 1));
     planner.take_listing(
         key,
         Duration::from_millis(50),
-        &listing(rest.collect(), vec![]),
+        &worker_report(rest.collect(), vec![]),
     );
     let mut gang = step(2);
     gang.gang = true;
--- a/crates/job/tests/field/mod.rs
+++ b/crates/job/tests/crash_sim/mod.rs
@@ -36,14 +36,14 @@
 pub const MOST_STARTS: usize = 5;
 
 /// Time from the start of such a task to the crash of its worker.
-pub const AT_ONCE: Duration = Duration::from_millis(10);
+pub const CRASH_DELAY: Duration = Duration::from_millis(10);
 
 /// Time within which the job of a task that crashes its workers must fail.
-pub const SOON: Duration = Duration::from_secs(30);
+pub const FAILURE_LIMIT: Duration = Duration::from_secs(30);
 
 /// Time from a crash until the owner learns of it from the list of machines, which it requests
 /// twice a second.
-const CRASH_KNOWN: Duration = Duration::from_millis(500);
+const DETECTION_DELAY: Duration = Duration::from_millis(500);
 
 /// Time from a crash until a worker comes back under another id.
 const RETURN_TIME: Duration = Duration::from_secs(3);
@@ -56,7 +56,7 @@
 
 /// An incarnation of a worker.
 #[derive(Debug, Default)]
-pub struct Life {
+pub struct Incarnation {
     pub id: String,
     /// Start of the incarnation, if the worker reports it.
     name: Option<u64>,
@@ -65,27 +65,27 @@
     pub running: BTreeMap<TaskKey, (RunId, Duration, Duration)>,
     ended: Vec<EndedRun>,
     /// Time of the crash, if there was one.
-    pub died: Option<Duration>,
+    pub crashed_at: Option<Duration>,
     /// The owner knows that the incarnation has ended.
-    known: bool,
+    end_known: bool,
     /// The worker runs but answers no calls.
-    pub cut: bool,
+    pub cut_off: bool,
     pub draining: bool,
     pub cores: u64,
 }
 
 /// Workers and the planner of their owner.
-pub struct Field {
+pub struct CrashSim {
     pub now: Duration,
     pub epoch: u64,
     pub planner: Planner,
     /// All incarnations of the worker at each place, the newest last.
-    pub places: Vec<Vec<Life>>,
+    pub places: Vec<Vec<Incarnation>>,
     jobs: BTreeMap<JobId, JobSpec>,
     stored: BTreeMap<JobId, Progress>,
     saving: Option<(Duration, job::Batch)>,
     /// All writes to the store fail.
-    pub store_away: bool,
+    pub store_down: bool,
     /// Tasks that crash their worker, with the time from start to crash.
     pub bad: HashMap<TaskKey, Duration>,
     /// Time and place of each start, by task.
@@ -98,18 +98,18 @@
     same_ids: bool,
 }
 
-impl Field {
-    pub fn new(workers: usize) -> Field {
-        Field::open(workers, false)
+impl CrashSim {
+    pub fn new(workers: usize) -> CrashSim {
+        CrashSim::create(workers, false)
     }
 
     /// Creates workers that come back under the same id.
-    pub fn with_same_ids(workers: usize) -> Field {
-        Field::open(workers, true)
+    pub fn with_same_ids(workers: usize) -> CrashSim {
+        CrashSim::create(workers, true)
     }
 
-    fn open(workers: usize, same_ids: bool) -> Field {
-        let mut field = Field {
+    fn create(workers: usize, same_ids: bool) -> CrashSim {
+        let mut sim = CrashSim {
             now: Duration::from_secs(10),
             epoch: 0,
             planner: support::planner(1),
@@ -117,7 +117,7 @@
             jobs: BTreeMap::new(),
             stored: BTreeMap::new(),
             saving: None,
-            store_away: false,
+            store_down: false,
             bad: HashMap::new(),
             starts: HashMap::new(),
             crashes: HashMap::new(),
@@ -125,47 +125,50 @@
             same_ids,
         };
         for place in 0..workers {
-            field.places.push(vec![Life::new(place, 0, same_ids)]);
+            sim.places.push(vec![Incarnation::new(place, 0, same_ids)]);
         }
-        field.take_over();
-        field
+        sim.take_over();
+        sim
     }
 
     /// Replaces the owner by one that knows only what was stored.
     pub fn take_over(&mut self) {
         self.epoch += 1;
         self.saving = None;
-        let rows = self.rows();
+        let stored_incarnations = self.stored_incarnations();
         self.planner = Planner::new(Policy::default(), self.epoch, self.now, Duration::ZERO);
         for (&id, spec) in &self.jobs {
             let progress = self.stored.get(&id);
             self.planner.take_job(id, spec.clone(), progress, true);
         }
-        for life in self.places.iter_mut().flatten() {
-            life.key = None;
-            if life.known {
+        for incarnation in self.places.iter_mut().flatten() {
+            incarnation.key = None;
+            if incarnation.end_known {
                 continue;
             }
-            let info = life.info();
+            let info = incarnation.info();
             let row = WorkerInfo {
-                incarnation: rows.get(&life.id).copied().unwrap_or(life.name),
+                incarnation: stored_incarnations
+                    .get(&incarnation.id)
+                    .copied()
+                    .unwrap_or(incarnation.name),
                 ..info.clone()
             };
-            life.key = self.planner.recall_worker(row);
-            if life.died.is_none() {
+            incarnation.key = self.planner.recall_worker(row);
+            if incarnation.crashed_at.is_none() {
                 self.planner.take_worker(info);
             }
         }
     }
 
     /// Incarnation of each worker in the rows that the owner leaves in the store.
-    fn rows(&self) -> HashMap<String, Option<u64>> {
-        let lives = self.places.iter().flatten();
-        let known = lives.filter_map(|life| {
-            let info = self.planner.worker(life.key?)?;
-            Some((life.id.clone(), info.incarnation))
+    fn stored_incarnations(&self) -> HashMap<String, Option<u64>> {
+        let incarnations = self.places.iter().flatten();
+        let end_known = incarnations.filter_map(|incarnation| {
+            let info = self.planner.worker(incarnation.key?)?;
+            Some((incarnation.id.clone(), info.incarnation))
         });
-        known.collect()
+        end_known.collect()
     }
 
     pub fn submit(&mut self, id: JobId, spec: JobSpec) {
@@ -182,42 +185,42 @@
 
     /// Submits three jobs of two tasks for each worker; the first task of each job in `bad`
     /// crashes its workers at once.
-    pub fn submit_busy(&mut self, bad: &[JobId]) {
-        for id in 1..=self.busy_jobs() {
+    pub fn submit_load(&mut self, bad: &[JobId]) {
+        for id in 1..=self.load_jobs() {
             self.submit_tasks(id, 2, 1000 + 40 * id);
         }
         for &id in bad {
-            self.bad.insert(support::task(id, 0, 0), AT_ONCE);
+            self.bad.insert(support::task(id, 0, 0), CRASH_DELAY);
         }
     }
 
-    /// Number of jobs that [`Field::submit_busy`] submits.
-    fn busy_jobs(&self) -> JobId {
+    /// Number of jobs that [`CrashSim::submit_load`] submits.
+    fn load_jobs(&self) -> JobId {
         3 * self.places.len() as JobId
     }
 
     /// Checks that of these jobs the bad ones have failed and the others have completed.
-    pub fn check_busy(&self, bad: &[JobId]) {
-        for id in 1..=self.busy_jobs() {
+    pub fn check_load(&self, bad: &[JobId]) {
+        for id in 1..=self.load_jobs() {
             let expected = if bad.contains(&id) {
                 JobStatus::Failed
             } else {
                 JobStatus::Completed
             };
-            assert_eq!(self.shown(id), Some(expected), "job {id}");
+            assert_eq!(self.status(id), Some(expected), "job {id}");
         }
     }
 
     /// Checks that no bad task was started more than [`MOST_STARTS`] times.
     pub fn check_starts(&self, bad: &[JobId]) {
         for &id in bad {
-            let starts = self.starts_of(support::task(id, 0, 0));
+            let starts = self.start_count(support::task(id, 0, 0));
             assert!(starts <= MOST_STARTS, "job {id}: {starts} starts");
         }
     }
 
     /// Crashes eight workers at once, four times, 4.9 s apart, and then runs for a minute.
-    pub fn crash_many(&mut self) {
+    pub fn crash_repeatedly(&mut self) {
         for _ in 0..4 {
             self.run(Duration::from_millis(900));
             for place in 0..8 {
@@ -228,41 +231,45 @@
         self.run(Duration::from_mins(1));
     }
 
-    /// Replaces the owner `known` after each crash under the task, until its job has failed.
-    pub fn change_owners(&mut self, task: TaskKey, known: Duration) {
+    /// Replaces the owner `end_known` after each crash under the task, until its job has failed.
+    pub fn change_owners(&mut self, task: TaskKey, end_known: Duration) {
         let mut crashes = 0;
         let job = task.step.job;
-        while self.shown(job) != Some(JobStatus::Failed) && crashes < 10 {
-            let again = self.run_until(SOON, |field| {
-                field.crashes_of(task) > crashes || field.shown(job) == Some(JobStatus::Failed)
+        while self.status(job) != Some(JobStatus::Failed) && crashes < 10 {
+            let again = self.run_until(FAILURE_LIMIT, |sim| {
+                sim.crash_count(task) > crashes || sim.status(job) == Some(JobStatus::Failed)
             });
             assert!(again, "it waits for good");
-            crashes = self.crashes_of(task);
-            self.run(known);
+            crashes = self.crash_count(task);
+            self.run(end_known);
             self.take_over();
         }
     }
 
-    pub fn shown(&self, id: JobId) -> Option<JobStatus> {
+    pub fn status(&self, id: JobId) -> Option<JobStatus> {
         self.planner.shown(id)
     }
 
-    pub fn starts_of(&self, task: TaskKey) -> usize {
+    pub fn start_count(&self, task: TaskKey) -> usize {
         self.starts.get(&task).map_or(0, Vec::len)
     }
 
-    pub fn crashes_of(&self, task: TaskKey) -> usize {
+    pub fn crash_count(&self, task: TaskKey) -> usize {
         self.crashes.get(&task).copied().unwrap_or(0)
     }
 
     /// Newest incarnation of the worker at a place.
-    pub fn life(&mut self, place: usize) -> &mut Life {
+    pub fn incarnation(&mut self, place: usize) -> &mut Incarnation {
         self.places[place].last_mut().expect("a life")
     }
 
     /// Place at which a task is running.
     pub fn place_of(&self, task: TaskKey) -> Option<usize> {
-        let at = |lives: &Vec<Life>| lives.last().is_some_and(|life| life.holds(task));
+        let at = |incarnations: &Vec<Incarnation>| {
+            incarnations
+                .last()
+                .is_some_and(|incarnation| incarnation.holds(task))
+        };
         self.places.iter().position(at)
     }
 
@@ -275,7 +282,7 @@
     }
 
     /// Runs the simulation until a condition holds; returns whether that happened within `time`.
-    pub fn run_until(&mut self, time: Duration, holds: impl Fn(&Field) -> bool) -> bool {
+    pub fn run_until(&mut self, time: Duration, holds: impl Fn(&CrashSim) -> bool) -> bool {
         let end = self.now + time;
         while self.now < end {
             if holds(self) {
@@ -289,22 +296,24 @@
     /// Crashes the worker at a place, with all its runs.
     pub fn crash(&mut self, place: usize) {
         let now = self.now;
-        let life = self.life(place);
-        if life.died.is_some() {
+        let incarnation = self.incarnation(place);
+        if incarnation.crashed_at.is_some() {
             return;
         }
-        life.died = Some(now);
-        let lost: Vec<TaskKey> = std::mem::take(&mut life.running).into_keys().collect();
-        for task in lost {
+        incarnation.crashed_at = Some(now);
+        let lost_runs: Vec<TaskKey> = std::mem::take(&mut incarnation.running)
+            .into_keys()
+            .collect();
+        for task in lost_runs {
             *self.crashes.entry(task).or_default() += 1;
         }
     }
 
     /// Marks the worker at a place as draining.
     pub fn drain(&mut self, place: usize) {
-        let life = self.life(place);
-        life.draining = true;
-        let info = life.info();
+        let incarnation = self.incarnation(place);
+        incarnation.draining = true;
+        let info = incarnation.info();
         self.planner.take_worker(info);
     }
 
@@ -312,154 +321,172 @@
         self.now += TICK;
         self.planner.advance(self.now);
         self.end_runs();
-        self.come_back();
-        self.tell_owner();
+        self.restart_workers();
+        self.report_to_owner();
         self.planner.plan();
-        for order in self.planner.take_orders() {
-            self.obey(&order);
+        for command in self.planner.take_orders() {
+            self.execute(&command);
         }
         self.save();
     }
 
     fn end_runs(&mut self) {
         let now = self.now;
-        let mut down = Vec::new();
-        for (place, lives) in self.places.iter_mut().enumerate() {
-            let Some(life) = lives.last_mut() else {
+        let mut crashing = Vec::new();
+        for (place, incarnations) in self.places.iter_mut().enumerate() {
+            let Some(incarnation) = incarnations.last_mut() else {
                 continue;
             };
-            let due = life.running.iter();
-            let due = due.filter(|(_, (_, _, end))| *end <= now);
-            let due: Vec<TaskKey> = due.map(|(task, _)| *task).collect();
-            for task in due {
+            let ended_runs = incarnation.running.iter();
+            let ended_runs = ended_runs.filter(|(_, (_, _, end))| *end <= now);
+            let ended_runs: Vec<TaskKey> = ended_runs.map(|(task, _)| *task).collect();
+            for task in ended_runs {
                 if self.bad.contains_key(&task) {
-                    down.push(place);
+                    crashing.push(place);
                     break;
                 }
-                life.end(task, RunEnd::Done);
+                incarnation.end(task, RunEnd::Done);
             }
         }
-        for place in down {
+        for place in crashing {
             self.crash(place);
         }
     }
 
-    fn come_back(&mut self) {
-        for (place, lives) in self.places.iter_mut().enumerate() {
+    fn restart_workers(&mut self) {
+        for (place, incarnations) in self.places.iter_mut().enumerate() {
             let pause = if self.same_ids {
                 QUICK_RETURN
             } else {
                 RETURN_TIME
             };
-            let Some(former) = lives.last_mut() else {
+            let Some(predecessor) = incarnations.last_mut() else {
                 continue;
             };
-            if former.died.is_some_and(|died| died + pause <= self.now) {
-                let key = former.key;
+            if predecessor
+                .crashed_at
+                .is_some_and(|crashed_at| crashed_at + pause <= self.now)
+            {
+                let key = predecessor.key;
                 // The list of machines never lacks an id that is in use again.
-                former.known |= self.same_ids;
-                let mut life = Life::new(place, lives.len(), self.same_ids);
-                life.key = self.planner.take_worker(life.info());
+                predecessor.end_known |= self.same_ids;
+                let mut incarnation = Incarnation::new(place, incarnations.len(), self.same_ids);
+                incarnation.key = self.planner.take_worker(incarnation.info());
                 // A new registration alone does not end the former incarnation.
                 let key = key.filter(|key| self.planner.worker(*key).is_some());
-                life.key = life.key.or(key.filter(|_| self.same_ids));
-                lives.push(life);
+                incarnation.key = incarnation.key.or(key.filter(|_| self.same_ids));
+                incarnations.push(incarnation);
             }
         }
     }
 
-    fn tell_owner(&mut self) {
+    fn report_to_owner(&mut self) {
         // The owner requests the list of machines only if it doubts that some worker still runs.
         let asked = self.planner.doubtful();
-        for life in self.places.iter_mut().flatten().filter(|life| !life.known) {
-            let Some(key) = life.key else { continue };
+        for incarnation in self
+            .places
+            .iter_mut()
+            .flatten()
+            .filter(|incarnation| !incarnation.end_known)
+        {
+            let Some(key) = incarnation.key else { continue };
             let listed = asked.iter().any(|(asked, _)| *asked == key);
-            match life.died {
-                Some(died) if listed && died + CRASH_KNOWN <= self.now => {
-                    life.known = true;
+            match incarnation.crashed_at {
+                Some(crashed_at) if listed && crashed_at + DETECTION_DELAY <= self.now => {
+                    incarnation.end_known = true;
                     self.planner.worker_over(key);
                 }
                 Some(_) => self.planner.worker_silent(key),
-                None if life.cut => self.planner.worker_silent(key),
+                None if incarnation.cut_off => self.planner.worker_silent(key),
                 None => {
                     self.planner.lease_sent(key);
-                    let listing = life.listing(self.now);
-                    self.planner.take_listing(key, self.now, &listing);
+                    let worker_report = incarnation.worker_report(self.now);
+                    self.planner.take_listing(key, self.now, &worker_report);
                 }
             }
         }
     }
 
-    fn life_of(&mut self, key: WorkerKey) -> Option<(usize, &mut Life)> {
-        let mut lives = self.places.iter_mut().enumerate();
-        lives.find_map(|(place, lives)| {
-            let life = lives.last_mut()?;
-            (life.key == Some(key)).then_some((place, life))
+    fn incarnation_of(&mut self, key: WorkerKey) -> Option<(usize, &mut Incarnation)> {
+        let mut incarnations = self.places.iter_mut().enumerate();
+        incarnations.find_map(|(place, incarnations)| {
+            let incarnation = incarnations.last_mut()?;
+            (incarnation.key == Some(key)).then_some((place, incarnation))
         })
     }
 
-    fn obey(&mut self, order: &Order) {
+    fn execute(&mut self, command: &Order) {
         let now = self.now;
-        match *order {
+        match *command {
             Order::Start {
                 worker, task, run, ..
             } => {
-                let until = self.time_of(task);
-                let Some((place, life)) = self.life_of(worker) else {
+                let until = self.duration_of(task);
+                let Some((place, incarnation)) = self.incarnation_of(worker) else {
                     return;
                 };
-                if life.died.is_some() || life.cut {
+                if incarnation.crashed_at.is_some() || incarnation.cut_off {
                     let reply = StartReply::Unknown;
                     self.planner.start_reply(worker, task, run, reply);
                     return;
                 }
-                life.running.insert(task, (run, now, now + until));
+                incarnation.running.insert(task, (run, now, now + until));
                 self.starts.entry(task).or_default().push((now, place));
-                self.check_twice(task);
+                self.check_single(task);
                 self.planner
                     .start_reply(worker, task, run, StartReply::Started);
             }
             Order::Stop {
                 worker, task, run, ..
             } => {
-                if let Some((_, life)) = self.life_of(worker)
-                    && life.died.is_none()
-                    && !life.cut
+                if let Some((_, incarnation)) = self.incarnation_of(worker)
+                    && incarnation.crashed_at.is_none()
+                    && !incarnation.cut_off
                 {
-                    life.end(task, RunEnd::Stopped);
+                    incarnation.end(task, RunEnd::Stopped);
                     self.planner
                         .stop_reply(worker, task, run, StopReply::Stopped);
                 }
             }
             Order::Begin { worker } => {
                 let id = self.planner.worker(worker).map(|info| info.id.clone());
-                let mut lives = self.places.iter_mut().filter_map(|lives| lives.last_mut());
-                if let Some(life) = lives.find(|life| Some(&life.id) == id.as_ref()) {
-                    life.key = Some(worker);
+                let mut incarnations = self
+                    .places
+                    .iter_mut()
+                    .filter_map(|incarnations| incarnations.last_mut());
+                if let Some(incarnation) =
+                    incarnations.find(|incarnation| Some(&incarnation.id) == id.as_ref())
+                {
+                    incarnation.key = Some(worker);
                 }
             }
             Order::Drop { .. } => {}
         }
     }
 
-    fn time_of(&self, task: TaskKey) -> Duration {
+    fn duration_of(&self, task: TaskKey) -> Duration {
         let step = &self.jobs[&task.step.job].steps[task.step.step as usize];
         self.bad.get(&task).copied().unwrap_or(step.estimate)
     }
 
-    fn check_twice(&self, task: TaskKey) {
-        let lives = self.places.iter().filter_map(|lives| lives.last());
-        let there = lives.filter(|life| life.holds(task)).count();
-        assert_eq!(there, 1, "{task} runs on two workers");
+    fn check_single(&self, task: TaskKey) {
+        let incarnations = self
+            .places
+            .iter()
+            .filter_map(|incarnations| incarnations.last());
+        let running_on = incarnations
+            .filter(|incarnation| incarnation.holds(task))
+            .count();
+        assert_eq!(running_on, 1, "{task} runs on two workers");
     }
 
     fn save(&mut self) {
-        if let Some((begun, batch)) = self.saving.take() {
-            if self.now < begun + SAVE_TIME {
-                self.saving = Some((begun, batch));
+        if let Some((started, batch)) = self.saving.take() {
+            if self.now < started + SAVE_TIME {
+                self.saving = Some((started, batch));
                 return;
             }
-            if self.store_away {
+            if self.store_down {
                 self.planner.batch_failed(&batch);
                 return;
             }
@@ -473,18 +500,18 @@
     }
 }
 
-impl Life {
-    fn new(place: usize, life: usize, same_id: bool) -> Life {
+impl Incarnation {
+    fn new(place: usize, incarnation: usize, same_id: bool) -> Incarnation {
         let id = if same_id {
             format!("w{place}")
         } else {
-            format!("w{place}-{life}")
+            format!("w{place}-{incarnation}")
         };
-        Life {
+        Incarnation {
             id,
-            name: same_id.then_some(1000 + life as u64),
+            name: same_id.then_some(1000 + incarnation as u64),
             cores: 4,
-            ..Life::default()
+            ..Incarnation::default()
         }
     }
 
@@ -492,7 +519,7 @@
         let mut info = support::worker(&self.id);
         info.incarnation = self.name;
         info.draining = self.draining;
-        info.capacity = support::room(self.cores * 1000, 64_000);
+        info.capacity = support::resources(self.cores * 1000, 64_000);
         info
     }
 
@@ -507,7 +534,7 @@
         }
     }
 
-    fn listing(&self, now: Duration) -> WorkerReport {
+    fn worker_report(&self, now: Duration) -> WorkerReport {
         let running = self.running.iter();
         let running = running.map(|(task, (run, begin, end))| {
             let whole = end.saturating_sub(*begin).as_millis().max(1);
@@ -519,12 +546,12 @@
         });
         WorkerReport {
             incarnation: self.name,
-            ..support::listing(running.collect(), self.ended.clone())
+            ..support::worker_report(running.collect(), self.ended.clone())
         }
     }
 }
 
 /// All tasks that were ever started.
-pub fn tasks(field: &Field) -> HashSet<TaskKey> {
-    field.starts.keys().copied().collect()
+pub fn tasks(sim: &CrashSim) -> HashSet<TaskKey> {
+    sim.starts.keys().copied().collect()
 }
--- a/crates/job/tests/crashes.rs
+++ b/crates/job/tests/crashes.rs
@@ -1,6 +1,6 @@
 //! Tasks that take down the workers they start on.
 
-mod field;
+mod crash_sim;
 mod support;
 
 use std::time::Duration;
@@ -8,36 +8,38 @@
 use job::JobStatus;
 use job::TaskKey;
 
-use field::AT_ONCE;
-use field::Field;
-use field::MOST_STARTS;
-use field::SOON;
+use crash_sim::CRASH_DELAY;
+use crash_sim::CrashSim;
+use crash_sim::FAILURE_LIMIT;
+use crash_sim::MOST_STARTS;
 use support::task;
 
 /// Guards against a task that is started again without end, though its workers go down.
 #[test]
 fn a_task_that_crashes_its_workers_is_given_up() {
-    let mut field = Field::new(12);
+    let mut field = CrashSim::new(12);
     field.submit_tasks(1, 2, 800);
     field.bad.insert(task(1, 0, 0), Duration::from_millis(10));
     for id in 2..10 {
         field.submit_tasks(id, 2, 900);
     }
 
-    let failed = field.run_until(SOON, |field| field.shown(1) == Some(JobStatus::Failed));
+    let failed = field.run_until(FAILURE_LIMIT, |field| {
+        field.status(1) == Some(JobStatus::Failed)
+    });
 
-    let starts = field.starts_of(task(1, 0, 0));
+    let starts = field.start_count(task(1, 0, 0));
     assert!(starts <= MOST_STARTS, "{starts} starts");
-    assert!(failed, "shown as {:?}", field.shown(1));
+    assert!(failed, "shown as {:?}", field.status(1));
     for id in 2..10 {
-        assert_eq!(field.shown(id), Some(JobStatus::Completed), "job {id}");
+        assert_eq!(field.status(id), Some(JobStatus::Completed), "job {id}");
     }
 }
 
 /// A pool that is nearly full, with bad tasks among sound ones.
-fn busy(workers: usize, bad: &[u64]) -> Field {
-    let mut field = Field::new(workers);
-    field.submit_busy(bad);
+fn busy(workers: usize, bad: &[u64]) -> CrashSim {
+    let mut field = CrashSim::new(workers);
+    field.submit_load(bad);
     field
 }
 
@@ -51,14 +53,14 @@
     let ended = field.run_until(Duration::from_secs(90), |field| {
         (1..=36).all(|id| {
             field
-                .shown(id)
+                .status(id)
                 .is_some_and(|shown| shown != JobStatus::Pending && shown != JobStatus::Active)
         })
     });
 
     assert!(ended, "some job has not ended");
     field.check_starts(&bad);
-    field.check_busy(&bad);
+    field.check_load(&bad);
 }
 
 /// A rack that loses power takes sound tasks with it, however often. Three times in a
@@ -67,19 +69,21 @@
 fn a_lost_rack_is_no_reason_to_give_tasks_up() {
     let mut field = busy(12, &[]);
 
-    field.crash_many();
+    field.crash_repeatedly();
 
-    field.check_busy(&[]);
+    field.check_load(&[]);
 }
 
 /// All workers go down at once, again and again, as often as one long task is at work.
 /// It is tried alone after the second time, and still not to blame.
 #[test]
 fn a_task_that_only_outlives_its_workers_is_completed() {
-    let mut field = Field::new(6);
+    let mut field = CrashSim::new(6);
     field.submit_tasks(1, 1, 2000);
     for _ in 0..4 {
-        let at_work = field.run_until(SOON, |field| field.place_of(task(1, 0, 0)).is_some());
+        let at_work = field.run_until(FAILURE_LIMIT, |field| {
+            field.place_of(task(1, 0, 0)).is_some()
+        });
         assert!(at_work, "it waits for good");
         field.run(Duration::from_millis(300));
         for place in 0..6 {
@@ -87,42 +91,50 @@
         }
     }
 
-    let done = field.run_until(SOON, |field| field.shown(1) == Some(JobStatus::Completed));
+    let done = field.run_until(FAILURE_LIMIT, |field| {
+        field.status(1) == Some(JobStatus::Completed)
+    });
 
-    assert!(done, "shown as {:?}", field.shown(1));
-    assert_eq!(field.crashes_of(task(1, 0, 0)), 4);
+    assert!(done, "shown as {:?}", field.status(1));
+    assert_eq!(field.crash_count(task(1, 0, 0)), 4);
 }
 
 /// A worker that is only cut off, or whose lease runs out, has not crashed.
 #[test]
 fn a_cut_link_counts_as_no_crash() {
-    let mut field = Field::new(4);
+    let mut field = CrashSim::new(4);
     field.submit_tasks(1, 1, 1500);
     for _ in 0..6 {
-        let at_work = field.run_until(SOON, |field| field.place_of(task(1, 0, 0)).is_some());
+        let at_work = field.run_until(FAILURE_LIMIT, |field| {
+            field.place_of(task(1, 0, 0)).is_some()
+        });
         assert!(at_work, "it waits for good");
         let place = field.place_of(task(1, 0, 0)).expect("a place");
         // What runs there is stopped when the lease is over.
-        field.life(place).cut = true;
-        field.life(place).running.clear();
+        field.incarnation(place).cut_off = true;
+        field.incarnation(place).running.clear();
         field.run(Duration::from_secs(5));
-        field.life(place).cut = false;
+        field.incarnation(place).cut_off = false;
         field.run(Duration::from_millis(20));
         assert_eq!(field.planner.suspects(), 0);
     }
 
-    let done = field.run_until(SOON, |field| field.shown(1) == Some(JobStatus::Completed));
+    let done = field.run_until(FAILURE_LIMIT, |field| {
+        field.status(1) == Some(JobStatus::Completed)
+    });
 
-    assert!(done, "shown as {:?}", field.shown(1));
+    assert!(done, "shown as {:?}", field.status(1));
 }
 
 /// Workers that leave as they had announced take their runs with them.
 #[test]
 fn workers_that_leave_count_as_no_crash() {
-    let mut field = Field::new(4);
+    let mut field = CrashSim::new(4);
     field.submit_tasks(1, 1, 1500);
     for _ in 0..5 {
-        let at_work = field.run_until(SOON, |field| field.place_of(task(1, 0, 0)).is_some());
+        let at_work = field.run_until(FAILURE_LIMIT, |field| {
+            field.place_of(task(1, 0, 0)).is_some()
+        });
         assert!(at_work, "it waits for good");
         let place = field.place_of(task(1, 0, 0)).expect("a place");
         field.drain(place);
@@ -132,22 +144,24 @@
         assert_eq!(field.planner.suspects(), 0);
     }
 
-    let done = field.run_until(SOON, |field| field.shown(1) == Some(JobStatus::Completed));
+    let done = field.run_until(FAILURE_LIMIT, |field| {
+        field.status(1) == Some(JobStatus::Completed)
+    });
 
-    assert!(done, "shown as {:?}", field.shown(1));
+    assert!(done, "shown as {:?}", field.status(1));
 }
 
 /// A count in the owner's memory alone began anew with each owner.
 #[test]
 fn the_count_of_crashes_outlives_the_owner() {
-    let mut field = Field::new(8);
+    let mut field = CrashSim::new(8);
     field.submit_tasks(1, 1, 800);
-    field.bad.insert(task(1, 0, 0), AT_ONCE);
+    field.bad.insert(task(1, 0, 0), CRASH_DELAY);
 
     // The crash is known after 0.5 s, and saved 0.03 s later.
     field.change_owners(task(1, 0, 0), Duration::from_millis(560));
 
-    assert_eq!(field.shown(1), Some(JobStatus::Failed));
+    assert_eq!(field.status(1), Some(JobStatus::Failed));
     field.check_starts(&[1]);
 }
 
@@ -155,23 +169,24 @@
 /// does not know the run, and need not.
 #[test]
 fn a_trial_is_counted_before_it_is_sent() {
-    let mut field = Field::new(8);
+    let mut field = CrashSim::new(8);
     field.submit_tasks(1, 1, 800);
-    field.bad.insert(task(1, 0, 0), AT_ONCE);
-    let twice = field.run_until(SOON, |field| field.crashes_of(task(1, 0, 0)) == 2);
+    field.bad.insert(task(1, 0, 0), CRASH_DELAY);
+    let twice = field.run_until(FAILURE_LIMIT, |field| field.crash_count(task(1, 0, 0)) == 2);
     assert!(twice, "it waits for good");
     field.run(Duration::from_millis(600));
 
     for crashes in 3..10 {
-        let next = field.run_until(SOON, |field| {
-            field.crashes_of(task(1, 0, 0)) >= crashes || field.shown(1) == Some(JobStatus::Failed)
+        let next = field.run_until(FAILURE_LIMIT, |field| {
+            field.crash_count(task(1, 0, 0)) >= crashes
+                || field.status(1) == Some(JobStatus::Failed)
         });
         assert!(next, "it waits for good");
         // Nobody has learnt of the crash yet.
         field.take_over();
     }
 
-    assert_eq!(field.shown(1), Some(JobStatus::Failed));
+    assert_eq!(field.status(1), Some(JobStatus::Failed));
     field.check_starts(&[1]);
 }
 
@@ -179,20 +194,22 @@
 /// on meanwhile.
 #[test]
 fn trials_wait_while_the_store_is_away() {
-    let mut field = Field::new(8);
+    let mut field = CrashSim::new(8);
     field.submit_tasks(1, 1, 800);
-    field.bad.insert(task(1, 0, 0), AT_ONCE);
-    field.run_until(SOON, |field| field.crashes_of(task(1, 0, 0)) == 2);
-    field.store_away = true;
+    field.bad.insert(task(1, 0, 0), CRASH_DELAY);
+    field.run_until(FAILURE_LIMIT, |field| field.crash_count(task(1, 0, 0)) == 2);
+    field.store_down = true;
     field.submit_tasks(2, 4, 500);
 
     field.run(Duration::from_secs(9));
 
-    assert_eq!(field.starts_of(task(1, 0, 0)), 2);
-    assert_eq!(field.starts_of(task(2, 0, 3)), 1);
-    field.store_away = false;
-    let failed = field.run_until(SOON, |field| field.shown(1) == Some(JobStatus::Failed));
-    assert!(failed, "shown as {:?}", field.shown(1));
+    assert_eq!(field.start_count(task(1, 0, 0)), 2);
+    assert_eq!(field.start_count(task(2, 0, 3)), 1);
+    field.store_down = false;
+    let failed = field.run_until(FAILURE_LIMIT, |field| {
+        field.status(1) == Some(JobStatus::Failed)
+    });
+    assert!(failed, "shown as {:?}", field.status(1));
 }
 
 /// A task may take its worker down only after a while; the time since its start tells
@@ -202,14 +219,16 @@
     let mut field = busy(12, &[]);
     field.bad.insert(task(5, 0, 1), Duration::from_millis(900));
 
-    let failed = field.run_until(SOON, |field| field.shown(5) == Some(JobStatus::Failed));
+    let failed = field.run_until(FAILURE_LIMIT, |field| {
+        field.status(5) == Some(JobStatus::Failed)
+    });
 
-    assert!(failed, "shown as {:?}", field.shown(5));
-    let starts = field.starts_of(task(5, 0, 1));
+    assert!(failed, "shown as {:?}", field.status(5));
+    let starts = field.start_count(task(5, 0, 1));
     assert!(starts <= MOST_STARTS, "{starts} starts");
     field.run(Duration::from_secs(30));
     for id in (1..=36).filter(|id| *id != 5) {
-        assert_eq!(field.shown(id), Some(JobStatus::Completed), "job {id}");
+        assert_eq!(field.status(id), Some(JobStatus::Completed), "job {id}");
     }
 }
 
@@ -221,12 +240,12 @@
     let mut trials = 0;
 
     for _ in 0..3000 {
-        field.run(field::TICK);
+        field.run(crash_sim::TICK);
         for place in 0..8 {
-            let life = field.life(place);
-            let down = life.died.is_some();
+            let life = field.incarnation(place);
+            let down = life.crashed_at.is_some();
             let runs: Vec<TaskKey> = life.running.keys().copied().collect();
-            let tried = runs.iter().any(|task| field.crashes_of(*task) >= 2);
+            let tried = runs.iter().any(|task| field.crash_count(*task) >= 2);
             if tried && !down {
                 trials += 1;
                 assert_eq!(runs.len(), 1, "{runs:?}");
@@ -242,24 +261,26 @@
 /// single task would be.
 #[test]
 fn a_gang_with_a_bad_member_is_given_up() {
-    let mut field = Field::new(8);
+    let mut field = CrashSim::new(8);
     let mut step = support::step(12);
     step.gang = true;
     step.estimate = Duration::from_millis(900);
     field.submit(1, support::spec(vec![step]));
-    field.bad.insert(task(1, 0, 7), AT_ONCE);
+    field.bad.insert(task(1, 0, 7), CRASH_DELAY);
     for id in 2..8 {
         field.submit_tasks(id, 2, 1100);
     }
 
-    let failed = field.run_until(SOON, |field| field.shown(1) == Some(JobStatus::Failed));
+    let failed = field.run_until(FAILURE_LIMIT, |field| {
+        field.status(1) == Some(JobStatus::Failed)
+    });
 
-    assert!(failed, "shown as {:?}", field.shown(1));
-    let starts = field.starts_of(task(1, 0, 7));
+    assert!(failed, "shown as {:?}", field.status(1));
+    let starts = field.start_count(task(1, 0, 7));
     assert!(starts <= MOST_STARTS, "{starts} starts");
     field.run(Duration::from_secs(10));
     for id in 2..8 {
-        assert_eq!(field.shown(id), Some(JobStatus::Completed), "job {id}");
+        assert_eq!(field.status(id), Some(JobStatus::Completed), "job {id}");
     }
 }
 
@@ -267,14 +288,14 @@
 /// that met two crashes alone on a worker each.
 #[test]
 fn a_sound_gang_outlives_its_workers() {
-    let mut field = Field::new(8);
+    let mut field = CrashSim::new(8);
     let mut step = support::step(12);
     step.gang = true;
     step.estimate = Duration::from_millis(900);
     field.submit(1, support::spec(vec![step]));
     for member in [0, 0, 11] {
         let member = task(1, 0, member);
-        let at_work = field.run_until(SOON, |field| field.place_of(member).is_some());
+        let at_work = field.run_until(FAILURE_LIMIT, |field| field.place_of(member).is_some());
         assert!(at_work, "it waits for good");
         field.run(Duration::from_millis(200));
         let place = field.place_of(member).expect("a place");
@@ -282,24 +303,28 @@
         field.run(Duration::from_millis(100));
     }
 
-    let done = field.run_until(SOON, |field| field.shown(1) == Some(JobStatus::Completed));
+    let done = field.run_until(FAILURE_LIMIT, |field| {
+        field.status(1) == Some(JobStatus::Completed)
+    });
 
-    assert!(done, "shown as {:?}", field.shown(1));
+    assert!(done, "shown as {:?}", field.status(1));
 }
 
 /// Tasks that last may fail as often as they like, but not take the pool down.
 #[test]
 fn a_lasting_task_that_crashes_its_workers_is_given_up() {
-    let mut field = Field::new(8);
+    let mut field = CrashSim::new(8);
     let mut step = support::step(2);
     step.long_running = true;
     field.submit(1, support::spec(vec![step]));
-    field.bad.insert(task(1, 0, 1), AT_ONCE);
+    field.bad.insert(task(1, 0, 1), CRASH_DELAY);
 
-    let failed = field.run_until(SOON, |field| field.shown(1) == Some(JobStatus::Failed));
+    let failed = field.run_until(FAILURE_LIMIT, |field| {
+        field.status(1) == Some(JobStatus::Failed)
+    });
 
-    assert!(failed, "shown as {:?}", field.shown(1));
-    let starts = field.starts_of(task(1, 0, 1));
+    assert!(failed, "shown as {:?}", field.status(1));
+    let starts = field.start_count(task(1, 0, 1));
     assert!(starts <= MOST_STARTS, "{starts} starts");
 }
 
@@ -308,13 +333,15 @@
 /// many.
 #[test]
 fn a_wide_gang_outlives_mass_crashes() {
-    let mut field = Field::new(8);
+    let mut field = CrashSim::new(8);
     let mut step = support::step(20);
     step.gang = true;
     step.estimate = Duration::from_secs(3);
     field.submit(1, support::spec(vec![step]));
     for _ in 0..3 {
-        let at_work = field.run_until(SOON, |field| field.place_of(task(1, 0, 0)).is_some());
+        let at_work = field.run_until(FAILURE_LIMIT, |field| {
+            field.place_of(task(1, 0, 0)).is_some()
+        });
         assert!(at_work, "it waits for good");
         field.run(Duration::from_millis(300));
         for place in 0..8 {
@@ -326,9 +353,11 @@
         field.submit_tasks(id, 2, 900);
     }
 
-    let done = field.run_until(SOON, |field| field.shown(1) == Some(JobStatus::Completed));
+    let done = field.run_until(FAILURE_LIMIT, |field| {
+        field.status(1) == Some(JobStatus::Completed)
+    });
 
-    assert!(done, "shown as {:?}", field.shown(1));
+    assert!(done, "shown as {:?}", field.status(1));
 }
 
 /// Four crashes of any kind, with nothing proven: the next start is to be alone.
--- a/crates/job/tests/world/checks.rs
+++ b/crates/job/tests/event_sim/checks.rs
@@ -6,25 +6,25 @@
 use job::RunEnd;
 use job::TaskKey;
 
-use super::Sent;
-use super::World;
+use super::EventSim;
+use super::SentCommand;
 use crate::support;
 
-impl World {
+impl EventSim {
     /// Checks the invariants for a start, whichever owner has sent it.
-    pub(super) fn check(&self, sent: &Sent, task: TaskKey) {
+    pub(super) fn check(&self, sent: &SentCommand, task: TaskKey) {
         let at = sent.worker;
         let elsewhere = self.workers.iter().enumerate();
         let twice = elsewhere
-            .filter(|(other, worker)| *other != at && worker.holds(&task))
+            .filter(|(other, worker)| *other != at && worker.runs_task(&task))
             .count();
         assert_eq!(twice, 0, "{task} runs on two workers");
         assert!(
-            !self.noted.contains_key(&task),
+            !self.acked_done.contains_key(&task),
             "{task} ran again when done"
         );
         let spec = &self.jobs[&task.step.job];
-        let failures = self.noted_failures.get(&task).map_or(0, BTreeSet::len);
+        let failures = self.acked_failures.get(&task).map_or(0, BTreeSet::len);
         assert!(
             failures < spec.queue.attempts as usize,
             "{task} was started after {failures} failed runs"
--- a/crates/job/tests/world/rough.rs
+++ b/crates/job/tests/event_sim/crashes.rs
@@ -14,9 +14,9 @@
 use job::WorkerKey;
 
 use super::Event;
+use super::EventSim;
 use super::WORKERS;
-use super::World;
-use super::lives::Lasting;
+use super::same_ids::SameIds;
 use super::worker::Worker;
 use crate::support;
 
@@ -29,9 +29,9 @@
 
 /// State of a simulation with crashes.
 #[derive(Debug, Default)]
-pub struct Rough {
+pub struct CrashState {
     /// Number of restarts of the worker at each place.
-    lives: [usize; WORKERS],
+    incarnations: [usize; WORKERS],
     /// Ids of incarnations that have ended without the owner knowing it.
     unknown: Vec<String>,
     /// Cores of each worker, and when they last changed.
@@ -47,51 +47,57 @@
     /// Runs that crashed workers had reported as active.
     lost: Vec<(WorkerKey, TaskKey, RunId)>,
     /// State for workers that come back under the same id.
-    pub(super) lasting: Option<Lasting>,
+    pub(super) same_ids: Option<SameIds>,
 }
 
-impl World {
+impl EventSim {
     /// Creates a simulation in which workers and tasks crash.
-    pub fn rough() -> World {
-        let mut world = World::new();
-        world.rough = Some(Rough::default());
-        world
+    pub fn crash_state() -> EventSim {
+        let mut sim = EventSim::new();
+        sim.crash_state = Some(CrashState::default());
+        sim
     }
 
     /// Carries out an event; most are events of any simulation.
-    pub fn rough_step(&mut self, event: Event) {
+    pub fn crash_step(&mut self, event: Event) {
         let at = usize::from(event.pick) % WORKERS;
         // Former owners are left out here, since whom they reach is covered by other tests.
-        self.former = None;
+        self.former_owner = None;
         match event.kind {
             0..200 => self.step(event),
             200..208 if event.pick.is_multiple_of(3) => self.crash(at),
-            200..228 => self.come_back(at),
-            228..244 => self.learn_deaths(),
+            200..228 => self.restart_worker(at),
+            228..244 => self.report_crashes(),
             _ => self.resize(at, u64::from(event.pick / 3 % 4) + 1),
         }
         self.check_failed();
     }
 
     pub(super) fn id(&self, at: usize) -> String {
-        let life = self.rough.as_ref().map_or(0, |rough| rough.lives[at]);
-        match life {
-            _ if self.lasts(at) => format!("w{at}"),
+        let incarnation = self
+            .crash_state
+            .as_ref()
+            .map_or(0, |crash_state| crash_state.incarnations[at]);
+        match incarnation {
+            _ if self.keeps_id(at) => format!("w{at}"),
             0 => format!("w{at}"),
-            life => format!("w{at}-{life}"),
+            incarnation => format!("w{at}-{incarnation}"),
         }
     }
 
     pub(super) fn info(&self, at: usize) -> WorkerInfo {
         let mut info = support::worker(&self.id(at));
-        info.incarnation = self.workers[at].life;
-        info.capacity = support::room(self.cores(at).0 * 1000, 64_000);
+        info.incarnation = self.workers[at].incarnation;
+        info.capacity = support::resources(self.cores(at).0 * 1000, 64_000);
         info
     }
 
     /// Cores of a worker, and when they last changed.
     fn cores(&self, at: usize) -> (u64, Duration) {
-        let changed = self.rough.as_ref().and_then(|rough| rough.cores.get(&at));
+        let changed = self
+            .crash_state
+            .as_ref()
+            .and_then(|crash_state| crash_state.cores.get(&at));
         changed.copied().unwrap_or((4, Duration::ZERO))
     }
 
@@ -103,16 +109,21 @@
 
     /// Whether a task crashes each worker that runs it.
     fn bad(&self, task: TaskKey) -> bool {
-        self.rough.is_some() && task.step.job.is_multiple_of(4) && task.index == 0
+        self.crash_state.is_some() && task.step.job.is_multiple_of(4) && task.index == 0
     }
 
     /// Crashes the worker if the task is a bad one; returns its reply to the start in that case.
-    pub(super) fn crash_of(&mut self, at: usize, task: TaskKey, run: RunId) -> Option<StartReply> {
+    pub(super) fn crash_on_start(
+        &mut self,
+        at: usize,
+        task: TaskKey,
+        run: RunId,
+    ) -> Option<StartReply> {
         if !self.bad(task) {
             return None;
         }
-        if let Some(rough) = &mut self.rough {
-            *rough.bad_starts.entry(task).or_default() += 1;
+        if let Some(crash_state) = &mut self.crash_state {
+            *crash_state.bad_starts.entry(task).or_default() += 1;
         }
         self.crash(at);
         self.check_bad(task);
@@ -120,7 +131,7 @@
         if answered {
             // The worker was running the task when it confirmed the start. Together with later
             // starts of the other members, this counts as the start of a gang.
-            self.begun.insert(task.step.job);
+            self.started.insert(task.step.job);
         }
         Some(if answered {
             StartReply::Started
@@ -133,59 +144,61 @@
         if self.workers[at].down {
             return;
         }
-        let (id, lasts) = (self.id(at), self.lasts(at));
-        self.keep_late_hold(at);
+        let (id, keeps_id) = (self.id(at), self.keeps_id(at));
+        self.keep_late_renewal(at);
         let worker = std::mem::take(&mut self.workers[at]);
         self.workers[at] = Worker {
             down: true,
-            life: worker.life,
+            incarnation: worker.incarnation,
             ..Worker::default()
         };
-        let Some(rough) = &mut self.rough else {
+        let Some(crash_state) = &mut self.crash_state else {
             return;
         };
-        if !lasts {
-            rough.unknown.push(id);
+        if !keeps_id {
+            crash_state.unknown.push(id);
         }
         // The crash resets the worker's connections; some of these resets get lost.
         if !self.now.as_millis().is_multiple_of(4) {
             self.planner.worker_silent(self.keys[at]);
         }
         let key = self.keys[at];
-        let told = worker.told.into_iter();
-        rough.lost.extend(told.map(|(task, run)| (key, task, run)));
+        let reported = worker.reported.into_iter();
+        crash_state
+            .lost
+            .extend(reported.map(|(task, run)| (key, task, run)));
         let lost = worker
             .running
             .into_keys()
             .chain(worker.stopping.into_keys());
         for task in lost {
-            *rough.crashes.entry(task).or_default() += 1;
+            *crash_state.crashes.entry(task).or_default() += 1;
         }
     }
 
-    pub(super) fn come_back(&mut self, at: usize) {
+    pub(super) fn restart_worker(&mut self, at: usize) {
         if !std::mem::take(&mut self.workers[at].down) {
             return;
         }
-        if self.lasts(at) {
-            self.start_again(at);
+        if self.keeps_id(at) {
+            self.restart(at);
             return;
         }
-        if let Some(rough) = &mut self.rough {
-            rough.lives[at] += 1;
+        if let Some(crash_state) = &mut self.crash_state {
+            crash_state.incarnations[at] += 1;
         }
         let info = self.info(at);
         self.planner.advance(self.now);
         self.keys[at] = self.planner.take_worker(info).expect("a new life");
     }
 
-    fn learn_deaths(&mut self) {
-        let Some(rough) = &mut self.rough else {
+    fn report_crashes(&mut self) {
+        let Some(crash_state) = &mut self.crash_state else {
             return;
         };
         self.planner.advance(self.now);
-        let unknown = std::mem::take(&mut rough.unknown);
-        self.learn_lasting();
+        let unknown = std::mem::take(&mut crash_state.unknown);
+        self.learn_same_ids();
         for id in unknown {
             if let Some(key) = self.planner.worker_of(&id) {
                 self.planner.worker_over(key);
@@ -197,53 +210,63 @@
         if self.workers[at].down {
             return;
         }
-        if let Some(rough) = &mut self.rough {
-            rough.cores.insert(at, (cores, self.now));
+        if let Some(crash_state) = &mut self.crash_state {
+            crash_state.cores.insert(at, (cores, self.now));
         }
-        self.entry_written(at);
+        self.registration_written(at);
         let info = self.info(at);
         self.planner.take_worker(info);
     }
 
     /// Adds the crashed workers that still have a row to the planner of a new owner.
-    pub(super) fn recall_dead(&mut self) {
-        let Some(rough) = &mut self.rough else {
+    pub(super) fn recall_crashed(&mut self) {
+        let Some(crash_state) = &mut self.crash_state else {
             return;
         };
-        rough.owners += 1;
-        for id in &rough.unknown {
+        crash_state.owners += 1;
+        for id in &crash_state.unknown {
             self.planner.recall_worker(support::worker(id));
         }
     }
 
-    pub(super) fn note_failure(&mut self, task: TaskKey) {
-        if let Some(rough) = &mut self.rough {
-            *rough.failures.entry(task).or_default() += 1;
+    pub(super) fn record_failure(&mut self, task: TaskKey) {
+        if let Some(crash_state) = &mut self.crash_state {
+            *crash_state.failures.entry(task).or_default() += 1;
         }
     }
 
     /// Runs that crashed workers had reported as active, by the worker key of the owner at that
     /// time.
-    pub(super) fn lost_members(&self) -> &[(WorkerKey, TaskKey, RunId)] {
-        self.rough.as_ref().map_or(&[], |rough| &rough.lost)
+    pub(super) fn lost_runs(&self) -> &[(WorkerKey, TaskKey, RunId)] {
+        self.crash_state
+            .as_ref()
+            .map_or(&[], |crash_state| &crash_state.lost)
     }
 
     /// Checks the number of starts of a bad task. An owner that crashes before it has stored a
     /// first crash forgets it, which allows one more start; nothing else does.
     fn check_bad(&self, task: TaskKey) {
-        let Some(rough) = &self.rough else { return };
-        let starts = rough.bad_starts.get(&task).copied().unwrap_or_default();
-        let most = MOST_STARTS + rough.owners;
+        let Some(crash_state) = &self.crash_state else {
+            return;
+        };
+        let starts = crash_state
+            .bad_starts
+            .get(&task)
+            .copied()
+            .unwrap_or_default();
+        let most = MOST_STARTS + crash_state.owners;
         assert!(
             starts <= most,
             "{task}: {starts} starts, {} owners",
-            rough.owners
+            crash_state.owners
         );
     }
 
     /// Checks that a job fails only if a task failed too often or workers crashed under it.
     fn check_failed(&self) {
-        let Some(rough) = &self.rough else { return };
+        let Some(crash_state) = &self.crash_state else {
+            return;
+        };
         for (&id, spec) in &self.jobs {
             if self.planner.shown(id) != Some(JobStatus::Failed) {
                 continue;
@@ -253,17 +276,19 @@
                 tasks.any(|(task, count)| task.step.job == id && *count >= least)
             };
             let attempts = spec.queue.attempts as usize;
-            let failed = of(&rough.failures, attempts) || self.gang_failures(id) >= attempts;
-            let crashed = of(&rough.crashes, FEWEST_CRASHES);
+            let failed = of(&crash_state.failures, attempts) || self.gang_failures(id) >= attempts;
+            let crashed = of(&crash_state.crashes, FEWEST_CRASHES);
             assert!(failed || crashed, "job {id} has failed");
         }
     }
 
     /// Failed runs of a job's gangs; the failure of any member counts for the gang.
     fn gang_failures(&self, id: JobId) -> usize {
-        let Some(rough) = &self.rough else { return 0 };
+        let Some(crash_state) = &self.crash_state else {
+            return 0;
+        };
         let gang = |task: &TaskKey| self.jobs[&id].steps[task.step.step as usize].gang;
-        let failures = rough.failures.iter();
+        let failures = crash_state.failures.iter();
         failures
             .filter(|(task, _)| task.step.job == id && gang(task))
             .map(|(_, count)| count)
@@ -271,12 +296,12 @@
     }
 
     /// Number of jobs that failed, and of starts of bad tasks.
-    pub fn given_up(&self) -> (usize, usize) {
-        let Some(rough) = &self.rough else {
+    pub fn failed_jobs(&self) -> (usize, usize) {
+        let Some(crash_state) = &self.crash_state else {
             return (0, 0);
         };
         let failed = self.stored.values();
-        let failed = failed.filter(|told| told.outcome == Some(Outcome::Failed));
-        (failed.count(), rough.bad_starts.values().sum())
+        let failed = failed.filter(|reported| reported.outcome == Some(Outcome::Failed));
+        (failed.count(), crash_state.bad_starts.values().sum())
     }
 }
--- a/crates/job/tests/world/orders.rs
+++ b/crates/job/tests/event_sim/delivery.rs
@@ -7,17 +7,17 @@
 use job::StopReply;
 use job::TaskKey;
 
-use super::Sent;
-use super::World;
+use super::EventSim;
+use super::SentCommand;
 
-impl World {
-    pub(super) fn unanswered(&mut self, sent: &Sent) {
+impl EventSim {
+    pub(super) fn lose_reply(&mut self, sent: &SentCommand) {
         let key = self.keys[sent.worker];
-        match sent.order {
+        match sent.command {
             Order::Start { task, run, .. } => {
                 let reply = StartReply::Unknown;
                 self.planner.start_reply(key, task, run, reply);
-                self.raise(sent.worker);
+                self.raise_token(sent.worker);
             }
             Order::Stop { task, run, .. } => {
                 self.planner.stop_reply(key, task, run, StopReply::Unknown);
@@ -32,36 +32,36 @@
         }
         let at = usize::from(pick) % self.late.len();
         let sent = self.late.swap_remove(at);
-        if self.workers[sent.worker].cut || self.workers[sent.worker].down {
+        if self.workers[sent.worker].cut_off || self.workers[sent.worker].down {
             return;
         }
         // A worker that has come back under another id ignores commands to its former
         // incarnation.
-        if self.id(sent.worker) == sent.id && self.may_come_late(&sent) {
+        if self.id(sent.worker) == sent.id && self.may_arrive_late(&sent) {
             self.carry_out(&sent, false);
         }
     }
 
-    pub(super) fn carry_out(&mut self, sent: &Sent, answers: bool) {
+    pub(super) fn carry_out(&mut self, sent: &SentCommand, answers: bool) {
         let key = self.keys[sent.worker];
         let worker = &mut self.workers[sent.worker];
         if sent.token < worker.fence {
             return;
         }
         worker.fence = sent.token;
-        match sent.order {
+        match sent.command {
             Order::Start { task, run, .. } => {
                 let reply = self.start(sent, task, run);
                 if answers {
                     if reply == StartReply::Started {
-                        self.workers[sent.worker].told.insert((task, run));
+                        self.workers[sent.worker].reported.insert((task, run));
                     }
                     self.planner.start_reply(key, task, run, reply);
                 }
             }
             Order::Stop { task, run, .. } => {
-                let over = worker.over.entry(task).or_default();
-                *over = run.max(*over);
+                let last_ended = worker.last_ended.entry(task).or_default();
+                *last_ended = run.max(*last_ended);
                 if worker.running.get(&task).is_some_and(|held| held.0 == run) {
                     let run = worker.running.remove(&task);
                     worker
@@ -77,12 +77,15 @@
         }
     }
 
-    fn start(&mut self, sent: &Sent, task: TaskKey, run: RunId) -> StartReply {
+    fn start(&mut self, sent: &SentCommand, task: TaskKey, run: RunId) -> StartReply {
         let worker = &mut self.workers[sent.worker];
-        let old = worker.over.get(&task).is_some_and(|over| *over >= run);
+        let old = worker
+            .last_ended
+            .get(&task)
+            .is_some_and(|last_ended| *last_ended >= run);
         // The lease was computed for the clock of another incarnation, so it may last up to the
         // longest lease that a worker grants.
-        let lease = if sent.life == worker.life {
+        let lease = if sent.incarnation == worker.incarnation {
             sent.lease
         } else {
             self.now + Policy::default().longest_lease
@@ -93,9 +96,9 @@
         worker.lease = worker.lease.max(lease);
         worker.running.insert(task, (run, self.now));
         self.starts += 1;
-        self.note_start(task, run);
+        self.record_start(task, run);
         self.check(sent, task);
-        let crash = self.crash_of(sent.worker, task, run);
+        let crash = self.crash_on_start(sent.worker, task, run);
         crash.unwrap_or(StartReply::Started)
     }
 }
--- a/crates/job/tests/world/former.rs
+++ b/crates/job/tests/event_sim/former_owner.rs
@@ -9,19 +9,19 @@
 use super::WORKERS;
 
 /// State of the former owner.
-pub struct Former {
+pub struct FormerOwner {
     pub epoch: u64,
     tenure: RenewalAuthority,
     /// When it sent the newest command that each worker accepted.
-    heard: [Option<Duration>; WORKERS],
+    accepted_at: [Option<Duration>; WORKERS],
 }
 
-impl Former {
-    pub fn new(epoch: u64, tenure: RenewalAuthority) -> Former {
-        Former {
+impl FormerOwner {
+    pub fn new(epoch: u64, tenure: RenewalAuthority) -> FormerOwner {
+        FormerOwner {
             epoch,
             tenure,
-            heard: [None; WORKERS],
+            accepted_at: [None; WORKERS],
         }
     }
 
@@ -33,12 +33,12 @@
     /// Records that a worker accepts a renewal; returns the new expiry if the lease may be
     /// renewed.
     pub fn renew(&mut self, at: usize, now: Duration) -> Option<Duration> {
-        let heard = self.heard;
+        let accepted_at = self.accepted_at;
         let until = self.tenure.renewal_deadline(|worker| {
             let at: usize = worker[1..].parse().ok()?;
-            heard[at]
+            accepted_at[at]
         });
-        self.heard[at] = Some(now);
+        self.accepted_at[at] = Some(now);
         (now < until).then(|| now + Policy::default().lease)
     }
 }
--- a/crates/job/tests/world/mod.rs
+++ b/crates/job/tests/event_sim/mod.rs
@@ -3,11 +3,11 @@
 //! worker carries out.
 
 mod checks;
-mod former;
-mod lives;
-mod orders;
-mod rough;
-mod shown;
+mod crashes;
+mod delivery;
+mod former_owner;
+mod same_ids;
+mod status;
 mod worker;
 
 use std::collections::BTreeMap;
@@ -35,9 +35,9 @@
 
 use crate::support;
 
-use former::Former;
-use rough::Rough;
-use shown::Begun;
+use crashes::CrashState;
+use former_owner::FormerOwner;
+use status::StartedJobs;
 use worker::Worker;
 
 /// Number of workers, of four cores each.
@@ -55,20 +55,20 @@
 
 /// A command that was sent to a worker.
 #[derive(Clone, Debug)]
-struct Sent {
+struct SentCommand {
     worker: usize,
     id: String,
     /// Incarnation for which the command is meant, if the worker reports its incarnation.
-    life: Option<u64>,
+    incarnation: Option<u64>,
     token: Token,
     at: Duration,
     /// Expiry of the lease that the command carries.
     lease: Duration,
-    order: Order,
+    command: Order,
 }
 
 /// The simulated owner, its workers and the store.
-pub struct World {
+pub struct EventSim {
     now: Duration,
     epoch: u64,
     planner: Planner,
@@ -78,19 +78,19 @@
     workers: Vec<Worker>,
     jobs: BTreeMap<JobId, JobSpec>,
     stored: BTreeMap<JobId, Progress>,
-    late: Vec<Sent>,
+    late: Vec<SentCommand>,
     saving: Option<(Duration, Batch)>,
     tenure: RenewalAuthority,
     /// Former owner that is cut off from the store and still renews leases.
-    former: Option<Former>,
+    former_owner: Option<FormerOwner>,
     /// Stored ends of successful runs.
-    noted: HashMap<TaskKey, RunId>,
+    acked_done: HashMap<TaskKey, RunId>,
     /// Stored ends of failed runs.
-    noted_failures: HashMap<TaskKey, BTreeSet<RunId>>,
-    begun: Begun,
+    acked_failures: HashMap<TaskKey, BTreeSet<RunId>>,
+    started: StartedJobs,
     /// Tasks that have ended successfully on any worker, also on one that has crashed since.
     done: HashSet<TaskKey>,
-    rough: Option<Rough>,
+    crash_state: Option<CrashState>,
     pub starts: usize,
 }
 
@@ -98,9 +98,9 @@
     (0..WORKERS).map(|at| format!("w{at}"))
 }
 
-impl World {
-    pub fn new() -> World {
-        let mut world = World {
+impl EventSim {
+    pub fn new() -> EventSim {
+        let mut sim = EventSim {
             now: Duration::ZERO,
             epoch: 0,
             planner: support::planner(1),
@@ -112,27 +112,27 @@
             late: Vec::new(),
             saving: None,
             tenure: RenewalAuthority::new(Duration::ZERO, names()),
-            former: None,
-            noted: HashMap::new(),
-            noted_failures: HashMap::new(),
-            begun: Begun::new(),
+            former_owner: None,
+            acked_done: HashMap::new(),
+            acked_failures: HashMap::new(),
+            started: StartedJobs::new(),
             done: HashSet::new(),
-            rough: None,
+            crash_state: None,
             starts: 0,
         };
-        world.take_over();
-        world
+        sim.take_over();
+        sim
     }
 
     /// Replaces the owner by one that knows only what was stored.
     fn take_over(&mut self) {
         let before = self.epoch;
-        let rows = self.rows();
+        let stored_incarnations = self.stored_incarnations();
         self.epoch = job::next_epoch(self.epoch);
         self.raised = vec![0; WORKERS];
         self.saving = None;
         for worker in &mut self.workers {
-            worker.linked = false;
+            worker.in_contact = false;
         }
         let policy = Policy::default();
         self.planner = Planner::new(policy, self.epoch, self.now, Duration::ZERO);
@@ -142,18 +142,27 @@
         }
         let tenure = RenewalAuthority::new(self.now, names());
         let tenure = std::mem::replace(&mut self.tenure, tenure);
-        self.former = Some(Former::new(before, tenure));
-        self.keys = (0..WORKERS).map(|at| self.recall(at, &rows)).collect();
-        self.recall_dead();
+        self.former_owner = Some(FormerOwner::new(before, tenure));
+        self.keys = (0..WORKERS)
+            .map(|at| self.recall(at, &stored_incarnations))
+            .collect();
+        self.recall_crashed();
     }
 
     /// Adds a worker to the new planner from its row, and then from its registration.
-    fn recall(&mut self, at: usize, rows: &HashMap<String, Option<u64>>) -> WorkerKey {
+    fn recall(
+        &mut self,
+        at: usize,
+        stored_incarnations: &HashMap<String, Option<u64>>,
+    ) -> WorkerKey {
         let info: WorkerInfo = self.info(at);
         // The row holds the largest capacity that the worker has had, and its last known
         // incarnation.
         let row = WorkerInfo {
-            incarnation: rows.get(&info.id).copied().unwrap_or(info.incarnation),
+            incarnation: stored_incarnations
+                .get(&info.id)
+                .copied()
+                .unwrap_or(info.incarnation),
             ..support::worker(&info.id)
         };
         let key = self.planner.recall_worker(row);
@@ -164,20 +173,20 @@
     }
 
     /// Sends a renewal of the former owner to a worker that its successor may not reach.
-    fn renew_former(&mut self, pick: u8) {
+    fn renew_by_former(&mut self, pick: u8) {
         let at = usize::from(pick) % WORKERS;
-        let Some(former) = &mut self.former else {
+        let Some(former_owner) = &mut self.former_owner else {
             return;
         };
-        if !Former::reaches(at, pick) {
+        if !FormerOwner::reaches(at, pick) {
             return;
         }
         let worker = &mut self.workers[at];
-        if worker.fence > former.epoch {
-            self.former = None;
+        if worker.fence > former_owner.epoch {
+            self.former_owner = None;
             return;
         }
-        let lease = former.renew(at, self.now);
+        let lease = former_owner.renew(at, self.now);
         worker.lease = lease.map_or(worker.lease, |lease| worker.lease.max(lease));
     }
 
@@ -185,10 +194,10 @@
         let at = usize::from(event.pick) % WORKERS;
         match event.kind % 16 {
             0 => self.submit(event.pick),
-            1..=3 => self.hold(at),
+            1..=3 => self.renew_lease(at),
             4 | 5 => self.plan(event.pick),
-            6 => self.end_some(at, event.pick, RunEnd::Done),
-            7 => self.end_some(at, event.pick, RunEnd::Failed),
+            6 => self.end_run(at, event.pick, RunEnd::Done),
+            7 => self.end_run(at, event.pick, RunEnd::Failed),
             8 => self.begin_save(),
             9 => self.end_save(event.pick.is_multiple_of(3)),
             10 => self.advance(Duration::from_millis(u64::from(event.pick) * 20)),
@@ -197,14 +206,14 @@
                 self.take_over();
                 // The former owner may still reach most of the workers.
                 for worker in &mut self.workers[1..] {
-                    worker.cut = event.pick.is_multiple_of(8);
+                    worker.cut_off = event.pick.is_multiple_of(8);
                 }
             }
             12 => self.cancel(event.pick),
-            13 | 14 => self.renew_former(event.pick),
-            _ => self.workers[at].cut = event.pick.is_multiple_of(2),
+            13 | 14 => self.renew_by_former(event.pick),
+            _ => self.workers[at].cut_off = event.pick.is_multiple_of(2),
         }
-        self.check_shown();
+        self.check_statuses();
     }
 
     fn advance(&mut self, by: Duration) {
@@ -217,7 +226,7 @@
                 worker.end(task, RunEnd::Stopped);
             }
             if worker.lease <= self.now {
-                worker.void = worker.count;
+                worker.voided = worker.end_count;
                 let held = worker.running.keys().chain(worker.stopping.keys());
                 let tasks: Vec<TaskKey> = held.copied().collect();
                 for task in tasks {
@@ -257,21 +266,21 @@
     }
 
     /// Renews a lease: claims the worker, extends the lease and passes in the worker report.
-    fn hold(&mut self, at: usize) {
+    fn renew_lease(&mut self, at: usize) {
         self.planner.advance(self.now);
         let key = self.keys[at];
         if self.planner.worker(key).is_none() {
             return;
         }
-        if self.workers[at].cut || self.workers[at].down {
+        if self.workers[at].cut_off || self.workers[at].down {
             self.planner.worker_silent(key);
-            self.workers[at].linked = false;
+            self.workers[at].in_contact = false;
             return;
         }
         let token = self.token(at);
         // A worker that reports its incarnation gets a lease only after it has replied, since the
         // clock of a new incarnation is unknown.
-        if self.workers[at].linked || self.workers[at].life.is_none() {
+        if self.workers[at].in_contact || self.workers[at].incarnation.is_none() {
             self.planner.lease_sent(key);
             let worker = &mut self.workers[at];
             worker.lease = worker.lease.max(self.now + Policy::default().lease);
@@ -279,12 +288,12 @@
         self.acknowledge(at, key);
         let worker = &mut self.workers[at];
         worker.fence = worker.fence.max(token);
-        worker.linked = self
+        worker.in_contact = self
             .planner
             .worker(key)
-            .is_some_and(|info| info.incarnation == worker.life);
-        let listing = WorkerReport {
-            incarnation: worker.life,
+            .is_some_and(|info| info.incarnation == worker.incarnation);
+        let worker_report = WorkerReport {
+            incarnation: worker.incarnation,
             clock: self.now,
             running: worker
                 .running
@@ -300,30 +309,30 @@
             ended: worker
                 .ended
                 .iter()
-                .filter(|end| end.number > worker.seen)
+                .filter(|end| end.number > worker.acked)
                 .cloned()
                 .collect(),
         };
-        self.planner.take_listing(key, self.now, &listing);
+        self.planner.take_listing(key, self.now, &worker_report);
         // The planner requests another report if this one came from an unknown incarnation.
-        if self.workers[at].linked {
+        if self.workers[at].in_contact {
             let worker = &mut self.workers[at];
             let running = worker.running.iter();
             worker
-                .told
+                .reported
                 .extend(running.map(|(&task, &(run, _))| (task, run)));
-            self.check_listed(at);
+            self.check_reported(at);
         }
     }
 
     fn plan(&mut self, pick: u8) {
         self.planner.advance(self.now);
         self.planner.plan();
-        for (nth, order) in self.planner.take_orders().into_iter().enumerate() {
-            let worker = match &order {
+        for (nth, command) in self.planner.take_orders().into_iter().enumerate() {
+            let worker = match &command {
                 Order::Start { worker, .. } | Order::Stop { worker, .. } => *worker,
                 Order::Begin { worker } => {
-                    self.begin(*worker);
+                    self.record_incarnation(*worker);
                     continue;
                 }
                 Order::Drop { .. } => continue,
@@ -331,21 +340,21 @@
             let Some(at) = self.keys.iter().position(|key| *key == worker) else {
                 continue;
             };
-            let sent = Sent {
+            let sent = SentCommand {
                 worker: at,
                 id: self.id(at),
-                life: self.linked_life(at),
+                incarnation: self.known_incarnation(at),
                 token: self.token(at),
                 at: self.now,
                 lease: self.now + Policy::default().lease,
-                order,
+                command,
             };
             // Some commands get no reply, and some of those are carried out late.
             if (nth + usize::from(pick)).is_multiple_of(5)
-                || self.workers[at].cut
+                || self.workers[at].cut_off
                 || self.workers[at].down
             {
-                self.unanswered(&sent);
+                self.lose_reply(&sent);
                 self.late.push(sent);
             } else {
                 self.carry_out(&sent, true);
@@ -354,7 +363,7 @@
         self.now += Duration::from_millis(1);
     }
 
-    fn end_some(&mut self, at: usize, pick: u8, how: RunEnd) {
+    fn end_run(&mut self, at: usize, pick: u8, how: RunEnd) {
         let worker = &mut self.workers[at];
         let tasks: Vec<TaskKey> = worker.running.keys().copied().collect();
         if tasks.is_empty() {
@@ -366,10 +375,10 @@
             RunEnd::Done => {
                 self.done.insert(task);
             }
-            RunEnd::Failed => self.note_failure(task),
+            RunEnd::Failed => self.record_failure(task),
             _ => {}
         }
-        self.begun.insert(task.step.job);
+        self.started.insert(task.step.job);
         let gang = self.jobs[&task.step.job].steps[task.step.step as usize].gang;
         if gang {
             let rest = if how == RunEnd::Done {
@@ -398,14 +407,14 @@
     }
 
     fn end_save(&mut self, fails: bool) {
-        let Some((begun, batch)) = self.saving.take() else {
+        let Some((started, batch)) = self.saving.take() else {
             return;
         };
         if fails {
             self.planner.batch_failed(&batch);
             return;
         }
-        self.tenure.record_write(begun);
+        self.tenure.record_write(started);
         for (id, progress) in &batch.jobs {
             self.stored.insert(*id, progress.clone());
         }
@@ -418,24 +427,24 @@
     }
 
     /// Records the stored ends up to `number` as acknowledged, if the worker can be reached.
-    fn note(&mut self, at: usize, number: u64) {
+    fn record_acked(&mut self, at: usize, number: u64) {
         let worker = &mut self.workers[at];
-        if worker.cut {
+        if worker.cut_off {
             return;
         }
         for end in &worker.ended {
-            let counts = end.number > worker.seen.max(worker.void) && end.number <= number;
+            let counts = end.number > worker.acked.max(worker.voided) && end.number <= number;
             match end.how {
                 RunEnd::Done if counts => {
-                    self.noted.insert(end.task, end.run);
+                    self.acked_done.insert(end.task, end.run);
                 }
                 RunEnd::Failed if counts => {
-                    let failures = self.noted_failures.entry(end.task).or_default();
+                    let failures = self.acked_failures.entry(end.task).or_default();
                     failures.insert(end.run);
                 }
                 _ => {}
             }
         }
-        worker.seen = worker.seen.max(number);
+        worker.acked = worker.acked.max(number);
     }
 }
--- a/crates/job/tests/world/shown.rs
+++ b/crates/job/tests/event_sim/status.rs
@@ -7,24 +7,24 @@
 use job::RunId;
 use job::TaskKey;
 
-use super::World;
+use super::EventSim;
 use crate::support;
 
-impl World {
+impl EventSim {
     /// Records a start on a worker. A gang has started when all its members run, or ran when the
     /// owner last received a report of them.
-    pub(super) fn note_start(&mut self, task: TaskKey, run: RunId) {
+    pub(super) fn record_start(&mut self, task: TaskKey, run: RunId) {
         let step = task.step;
         let spec = &self.jobs[&step.job].steps[step.step as usize];
         let all = (0..spec.count).all(|index| self.runs(TaskKey { step, index }, run));
         if !spec.gang || all {
-            self.begun.insert(task.step.job);
+            self.started.insert(task.step.job);
         }
     }
 
     fn runs(&self, task: TaskKey, run: RunId) -> bool {
         let mut held = self.workers.iter().filter_map(|one| one.running.get(&task));
-        let mut lost = self.lost_members().iter();
+        let mut lost = self.lost_runs().iter();
         held.any(|(number, _)| *number == run)
             || lost.any(|&(key, member, number)| {
                 (member, number) == (task, run) && self.planner.holds(key, task, run)
@@ -33,23 +33,23 @@
 
     /// Checks that no job is pending while the worker's report lists a task of it that is not in
     /// a gang. A cancelled job is exempt, since its status is final for callers.
-    pub(super) fn check_listed(&self, at: usize) {
+    pub(super) fn check_reported(&self, at: usize) {
         for task in self.workers[at].running.keys() {
             let spec = &self.jobs[&task.step.job];
             let gang = spec.steps[task.step.step as usize].gang;
-            let shown = self.planner.shown(task.step.job);
+            let status = self.planner.shown(task.step.job);
             if !gang && !spec.canceled {
-                assert_ne!(shown, Some(JobStatus::Pending), "{task} runs");
+                assert_ne!(status, Some(JobStatus::Pending), "{task} runs");
             }
         }
     }
 
     /// Checks that no job is shown as active, or missing among the waiting ones, before a worker
     /// has started a task of it.
-    pub(super) fn check_shown(&self) {
+    pub(super) fn check_statuses(&self) {
         let mut waiting = 0;
         for (id, spec) in &self.jobs {
-            if self.begun.contains(id) {
+            if self.started.contains(id) {
                 continue;
             }
             assert_ne!(
@@ -65,4 +65,4 @@
 }
 
 /// Jobs of which a worker has started a task.
-pub(super) type Begun = BTreeSet<JobId>;
+pub(super) type StartedJobs = BTreeSet<JobId>;
--- a/crates/job/tests/impossible.rs
+++ b/crates/job/tests/impossible.rs
@@ -9,13 +9,13 @@
 use job::StepSpec;
 use job::WorkerInfo;
 use support::add_claimed;
-use support::listing;
 use support::plan_at;
 use support::planner;
-use support::room;
+use support::resources;
 use support::spec;
 use support::step;
 use support::worker;
+use support::worker_report;
 
 const JOB: u64 = 7;
 
@@ -64,14 +64,18 @@
     let mut planner = planner(1);
     add_claimed(&mut planner, "w1");
     let away = planner.take_worker(special("w2")).expect("new worker");
-    planner.take_listing(away, Duration::ZERO, &listing(vec![], vec![]));
+    planner.take_listing(away, Duration::ZERO, &worker_report(vec![], vec![]));
     plan_at(&mut planner, 10_000);
     planner.worker_over(away);
     planner.take_job(JOB, spec(vec![labelled("b")]), None, false);
     let early = plan_at(&mut planner, 20_000);
     let told = outcomes(&mut planner);
     let back = planner.take_worker(special("w3")).expect("new worker");
-    planner.take_listing(back, Duration::from_secs(20), &listing(vec![], vec![]));
+    planner.take_listing(
+        back,
+        Duration::from_secs(20),
+        &worker_report(vec![], vec![]),
+    );
 
     let late = plan_at(&mut planner, 21_000);
 
@@ -106,12 +110,12 @@
 fn workers_of_unknown_size_fail_no_job() {
     let mut planner = planner(2);
     let left = WorkerInfo {
-        capacity: room(0, 0),
+        capacity: resources(0, 0),
         labels: vec![],
         ..worker("w1")
     };
     let key = recall(&mut planner, left);
-    planner.take_listing(key, Duration::ZERO, &listing(vec![], vec![]));
+    planner.take_listing(key, Duration::ZERO, &worker_report(vec![], vec![]));
     planner.take_job(JOB, spec(vec![step(1)]), None, true);
     planner.lease_sent(key);
     plan_at(&mut planner, 3_500);
@@ -151,7 +155,7 @@
     add_claimed(&mut planner, "w1");
     plan_at(&mut planner, 2_900);
     let second = planner.take_worker(worker("w2")).expect("new worker");
-    planner.take_listing(second, Duration::ZERO, &listing(vec![], vec![]));
+    planner.take_listing(second, Duration::ZERO, &worker_report(vec![], vec![]));
     planner.take_job(JOB, spec(vec![gang(12)]), None, false);
     plan_at(&mut planner, 3_200);
     let told = outcomes(&mut planner);
@@ -167,7 +171,7 @@
 #[test]
 fn what_no_worker_ever_could_take_fails() {
     let mut large = step(1);
-    large.need = room(5_000, 1);
+    large.need = resources(5_000, 1);
     for poison in [large, labelled("never"), gang(9)] {
         let mut planner = planner(1);
         add_claimed(&mut planner, "w1");
--- a/crates/job/tests/invariants.rs
+++ b/crates/job/tests/invariants.rs
@@ -1,10 +1,10 @@
 //! Checks the planner's invariants in a simulation with faults, driven by arbitrary events.
 
+mod event_sim;
 mod support;
-mod world;
 
-use world::Event;
-use world::World;
+use event_sim::Event;
+use event_sim::EventSim;
 
 /// Returns the next number of a linear congruential generator, of 31 bits.
 fn draw(state: &mut u64) -> u64 {
@@ -40,9 +40,9 @@
     bolero::check!()
         .with_type::<Vec<(u8, u8)>>()
         .for_each(|events| {
-            let mut world = World::new();
+            let mut sim = EventSim::new();
             for &(kind, pick) in events {
-                world.step(Event { kind, pick });
+                sim.step(Event { kind, pick });
             }
         });
 }
@@ -55,15 +55,15 @@
     let mut starts = 0;
 
     for _ in 0..400 {
-        let mut world = World::new();
+        let mut sim = EventSim::new();
         for _ in 0..400 {
             let bytes = next();
-            world.step(Event {
+            sim.step(Event {
                 kind: bytes[0],
                 pick: bytes[1],
             });
         }
-        starts += world.starts;
+        starts += sim.starts;
     }
 
     assert!(starts > 10_000, "the sequences start tasks: {starts}");
@@ -92,7 +92,7 @@
     let mut next = || usize::try_from(draw(&mut state)).expect("31 bits");
 
     for _ in 0..300 {
-        let mut world = World::new();
+        let mut sim = EventSim::new();
         // All three workers have active runs when the owner is cut off.
         for event in [
             (0, 1),
@@ -105,14 +105,14 @@
             (4, 2),
             (12, 8),
         ] {
-            world.step(Event {
+            sim.step(Event {
                 kind: event.0,
                 pick: event.1,
             });
         }
         for _ in 0..600 {
             let (kind, pick) = EVENTS[next() % EVENTS.len()];
-            world.step(Event { kind, pick });
+            sim.step(Event { kind, pick });
         }
     }
 }
@@ -150,12 +150,12 @@
     let (mut failed, mut bad) = (0, 0);
 
     for _ in 0..50 {
-        let mut world = World::rough();
+        let mut sim = EventSim::crash_state();
         drive(&mut state, 2000, &EVENTS, 10, |event| {
-            world.rough_step(event);
+            sim.crash_step(event);
         });
-        let (given_up, starts) = world.given_up();
-        failed += given_up;
+        let (failed_jobs, starts) = sim.failed_jobs();
+        failed += failed_jobs;
         bad += starts;
     }
 
@@ -197,12 +197,12 @@
     let (mut starts, mut restarts) = (0, 0);
 
     for _ in 0..60 {
-        let mut world = World::lasting();
+        let mut sim = EventSim::same_ids();
         drive(&mut state, 2000, &EVENTS, 25, |event| {
-            world.lasting_step(event);
+            sim.same_ids_step(event);
         });
-        starts += world.starts;
-        restarts += world.restarts();
+        starts += sim.starts;
+        restarts += sim.restarts();
     }
 
     assert!(starts > 5000, "{starts} starts");
@@ -214,9 +214,9 @@
     bolero::check!()
         .with_type::<Vec<(u8, u8)>>()
         .for_each(|events| {
-            let mut world = World::lasting();
+            let mut sim = EventSim::same_ids();
             for &(kind, pick) in events {
-                world.lasting_step(Event { kind, pick });
+                sim.same_ids_step(Event { kind, pick });
             }
         });
 }
@@ -226,9 +226,9 @@
     bolero::check!()
         .with_type::<Vec<(u8, u8)>>()
         .for_each(|events| {
-            let mut world = World::rough();
+            let mut sim = EventSim::crash_state();
             for &(kind, pick) in events {
-                world.rough_step(Event { kind, pick });
+                sim.crash_step(Event { kind, pick });
             }
         });
 }
--- a/crates/job/tests/late_ends.rs
+++ b/crates/job/tests/late_ends.rs
@@ -23,12 +23,12 @@
 use support::add;
 use support::add_claimed;
 use support::ended;
-use support::listing;
 use support::plan_at;
 use support::planner;
 use support::running;
 use support::spec;
 use support::step;
+use support::worker_report;
 
 const JOB: u64 = 7;
 
@@ -63,7 +63,7 @@
     planner.worker_silent(first);
     assert_eq!(plan_at(&mut planner, LAPSED), []);
 
-    let done = listing(vec![], vec![ended(1, task, run, RunEnd::Done)]);
+    let done = worker_report(vec![], vec![ended(1, task, run, RunEnd::Done)]);
     list(&mut planner, first, LAPSED + 10, &done);
 
     assert_eq!(plan_at(&mut planner, LAPSED + 20), []);
@@ -78,13 +78,18 @@
     planner.worker_silent(first);
     plan_at(&mut planner, LAPSED);
     let second = add(&mut planner, "w2");
-    list(&mut planner, second, LAPSED + 5, &listing(vec![], vec![]));
+    list(
+        &mut planner,
+        second,
+        LAPSED + 5,
+        &worker_report(vec![], vec![]),
+    );
     let (_, again, at) = plan_at(&mut planner, LAPSED + 6)[0];
     planner.start_reply(at, task, again, StartReply::Started);
-    let runs = listing(vec![running(task, again)], vec![]);
+    let runs = worker_report(vec![running(task, again)], vec![]);
     list(&mut planner, second, LAPSED + 8, &runs);
 
-    let done = listing(vec![], vec![ended(1, task, run, RunEnd::Done)]);
+    let done = worker_report(vec![], vec![ended(1, task, run, RunEnd::Done)]);
     list(&mut planner, first, LAPSED + 10, &done);
 
     let stopped = planner.take_orders().into_iter().any(|order| {
@@ -101,7 +106,7 @@
 fn a_run_is_not_given_up_while_an_answer_may_come() {
     let (mut planner, first, _, _) = one_run();
     let second = add(&mut planner, "w2");
-    list(&mut planner, second, 2, &listing(vec![], vec![]));
+    list(&mut planner, second, 2, &worker_report(vec![], vec![]));
     let sent = Duration::from_secs(4);
     planner.await_answer(first, sent, Duration::from_millis(LAPSED + 500));
     planner.worker_silent(first);
@@ -115,7 +120,7 @@
 fn an_answer_to_a_call_after_the_lease_is_not_waited_for() {
     let (mut planner, first, _, _) = one_run();
     let second = add(&mut planner, "w2");
-    list(&mut planner, second, 2, &listing(vec![], vec![]));
+    list(&mut planner, second, 2, &worker_report(vec![], vec![]));
     planner.worker_silent(first);
 
     let sent = Duration::from_millis(LAPSED);
--- a/crates/job/tests/late_starts.rs
+++ b/crates/job/tests/late_starts.rs
@@ -21,14 +21,14 @@
 use support::add;
 use support::add_claimed;
 use support::ended;
-use support::listing;
 use support::plan_at;
 use support::planner;
-use support::room;
+use support::resources;
 use support::running;
 use support::spec;
 use support::step;
 use support::task;
+use support::worker_report;
 
 const JOB: u64 = 7;
 
@@ -76,7 +76,7 @@
 fn list(planner: &mut Planner, at: u64, (key, task, run): Sent) {
     let at = Duration::from_millis(at);
     planner.advance(at);
-    planner.take_listing(key, at, &listing(vec![running(task, run)], vec![]));
+    planner.take_listing(key, at, &worker_report(vec![running(task, run)], vec![]));
 }
 
 /// The stop of `sent` is sent again as long as it gets no answer, also after
@@ -94,7 +94,7 @@
     planner.stop_reply(key, task, run, StopReply::Stopped);
     list(planner, at + 10, sent);
     assert_eq!(planner.load().placed, 1, "it is still ending");
-    let over = listing(vec![], vec![ended(1, task, run, RunEnd::Stopped)]);
+    let over = worker_report(vec![], vec![ended(1, task, run, RunEnd::Stopped)]);
     planner.advance(Duration::from_millis(at + 20));
     planner.take_listing(key, Duration::from_millis(at + 20), &over);
     assert_eq!(stops(planner), vec![]);
@@ -276,14 +276,14 @@
     let mut planner = planner(2);
     let key = add(&mut planner, "w1");
     let task = task(JOB, 0, 0);
-    let two = listing(vec![running(task, 1), running(task, 2)], vec![]);
+    let two = worker_report(vec![running(task, 1), running(task, 2)], vec![]);
     planner.take_listing(key, Duration::ZERO, &two);
     let stopped = stops(&mut planner);
     let ends = vec![
         ended(1, task, 1, RunEnd::Stopped),
         ended(2, task, 2, RunEnd::Stopped),
     ];
-    planner.take_listing(key, Duration::from_millis(10), &listing(vec![], ends));
+    planner.take_listing(key, Duration::from_millis(10), &worker_report(vec![], ends));
     planner.advance(Duration::from_secs(3));
 
     planner.take_job(JOB + 1, spec(vec![step(1)]), None, false);
@@ -303,7 +303,7 @@
     ];
     let mut gang = step(2);
     gang.gang = true;
-    gang.need = room(4000, 1000);
+    gang.need = resources(4000, 1000);
     planner.take_job(JOB, spec(vec![gang.clone()]), None, false);
     let starts = plan_at(&mut planner, 1);
     let (late, run, slow) = starts[0];
@@ -319,7 +319,7 @@
     all.sort_unstable();
     assert_eq!(stopped, all);
     assert!(keys.contains(&slow) && keys.contains(&fast));
-    let over = listing(vec![], vec![ended(1, other, run, RunEnd::Stopped)]);
+    let over = worker_report(vec![], vec![ended(1, other, run, RunEnd::Stopped)]);
     planner.take_listing(fast, Duration::from_millis(300), &over);
     assert_stopped_until_confirmed(&mut planner, 2_500, (slow, late, run));
 }
@@ -333,7 +333,7 @@
     add_claimed(&mut planner, "w2");
     let mut gang = step(2);
     gang.gang = true;
-    gang.need = room(4000, 1000);
+    gang.need = resources(4000, 1000);
     planner.take_job(JOB, spec(vec![gang.clone()]), None, false);
     let starts = plan_at(&mut planner, 1);
     let (late, run, slow) = starts[0];
@@ -368,7 +368,7 @@
 
     planner.take_listing(key, later, &WorkerReport::default());
 
-    assert_eq!(held, room(1000, 1000), "the start may still come");
+    assert_eq!(held, resources(1000, 1000), "the start may still come");
     assert_eq!(planner.load().used, Resources::default());
     planner.stop_reply(key, task, run, StopReply::Unknown);
     assert_eq!(stops(&mut planner), vec![], "the run is over");
@@ -382,7 +382,7 @@
     let (key, task, run) = unanswered_start(&mut planner);
     cancel(&mut planner);
     stops(&mut planner);
-    let over = listing(vec![], vec![ended(1, task, run, RunEnd::Stopped)]);
+    let over = worker_report(vec![], vec![ended(1, task, run, RunEnd::Stopped)]);
     planner.take_listing(key, Duration::from_millis(300), &over);
 
     planner.stop_reply(key, task, run, StopReply::Unknown);
--- a/crates/job/tests/life_leases.rs
+++ b/crates/job/tests/life_leases.rs
@@ -11,16 +11,15 @@
 use job::WorkerKey;
 use job::WorkerReport;
 
-use support::listing;
-use support::lives::FIRST;
-use support::lives::JOB;
-use support::lives::at;
-use support::lives::begun;
-use support::lives::info;
-use support::lives::list;
-use support::lives::nothing;
-use support::lives::tell;
-use support::lives::with_history;
+use support::incarnations::FIRST_START;
+use support::incarnations::JOB;
+use support::incarnations::at;
+use support::incarnations::deliver_report;
+use support::incarnations::empty_report;
+use support::incarnations::info;
+use support::incarnations::new_incarnation;
+use support::incarnations::report_of;
+use support::incarnations::with_history;
 use support::plan_at;
 use support::planner;
 use support::running;
@@ -28,12 +27,13 @@
 use support::step;
 use support::task;
 use support::worker;
+use support::worker_report;
 
 /// A worker of which it was heard for 10 s, and a task that it has confirmed since by its
 /// answer to the start alone; beside it one that could take the task.
 fn with_fresh_start(planner: &mut Planner) -> (WorkerKey, TaskKey, RunId) {
     let key = with_history(planner);
-    tell(planner, key, 9990, &nothing(FIRST));
+    deliver_report(planner, key, 9990, &empty_report(FIRST_START));
     planner.take_job(JOB, spec(vec![step(1)]), None, false);
     let (task, run, _) = plan_at(planner, 10_000)[0];
     planner.advance(at(10_002));
@@ -46,7 +46,7 @@
 /// no answer, 0.25 s after 10 s, and the worker is silent.
 fn with_unanswered_start(planner: &mut Planner, count: u32) -> (WorkerKey, TaskKey, RunId) {
     let key = with_history(planner);
-    tell(planner, key, 9990, &nothing(FIRST));
+    deliver_report(planner, key, 9990, &empty_report(FIRST_START));
     planner.take_job(JOB, spec(vec![step(count)]), None, false);
     let starts = plan_at(planner, 10_000);
     let (last, confirmed) = starts.split_last().expect("starts");
@@ -55,8 +55,8 @@
         planner.start_reply(key, task, run, StartReply::Started);
     }
     let runs = confirmed.iter().map(|&(task, run, _)| running(task, run));
-    let runs = list(FIRST, listing(runs.collect(), Vec::new()));
-    tell(planner, key, 10_004, &runs);
+    let runs = report_of(FIRST_START, worker_report(runs.collect(), Vec::new()));
+    deliver_report(planner, key, 10_004, &runs);
     planner.advance(at(10_250));
     planner.start_reply(key, last.0, last.1, StartReply::Unknown);
     planner.worker_silent(key);
@@ -85,8 +85,11 @@
 fn a_start_that_a_list_has_shown_is_given_up_with_its_lease() {
     let mut planner = planner(1);
     let (key, task, run) = with_fresh_start(&mut planner);
-    let there = list(FIRST, listing(vec![running(task, run)], Vec::new()));
-    tell(&mut planner, key, 10_010, &there);
+    let there = report_of(
+        FIRST_START,
+        worker_report(vec![running(task, run)], Vec::new()),
+    );
+    deliver_report(&mut planner, key, 10_010, &there);
     planner.worker_silent(key);
 
     let late = plan_at(&mut planner, 15_000);
@@ -130,10 +133,10 @@
     let mut planner = planner(2);
     let old = Progress::default();
     planner.take_job(JOB, spec(vec![step(1)]), Some(&old), true);
-    let key = planner.recall_worker(info(FIRST)).expect("recalled");
-    planner.take_worker(info(FIRST));
-    let run = listing(vec![running(task(JOB, 0, 0), 3)], Vec::new());
-    tell(&mut planner, key, 5000, &list(FIRST, run));
+    let key = planner.recall_worker(info(FIRST_START)).expect("recalled");
+    planner.take_worker(info(FIRST_START));
+    let run = worker_report(vec![running(task(JOB, 0, 0), 3)], Vec::new());
+    deliver_report(&mut planner, key, 5000, &report_of(FIRST_START, run));
     support::add_claimed(&mut planner, "w2");
     planner.worker_silent(key);
 
@@ -151,10 +154,10 @@
     let mut planner = planner(2);
     let old = Progress::default();
     planner.take_job(JOB, spec(vec![step(1)]), Some(&old), true);
-    planner.recall_worker(info(FIRST)).expect("recalled");
+    planner.recall_worker(info(FIRST_START)).expect("recalled");
     let other = planner.recall_worker(worker("w2")).expect("recalled");
     planner.take_worker(worker("w2"));
-    tell(&mut planner, other, 10, &WorkerReport::default());
+    deliver_report(&mut planner, other, 10, &WorkerReport::default());
 
     // The predecessor renews for 2.5 s after half of the workers were claimed.
     plan_at(&mut planner, 20);
@@ -187,14 +190,14 @@
 fn a_start_that_may_yet_reach_the_first_named_life_is_waited_for() {
     let mut planner = planner(1);
     let key = planner.take_worker(worker("w1")).expect("new worker");
-    tell(&mut planner, key, 1, &WorkerReport::default());
+    deliver_report(&mut planner, key, 1, &WorkerReport::default());
     planner.take_job(JOB, spec(vec![step(1)]), None, false);
     let (task, run, _) = plan_at(&mut planner, 10)[0];
     planner.advance(at(260));
     planner.start_reply(key, task, run, StartReply::Unknown);
-    planner.take_worker(info(FIRST));
-    tell(&mut planner, key, 300, &nothing(FIRST));
-    let next = begun(&mut planner).expect("a next life");
+    planner.take_worker(info(FIRST_START));
+    deliver_report(&mut planner, key, 300, &empty_report(FIRST_START));
+    let next = new_incarnation(&mut planner).expect("a next life");
     planner.worker_silent(next);
     support::add_claimed(&mut planner, "w2");
 
--- a/crates/job/tests/lives.rs
+++ b/crates/job/tests/lives.rs
@@ -15,29 +15,29 @@
 use job::WorkerReport;
 
 use support::ended;
-use support::listing;
-use support::lives::FIRST;
-use support::lives::JOB;
-use support::lives::NEXT;
-use support::lives::at;
-use support::lives::begun;
-use support::lives::claim_next;
-use support::lives::info;
-use support::lives::list;
-use support::lives::nothing;
-use support::lives::plan_saved;
-use support::lives::save;
-use support::lives::start;
-use support::lives::tell;
-use support::lives::with_history;
+use support::incarnations::FIRST_START;
+use support::incarnations::JOB;
+use support::incarnations::NEXT_START;
+use support::incarnations::at;
+use support::incarnations::claim_next;
+use support::incarnations::deliver_report;
+use support::incarnations::empty_report;
+use support::incarnations::info;
+use support::incarnations::new_incarnation;
+use support::incarnations::plan_saved;
+use support::incarnations::report_of;
+use support::incarnations::save;
+use support::incarnations::start;
+use support::incarnations::with_history;
 use support::plan_at;
 use support::planner;
-use support::room;
+use support::resources;
 use support::running;
 use support::spec;
 use support::step;
 use support::task;
 use support::worker;
+use support::worker_report;
 
 /// Guards against ends that are taken for those of the former life by their numbers.
 #[test]
@@ -48,8 +48,8 @@
     planner.take_job(JOB, spec(vec![step(1)]), None, false);
     let (task, run, there) = plan_at(&mut planner, 110)[0];
 
-    let ends = listing(Vec::new(), vec![ended(1, task, run, RunEnd::Done)]);
-    tell(&mut planner, next, 200, &list(NEXT, ends));
+    let ends = worker_report(Vec::new(), vec![ended(1, task, run, RunEnd::Done)]);
+    deliver_report(&mut planner, next, 200, &report_of(NEXT_START, ends));
 
     assert_eq!(there, next);
     assert_eq!(planner.newest_end(next), 1);
@@ -69,11 +69,21 @@
 
     for life in 1..=2 {
         let (task, run, _) = plan_at(&mut planner, now)[0];
-        let ends = listing(Vec::new(), vec![ended(1, task, run, RunEnd::Failed)]);
-        tell(&mut planner, key, now + 5, &nothing(FIRST + life));
-        key = begun(&mut planner).expect("a next life");
-        planner.take_worker(info(FIRST + life));
-        tell(&mut planner, key, now + 10, &list(FIRST + life, ends));
+        let ends = worker_report(Vec::new(), vec![ended(1, task, run, RunEnd::Failed)]);
+        deliver_report(
+            &mut planner,
+            key,
+            now + 5,
+            &empty_report(FIRST_START + life),
+        );
+        key = new_incarnation(&mut planner).expect("a next life");
+        planner.take_worker(info(FIRST_START + life));
+        deliver_report(
+            &mut planner,
+            key,
+            now + 10,
+            &report_of(FIRST_START + life, ends),
+        );
         now += 50;
     }
 
@@ -90,7 +100,7 @@
     let key = with_history(&mut planner);
     let runs = start(&mut planner, 2);
 
-    for life in [NEXT, FIRST - 5000] {
+    for life in [NEXT_START, FIRST_START - 5000] {
         planner.take_worker(info(life));
         let again = plan_at(&mut planner, 100);
 
@@ -107,11 +117,11 @@
     planner.take_job(JOB, spec(vec![step(1)]), None, false);
 
     planner.advance(at(100));
-    planner.take_worker(info(NEXT));
+    planner.take_worker(info(NEXT_START));
     let at_once = plan_at(&mut planner, 105);
-    tell(&mut planner, key, 90, &nothing(FIRST));
+    deliver_report(&mut planner, key, 90, &empty_report(FIRST_START));
     let overtaken = plan_at(&mut planner, 110);
-    tell(&mut planner, key, 120, &nothing(FIRST));
+    deliver_report(&mut planner, key, 120, &empty_report(FIRST_START));
     let answered = plan_at(&mut planner, 130);
 
     assert_eq!((at_once, overtaken), (vec![], vec![]));
@@ -125,10 +135,10 @@
     let key = with_history(&mut planner);
     let runs = start(&mut planner, 1);
 
-    tell(&mut planner, key, 100, &nothing(FIRST - 5000));
-    let next = begun(&mut planner).expect("a next life");
-    planner.take_worker(info(FIRST - 5000));
-    tell(&mut planner, next, 110, &nothing(FIRST - 5000));
+    deliver_report(&mut planner, key, 100, &empty_report(FIRST_START - 5000));
+    let next = new_incarnation(&mut planner).expect("a next life");
+    planner.take_worker(info(FIRST_START - 5000));
+    deliver_report(&mut planner, next, 110, &empty_report(FIRST_START - 5000));
 
     let again = plan_saved(&mut planner, 120);
     assert_eq!(again.len(), 1);
@@ -143,18 +153,21 @@
     let mut planner = planner(1);
     let key = with_history(&mut planner);
     let next = claim_next(&mut planner, key, 100);
-    let late = list(FIRST, listing(vec![running(task(9, 0, 0), 3)], Vec::new()));
+    let late = report_of(
+        FIRST_START,
+        worker_report(vec![running(task(9, 0, 0), 3)], Vec::new()),
+    );
 
-    let registered = planner.take_worker(info(FIRST));
-    tell(&mut planner, next, 50, &late);
+    let registered = planner.take_worker(info(FIRST_START));
+    deliver_report(&mut planner, next, 50, &late);
     let overtaken = planner.life_seen(next, at(50), &late);
-    tell(&mut planner, next, 200, &late);
+    deliver_report(&mut planner, next, 200, &late);
 
     assert_eq!(registered, None);
     assert_eq!(overtaken, LifeSeen::Past);
     assert_eq!(planner.life_seen(next, at(200), &late), LifeSeen::Past);
     assert_eq!(planner.worker_of("w1"), Some(next));
-    assert_eq!(begun(&mut planner), None);
+    assert_eq!(new_incarnation(&mut planner), None);
 }
 
 /// Guards against an answer that was asked for before the known life was last heard of: it
@@ -163,11 +176,11 @@
 fn an_answer_that_was_overtaken_ends_no_life() {
     let mut planner = planner(1);
     let key = planner.take_worker(worker("w1")).expect("new worker");
-    tell(&mut planner, key, 100, &nothing(NEXT));
+    deliver_report(&mut planner, key, 100, &empty_report(NEXT_START));
 
-    planner.take_listing(key, at(90), &nothing(FIRST));
+    planner.take_listing(key, at(90), &empty_report(FIRST_START));
 
-    assert_eq!(begun(&mut planner), None);
+    assert_eq!(new_incarnation(&mut planner), None);
     assert_eq!(planner.worker_of("w1"), Some(key));
 }
 
@@ -186,7 +199,7 @@
     planner.advance(at(120));
     planner.stop_reply(next, task, run, StopReply::Stopped);
     let before_listed = plan_at(&mut planner, 125);
-    tell(&mut planner, next, 130, &nothing(NEXT));
+    deliver_report(&mut planner, next, 130, &empty_report(NEXT_START));
     let after = plan_at(&mut planner, 140);
 
     assert_eq!(early, vec![]);
@@ -202,12 +215,15 @@
     let key = with_history(&mut planner);
     let runs = start(&mut planner, 2);
     let (task, run) = runs[0];
-    let there = list(NEXT, listing(vec![running(task, run)], Vec::new()));
+    let there = report_of(
+        NEXT_START,
+        worker_report(vec![running(task, run)], Vec::new()),
+    );
 
-    planner.take_worker(info(NEXT));
-    tell(&mut planner, key, 100, &there);
-    let next = begun(&mut planner).expect("a next life");
-    tell(&mut planner, next, 110, &there);
+    planner.take_worker(info(NEXT_START));
+    deliver_report(&mut planner, key, 100, &there);
+    let next = new_incarnation(&mut planner).expect("a next life");
+    deliver_report(&mut planner, next, 110, &there);
     let again = plan_saved(&mut planner, 120);
 
     assert!(planner.holds(next, task, run));
@@ -224,14 +240,14 @@
     let mut planner = planner(1);
     let key = with_history(&mut planner);
     let (task, run) = start(&mut planner, 1)[0];
-    let done = listing(Vec::new(), vec![ended(1, task, run, RunEnd::Done)]);
-    let done = list(NEXT, done);
+    let done = worker_report(Vec::new(), vec![ended(1, task, run, RunEnd::Done)]);
+    let done = report_of(NEXT_START, done);
 
-    planner.take_worker(info(NEXT));
-    tell(&mut planner, key, 100, &done);
+    planner.take_worker(info(NEXT_START));
+    deliver_report(&mut planner, key, 100, &done);
     let early = plan_at(&mut planner, 103);
     let next = planner.worker_of("w1").expect("a next life");
-    tell(&mut planner, next, 110, &done);
+    deliver_report(&mut planner, next, 110, &done);
     let late = plan_at(&mut planner, 120);
 
     assert_eq!((early, late), (vec![], vec![]));
@@ -245,13 +261,13 @@
     let key = with_history(&mut planner);
     planner.take_job(JOB, spec(vec![step(6)]), None, false);
 
-    tell(&mut planner, key, 100, &nothing(NEXT));
-    let next = begun(&mut planner).expect("a next life");
-    tell(&mut planner, next, 110, &nothing(NEXT));
+    deliver_report(&mut planner, key, 100, &empty_report(NEXT_START));
+    let next = new_incarnation(&mut planner).expect("a next life");
+    deliver_report(&mut planner, next, 110, &empty_report(NEXT_START));
     let before = plan_at(&mut planner, 120);
     let smaller = WorkerInfo {
-        capacity: room(2000, 64_000),
-        ..info(NEXT)
+        capacity: resources(2000, 64_000),
+        ..info(NEXT_START)
     };
     planner.take_worker(smaller);
     let after = plan_at(&mut planner, 130);
@@ -265,24 +281,24 @@
 #[test]
 fn a_job_waits_for_lives_that_have_not_registered() {
     let mut planner = planner(2);
-    let key = planner.recall_worker(info(FIRST)).expect("recalled");
-    tell(&mut planner, key, 10, &nothing(NEXT));
-    let next = begun(&mut planner).expect("a next life");
-    tell(&mut planner, next, 20, &nothing(NEXT));
+    let key = planner.recall_worker(info(FIRST_START)).expect("recalled");
+    deliver_report(&mut planner, key, 10, &empty_report(NEXT_START));
+    let next = new_incarnation(&mut planner).expect("a next life");
+    deliver_report(&mut planner, next, 20, &empty_report(NEXT_START));
     let small = WorkerInfo {
-        capacity: room(1000, 64_000),
+        capacity: resources(1000, 64_000),
         ..worker("w2")
     };
     let other = planner.take_worker(small).expect("new worker");
-    tell(&mut planner, other, 30, &WorkerReport::default());
+    deliver_report(&mut planner, other, 30, &WorkerReport::default());
     let mut wide = step(1);
-    wide.need = room(2000, 1000);
+    wide.need = resources(2000, 1000);
     planner.take_job(JOB, spec(vec![wide]), None, false);
     plan_at(&mut planner, 100);
 
     plan_at(&mut planner, 5000);
     let unfinished = planner.unfinished();
-    planner.take_worker(info(NEXT));
+    planner.take_worker(info(NEXT_START));
     let starts = plan_at(&mut planner, 5100);
 
     assert_eq!(unfinished, 1);
@@ -311,7 +327,7 @@
     let runs = start(&mut planner, 1);
 
     planner.take_worker(worker("w1"));
-    tell(&mut planner, key, 100, &WorkerReport::default());
+    deliver_report(&mut planner, key, 100, &WorkerReport::default());
     let again = plan_at(&mut planner, 110);
 
     let unnamed = planner.life_seen(key, at(100), &WorkerReport::default());
@@ -320,7 +336,7 @@
     assert!(planner.holds(key, runs[0].0, runs[0].1));
     assert_eq!(
         planner.worker(key).and_then(|info| info.incarnation),
-        Some(FIRST)
+        Some(FIRST_START)
     );
 }
 
@@ -339,13 +355,13 @@
 fn a_worker_that_begins_to_name_its_life_has_started_again() {
     let mut planner = planner(1);
     let key = planner.take_worker(worker("w1")).expect("new worker");
-    tell(&mut planner, key, 1, &WorkerReport::default());
+    deliver_report(&mut planner, key, 1, &WorkerReport::default());
     let runs = start(&mut planner, 1);
 
-    planner.take_worker(info(NEXT));
-    tell(&mut planner, key, 100, &nothing(NEXT));
-    let next = begun(&mut planner).expect("a next life");
-    tell(&mut planner, next, 110, &nothing(NEXT));
+    planner.take_worker(info(NEXT_START));
+    deliver_report(&mut planner, key, 100, &empty_report(NEXT_START));
+    let next = new_incarnation(&mut planner).expect("a next life");
+    deliver_report(&mut planner, next, 110, &empty_report(NEXT_START));
 
     let again = plan_saved(&mut planner, 120);
     assert_eq!(again.len(), 1);
@@ -360,7 +376,7 @@
     let elsewhere = ([127, 0, 0, 1], 2).into();
     planner.take_worker(WorkerInfo {
         address: elsewhere,
-        ..info(NEXT)
+        ..info(NEXT_START)
     });
     let before = planner.moved();
 
@@ -376,13 +392,13 @@
 fn a_life_that_registered_before_the_former_was_given_up_is_used() {
     let mut planner = planner(1);
     let key = with_history(&mut planner);
-    planner.take_worker(info(NEXT));
+    planner.take_worker(info(NEXT_START));
     planner.worker_silent(key);
 
     planner.worker_over(key);
 
-    let next = begun(&mut planner).expect("a next life");
-    assert_eq!(planner.worker(next), Some(&info(NEXT)));
+    let next = new_incarnation(&mut planner).expect("a next life");
+    assert_eq!(planner.worker(next), Some(&info(NEXT_START)));
 }
 
 /// Guards against crashes that count for nothing, or twice: one a life.
@@ -394,16 +410,31 @@
     let mut starts = 0;
     for life in 1..=10_u64 {
         let now = 2000 * life;
-        tell(&mut planner, key, now, &nothing(FIRST + life - 1));
+        deliver_report(
+            &mut planner,
+            key,
+            now,
+            &empty_report(FIRST_START + life - 1),
+        );
         for (task, run, there) in plan_saved(&mut planner, now + 10) {
             starts += 1;
             planner.start_reply(there, task, run, StartReply::Started);
-            let there = listing(vec![running(task, run)], Vec::new());
-            tell(&mut planner, key, now + 20, &list(FIRST + life - 1, there));
+            let there = worker_report(vec![running(task, run)], Vec::new());
+            deliver_report(
+                &mut planner,
+                key,
+                now + 20,
+                &report_of(FIRST_START + life - 1, there),
+            );
         }
-        planner.take_worker(info(FIRST + life));
-        tell(&mut planner, key, now + 30, &nothing(FIRST + life));
-        key = begun(&mut planner).expect("a next life");
+        planner.take_worker(info(FIRST_START + life));
+        deliver_report(
+            &mut planner,
+            key,
+            now + 30,
+            &empty_report(FIRST_START + life),
+        );
+        key = new_incarnation(&mut planner).expect("a next life");
     }
     plan_saved(&mut planner, 30_000);
     save(&mut planner);
@@ -418,14 +449,14 @@
     let mut planner = planner(2);
     let old = Progress::default();
     planner.take_job(JOB, spec(vec![step(1)]), Some(&old), true);
-    let key = planner.recall_worker(info(FIRST)).expect("recalled");
+    let key = planner.recall_worker(info(FIRST_START)).expect("recalled");
     let before = plan_at(&mut planner, 10);
 
-    planner.take_worker(info(NEXT));
-    tell(&mut planner, key, 20, &nothing(NEXT));
-    let next = begun(&mut planner).expect("a next life");
+    planner.take_worker(info(NEXT_START));
+    deliver_report(&mut planner, key, 20, &empty_report(NEXT_START));
+    let next = new_incarnation(&mut planner).expect("a next life");
     let unclaimed = plan_at(&mut planner, 30);
-    tell(&mut planner, next, 40, &nothing(NEXT));
+    deliver_report(&mut planner, next, 40, &empty_report(NEXT_START));
     let after = plan_at(&mut planner, 50);
 
     assert_eq!((before, unclaimed), (vec![], vec![]));
--- a/crates/job/tests/planner.rs
+++ b/crates/job/tests/planner.rs
@@ -11,15 +11,15 @@
 use support::add;
 use support::add_claimed;
 use support::ended;
-use support::listing;
 use support::plan_at;
 use support::planner;
-use support::room;
+use support::resources;
 use support::running;
 use support::spec;
 use support::step;
 use support::task;
 use support::worker;
+use support::worker_report;
 
 const JOB: u64 = 7;
 
@@ -59,13 +59,13 @@
     second.after = vec![0];
     planner.take_job(JOB, spec(vec![step(2), second]), None, false);
     plan_at(&mut planner, 10);
-    let one = listing(
+    let one = worker_report(
         vec![running(task(JOB, 0, 1), 1)],
         vec![ended(1, task(JOB, 0, 0), 1, RunEnd::Done)],
     );
     planner.take_listing(key, Duration::from_millis(20), &one);
     let early = plan_at(&mut planner, 30);
-    let both = listing(vec![], vec![ended(2, task(JOB, 0, 1), 1, RunEnd::Done)]);
+    let both = worker_report(vec![], vec![ended(2, task(JOB, 0, 1), 1, RunEnd::Done)]);
     planner.take_listing(key, Duration::from_millis(40), &both);
 
     let late = plan_at(&mut planner, 50);
@@ -85,9 +85,9 @@
     let first = add(&mut planner, "w1");
     let second = add(&mut planner, "w2");
     planner.take_job(JOB, spec(vec![step(1)]), None, true);
-    let newest = listing(vec![], vec![ended(1, task(JOB, 0, 0), 2, RunEnd::Failed)]);
+    let newest = worker_report(vec![], vec![ended(1, task(JOB, 0, 0), 2, RunEnd::Failed)]);
     planner.take_listing(second, Duration::ZERO, &newest);
-    let oldest = listing(vec![], vec![ended(1, task(JOB, 0, 0), 1, RunEnd::Failed)]);
+    let oldest = worker_report(vec![], vec![ended(1, task(JOB, 0, 0), 1, RunEnd::Failed)]);
     planner.take_listing(first, Duration::ZERO, &oldest);
 
     let starts = plan_at(&mut planner, 10);
@@ -128,7 +128,7 @@
     planner.worker_silent(cut);
     add_claimed(&mut planner, "w2");
     plan_at(&mut planner, 14_900);
-    let late = listing(vec![], vec![ended(1, task(JOB, 0, 0), 1, RunEnd::Done)]);
+    let late = worker_report(vec![], vec![ended(1, task(JOB, 0, 0), 1, RunEnd::Done)]);
 
     planner.take_listing(cut, Duration::from_secs(15), &late);
 
@@ -146,7 +146,7 @@
         ended(1, task(JOB, 0, 0), 1, RunEnd::Done),
         ended(2, task(JOB + 1, 0, 0), 1, RunEnd::Done),
     ];
-    planner.take_listing(key, Duration::from_millis(20), &listing(vec![], ends));
+    planner.take_listing(key, Duration::from_millis(20), &worker_report(vec![], ends));
 
     let first = planner.take_batch(1);
     let second = planner.take_batch(1);
@@ -162,7 +162,7 @@
     let mut planner = planner(1);
     add_claimed(&mut planner, "w1");
     let mut large = step(1);
-    large.need = room(5000, 1);
+    large.need = resources(5000, 1);
     planner.take_job(JOB, spec(vec![large]), None, false);
     plan_at(&mut planner, 3_500);
 
@@ -193,13 +193,21 @@
         planner.start_reply(key, task(JOB, 0, index), 1, StartReply::Unknown);
     }
     planner.advance(Duration::from_millis(600));
-    planner.take_listing(key, Duration::from_millis(590), &listing(vec![], vec![]));
+    planner.take_listing(
+        key,
+        Duration::from_millis(590),
+        &worker_report(vec![], vec![]),
+    );
     let unconfirmed = plan_at(&mut planner, 610);
     for index in 0..4 {
         planner.stop_reply(key, task(JOB, 0, index), 1, job::StopReply::Stopped);
     }
     planner.advance(Duration::from_millis(700));
-    planner.take_listing(key, Duration::from_millis(690), &listing(vec![], vec![]));
+    planner.take_listing(
+        key,
+        Duration::from_millis(690),
+        &worker_report(vec![], vec![]),
+    );
 
     let again = plan_at(&mut planner, 710);
 
@@ -219,14 +227,14 @@
     plan_at(&mut planner, 10_000);
     planner.start_reply(stuck, task(JOB, 0, 0), 1, StartReply::Started);
     add_claimed(&mut planner, "w2");
-    let still = listing(vec![running(task(JOB, 0, 0), 1)], vec![]);
+    let still = worker_report(vec![running(task(JOB, 0, 0), 1)], vec![]);
     for millis in [10_500, 11_000, 11_500] {
         planner.advance(Duration::from_millis(millis));
         planner.lease_sent(stuck);
         planner.take_listing(stuck, Duration::from_millis(millis), &still);
         planner.plan();
     }
-    let gone = listing(vec![], vec![ended(1, task(JOB, 0, 0), 1, RunEnd::Stopped)]);
+    let gone = worker_report(vec![], vec![ended(1, task(JOB, 0, 0), 1, RunEnd::Stopped)]);
     planner.take_listing(stuck, Duration::from_millis(11_600), &gone);
 
     let starts = plan_at(&mut planner, 11_600);
@@ -274,14 +282,14 @@
     planner.take_job(JOB + 1, spec(vec![step(4)]), None, false);
     planner.advance(Duration::from_millis(10_100));
     let stopping = (0..4).map(|index| running(task(JOB, 0, index), 1));
-    let stopping = listing(stopping.collect(), vec![]);
+    let stopping = worker_report(stopping.collect(), vec![]);
     planner.take_listing(key, Duration::from_millis(10_090), &stopping);
     let early = plan_at(&mut planner, 10_110);
     let ends = (0..4).map(|nth| {
         let task = task(JOB, 0, nth);
         ended(u64::from(nth) + 1, task, 1, RunEnd::Stopped)
     });
-    let stopped = listing(vec![], ends.collect());
+    let stopped = worker_report(vec![], ends.collect());
     planner.take_listing(key, Duration::from_millis(10_150), &stopped);
 
     let late = plan_at(&mut planner, 10_160);
@@ -303,7 +311,7 @@
     for index in 0..4 {
         planner.start_reply(key, task(JOB, 0, index), 1, StartReply::Started);
     }
-    let before = listing(vec![], vec![]);
+    let before = worker_report(vec![], vec![]);
 
     planner.take_listing(key, Duration::from_millis(10_005), &before);
 
@@ -338,7 +346,7 @@
         let millis = 14_000 + 100 * (u64::from(nth) + 1);
         let rest = (nth + 1..4).map(|at| running(task(JOB, 0, at), 1));
         let end = ended(u64::from(nth) + 1, task(JOB, 0, nth), 1, RunEnd::Done);
-        let listed = listing(rest.collect(), vec![end]);
+        let listed = worker_report(rest.collect(), vec![end]);
         planner.lease_sent(key);
         planner.take_listing(key, Duration::from_millis(millis), &listed);
         early.push(plan_at(&mut planner, millis));
--- a/crates/job/tests/preempt.rs
+++ b/crates/job/tests/preempt.rs
@@ -14,15 +14,15 @@
 use job::TaskKey;
 use job::WorkerKey;
 use support::add_claimed;
+use support::deferrable;
 use support::ended;
-use support::listing;
-use support::patient;
 use support::plan_at;
 use support::planner;
 use support::running;
 use support::spec;
 use support::step;
 use support::task;
+use support::worker_report;
 
 const LOOKUP: u64 = 7;
 const GANG: u64 = 8;
@@ -82,7 +82,7 @@
 #[test]
 fn a_gang_takes_the_room_of_tasks_that_can_go_on_later() {
     let mut planner = planner(1);
-    planner.take_job(LOOKUP, patient(saving(4)), None, false);
+    planner.take_job(LOOKUP, deferrable(saving(4)), None, false);
     let key = busy_worker(&mut planner, "w1", 10);
     planner.take_job(GANG, gang(3), None, false);
     let (early, stops) = orders_at(&mut planner, 20);
@@ -96,7 +96,7 @@
     let left = (0..4).map(|at| task(LOOKUP, 0, at));
     let left = left.filter(|task| stops.iter().all(|(stopped, _)| stopped != task));
     let left = left.map(|task| running(task, 1)).collect();
-    planner.take_listing(key, Duration::from_millis(300), &listing(left, ends));
+    planner.take_listing(key, Duration::from_millis(300), &worker_report(left, ends));
 
     let late = plan_at(&mut planner, 310);
 
@@ -113,7 +113,7 @@
 #[test]
 fn a_preempted_task_goes_on_from_its_checkpoint() {
     let mut planner = planner(1);
-    planner.take_job(LOOKUP, patient(saving(4)), None, false);
+    planner.take_job(LOOKUP, deferrable(saving(4)), None, false);
     let key = busy_worker(&mut planner, "w1", 10);
     planner.take_job(GANG, gang(4), None, false);
     let (_, stops) = orders_at(&mut planner, 20);
@@ -123,7 +123,11 @@
         end.checkpoint = format!("saved-{}", task.index);
         ends.push(end);
     }
-    planner.take_listing(key, Duration::from_millis(300), &listing(vec![], ends));
+    planner.take_listing(
+        key,
+        Duration::from_millis(300),
+        &worker_report(vec![], ends),
+    );
     orders_at(&mut planner, 310);
     add_claimed(&mut planner, "w2");
     planner.advance(Duration::from_millis(320));
@@ -146,7 +150,7 @@
 #[test]
 fn tasks_that_would_lose_their_work_are_not_preempted() {
     let mut planner = planner(1);
-    planner.take_job(LOOKUP, patient(step(4)), None, false);
+    planner.take_job(LOOKUP, deferrable(step(4)), None, false);
     busy_worker(&mut planner, "w1", 10);
     planner.take_job(GANG, gang(3), None, false);
 
@@ -158,7 +162,7 @@
 #[test]
 fn tasks_as_urgent_as_the_gang_are_not_preempted() {
     let mut planner = planner(1);
-    let mut equal = patient(saving(4));
+    let mut equal = deferrable(saving(4));
     equal.queue.priority = 1;
     planner.take_job(LOOKUP, equal, None, false);
     busy_worker(&mut planner, "w1", 10);
@@ -173,7 +177,7 @@
 #[test]
 fn tasks_without_time_to_spare_are_not_preempted() {
     let mut planner = planner(1);
-    let mut tight = patient(saving(4));
+    let mut tight = deferrable(saving(4));
     tight.queue.slack = Duration::ZERO;
     planner.take_job(LOOKUP, tight, None, false);
     busy_worker(&mut planner, "w1", 10);
@@ -187,11 +191,11 @@
 #[test]
 fn nothing_is_stopped_for_a_gang_that_would_not_fit_all_the_same() {
     let mut planner = planner(1);
-    planner.take_job(LOOKUP, patient(saving(4)), None, false);
+    planner.take_job(LOOKUP, deferrable(saving(4)), None, false);
     busy_worker(&mut planner, "w1", 10);
     planner.take_job(GANG, gang(5), None, false);
     add_claimed(&mut planner, "w2");
-    let mut other = patient(step(4));
+    let mut other = deferrable(step(4));
     other.queue.priority = 0;
     planner.take_job(LOOKUP + 2, other, None, false);
 
@@ -206,7 +210,7 @@
 #[test]
 fn a_task_is_preempted_twice_at_most() {
     let mut planner = planner(1);
-    planner.take_job(LOOKUP, patient(saving(4)), None, false);
+    planner.take_job(LOOKUP, deferrable(saving(4)), None, false);
     let key = busy_worker(&mut planner, "w1", 10);
     let mut preempted = Vec::new();
     let mut number = 0;
@@ -225,7 +229,7 @@
         planner.take_listing(
             key,
             Duration::from_millis(begin + 300),
-            &listing(vec![], ends),
+            &worker_report(vec![], ends),
         );
         let starts = plan_at(&mut planner, begin + 310);
         let mut ends = Vec::new();
@@ -237,7 +241,7 @@
         planner.take_listing(
             key,
             Duration::from_millis(begin + 600),
-            &listing(vec![], ends),
+            &worker_report(vec![], ends),
         );
         for (task, run, worker) in plan_at(&mut planner, begin + 610) {
             planner.start_reply(worker, task, run, StartReply::Started);
--- a/crates/job/tests/recovery.rs
+++ b/crates/job/tests/recovery.rs
@@ -6,7 +6,6 @@
 
 use job::JobStatus;
 use support::add;
-use support::listing;
 use support::plan_at;
 use support::planner;
 use support::running;
@@ -14,6 +13,7 @@
 use support::step;
 use support::task;
 use support::worker;
+use support::worker_report;
 
 const JOB: u64 = 7;
 
@@ -26,7 +26,7 @@
     planner.take_job(JOB, spec(vec![step(1)]), None, true);
     plan_at(&mut planner, 10);
     let before = planner.undecided(JOB);
-    let listed = listing(vec![running(task(JOB, 0, 0), 1)], vec![]);
+    let listed = worker_report(vec![running(task(JOB, 0, 0), 1)], vec![]);
     planner.take_listing(key, Duration::from_millis(20), &listed);
 
     let after = planner.undecided(JOB);
@@ -44,7 +44,7 @@
     planner.miss_worker();
     let key = planner.recall_worker(worker("w1")).expect("a new worker");
     planner.take_worker(worker("w1"));
-    planner.take_listing(key, Duration::ZERO, &listing(vec![], vec![]));
+    planner.take_listing(key, Duration::ZERO, &worker_report(vec![], vec![]));
     planner.take_job(JOB, spec(vec![step(1)]), None, true);
     // The former owner, left with one of two workers, renews for 2.5 s more.
     plan_at(&mut planner, 10);
--- a/crates/job/tests/saving.rs
+++ b/crates/job/tests/saving.rs
@@ -13,13 +13,13 @@
 use job::WorkerKey;
 use support::add_claimed;
 use support::ended;
-use support::listing;
 use support::plan_at;
 use support::planner;
 use support::queue;
-use support::room;
+use support::resources;
 use support::spec;
 use support::step;
+use support::worker_report;
 
 /// Jobs that begin at the same time.
 const JOBS: u64 = 200;
@@ -32,7 +32,7 @@
     for id in 0..JOBS {
         add_claimed(planner, &format!("w{id}"));
         let mut whole = step(1);
-        whole.need = room(4000, 1000);
+        whole.need = resources(4000, 1000);
         planner.take_job(id, spec(vec![whole]), None, false);
     }
     let starts = plan_at(planner, 10);
@@ -51,7 +51,7 @@
     let mut planner = planner(1);
     let starts = start_all(&mut planner);
     let &(task, run, key) = starts.iter().max_by_key(|start| start.0).expect("starts");
-    let done = listing(vec![], vec![ended(1, task, run, RunEnd::Done)]);
+    let done = worker_report(vec![], vec![ended(1, task, run, RunEnd::Done)]);
     planner.take_listing(key, Duration::from_millis(20), &done);
 
     let first = planner.take_batch(BATCH);
@@ -76,7 +76,7 @@
     add_claimed(&mut planner, "w1");
     plan_at(&mut planner, 10_000);
     let mut huge = step(1);
-    huge.need = room(64_000, 1);
+    huge.need = resources(64_000, 1);
     planner.take_job(7, spec(vec![huge]), None, false);
     plan_at(&mut planner, 20_000);
     let waiting = |planner: &Planner| planner.count_queue(&queue(2).name).waiting;
--- a/crates/job/tests/support/lives.rs
+++ b/crates/job/tests/support/incarnations.rs
@@ -13,16 +13,16 @@
 use job::WorkerReport;
 
 use super::ended;
-use super::listing;
 use super::plan_at;
 use super::spec;
 use super::step;
 use super::task;
 use super::worker;
+use super::worker_report;
 
 /// Start of the first incarnation of the worker, and of the next one.
-pub const FIRST: u64 = 1_790_000_000_000;
-pub const NEXT: u64 = FIRST + 5000;
+pub const FIRST_START: u64 = 1_790_000_000_000;
+pub const NEXT_START: u64 = FIRST_START + 5000;
 
 /// Job of these tests.
 pub const JOB: u64 = 7;
@@ -31,28 +31,28 @@
     Duration::from_millis(millis)
 }
 
-pub fn info(life: u64) -> WorkerInfo {
+pub fn info(incarnation: u64) -> WorkerInfo {
     WorkerInfo {
-        incarnation: Some(life),
+        incarnation: Some(incarnation),
         ..worker("w1")
     }
 }
 
-pub fn list(life: u64, of: WorkerReport) -> WorkerReport {
+pub fn report_of(incarnation: u64, report: WorkerReport) -> WorkerReport {
     WorkerReport {
-        incarnation: Some(life),
-        ..of
+        incarnation: Some(incarnation),
+        ..report
     }
 }
 
-pub fn nothing(life: u64) -> WorkerReport {
-    list(life, WorkerReport::default())
+pub fn empty_report(incarnation: u64) -> WorkerReport {
+    report_of(incarnation, WorkerReport::default())
 }
 
 /// Passes in a worker report that was requested at `sent` and arrives 2 ms later.
-pub fn tell(planner: &mut Planner, key: WorkerKey, sent: u64, of: &WorkerReport) {
+pub fn deliver_report(planner: &mut Planner, key: WorkerKey, sent: u64, report: &WorkerReport) {
     planner.advance(at(sent + 2));
-    planner.take_listing(key, at(sent), of);
+    planner.take_listing(key, at(sent), report);
 }
 
 /// Plans, completes the writes that must precede a start, and plans again 5 ms later.
@@ -69,9 +69,9 @@
 }
 
 /// Key of the new incarnation that the planner has found, according to its commands.
-pub fn begun(planner: &mut Planner) -> Option<WorkerKey> {
-    let orders = planner.take_orders();
-    orders.into_iter().find_map(|order| match order {
+pub fn new_incarnation(planner: &mut Planner) -> Option<WorkerKey> {
+    let commands = planner.take_orders();
+    commands.into_iter().find_map(|command| match command {
         Order::Begin { worker } => Some(worker),
         _ => None,
     })
@@ -80,10 +80,10 @@
 /// Adds a worker in its first incarnation that is claimed and has reported its first 20 ended
 /// runs.
 pub fn with_history(planner: &mut Planner) -> WorkerKey {
-    let key = planner.take_worker(info(FIRST)).expect("new worker");
+    let key = planner.take_worker(info(FIRST_START)).expect("new worker");
     let ends = (1..=20).map(|number| ended(number, task(1, 0, 0), number, RunEnd::Stopped));
-    let ends = listing(Vec::new(), ends.collect());
-    tell(planner, key, 1, &list(FIRST, ends));
+    let ends = worker_report(Vec::new(), ends.collect());
+    deliver_report(planner, key, 1, &report_of(FIRST_START, ends));
     key
 }
 
@@ -100,9 +100,9 @@
 
 /// Registers and claims the next incarnation of the worker.
 pub fn claim_next(planner: &mut Planner, key: WorkerKey, sent: u64) -> WorkerKey {
-    planner.take_worker(info(NEXT));
-    tell(planner, key, sent, &nothing(NEXT));
-    let next = begun(planner).expect("a next life");
-    tell(planner, next, sent + 5, &nothing(NEXT));
+    planner.take_worker(info(NEXT_START));
+    deliver_report(planner, key, sent, &empty_report(NEXT_START));
+    let next = new_incarnation(planner).expect("a next life");
+    deliver_report(planner, next, sent + 5, &empty_report(NEXT_START));
     next
 }
--- a/crates/job/tests/support/mod.rs
+++ b/crates/job/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! Fixtures for the tests of the planner.
 #![allow(dead_code, missing_docs)]
 
-pub mod lives;
+pub mod incarnations;
 
 use std::time::Duration;
 
@@ -48,13 +48,13 @@
 pub fn step(count: u32) -> StepSpec {
     StepSpec {
         count,
-        need: room(1000, 1000),
+        need: resources(1000, 1000),
         estimate: Duration::from_secs(1),
         ..StepSpec::default()
     }
 }
 
-pub fn room(cpu: u64, memory: u64) -> Resources {
+pub fn resources(cpu: u64, memory: u64) -> Resources {
     Resources {
         cpu,
         memory,
@@ -74,7 +74,7 @@
 }
 
 /// Creates a job of low priority that may wait for 20 s.
-pub fn patient(step: StepSpec) -> JobSpec {
+pub fn deferrable(step: StepSpec) -> JobSpec {
     let mut job = spec(vec![step]);
     job.queue.priority = 2;
     job.queue.slack = Duration::from_secs(20);
@@ -88,7 +88,7 @@
         incarnation: None,
         service: "desk".to_owned(),
         address: ([127, 0, 0, 1], 1).into(),
-        capacity: room(4000, 64_000),
+        capacity: resources(4000, 64_000),
         labels: vec!["a".to_owned(), "r1-1".to_owned()],
         draining: false,
         remaining: None,
@@ -135,7 +135,7 @@
     }
 }
 
-pub fn listing(running: Vec<ActiveRun>, ended: Vec<EndedRun>) -> WorkerReport {
+pub fn worker_report(running: Vec<ActiveRun>, ended: Vec<EndedRun>) -> WorkerReport {
     WorkerReport {
         incarnation: None,
         clock: Duration::ZERO,
@@ -146,8 +146,8 @@
 
 /// Takes the planner's commands and returns task, run and worker of each start.
 pub fn starts(planner: &mut Planner) -> Vec<(TaskKey, RunId, WorkerKey)> {
-    let orders = planner.take_orders();
-    let starts = orders.into_iter().filter_map(|order| match order {
+    let commands = planner.take_orders();
+    let starts = commands.into_iter().filter_map(|command| match command {
         Order::Start {
             worker, task, run, ..
         } => Some((task, run, worker)),
--- a/crates/job/tests/takeover.rs
+++ b/crates/job/tests/takeover.rs
@@ -10,15 +10,15 @@
 use support::add;
 use support::add_claimed;
 use support::ended;
-use support::listing;
 use support::plan_at;
 use support::planner;
-use support::room;
+use support::resources;
 use support::running;
 use support::spec;
 use support::step;
 use support::task;
 use support::worker;
+use support::worker_report;
 
 const JOB: u64 = 7;
 
@@ -35,7 +35,7 @@
     planner.take_job(JOB, canceled, None, true);
     planner.take_job(JOB + 1, spec(vec![step(3)]), None, false);
     let left = (0..3).map(|index| running(task(JOB, 0, index), 1));
-    planner.take_listing(key, Duration::ZERO, &listing(left.collect(), vec![]));
+    planner.take_listing(key, Duration::ZERO, &worker_report(left.collect(), vec![]));
 
     let starts = plan_at(&mut planner, 10);
 
@@ -69,7 +69,7 @@
     let mut planner = planner(2);
     let key = add(&mut planner, "w1");
     planner.take_job(JOB, spec(vec![step(1)]), None, true);
-    let left = listing(vec![running(task(JOB, 0, 0), 3)], vec![]);
+    let left = worker_report(vec![running(task(JOB, 0, 0), 3)], vec![]);
 
     planner.take_listing(key, Duration::ZERO, &left);
 
@@ -88,11 +88,11 @@
     let mut planner = planner(2);
     let key = add(&mut planner, "w1");
     add_claimed(&mut planner, "w2");
-    let left = listing(vec![running(task(JOB, 0, 0), 1)], vec![]);
+    let left = worker_report(vec![running(task(JOB, 0, 0), 1)], vec![]);
     planner.take_listing(key, Duration::ZERO, &left);
     planner.take_job(JOB, spec(vec![step(1)]), None, false);
     let early = plan_at(&mut planner, 10);
-    let gone = listing(vec![], vec![ended(1, task(JOB, 0, 0), 1, RunEnd::Stopped)]);
+    let gone = worker_report(vec![], vec![ended(1, task(JOB, 0, 0), 1, RunEnd::Stopped)]);
     planner.take_listing(key, Duration::from_millis(20), &gone);
 
     let late = plan_at(&mut planner, 30);
@@ -110,7 +110,11 @@
     planner.advance(Duration::from_millis(100));
     planner.take_job(JOB, spec(vec![step(1)]), None, false);
     let early = plan_at(&mut planner, 110);
-    planner.take_listing(key, Duration::from_millis(120), &listing(vec![], vec![]));
+    planner.take_listing(
+        key,
+        Duration::from_millis(120),
+        &worker_report(vec![], vec![]),
+    );
 
     let late = plan_at(&mut planner, 130);
 
@@ -125,7 +129,7 @@
 fn an_end_of_a_job_learnt_later_counts() {
     let mut planner = planner(2);
     let key = add(&mut planner, "w1");
-    let left = listing(vec![], vec![ended(1, task(JOB, 0, 0), 1, RunEnd::Done)]);
+    let left = worker_report(vec![], vec![ended(1, task(JOB, 0, 0), 1, RunEnd::Done)]);
     planner.take_listing(key, Duration::ZERO, &left);
     planner.take_job(JOB, spec(vec![step(1)]), None, false);
 
@@ -145,15 +149,15 @@
 fn a_worker_with_a_run_of_unknown_size_gets_no_work() {
     let mut planner = planner(2);
     let mut recalled = worker("w1");
-    recalled.capacity = room(0, 0);
+    recalled.capacity = resources(0, 0);
     let key = planner.take_worker(recalled).expect("new worker");
-    let left = listing(vec![running(task(JOB, 0, 0), 1)], vec![]);
+    let left = worker_report(vec![running(task(JOB, 0, 0), 1)], vec![]);
     planner.take_listing(key, Duration::ZERO, &left);
     planner.take_worker(worker("w1"));
     planner.advance(Duration::from_secs(3));
     planner.take_job(JOB + 1, spec(vec![step(1)]), None, false);
     let early = plan_at(&mut planner, 3_010);
-    let gone = listing(vec![], vec![ended(1, task(JOB, 0, 0), 1, RunEnd::Stopped)]);
+    let gone = worker_report(vec![], vec![ended(1, task(JOB, 0, 0), 1, RunEnd::Stopped)]);
     planner.take_listing(key, Duration::from_millis(3_020), &gone);
 
     let late = plan_at(&mut planner, 3_030);
@@ -177,7 +181,7 @@
             let key = planner.recall_worker(info.clone()).expect("a new worker");
             planner.take_worker(info);
             if at < reached {
-                planner.take_listing(key, Duration::ZERO, &listing(vec![], vec![]));
+                planner.take_listing(key, Duration::ZERO, &worker_report(vec![], vec![]));
             }
         }
         let seconds = (1..200).find(|second| !plan_at(&mut planner, second * 1000).is_empty());
