--- a/crates/job/tests/event_sim/crashes.rs
+++ b/crates/job/tests/event_sim/crashes.rs
@@ -29,7 +29,7 @@
 
 /// State of a simulation with crashes.
 #[derive(Debug, Default)]
-pub struct CrashState {
+pub struct Faults {
     /// Number of restarts of the worker at each place.
     incarnations: [usize; WORKERS],
     /// Ids of incarnations that have ended without the owner knowing it.
@@ -52,9 +52,9 @@
 
 impl EventSim {
     /// Creates a simulation in which workers and tasks crash.
-    pub fn crash_state() -> EventSim {
+    pub fn with_crashes() -> EventSim {
         let mut sim = EventSim::new();
-        sim.crash_state = Some(CrashState::default());
+        sim.faults = Some(Faults::default());
         sim
     }
 
@@ -75,9 +75,9 @@
 
     pub(super) fn id(&self, at: usize) -> String {
         let incarnation = self
-            .crash_state
+            .faults
             .as_ref()
-            .map_or(0, |crash_state| crash_state.incarnations[at]);
+            .map_or(0, |faults| faults.incarnations[at]);
         match incarnation {
             _ if self.keeps_id(at) => format!("w{at}"),
             0 => format!("w{at}"),
@@ -95,9 +95,9 @@
     /// Cores of a worker, and when they last changed.
     fn cores(&self, at: usize) -> (u64, Duration) {
         let changed = self
-            .crash_state
+            .faults
             .as_ref()
-            .and_then(|crash_state| crash_state.cores.get(&at));
+            .and_then(|faults| faults.cores.get(&at));
         changed.copied().unwrap_or((4, Duration::ZERO))
     }
 
@@ -109,7 +109,7 @@
 
     /// Whether a task crashes each worker that runs it.
     fn bad(&self, task: TaskKey) -> bool {
-        self.crash_state.is_some() && task.step.job.is_multiple_of(4) && task.index == 0
+        self.faults.is_some() && task.step.job.is_multiple_of(4) && task.index == 0
     }
 
     /// Crashes the worker if the task is a bad one; returns its reply to the start in that case.
@@ -122,8 +122,8 @@
         if !self.bad(task) {
             return None;
         }
-        if let Some(crash_state) = &mut self.crash_state {
-            *crash_state.bad_starts.entry(task).or_default() += 1;
+        if let Some(faults) = &mut self.faults {
+            *faults.bad_starts.entry(task).or_default() += 1;
         }
         self.crash(at);
         self.check_bad(task);
@@ -152,11 +152,11 @@
             incarnation: worker.incarnation,
             ..Worker::default()
         };
-        let Some(crash_state) = &mut self.crash_state else {
+        let Some(faults) = &mut self.faults else {
             return;
         };
         if !keeps_id {
-            crash_state.unknown.push(id);
+            faults.unknown.push(id);
         }
         // The crash resets the worker's connections; some of these resets get lost.
         if !self.now.as_millis().is_multiple_of(4) {
@@ -164,7 +164,7 @@
         }
         let key = self.keys[at];
         let reported = worker.reported.into_iter();
-        crash_state
+        faults
             .lost
             .extend(reported.map(|(task, run)| (key, task, run)));
         let lost = worker
@@ -172,7 +172,7 @@
             .into_keys()
             .chain(worker.stopping.into_keys());
         for task in lost {
-            *crash_state.crashes.entry(task).or_default() += 1;
+            *faults.crashes.entry(task).or_default() += 1;
         }
     }
 
@@ -184,8 +184,8 @@
             self.restart(at);
             return;
         }
-        if let Some(crash_state) = &mut self.crash_state {
-            crash_state.incarnations[at] += 1;
+        if let Some(faults) = &mut self.faults {
+            faults.incarnations[at] += 1;
         }
         let info = self.info(at);
         self.planner.advance(self.now);
@@ -193,11 +193,11 @@
     }
 
     fn report_crashes(&mut self) {
-        let Some(crash_state) = &mut self.crash_state else {
+        let Some(faults) = &mut self.faults else {
             return;
         };
         self.planner.advance(self.now);
-        let unknown = std::mem::take(&mut crash_state.unknown);
+        let unknown = std::mem::take(&mut faults.unknown);
         self.learn_same_ids();
         for id in unknown {
             if let Some(key) = self.planner.worker_of(&id) {
@@ -210,8 +210,8 @@
         if self.workers[at].down {
             return;
         }
-        if let Some(crash_state) = &mut self.crash_state {
-            crash_state.cores.insert(at, (cores, self.now));
+        if let Some(faults) = &mut self.faults {
+            faults.cores.insert(at, (cores, self.now));
         }
         self.registration_written(at);
         let info = self.info(at);
@@ -220,53 +220,43 @@
 
     /// Adds the crashed workers that still have a row to the planner of a new owner.
     pub(super) fn recall_crashed(&mut self) {
-        let Some(crash_state) = &mut self.crash_state else {
+        let Some(faults) = &mut self.faults else {
             return;
         };
-        crash_state.owners += 1;
-        for id in &crash_state.unknown {
+        faults.owners += 1;
+        for id in &faults.unknown {
             self.planner.recall_worker(support::worker(id));
         }
     }
 
     pub(super) fn record_failure(&mut self, task: TaskKey) {
-        if let Some(crash_state) = &mut self.crash_state {
-            *crash_state.failures.entry(task).or_default() += 1;
+        if let Some(faults) = &mut self.faults {
+            *faults.failures.entry(task).or_default() += 1;
         }
     }
 
     /// Runs that crashed workers had reported as active, by the worker key of the owner at that
     /// time.
     pub(super) fn lost_runs(&self) -> &[(WorkerKey, TaskKey, RunId)] {
-        self.crash_state
-            .as_ref()
-            .map_or(&[], |crash_state| &crash_state.lost)
+        self.faults.as_ref().map_or(&[], |faults| &faults.lost)
     }
 
     /// Checks the number of starts of a bad task. An owner that crashes before it has stored a
     /// first crash forgets it, which allows one more start; nothing else does.
     fn check_bad(&self, task: TaskKey) {
-        let Some(crash_state) = &self.crash_state else {
-            return;
-        };
-        let starts = crash_state
-            .bad_starts
-            .get(&task)
-            .copied()
-            .unwrap_or_default();
-        let most = MOST_STARTS + crash_state.owners;
+        let Some(faults) = &self.faults else { return };
+        let starts = faults.bad_starts.get(&task).copied().unwrap_or_default();
+        let most = MOST_STARTS + faults.owners;
         assert!(
             starts <= most,
             "{task}: {starts} starts, {} owners",
-            crash_state.owners
+            faults.owners
         );
     }
 
     /// Checks that a job fails only if a task failed too often or workers crashed under it.
     fn check_failed(&self) {
-        let Some(crash_state) = &self.crash_state else {
-            return;
-        };
+        let Some(faults) = &self.faults else { return };
         for (&id, spec) in &self.jobs {
             if self.planner.shown(id) != Some(JobStatus::Failed) {
                 continue;
@@ -276,19 +266,17 @@
                 tasks.any(|(task, count)| task.step.job == id && *count >= least)
             };
             let attempts = spec.queue.attempts as usize;
-            let failed = of(&crash_state.failures, attempts) || self.gang_failures(id) >= attempts;
-            let crashed = of(&crash_state.crashes, FEWEST_CRASHES);
+            let failed = of(&faults.failures, attempts) || self.gang_failures(id) >= attempts;
+            let crashed = of(&faults.crashes, FEWEST_CRASHES);
             assert!(failed || crashed, "job {id} has failed");
         }
     }
 
     /// Failed runs of a job's gangs; the failure of any member counts for the gang.
     fn gang_failures(&self, id: JobId) -> usize {
-        let Some(crash_state) = &self.crash_state else {
-            return 0;
-        };
+        let Some(faults) = &self.faults else { return 0 };
         let gang = |task: &TaskKey| self.jobs[&id].steps[task.step.step as usize].gang;
-        let failures = crash_state.failures.iter();
+        let failures = faults.failures.iter();
         failures
             .filter(|(task, _)| task.step.job == id && gang(task))
             .map(|(_, count)| count)
@@ -297,11 +285,11 @@
 
     /// Number of jobs that failed, and of starts of bad tasks.
     pub fn failed_jobs(&self) -> (usize, usize) {
-        let Some(crash_state) = &self.crash_state else {
+        let Some(faults) = &self.faults else {
             return (0, 0);
         };
         let failed = self.stored.values();
         let failed = failed.filter(|reported| reported.outcome == Some(Outcome::Failed));
-        (failed.count(), crash_state.bad_starts.values().sum())
+        (failed.count(), faults.bad_starts.values().sum())
     }
 }
--- a/crates/job/tests/event_sim/mod.rs
+++ b/crates/job/tests/event_sim/mod.rs
@@ -35,7 +35,7 @@
 
 use crate::support;
 
-use crashes::CrashState;
+use crashes::Faults;
 use former_owner::FormerOwner;
 use status::StartedJobs;
 use worker::Worker;
@@ -90,7 +90,7 @@
     started: StartedJobs,
     /// Tasks that have ended successfully on any worker, also on one that has crashed since.
     done: HashSet<TaskKey>,
-    crash_state: Option<CrashState>,
+    faults: Option<Faults>,
     pub starts: usize,
 }
 
@@ -117,7 +117,7 @@
             acked_failures: HashMap::new(),
             started: StartedJobs::new(),
             done: HashSet::new(),
-            crash_state: None,
+            faults: None,
             starts: 0,
         };
         sim.take_over();
--- a/crates/job/tests/event_sim/same_ids.rs
+++ b/crates/job/tests/event_sim/same_ids.rs
@@ -47,10 +47,10 @@
 impl EventSim {
     /// Creates a simulation with crashes in which two of three workers come back under the same
     /// id.
-    pub fn same_ids() -> EventSim {
-        let mut sim = EventSim::crash_state();
-        if let Some(crash_state) = &mut sim.crash_state {
-            crash_state.same_ids = Some(SameIds::default());
+    pub fn with_same_ids() -> EventSim {
+        let mut sim = EventSim::with_crashes();
+        if let Some(faults) = &mut sim.faults {
+            faults.same_ids = Some(SameIds::default());
         }
         for at in 0..WORKERS {
             if sim.keeps_id(at) {
@@ -85,15 +85,15 @@
     }
 
     fn same_ids_mut(&mut self) -> Option<&mut SameIds> {
-        self.crash_state.as_mut()?.same_ids.as_mut()
+        self.faults.as_mut()?.same_ids.as_mut()
     }
 
     /// Whether a worker comes back under the same id.
     pub(super) fn keeps_id(&self, at: usize) -> bool {
         let same_ids = self
-            .crash_state
+            .faults
             .as_ref()
-            .is_some_and(|crash_state| crash_state.same_ids.is_some());
+            .is_some_and(|faults| faults.same_ids.is_some());
         same_ids && at != 0
     }
 
@@ -308,9 +308,9 @@
     /// Number of restarts so far.
     pub fn restarts(&self) -> usize {
         let same_ids = self
-            .crash_state
+            .faults
             .as_ref()
-            .and_then(|crash_state| crash_state.same_ids.as_ref());
+            .and_then(|faults| faults.same_ids.as_ref());
         same_ids.map_or(0, |same_ids| same_ids.restarts)
     }
 }
--- a/crates/job/tests/invariants.rs
+++ b/crates/job/tests/invariants.rs
@@ -150,7 +150,7 @@
     let (mut failed, mut bad) = (0, 0);
 
     for _ in 0..50 {
-        let mut sim = EventSim::crash_state();
+        let mut sim = EventSim::with_crashes();
         drive(&mut state, 2000, &EVENTS, 10, |event| {
             sim.crash_step(event);
         });
@@ -197,7 +197,7 @@
     let (mut starts, mut restarts) = (0, 0);
 
     for _ in 0..60 {
-        let mut sim = EventSim::same_ids();
+        let mut sim = EventSim::with_same_ids();
         drive(&mut state, 2000, &EVENTS, 25, |event| {
             sim.same_ids_step(event);
         });
@@ -214,7 +214,7 @@
     bolero::check!()
         .with_type::<Vec<(u8, u8)>>()
         .for_each(|events| {
-            let mut sim = EventSim::same_ids();
+            let mut sim = EventSim::with_same_ids();
             for &(kind, pick) in events {
                 sim.same_ids_step(Event { kind, pick });
             }
@@ -226,7 +226,7 @@
     bolero::check!()
         .with_type::<Vec<(u8, u8)>>()
         .for_each(|events| {
-            let mut sim = EventSim::crash_state();
+            let mut sim = EventSim::with_crashes();
             for &(kind, pick) in events {
                 sim.crash_step(Event { kind, pick });
             }
