--- a/crates/cell/src/owner/gate.rs
+++ b/crates/cell/src/owner/gate.rs
@@ -21,7 +21,7 @@
 use std::sync::PoisonError;
 
 use job::Epoch;
-use job::Token;
+use job::FencingToken;
 use job::WorkerId;
 
 #[derive(Debug, Default)]
@@ -35,8 +35,8 @@
 }
 
 impl State {
-    fn token(&self) -> Token {
-        job::token(self.epoch, self.raised)
+    fn token(&self) -> FencingToken {
+        job::fencing_token(self.epoch, self.raised)
     }
 }
 
@@ -56,18 +56,18 @@
     }
 
     /// What an order carries now.
-    pub(super) fn token(&self) -> Token {
+    pub(super) fn token(&self) -> FencingToken {
         self.lock().token()
     }
 
     /// Whether an order was sent before a later one of this owner, with a higher token: that
     /// the worker refused it says nothing of a successor.
-    pub(super) fn overtaken(&self, token: Token) -> bool {
+    pub(super) fn overtaken(&self, token: FencingToken) -> bool {
         token < self.token()
     }
 
     /// A start is being sent, with this token.
-    pub(super) fn begin_start(&self) -> Token {
+    pub(super) fn begin_start(&self) -> FencingToken {
         let mut state = self.lock();
         state.sent += 1;
         state.open += 1;
@@ -93,7 +93,7 @@
 
     /// The token for an acknowledgement, if there has been no start since `quiet`. Starts
     /// that come after it carry a higher one.
-    pub(super) fn acknowledge(&self, quiet: Quiet) -> Option<Token> {
+    pub(super) fn acknowledge(&self, quiet: Quiet) -> Option<FencingToken> {
         let mut state = self.lock();
         let still = state.open == 0 && state.sent == quiet.0;
         still.then(|| {
--- a/crates/cell/src/owner/holder.rs
+++ b/crates/cell/src/owner/holder.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use job::FencingToken;
 use job::IncarnationId;
-use job::Token;
 use job::WorkerInfo;
 use job::WorkerKey;
 use job::WorkerReport;
@@ -85,7 +85,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Asked {
     sent: Duration,
-    token: Token,
+    token: FencingToken,
     /// No start was under way.
     quiet: Option<Quiet>,
     /// How long the worker may wait for an end.
@@ -215,7 +215,7 @@
         if self.calls.len() >= MOST_CALLS {
             return asked;
         }
-        if hold.lease_end.is_some() {
+        if hold.lease_expiry.is_some() {
             self.tell(WorkerNews::LeaseSent).await;
         }
         self.newest = Some(asked);
@@ -238,7 +238,7 @@
 
     /// Up to which end the next call acknowledges, and its token. A worker that names its
     /// lives is told of new ones only, in a call that waits for nothing.
-    fn acknowledgement(&mut self, recorded: u64) -> (u64, Token) {
+    fn acknowledgement(&mut self, recorded: u64) -> (u64, FencingToken) {
         let token = self.gate.token();
         if !self.renews {
             return (0, token);
@@ -269,7 +269,7 @@
         LeaseRenewal {
             token,
             acked_end,
-            lease_end: clock
+            lease_expiry: clock
                 .filter(|_| tenured)
                 .map(|clock| clock.at(sent) + self.lease),
             wait,
--- a/crates/cell/src/owner/sender.rs
+++ b/crates/cell/src/owner/sender.rs
@@ -45,7 +45,7 @@
                         task,
                         run,
                         payload,
-                        lease_end: Duration::ZERO,
+                        lease_expiry: Duration::ZERO,
                         token: 0,
                         checkpoint,
                         ticket,
@@ -86,7 +86,7 @@
             self.planner.start_reply(worker, task, run, reply);
             return;
         };
-        start.lease_end = lease_end;
+        start.lease_expiry = lease_end;
         start.token = link.gate.begin_start();
         log::info!(
             code = 350, task:% = start.task, run = start.run, worker = link.id.as_str(),
--- a/crates/job/src/id.rs
+++ b/crates/job/src/id.rs
@@ -18,12 +18,12 @@
 pub type Epoch = u64;
 
 /// Fencing token of a command: a worker refuses tokens below the highest one that it has seen.
-pub type Token = u64;
+pub type FencingToken = u64;
 
 /// Fencing tokens reserved for each epoch. The owner starts with the epoch itself and takes the
 /// next token whenever a worker must refuse earlier commands. A million last for a day at ten
 /// acknowledged run ends a second; after that the owner reuses the highest one.
-const TOKENS_PER_EPOCH: Token = 1_000_000;
+const TOKENS_PER_EPOCH: FencingToken = 1_000_000;
 
 /// Returns the epoch that follows `epoch`; the first one is 1.
 #[must_use]
@@ -36,7 +36,7 @@
 
 /// Returns the fencing token of `epoch` after `raised` increments.
 #[must_use]
-pub fn token(epoch: Epoch, raised: u64) -> Token {
+pub fn fencing_token(epoch: Epoch, raised: u64) -> FencingToken {
     epoch + raised.min(TOKENS_PER_EPOCH - 2)
 }
 
@@ -64,11 +64,11 @@
 /// # Errors
 /// The text does not consist of 16 lower-case hexadecimal digits.
 pub fn parse_job_id(text: &str) -> Result<JobId, IdError> {
-    let plain = text.len() == JOB_ID_DIGITS
+    let valid = text.len() == JOB_ID_DIGITS
         && text
             .bytes()
             .all(|byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f'));
-    plain
+    valid
         .then(|| u64::from_str_radix(text, 16).ok())
         .flatten()
         .context(IdSnafu { text })
@@ -112,15 +112,15 @@
     fn from_str(text: &str) -> Result<TaskKey, IdError> {
         let mut parts = text.split('.');
         let job = parse_job_id(parts.next().unwrap_or_default())?;
-        let mut number = || {
+        let mut parse_next = || {
             parts
                 .next()
                 .and_then(|part| part.parse().ok())
                 .context(IdSnafu { text })
         };
-        let round = number()?;
-        let step = number()?;
-        let index = number()?;
+        let round = parse_next()?;
+        let step = parse_next()?;
+        let index = parse_next()?;
         let step = StepKey { job, round, step };
         Ok(TaskKey { step, index })
     }
--- a/crates/job/src/renewal.rs
+++ b/crates/job/src/renewal.rs
@@ -65,9 +65,9 @@
         self.last_write + STORE_WINDOW
     }
 
-    /// Records a successful write to the store that started at `begun`.
-    pub fn record_write(&mut self, begun: Duration) {
-        self.last_write = self.last_write.max(begun);
+    /// Records a successful write to the store that started at `write_start`.
+    pub fn record_write(&mut self, write_start: Duration) {
+        self.last_write = self.last_write.max(write_start);
     }
 
     /// Records that a write which adds or removes the row of this worker is being sent.
@@ -87,21 +87,21 @@
         self.rows.remove(worker);
     }
 
-    /// Time until which leases may be renewed. `heard` returns when the newest command that a
+    /// Time until which leases may be renewed. `accepted_at` returns when the newest command that a
     /// worker accepted was sent.
     #[must_use]
-    pub fn renewal_deadline(&self, heard: impl Fn(&str) -> Option<Duration>) -> Duration {
+    pub fn renewal_deadline(&self, accepted_at: impl Fn(&str) -> Option<Duration>) -> Duration {
         let by_majority = self
-            .majority_deadline(heard)
+            .majority_deadline(accepted_at)
             .min(self.last_write + MAX_STORE_OUTAGE);
         self.store_deadline().max(by_majority)
     }
 
     /// Time until which a majority of the workers allows renewals, whether or not a write without
     /// a reply has changed their rows.
-    fn majority_deadline(&self, heard: impl Fn(&str) -> Option<Duration>) -> Duration {
+    fn majority_deadline(&self, accepted_at: impl Fn(&str) -> Option<Duration>) -> Duration {
         let settled = self.rows.difference(&self.pending);
-        let mut times: Vec<Duration> = settled.filter_map(|worker| heard(worker)).collect();
+        let mut times: Vec<Duration> = settled.filter_map(|worker| accepted_at(worker)).collect();
         times.sort_unstable_by(|one, other| other.cmp(one));
         // Workers with an unconfirmed row count in the total but not towards the majority.
         let all = self.rows.union(&self.pending).count();
--- a/crates/job/tests/crash_sim/mod.rs
+++ b/crates/job/tests/crash_sim/mod.rs
@@ -59,7 +59,7 @@
 pub struct Incarnation {
     pub id: String,
     /// Start of the incarnation, if the worker reports it.
-    name: Option<u64>,
+    start_time: Option<u64>,
     pub key: Option<WorkerKey>,
     /// Number, start and end of the active run of each task.
     pub running: BTreeMap<TaskKey, (RunId, Duration, Duration)>,
@@ -151,7 +151,7 @@
                 incarnation: stored_incarnations
                     .get(&incarnation.id)
                     .copied()
-                    .unwrap_or(incarnation.name),
+                    .unwrap_or(incarnation.start_time),
                 ..info.clone()
             };
             incarnation.key = self.planner.recall_worker(row);
@@ -164,11 +164,11 @@
     /// Incarnation of each worker in the rows that the owner leaves in the store.
     fn stored_incarnations(&self) -> HashMap<String, Option<u64>> {
         let incarnations = self.places.iter().flatten();
-        let end_known = incarnations.filter_map(|incarnation| {
+        let stored = incarnations.filter_map(|incarnation| {
             let info = self.planner.worker(incarnation.key?)?;
             Some((incarnation.id.clone(), info.incarnation))
         });
-        end_known.collect()
+        stored.collect()
     }
 
     pub fn submit(&mut self, id: JobId, spec: JobSpec) {
@@ -231,17 +231,20 @@
         self.run(Duration::from_mins(1));
     }
 
-    /// Replaces the owner `end_known` after each crash under the task, until its job has failed.
-    pub fn change_owners(&mut self, task: TaskKey, end_known: Duration) {
+    /// Replaces the owner `delay` after each crash under the task, until its job has failed.
+    pub fn change_owners(&mut self, task: TaskKey, delay: Duration) {
         let mut crashes = 0;
         let job = task.step.job;
         while self.status(job) != Some(JobStatus::Failed) && crashes < 10 {
             let again = self.run_until(FAILURE_LIMIT, |sim| {
                 sim.crash_count(task) > crashes || sim.status(job) == Some(JobStatus::Failed)
             });
-            assert!(again, "it waits for good");
+            assert!(
+                again,
+                "{task} is not started again and its job does not fail"
+            );
             crashes = self.crash_count(task);
-            self.run(end_known);
+            self.run(delay);
             self.take_over();
         }
     }
@@ -260,17 +263,17 @@
 
     /// Newest incarnation of the worker at a place.
     pub fn incarnation(&mut self, place: usize) -> &mut Incarnation {
-        self.places[place].last_mut().expect("a life")
+        self.places[place].last_mut().expect("an incarnation")
     }
 
     /// Place at which a task is running.
     pub fn place_of(&self, task: TaskKey) -> Option<usize> {
-        let at = |incarnations: &Vec<Incarnation>| {
+        let runs_here = |incarnations: &Vec<Incarnation>| {
             incarnations
                 .last()
-                .is_some_and(|incarnation| incarnation.holds(task))
+                .is_some_and(|incarnation| incarnation.runs_task(task))
         };
-        self.places.iter().position(at)
+        self.places.iter().position(runs_here)
     }
 
     /// Runs the simulation for a time.
@@ -337,10 +340,10 @@
             let Some(incarnation) = incarnations.last_mut() else {
                 continue;
             };
-            let ended_runs = incarnation.running.iter();
-            let ended_runs = ended_runs.filter(|(_, (_, _, end))| *end <= now);
-            let ended_runs: Vec<TaskKey> = ended_runs.map(|(task, _)| *task).collect();
-            for task in ended_runs {
+            let due_runs = incarnation.running.iter();
+            let due_runs = due_runs.filter(|(_, (_, _, end))| *end <= now);
+            let due_runs: Vec<TaskKey> = due_runs.map(|(task, _)| *task).collect();
+            for task in due_runs {
                 if self.bad.contains_key(&task) {
                     crashing.push(place);
                     break;
@@ -360,16 +363,16 @@
             } else {
                 RETURN_TIME
             };
-            let Some(predecessor) = incarnations.last_mut() else {
+            let Some(former) = incarnations.last_mut() else {
                 continue;
             };
-            if predecessor
+            if former
                 .crashed_at
                 .is_some_and(|crashed_at| crashed_at + pause <= self.now)
             {
-                let key = predecessor.key;
+                let key = former.key;
                 // The list of machines never lacks an id that is in use again.
-                predecessor.end_known |= self.same_ids;
+                former.end_known |= self.same_ids;
                 let mut incarnation = Incarnation::new(place, incarnations.len(), self.same_ids);
                 incarnation.key = self.planner.take_worker(incarnation.info());
                 // A new registration alone does not end the former incarnation.
@@ -421,7 +424,7 @@
             Order::Start {
                 worker, task, run, ..
             } => {
-                let until = self.duration_of(task);
+                let duration = self.duration_of(task);
                 let Some((place, incarnation)) = self.incarnation_of(worker) else {
                     return;
                 };
@@ -430,7 +433,7 @@
                     self.planner.start_reply(worker, task, run, reply);
                     return;
                 }
-                incarnation.running.insert(task, (run, now, now + until));
+                incarnation.running.insert(task, (run, now, now + duration));
                 self.starts.entry(task).or_default().push((now, place));
                 self.check_single(task);
                 self.planner
@@ -475,7 +478,7 @@
             .iter()
             .filter_map(|incarnations| incarnations.last());
         let running_on = incarnations
-            .filter(|incarnation| incarnation.holds(task))
+            .filter(|incarnation| incarnation.runs_task(task))
             .count();
         assert_eq!(running_on, 1, "{task} runs on two workers");
     }
@@ -509,7 +512,7 @@
         };
         Incarnation {
             id,
-            name: same_id.then_some(1000 + incarnation as u64),
+            start_time: same_id.then_some(1000 + incarnation as u64),
             cores: 4,
             ..Incarnation::default()
         }
@@ -517,13 +520,13 @@
 
     fn info(&self) -> WorkerInfo {
         let mut info = support::worker(&self.id);
-        info.incarnation = self.name;
+        info.incarnation = self.start_time;
         info.draining = self.draining;
         info.capacity = support::resources(self.cores * 1000, 64_000);
         info
     }
 
-    fn holds(&self, task: TaskKey) -> bool {
+    fn runs_task(&self, task: TaskKey) -> bool {
         self.running.contains_key(&task)
     }
 
@@ -545,7 +548,7 @@
             }
         });
         WorkerReport {
-            incarnation: self.name,
+            incarnation: self.start_time,
             ..support::worker_report(running.collect(), self.ended.clone())
         }
     }
--- a/crates/job/tests/event_sim/checks.rs
+++ b/crates/job/tests/event_sim/checks.rs
@@ -13,15 +13,15 @@
 impl EventSim {
     /// Checks the invariants for a start, whichever owner has sent it.
     pub(super) fn check(&self, sent: &SentCommand, task: TaskKey) {
-        let at = sent.worker;
+        let place = sent.worker;
         let elsewhere = self.workers.iter().enumerate();
         let twice = elsewhere
-            .filter(|(other, worker)| *other != at && worker.runs_task(&task))
+            .filter(|(other, worker)| *other != place && worker.runs_task(&task))
             .count();
         assert_eq!(twice, 0, "{task} runs on two workers");
         assert!(
             !self.acked_done.contains_key(&task),
-            "{task} ran again when done"
+            "{task} was started after a stored successful end"
         );
         let spec = &self.jobs[&task.step.job];
         let failures = self.acked_failures.get(&task).map_or(0, BTreeSet::len);
@@ -30,20 +30,26 @@
             "{task} was started after {failures} failed runs"
         );
         let need = |task: &TaskKey| self.jobs[&task.step.job].steps[0].need;
-        let worker = &self.workers[at];
+        let worker = &self.workers[place];
         let used = worker
             .running
             .keys()
             .chain(worker.stopping.keys())
             .map(need);
         let used = used.fold(Resources::default(), |sum, need| sum.plus(&need));
-        let cores = self.cores_for(at, sent.at);
-        assert!(used.cpu <= cores * 1000, "worker {at} is over its capacity");
+        let cores = self.cores_for(place, sent.sent_at);
+        assert!(
+            used.cpu <= cores * 1000,
+            "worker {place} is over its capacity"
+        );
         for &before in &self.jobs[&task.step.job].steps[task.step.step as usize].after {
             let spec = &self.jobs[&task.step.job].steps[before as usize];
             for index in 0..spec.count {
                 let key = support::task(task.step.job, before, index);
-                assert!(self.ever_done(key), "{task} before {key} was done");
+                assert!(
+                    self.ever_done(key),
+                    "{task} was started before {key} was done"
+                );
             }
         }
     }
--- a/crates/job/tests/event_sim/crashes.rs
+++ b/crates/job/tests/event_sim/crashes.rs
@@ -60,50 +60,50 @@
 
     /// Carries out an event; most are events of any simulation.
     pub fn crash_step(&mut self, event: Event) {
-        let at = usize::from(event.pick) % WORKERS;
+        let place = usize::from(event.pick) % WORKERS;
         // Former owners are left out here, since whom they reach is covered by other tests.
         self.former_owner = None;
         match event.kind {
             0..200 => self.step(event),
-            200..208 if event.pick.is_multiple_of(3) => self.crash(at),
-            200..228 => self.restart_worker(at),
+            200..208 if event.pick.is_multiple_of(3) => self.crash(place),
+            200..228 => self.restart_worker(place),
             228..244 => self.report_crashes(),
-            _ => self.resize(at, u64::from(event.pick / 3 % 4) + 1),
+            _ => self.resize(place, u64::from(event.pick / 3 % 4) + 1),
         }
         self.check_failed();
     }
 
-    pub(super) fn id(&self, at: usize) -> String {
+    pub(super) fn id(&self, place: usize) -> String {
         let incarnation = self
             .faults
             .as_ref()
-            .map_or(0, |faults| faults.incarnations[at]);
+            .map_or(0, |faults| faults.incarnations[place]);
         match incarnation {
-            _ if self.keeps_id(at) => format!("w{at}"),
-            0 => format!("w{at}"),
-            incarnation => format!("w{at}-{incarnation}"),
+            _ if self.keeps_id(place) => format!("w{place}"),
+            0 => format!("w{place}"),
+            incarnation => format!("w{place}-{incarnation}"),
         }
     }
 
-    pub(super) fn info(&self, at: usize) -> WorkerInfo {
-        let mut info = support::worker(&self.id(at));
-        info.incarnation = self.workers[at].incarnation;
-        info.capacity = support::resources(self.cores(at).0 * 1000, 64_000);
+    pub(super) fn info(&self, place: usize) -> WorkerInfo {
+        let mut info = support::worker(&self.id(place));
+        info.incarnation = self.workers[place].incarnation;
+        info.capacity = support::resources(self.cores(place).0 * 1000, 64_000);
         info
     }
 
     /// Cores of a worker, and when they last changed.
-    fn cores(&self, at: usize) -> (u64, Duration) {
+    fn cores(&self, place: usize) -> (u64, Duration) {
         let changed = self
             .faults
             .as_ref()
-            .and_then(|faults| faults.cores.get(&at));
+            .and_then(|faults| faults.cores.get(&place));
         changed.copied().unwrap_or((4, Duration::ZERO))
     }
 
     /// Cores that a start which was sent at this time may use.
-    pub(super) fn cores_for(&self, at: usize, sent: Duration) -> u64 {
-        let (cores, since) = self.cores(at);
+    pub(super) fn cores_for(&self, place: usize, sent: Duration) -> u64 {
+        let (cores, since) = self.cores(place);
         if sent <= since { 4 } else { cores }
     }
 
@@ -115,7 +115,7 @@
     /// Crashes the worker if the task is a bad one; returns its reply to the start in that case.
     pub(super) fn crash_on_start(
         &mut self,
-        at: usize,
+        place: usize,
         task: TaskKey,
         run: RunId,
     ) -> Option<StartReply> {
@@ -125,8 +125,8 @@
         if let Some(faults) = &mut self.faults {
             *faults.bad_starts.entry(task).or_default() += 1;
         }
-        self.crash(at);
-        self.check_bad(task);
+        self.crash(place);
+        self.check_bad_starts(task);
         let answered = !run.is_multiple_of(4);
         if answered {
             // The worker was running the task when it confirmed the start. Together with later
@@ -140,14 +140,14 @@
         })
     }
 
-    pub(super) fn crash(&mut self, at: usize) {
-        if self.workers[at].down {
+    pub(super) fn crash(&mut self, place: usize) {
+        if self.workers[place].down {
             return;
         }
-        let (id, keeps_id) = (self.id(at), self.keeps_id(at));
-        self.keep_late_renewal(at);
-        let worker = std::mem::take(&mut self.workers[at]);
-        self.workers[at] = Worker {
+        let (id, keeps_id) = (self.id(place), self.keeps_id(place));
+        self.keep_late_renewal(place);
+        let worker = std::mem::take(&mut self.workers[place]);
+        self.workers[place] = Worker {
             down: true,
             incarnation: worker.incarnation,
             ..Worker::default()
@@ -160,9 +160,9 @@
         }
         // The crash resets the worker's connections; some of these resets get lost.
         if !self.now.as_millis().is_multiple_of(4) {
-            self.planner.worker_silent(self.keys[at]);
+            self.planner.worker_silent(self.keys[place]);
         }
-        let key = self.keys[at];
+        let key = self.keys[place];
         let reported = worker.reported.into_iter();
         faults
             .lost
@@ -176,20 +176,20 @@
         }
     }
 
-    pub(super) fn restart_worker(&mut self, at: usize) {
-        if !std::mem::take(&mut self.workers[at].down) {
+    pub(super) fn restart_worker(&mut self, place: usize) {
+        if !std::mem::take(&mut self.workers[place].down) {
             return;
         }
-        if self.keeps_id(at) {
-            self.restart(at);
+        if self.keeps_id(place) {
+            self.restart(place);
             return;
         }
         if let Some(faults) = &mut self.faults {
-            faults.incarnations[at] += 1;
+            faults.incarnations[place] += 1;
         }
-        let info = self.info(at);
+        let info = self.info(place);
         self.planner.advance(self.now);
-        self.keys[at] = self.planner.take_worker(info).expect("a new life");
+        self.keys[place] = self.planner.take_worker(info).expect("a new incarnation");
     }
 
     fn report_crashes(&mut self) {
@@ -198,7 +198,7 @@
         };
         self.planner.advance(self.now);
         let unknown = std::mem::take(&mut faults.unknown);
-        self.learn_same_ids();
+        self.report_same_ids();
         for id in unknown {
             if let Some(key) = self.planner.worker_of(&id) {
                 self.planner.worker_over(key);
@@ -206,15 +206,15 @@
         }
     }
 
-    fn resize(&mut self, at: usize, cores: u64) {
-        if self.workers[at].down {
+    fn resize(&mut self, place: usize, cores: u64) {
+        if self.workers[place].down {
             return;
         }
         if let Some(faults) = &mut self.faults {
-            faults.cores.insert(at, (cores, self.now));
+            faults.cores.insert(place, (cores, self.now));
         }
-        self.registration_written(at);
-        let info = self.info(at);
+        self.registration_written(place);
+        let info = self.info(place);
         self.planner.take_worker(info);
     }
 
@@ -243,7 +243,7 @@
 
     /// Checks the number of starts of a bad task. An owner that crashes before it has stored a
     /// first crash forgets it, which allows one more start; nothing else does.
-    fn check_bad(&self, task: TaskKey) {
+    fn check_bad_starts(&self, task: TaskKey) {
         let Some(faults) = &self.faults else { return };
         let starts = faults.bad_starts.get(&task).copied().unwrap_or_default();
         let most = MOST_STARTS + faults.owners;
@@ -289,7 +289,7 @@
             return (0, 0);
         };
         let failed = self.stored.values();
-        let failed = failed.filter(|reported| reported.outcome == Some(Outcome::Failed));
+        let failed = failed.filter(|progress| progress.outcome == Some(Outcome::Failed));
         (failed.count(), faults.bad_starts.values().sum())
     }
 }
--- a/crates/job/tests/event_sim/delivery.rs
+++ b/crates/job/tests/event_sim/delivery.rs
@@ -30,8 +30,8 @@
         if self.late.is_empty() {
             return;
         }
-        let at = usize::from(pick) % self.late.len();
-        let sent = self.late.swap_remove(at);
+        let place = usize::from(pick) % self.late.len();
+        let sent = self.late.swap_remove(place);
         if self.workers[sent.worker].cut_off || self.workers[sent.worker].down {
             return;
         }
--- a/crates/job/tests/event_sim/former_owner.rs
+++ b/crates/job/tests/event_sim/former_owner.rs
@@ -11,34 +11,34 @@
 /// State of the former owner.
 pub struct FormerOwner {
     pub epoch: u64,
-    tenure: RenewalAuthority,
+    authority: RenewalAuthority,
     /// When it sent the newest command that each worker accepted.
     accepted_at: [Option<Duration>; WORKERS],
 }
 
 impl FormerOwner {
-    pub fn new(epoch: u64, tenure: RenewalAuthority) -> FormerOwner {
+    pub fn new(epoch: u64, authority: RenewalAuthority) -> FormerOwner {
         FormerOwner {
             epoch,
-            tenure,
+            authority,
             accepted_at: [None; WORKERS],
         }
     }
 
     /// Whether a call of the former owner reaches a worker; most do.
-    pub fn reaches(at: usize, pick: u8) -> bool {
-        !(usize::from(pick) / WORKERS + at).is_multiple_of(5)
+    pub fn reaches(place: usize, pick: u8) -> bool {
+        !(usize::from(pick) / WORKERS + place).is_multiple_of(5)
     }
 
     /// Records that a worker accepts a renewal; returns the new expiry if the lease may be
     /// renewed.
-    pub fn renew(&mut self, at: usize, now: Duration) -> Option<Duration> {
+    pub fn renew(&mut self, place: usize, now: Duration) -> Option<Duration> {
         let accepted_at = self.accepted_at;
-        let until = self.tenure.renewal_deadline(|worker| {
-            let at: usize = worker[1..].parse().ok()?;
-            accepted_at[at]
+        let until = self.authority.renewal_deadline(|worker| {
+            let place: usize = worker[1..].parse().ok()?;
+            accepted_at[place]
         });
-        self.accepted_at[at] = Some(now);
+        self.accepted_at[place] = Some(now);
         (now < until).then(|| now + Policy::default().lease)
     }
 }
--- a/crates/job/tests/event_sim/mod.rs
+++ b/crates/job/tests/event_sim/mod.rs
@@ -18,6 +18,7 @@
 
 use job::ActiveRun;
 use job::Batch;
+use job::FencingToken;
 use job::JobId;
 use job::JobSpec;
 use job::Order;
@@ -28,7 +29,6 @@
 use job::RunEnd;
 use job::RunId;
 use job::TaskKey;
-use job::Token;
 use job::WorkerInfo;
 use job::WorkerKey;
 use job::WorkerReport;
@@ -60,8 +60,8 @@
     id: String,
     /// Incarnation for which the command is meant, if the worker reports its incarnation.
     incarnation: Option<u64>,
-    token: Token,
-    at: Duration,
+    token: FencingToken,
+    sent_at: Duration,
     /// Expiry of the lease that the command carries.
     lease: Duration,
     command: Order,
@@ -80,7 +80,7 @@
     stored: BTreeMap<JobId, Progress>,
     late: Vec<SentCommand>,
     saving: Option<(Duration, Batch)>,
-    tenure: RenewalAuthority,
+    authority: RenewalAuthority,
     /// Former owner that is cut off from the store and still renews leases.
     former_owner: Option<FormerOwner>,
     /// Stored ends of successful runs.
@@ -95,7 +95,7 @@
 }
 
 fn names() -> impl Iterator<Item = String> {
-    (0..WORKERS).map(|at| format!("w{at}"))
+    (0..WORKERS).map(|place| format!("w{place}"))
 }
 
 impl EventSim {
@@ -111,7 +111,7 @@
             stored: BTreeMap::new(),
             late: Vec::new(),
             saving: None,
-            tenure: RenewalAuthority::new(Duration::ZERO, names()),
+            authority: RenewalAuthority::new(Duration::ZERO, names()),
             former_owner: None,
             acked_done: HashMap::new(),
             acked_failures: HashMap::new(),
@@ -126,7 +126,7 @@
 
     /// Replaces the owner by one that knows only what was stored.
     fn take_over(&mut self) {
-        let before = self.epoch;
+        let former_epoch = self.epoch;
         let stored_incarnations = self.stored_incarnations();
         self.epoch = job::next_epoch(self.epoch);
         self.raised = vec![0; WORKERS];
@@ -140,11 +140,11 @@
             let progress = self.stored.get(&id);
             self.planner.take_job(id, spec.clone(), progress, true);
         }
-        let tenure = RenewalAuthority::new(self.now, names());
-        let tenure = std::mem::replace(&mut self.tenure, tenure);
-        self.former_owner = Some(FormerOwner::new(before, tenure));
+        let authority = RenewalAuthority::new(self.now, names());
+        let authority = std::mem::replace(&mut self.authority, authority);
+        self.former_owner = Some(FormerOwner::new(former_epoch, authority));
         self.keys = (0..WORKERS)
-            .map(|at| self.recall(at, &stored_incarnations))
+            .map(|place| self.recall(place, &stored_incarnations))
             .collect();
         self.recall_crashed();
     }
@@ -152,10 +152,10 @@
     /// Adds a worker to the new planner from its row, and then from its registration.
     fn recall(
         &mut self,
-        at: usize,
+        place: usize,
         stored_incarnations: &HashMap<String, Option<u64>>,
     ) -> WorkerKey {
-        let info: WorkerInfo = self.info(at);
+        let info: WorkerInfo = self.info(place);
         // The row holds the largest capacity that the worker has had, and its last known
         // incarnation.
         let row = WorkerInfo {
@@ -166,7 +166,7 @@
             ..support::worker(&info.id)
         };
         let key = self.planner.recall_worker(row);
-        if !self.workers[at].down {
+        if !self.workers[place].down {
             self.planner.take_worker(info);
         }
         key.expect("a new worker")
@@ -174,30 +174,30 @@
 
     /// Sends a renewal of the former owner to a worker that its successor may not reach.
     fn renew_by_former(&mut self, pick: u8) {
-        let at = usize::from(pick) % WORKERS;
+        let place = usize::from(pick) % WORKERS;
         let Some(former_owner) = &mut self.former_owner else {
             return;
         };
-        if !FormerOwner::reaches(at, pick) {
+        if !FormerOwner::reaches(place, pick) {
             return;
         }
-        let worker = &mut self.workers[at];
+        let worker = &mut self.workers[place];
         if worker.fence > former_owner.epoch {
             self.former_owner = None;
             return;
         }
-        let lease = former_owner.renew(at, self.now);
+        let lease = former_owner.renew(place, self.now);
         worker.lease = lease.map_or(worker.lease, |lease| worker.lease.max(lease));
     }
 
     pub fn step(&mut self, event: Event) {
-        let at = usize::from(event.pick) % WORKERS;
+        let place = usize::from(event.pick) % WORKERS;
         match event.kind % 16 {
             0 => self.submit(event.pick),
-            1..=3 => self.renew_lease(at),
+            1..=3 => self.renew_lease(place),
             4 | 5 => self.plan(event.pick),
-            6 => self.end_run(at, event.pick, RunEnd::Done),
-            7 => self.end_run(at, event.pick, RunEnd::Failed),
+            6 => self.end_run(place, event.pick, RunEnd::Done),
+            7 => self.end_run(place, event.pick, RunEnd::Failed),
             8 => self.begin_save(),
             9 => self.end_save(event.pick.is_multiple_of(3)),
             10 => self.advance(Duration::from_millis(u64::from(event.pick) * 20)),
@@ -211,7 +211,7 @@
             }
             12 => self.cancel(event.pick),
             13 | 14 => self.renew_by_former(event.pick),
-            _ => self.workers[at].cut_off = event.pick.is_multiple_of(2),
+            _ => self.workers[place].cut_off = event.pick.is_multiple_of(2),
         }
         self.check_statuses();
     }
@@ -266,27 +266,27 @@
     }
 
     /// Renews a lease: claims the worker, extends the lease and passes in the worker report.
-    fn renew_lease(&mut self, at: usize) {
+    fn renew_lease(&mut self, place: usize) {
         self.planner.advance(self.now);
-        let key = self.keys[at];
+        let key = self.keys[place];
         if self.planner.worker(key).is_none() {
             return;
         }
-        if self.workers[at].cut_off || self.workers[at].down {
+        if self.workers[place].cut_off || self.workers[place].down {
             self.planner.worker_silent(key);
-            self.workers[at].in_contact = false;
+            self.workers[place].in_contact = false;
             return;
         }
-        let token = self.token(at);
+        let token = self.token(place);
         // A worker that reports its incarnation gets a lease only after it has replied, since the
         // clock of a new incarnation is unknown.
-        if self.workers[at].in_contact || self.workers[at].incarnation.is_none() {
+        if self.workers[place].in_contact || self.workers[place].incarnation.is_none() {
             self.planner.lease_sent(key);
-            let worker = &mut self.workers[at];
+            let worker = &mut self.workers[place];
             worker.lease = worker.lease.max(self.now + Policy::default().lease);
         }
-        self.acknowledge(at, key);
-        let worker = &mut self.workers[at];
+        self.acknowledge(place, key);
+        let worker = &mut self.workers[place];
         worker.fence = worker.fence.max(token);
         worker.in_contact = self
             .planner
@@ -315,13 +315,13 @@
         };
         self.planner.take_listing(key, self.now, &worker_report);
         // The planner requests another report if this one came from an unknown incarnation.
-        if self.workers[at].in_contact {
-            let worker = &mut self.workers[at];
+        if self.workers[place].in_contact {
+            let worker = &mut self.workers[place];
             let running = worker.running.iter();
             worker
                 .reported
                 .extend(running.map(|(&task, &(run, _))| (task, run)));
-            self.check_reported(at);
+            self.check_reported(place);
         }
     }
 
@@ -337,22 +337,22 @@
                 }
                 Order::Drop { .. } => continue,
             };
-            let Some(at) = self.keys.iter().position(|key| *key == worker) else {
+            let Some(place) = self.keys.iter().position(|key| *key == worker) else {
                 continue;
             };
             let sent = SentCommand {
-                worker: at,
-                id: self.id(at),
-                incarnation: self.known_incarnation(at),
-                token: self.token(at),
-                at: self.now,
+                worker: place,
+                id: self.id(place),
+                incarnation: self.known_incarnation(place),
+                token: self.token(place),
+                sent_at: self.now,
                 lease: self.now + Policy::default().lease,
                 command,
             };
             // Some commands get no reply, and some of those are carried out late.
             if (nth + usize::from(pick)).is_multiple_of(5)
-                || self.workers[at].cut_off
-                || self.workers[at].down
+                || self.workers[place].cut_off
+                || self.workers[place].down
             {
                 self.lose_reply(&sent);
                 self.late.push(sent);
@@ -363,8 +363,8 @@
         self.now += Duration::from_millis(1);
     }
 
-    fn end_run(&mut self, at: usize, pick: u8, how: RunEnd) {
-        let worker = &mut self.workers[at];
+    fn end_run(&mut self, place: usize, pick: u8, how: RunEnd) {
+        let worker = &mut self.workers[place];
         let tasks: Vec<TaskKey> = worker.running.keys().copied().collect();
         if tasks.is_empty() {
             return;
@@ -407,28 +407,28 @@
     }
 
     fn end_save(&mut self, fails: bool) {
-        let Some((started, batch)) = self.saving.take() else {
+        let Some((save_start, batch)) = self.saving.take() else {
             return;
         };
         if fails {
             self.planner.batch_failed(&batch);
             return;
         }
-        self.tenure.record_write(started);
+        self.authority.record_write(save_start);
         for (id, progress) in &batch.jobs {
             self.stored.insert(*id, progress.clone());
         }
         self.planner.batch_saved(&batch);
         for (key, number) in &batch.ends {
-            if let Some(at) = self.keys.iter().position(|one| one == key) {
-                self.recorded(at, *number);
+            if let Some(place) = self.keys.iter().position(|one| one == key) {
+                self.record_stored(place, *number);
             }
         }
     }
 
     /// Records the stored ends up to `number` as acknowledged, if the worker can be reached.
-    fn record_acked(&mut self, at: usize, number: u64) {
-        let worker = &mut self.workers[at];
+    fn record_acked(&mut self, place: usize, number: u64) {
+        let worker = &mut self.workers[place];
         if worker.cut_off {
             return;
         }
--- a/crates/job/tests/event_sim/same_ids.rs
+++ b/crates/job/tests/event_sim/same_ids.rs
@@ -4,9 +4,9 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
+use job::FencingToken;
 use job::Order;
 use job::Policy;
-use job::Token;
 use job::WorkerInfo;
 use job::WorkerKey;
 
@@ -30,7 +30,7 @@
     /// Renewals to which former incarnations did not reply.
     renewals: Vec<LateRenewal>,
     /// Highest stored end for each worker key, which a renewal under that key may acknowledge.
-    recorded: HashMap<WorkerKey, u64>,
+    stored_ends: HashMap<WorkerKey, u64>,
     /// Number of restarts.
     pub restarts: usize,
 }
@@ -38,8 +38,8 @@
 /// A renewal to which a former incarnation did not reply.
 #[derive(Clone, Copy, Debug)]
 struct LateRenewal {
-    at: usize,
-    token: Token,
+    place: usize,
+    token: FencingToken,
     sent: Duration,
     acked: u64,
 }
@@ -52,9 +52,9 @@
         if let Some(faults) = &mut sim.faults {
             faults.same_ids = Some(SameIds::default());
         }
-        for at in 0..WORKERS {
-            if sim.keeps_id(at) {
-                sim.workers[at].incarnation = Some(FIRST);
+        for place in 0..WORKERS {
+            if sim.keeps_id(place) {
+                sim.workers[place].incarnation = Some(FIRST);
             }
         }
         sim.take_over();
@@ -63,20 +63,20 @@
 
     /// Carries out an event in such a simulation.
     pub fn same_ids_step(&mut self, event: Event) {
-        let at = usize::from(event.pick) % WORKERS;
+        let place = usize::from(event.pick) % WORKERS;
         match event.kind {
             // A restart that is too short for anyone to notice.
             232..236 => {
-                self.crash(at);
-                self.restart_worker(at);
+                self.crash(place);
+                self.restart_worker(place);
             }
             236..238 => {
-                for at in 0..WORKERS {
-                    self.crash(at);
-                    self.restart_worker(at);
+                for place in 0..WORKERS {
+                    self.crash(place);
+                    self.restart_worker(place);
                 }
             }
-            238..242 => self.write_registration(at),
+            238..242 => self.write_registration(place),
             242..244 => self.read_stale(event.pick),
             244..248 => self.deliver_renewal(event.pick),
             _ => return self.crash_step(event),
@@ -89,12 +89,12 @@
     }
 
     /// Whether a worker comes back under the same id.
-    pub(super) fn keeps_id(&self, at: usize) -> bool {
+    pub(super) fn keeps_id(&self, place: usize) -> bool {
         let same_ids = self
             .faults
             .as_ref()
             .is_some_and(|faults| faults.same_ids.is_some());
-        same_ids && at != 0
+        same_ids && place != 0
     }
 
     /// Incarnation of each worker in the rows that the owner leaves in the store.
@@ -106,15 +106,15 @@
     }
 
     /// Fencing token of commands to a worker.
-    pub(super) fn token(&self, at: usize) -> Token {
-        job::token(self.epoch, self.raised[at])
+    pub(super) fn token(&self, place: usize) -> FencingToken {
+        job::fencing_token(self.epoch, self.raised[place])
     }
 
     /// Whether no start without a reply can still be carried out by a worker.
-    fn starts_settled(&self, at: usize) -> bool {
+    fn starts_settled(&self, place: usize) -> bool {
         let pending = |sent: &SentCommand| {
             let start = matches!(sent.command, Order::Start { .. });
-            start && sent.worker == at && self.in_flight(sent.at)
+            start && sent.worker == place && self.in_flight(sent.sent_at)
         };
         !self.late.iter().any(pending)
     }
@@ -125,31 +125,31 @@
     }
 
     /// Raises the token of commands to a worker, after a start without a reply.
-    pub(super) fn raise_token(&mut self, at: usize) {
-        self.raised[at] += u64::from(self.keeps_id(at));
+    pub(super) fn raise_token(&mut self, place: usize) {
+        self.raised[place] += u64::from(self.keeps_id(place));
     }
 
     /// Incarnation for which a command to a worker is meant.
-    pub(super) fn known_incarnation(&self, at: usize) -> Option<u64> {
+    pub(super) fn known_incarnation(&self, place: usize) -> Option<u64> {
         self.planner
-            .worker(self.keys[at])
+            .worker(self.keys[place])
             .and_then(|info| info.incarnation)
     }
 
     /// Records that the planner has found a new incarnation of a worker.
     pub(super) fn record_incarnation(&mut self, key: WorkerKey) {
         let id = self.planner.worker(key).map(|info| info.id.clone());
-        let at = (0..WORKERS).find(|at| Some(self.id(*at)) == id);
-        if let Some(at) = at {
-            self.keys[at] = key;
-            self.raised[at] += 1;
-            self.workers[at].in_contact = false;
+        let place = (0..WORKERS).find(|place| Some(self.id(*place)) == id);
+        if let Some(place) = place {
+            self.keys[place] = key;
+            self.raised[place] += 1;
+            self.workers[place].in_contact = false;
         }
     }
 
     /// Starts a worker again under the same id. Its clock may have gone back.
-    pub(super) fn restart(&mut self, at: usize) {
-        let former_owner = self.info(at);
+    pub(super) fn restart(&mut self, place: usize) {
+        let former = self.info(place);
         let back = self.now.as_millis().is_multiple_of(3);
         let registers = !self.now.as_millis().is_multiple_of(5);
         let Some(same_ids) = self.same_ids_mut() else {
@@ -157,33 +157,33 @@
         };
         same_ids.incarnations += 1;
         same_ids.restarts += 1;
-        same_ids.stale.push(former_owner);
-        same_ids.unregistered[at] = true;
+        same_ids.stale.push(former);
+        same_ids.unregistered[place] = true;
         let incarnations = same_ids.incarnations;
-        self.workers[at].incarnation = Some(if back {
+        self.workers[place].incarnation = Some(if back {
             FIRST - incarnations
         } else {
             FIRST + incarnations
         });
         if registers {
-            self.write_registration(at);
+            self.write_registration(place);
         }
     }
 
-    fn write_registration(&mut self, at: usize) {
-        if self.workers[at].down {
+    fn write_registration(&mut self, place: usize) {
+        if self.workers[place].down {
             return;
         }
-        if self.registration_written(at) {
-            let info = self.info(at);
-            self.read_registration(at, info);
+        if self.registration_written(place) {
+            let info = self.info(place);
+            self.read_registration(place, info);
         }
     }
 
     /// Marks the registration of a worker as written; returns whether it was still to be written.
-    pub(super) fn registration_written(&mut self, at: usize) -> bool {
+    pub(super) fn registration_written(&mut self, place: usize) -> bool {
         let same_ids = self.same_ids_mut();
-        same_ids.is_some_and(|same_ids| std::mem::take(&mut same_ids.unregistered[at]))
+        same_ids.is_some_and(|same_ids| std::mem::take(&mut same_ids.unregistered[place]))
     }
 
     /// Reads the registration of a former incarnation late, and then the one that has replaced
@@ -196,78 +196,87 @@
             return;
         }
         let info = same_ids.stale[usize::from(pick) % same_ids.stale.len()].clone();
-        let at = (0..WORKERS).find(|at| self.id(*at) == info.id);
-        let Some(at) = at else { return };
-        self.read_registration(at, info);
-        if !self.workers[at].down && !self.same_ids_mut().is_some_and(|one| one.unregistered[at]) {
-            let info = self.info(at);
-            self.read_registration(at, info);
+        let place = (0..WORKERS).find(|place| self.id(*place) == info.id);
+        let Some(place) = place else { return };
+        self.read_registration(place, info);
+        if !self.workers[place].down
+            && !self
+                .same_ids_mut()
+                .is_some_and(|one| one.unregistered[place])
+        {
+            let info = self.info(place);
+            self.read_registration(place, info);
         }
     }
 
-    fn read_registration(&mut self, at: usize, info: WorkerInfo) {
+    fn read_registration(&mut self, place: usize, info: WorkerInfo) {
         self.planner.advance(self.now);
         if let Some(key) = self.planner.take_worker(info) {
             self.record_incarnation(key);
-            debug_assert_eq!(self.keys[at], key);
+            debug_assert_eq!(self.keys[place], key);
         }
     }
 
     /// Reads the list of machines, which lacks the ids of crashed workers.
-    pub(super) fn learn_same_ids(&mut self) {
-        for at in 0..WORKERS {
-            if self.keeps_id(at) && self.workers[at].down {
-                self.planner.worker_over(self.keys[at]);
+    pub(super) fn report_same_ids(&mut self) {
+        for place in 0..WORKERS {
+            if self.keeps_id(place) && self.workers[place].down {
+                self.planner.worker_over(self.keys[place]);
             }
         }
     }
 
     /// Records that ends up to a number are stored. The next renewal acknowledges them if the
     /// worker has replied to the one before.
-    pub(super) fn recorded(&mut self, at: usize, number: u64) {
-        let key = self.keys[at];
+    pub(super) fn record_stored(&mut self, place: usize, number: u64) {
+        let key = self.keys[place];
         match self.same_ids_mut() {
             Some(same_ids) => {
-                same_ids.recorded.insert(key, number);
+                same_ids.stored_ends.insert(key, number);
             }
-            None => self.record_acked(at, number),
+            None => self.record_acked(place, number),
         }
     }
 
     /// Acknowledges the stored ends with a renewal.
-    pub(super) fn acknowledge(&mut self, at: usize, key: WorkerKey) {
-        let in_contact = self.workers[at].in_contact || self.workers[at].incarnation.is_none();
+    pub(super) fn acknowledge(&mut self, place: usize, key: WorkerKey) {
+        let in_contact =
+            self.workers[place].in_contact || self.workers[place].incarnation.is_none();
         let number = self
             .same_ids_mut()
-            .and_then(|same_ids| same_ids.recorded.get(&key).copied());
+            .and_then(|same_ids| same_ids.stored_ends.get(&key).copied());
         if let Some(number) = number.filter(|_| in_contact) {
-            self.record_acked(at, number);
+            self.record_acked(place, number);
         }
     }
 
     /// Keeps a renewal that is on its way to a worker when it crashes. The renewal acknowledges
     /// the stored ends if no start without a reply can still be carried out.
-    pub(super) fn keep_late_renewal(&mut self, at: usize) {
-        if !self.keeps_id(at) || !self.workers[at].in_contact {
+    pub(super) fn keep_late_renewal(&mut self, place: usize) {
+        if !self.keeps_id(place) || !self.workers[place].in_contact {
             return;
         }
-        let (token, key, starts_settled) = (self.token(at), self.keys[at], self.starts_settled(at));
+        let (token, key, starts_settled) = (
+            self.token(place),
+            self.keys[place],
+            self.starts_settled(place),
+        );
         let sent = self.now;
         let Some(same_ids) = self.same_ids_mut() else {
             return;
         };
         let acked = same_ids
-            .recorded
+            .stored_ends
             .get(&key)
             .copied()
             .filter(|_| starts_settled);
         same_ids.renewals.push(LateRenewal {
-            at,
+            place,
             token,
             sent,
             acked: acked.unwrap_or(0),
         });
-        self.raised[at] += u64::from(acked.is_some());
+        self.raised[place] += u64::from(acked.is_some());
     }
 
     /// Delivers a renewal for a former incarnation to the present one.
@@ -278,15 +287,15 @@
         if same_ids.renewals.is_empty() {
             return;
         }
-        let at = usize::from(pick) % same_ids.renewals.len();
-        let renewal = same_ids.renewals.swap_remove(at);
+        let place = usize::from(pick) % same_ids.renewals.len();
+        let renewal = same_ids.renewals.swap_remove(place);
         let late = !self.in_flight(renewal.sent);
-        let worker = &mut self.workers[renewal.at];
+        let worker = &mut self.workers[renewal.place];
         if late || worker.cut_off || worker.down || renewal.token < worker.fence {
             return;
         }
         worker.lease = worker.lease.max(self.now + Policy::default().longest_lease);
-        self.record_acked(renewal.at, renewal.acked);
+        self.record_acked(renewal.place, renewal.acked);
     }
 
     /// Whether a late command is delivered. Left out are commands that nothing could refuse:
@@ -299,7 +308,8 @@
         }
         match sent.command {
             Order::Start { task, run, .. } => {
-                self.in_flight(sent.at) && self.planner.holds(self.keys[sent.worker], task, run)
+                self.in_flight(sent.sent_at)
+                    && self.planner.holds(self.keys[sent.worker], task, run)
             }
             _ => false,
         }
--- a/crates/job/tests/event_sim/status.rs
+++ b/crates/job/tests/event_sim/status.rs
@@ -33,13 +33,17 @@
 
     /// Checks that no job is pending while the worker's report lists a task of it that is not in
     /// a gang. A cancelled job is exempt, since its status is final for callers.
-    pub(super) fn check_reported(&self, at: usize) {
-        for task in self.workers[at].running.keys() {
+    pub(super) fn check_reported(&self, place: usize) {
+        for task in self.workers[place].running.keys() {
             let spec = &self.jobs[&task.step.job];
             let gang = spec.steps[task.step.step as usize].gang;
             let status = self.planner.shown(task.step.job);
             if !gang && !spec.canceled {
-                assert_ne!(status, Some(JobStatus::Pending), "{task} runs");
+                assert_ne!(
+                    status,
+                    Some(JobStatus::Pending),
+                    "{task} runs while its job is pending"
+                );
             }
         }
     }
@@ -55,12 +59,15 @@
             assert_ne!(
                 self.planner.shown(*id),
                 Some(JobStatus::Active),
-                "job {id} has not begun"
+                "job {id} is active before its first start"
             );
             waiting += usize::from(!spec.canceled);
         }
         let counted = self.planner.count_queue(&support::queue(2).name).waiting;
-        assert!(counted >= waiting, "{counted} of {waiting} jobs that wait");
+        assert!(
+            counted >= waiting,
+            "{counted} of {waiting} waiting jobs are counted"
+        );
     }
 }
 
--- a/crates/job/tests/invariants.rs
+++ b/crates/job/tests/invariants.rs
@@ -73,7 +73,7 @@
 /// successor waits. Random sequences seldom keep this up for the seven seconds it takes, so most
 /// events here are calls of the former owner, 0.1 s apart.
 #[test]
-fn a_successor_outwaits_a_former_owner_that_goes_on() {
+fn successor_waits_until_former_owner_stops_renewing() {
     const EVENTS: [(u8, u8); 12] = [
         (0, 40),
         (1, 0),
@@ -168,7 +168,7 @@
 /// clocks that go back. No task runs again after a stored successful end, or after as many stored
 /// failures as it has attempts.
 #[test]
-fn invariants_hold_where_workers_start_again_under_their_id() {
+fn invariants_hold_where_workers_restart_under_the_same_id() {
     const EVENTS: [(u8, u8); 22] = [
         (0, 10),
         (0, 33),
--- a/crates/job/tests/renewal.rs
+++ b/crates/job/tests/renewal.rs
@@ -9,13 +9,13 @@
 
 const WORKERS: [&str; 4] = ["w1", "w2", "w3", "w4"];
 
-fn tenure(now: u64) -> RenewalAuthority {
+fn authority(now: u64) -> RenewalAuthority {
     let workers = WORKERS.into_iter().map(str::to_owned);
     RenewalAuthority::new(Duration::from_secs(now), workers)
 }
 
 /// Times in seconds at which the workers accepted a command, in order of their names.
-fn heard(times: &[u64]) -> impl Fn(&str) -> Option<Duration> {
+fn accepted_at(times: &[u64]) -> impl Fn(&str) -> Option<Duration> {
     move |worker| {
         let at = WORKERS.iter().position(|one| *one == worker)?;
         times.get(at).copied().map(Duration::from_secs)
@@ -23,22 +23,22 @@
 }
 
 #[test]
-fn the_store_alone_vouches_for_a_while() {
-    let mut tenure = tenure(10);
+fn store_write_alone_allows_renewals_for_a_while() {
+    let mut authority = authority(10);
 
-    tenure.record_write(Duration::from_secs(20));
-    tenure.record_write(Duration::from_secs(15));
+    authority.record_write(Duration::from_secs(20));
+    authority.record_write(Duration::from_secs(15));
 
-    let until = tenure.renewal_deadline(heard(&[]));
+    let until = authority.renewal_deadline(accepted_at(&[]));
     assert_eq!(until, Duration::from_secs(20) + STORE_WINDOW);
 }
 
 #[test]
-fn half_of_the_workers_do_not_vouch_and_one_more_does() {
-    let tenure = tenure(0);
+fn majority_of_workers_allows_renewals_and_half_does_not() {
+    let authority = authority(0);
 
-    let half = tenure.renewal_deadline(heard(&[30, 31]));
-    let more = tenure.renewal_deadline(heard(&[30, 31, 32]));
+    let half = authority.renewal_deadline(accepted_at(&[30, 31]));
+    let more = authority.renewal_deadline(accepted_at(&[30, 31, 32]));
 
     assert_eq!(half, STORE_WINDOW);
     assert_eq!(more, Duration::from_secs(30) + MAJORITY_WINDOW);
@@ -47,10 +47,10 @@
 /// Guards against an owner that is cut off alone and renews leases forever on workers that no
 /// successor reaches.
 #[test]
-fn workers_vouch_for_a_limited_time_only() {
-    let tenure = tenure(0);
+fn workers_allow_renewals_for_a_limited_time() {
+    let authority = authority(0);
 
-    let until = tenure.renewal_deadline(heard(&[900, 900, 900, 900]));
+    let until = authority.renewal_deadline(accepted_at(&[900, 900, 900, 900]));
 
     assert_eq!(until, MAX_STORE_OUTAGE);
 }
@@ -58,18 +58,18 @@
 /// Guards against two owners that both see a majority of workers: a successor may have read the
 /// rows with or without those of a write that got no reply.
 #[test]
-fn workers_in_doubt_count_against_the_owner_only() {
-    let mut tenure = tenure(0);
+fn workers_with_unconfirmed_rows_count_against_the_owner() {
+    let mut authority = authority(0);
 
-    tenure.row_pending("w5");
-    tenure.row_pending("w3");
-    let doubt = tenure.renewal_deadline(heard(&[30, 30, 30, 30]));
-    tenure.row_removed("w3");
-    tenure.row_written("w5");
-    let settled = tenure.renewal_deadline(heard(&[30, 30, 30, 30]));
+    authority.row_pending("w5");
+    authority.row_pending("w3");
+    let pending = authority.renewal_deadline(accepted_at(&[30, 30, 30, 30]));
+    authority.row_removed("w3");
+    authority.row_written("w5");
+    let settled = authority.renewal_deadline(accepted_at(&[30, 30, 30, 30]));
 
-    assert_eq!(doubt, Duration::from_secs(30) + MAJORITY_WINDOW);
+    assert_eq!(pending, Duration::from_secs(30) + MAJORITY_WINDOW);
     assert_eq!(settled, Duration::from_secs(30) + MAJORITY_WINDOW);
-    let few = tenure.renewal_deadline(heard(&[30, 30]));
+    let few = authority.renewal_deadline(accepted_at(&[30, 30]));
     assert_eq!(few, STORE_WINDOW);
 }
--- a/crates/job/tests/support/incarnations.rs
+++ b/crates/job/tests/support/incarnations.rs
@@ -102,7 +102,7 @@
 pub fn claim_next(planner: &mut Planner, key: WorkerKey, sent: u64) -> WorkerKey {
     planner.take_worker(info(NEXT_START));
     deliver_report(planner, key, sent, &empty_report(NEXT_START));
-    let next = new_incarnation(planner).expect("a next life");
+    let next = new_incarnation(planner).expect("a next incarnation");
     deliver_report(planner, next, sent + 5, &empty_report(NEXT_START));
     next
 }
