--- a/crates/job/tests/crash_sim/mod.rs
+++ b/crates/job/tests/crash_sim/mod.rs
@@ -83,6 +83,7 @@
     pub places: Vec<Vec<Incarnation>>,
     jobs: BTreeMap<JobId, JobSpec>,
     stored: BTreeMap<JobId, Progress>,
+    /// Start and content of the write to the store that is in progress.
     saving: Option<(Duration, job::Batch)>,
     /// All writes to the store fail.
     pub store_down: bool,
@@ -164,11 +165,11 @@
     /// Incarnation of each worker in the rows that the owner leaves in the store.
     fn stored_incarnations(&self) -> HashMap<String, Option<u64>> {
         let incarnations = self.places.iter().flatten();
-        let stored = incarnations.filter_map(|incarnation| {
+        let by_worker = incarnations.filter_map(|incarnation| {
             let info = self.planner.worker(incarnation.key?)?;
             Some((incarnation.id.clone(), info.incarnation))
         });
-        stored.collect()
+        by_worker.collect()
     }
 
     pub fn submit(&mut self, id: JobId, spec: JobSpec) {
@@ -285,15 +286,15 @@
     }
 
     /// Runs the simulation until a condition holds; returns whether that happened within `time`.
-    pub fn run_until(&mut self, time: Duration, holds: impl Fn(&CrashSim) -> bool) -> bool {
+    pub fn run_until(&mut self, time: Duration, condition: impl Fn(&CrashSim) -> bool) -> bool {
         let end = self.now + time;
         while self.now < end {
-            if holds(self) {
+            if condition(self) {
                 return true;
             }
             self.tick();
         }
-        holds(self)
+        condition(self)
     }
 
     /// Crashes the worker at a place, with all its runs.
@@ -385,7 +386,7 @@
 
     fn report_to_owner(&mut self) {
         // The owner requests the list of machines only if it doubts that some worker still runs.
-        let asked = self.planner.doubtful();
+        let doubtful = self.planner.doubtful();
         for incarnation in self
             .places
             .iter_mut()
@@ -393,9 +394,9 @@
             .filter(|incarnation| !incarnation.end_known)
         {
             let Some(key) = incarnation.key else { continue };
-            let listed = asked.iter().any(|(asked, _)| *asked == key);
+            let checked = doubtful.iter().any(|(worker, _)| *worker == key);
             match incarnation.crashed_at {
-                Some(crashed_at) if listed && crashed_at + DETECTION_DELAY <= self.now => {
+                Some(crashed_at) if checked && crashed_at + DETECTION_DELAY <= self.now => {
                     incarnation.end_known = true;
                     self.planner.worker_over(key);
                 }
--- a/crates/job/tests/event_sim/mod.rs
+++ b/crates/job/tests/event_sim/mod.rs
@@ -57,6 +57,7 @@
 #[derive(Clone, Debug)]
 struct SentCommand {
     worker: usize,
+    /// Id of the worker when the command was sent.
     id: String,
     /// Incarnation for which the command is meant, if the worker reports its incarnation.
     incarnation: Option<u64>,
@@ -72,13 +73,16 @@
     now: Duration,
     epoch: u64,
     planner: Planner,
+    /// Key of each worker in the planner.
     keys: Vec<WorkerKey>,
     /// How often this owner has raised the fencing token of each worker.
     raised: Vec<u64>,
     workers: Vec<Worker>,
     jobs: BTreeMap<JobId, JobSpec>,
     stored: BTreeMap<JobId, Progress>,
+    /// Commands without a reply, which may still be carried out.
     late: Vec<SentCommand>,
+    /// Start and content of the write to the store that is in progress.
     saving: Option<(Duration, Batch)>,
     authority: RenewalAuthority,
     /// Former owner that is cut off from the store and still renews leases.
@@ -87,10 +91,12 @@
     acked_done: HashMap<TaskKey, RunId>,
     /// Stored ends of failed runs.
     acked_failures: HashMap<TaskKey, BTreeSet<RunId>>,
+    /// Jobs of which a worker has started a task.
     started: StartedJobs,
     /// Tasks that have ended successfully on any worker, also on one that has crashed since.
     done: HashSet<TaskKey>,
     faults: Option<Faults>,
+    /// Number of starts carried out by workers.
     pub starts: usize,
 }
 
@@ -104,11 +110,13 @@
             now: Duration::ZERO,
             epoch: 0,
             planner: support::planner(1),
+            /// Key of each worker in the planner.
             keys: Vec::new(),
             raised: vec![0; WORKERS],
             workers: (0..WORKERS).map(|_| Worker::default()).collect(),
             jobs: BTreeMap::new(),
             stored: BTreeMap::new(),
+            /// Commands without a reply, which may still be carried out.
             late: Vec::new(),
             saving: None,
             authority: RenewalAuthority::new(Duration::ZERO, names()),
@@ -227,8 +235,8 @@
             }
             if worker.lease <= self.now {
                 worker.voided = worker.end_count;
-                let held = worker.running.keys().chain(worker.stopping.keys());
-                let tasks: Vec<TaskKey> = held.copied().collect();
+                let active = worker.running.keys().chain(worker.stopping.keys());
+                let tasks: Vec<TaskKey> = active.copied().collect();
                 for task in tasks {
                     worker.end(task, RunEnd::Expired);
                 }
--- a/crates/job/tests/event_sim/status.rs
+++ b/crates/job/tests/event_sim/status.rs
@@ -23,9 +23,9 @@
     }
 
     fn runs(&self, task: TaskKey, run: RunId) -> bool {
-        let mut held = self.workers.iter().filter_map(|one| one.running.get(&task));
+        let mut active = self.workers.iter().filter_map(|one| one.running.get(&task));
         let mut lost = self.lost_runs().iter();
-        held.any(|(number, _)| *number == run)
+        active.any(|(number, _)| *number == run)
             || lost.any(|&(key, member, number)| {
                 (member, number) == (task, run) && self.planner.holds(key, task, run)
             })
--- a/crates/job/tests/event_sim/worker.rs
+++ b/crates/job/tests/event_sim/worker.rs
@@ -14,15 +14,20 @@
 pub struct Worker {
     /// Start of this incarnation, if the worker reports it.
     pub incarnation: Option<u64>,
+    /// Highest fencing token that the worker has received.
     pub fence: u64,
+    /// Expiry of the lease.
     pub lease: Duration,
+    /// Number and start time of the active run of each task.
     pub running: BTreeMap<TaskKey, (RunId, Duration)>,
     /// Runs that the worker has reported as active.
     pub reported: BTreeSet<(TaskKey, RunId)>,
     /// Runs that are being stopped and are still reported as active.
     pub stopping: BTreeMap<TaskKey, (RunId, Duration)>,
     pub ended: Vec<EndedRun>,
+    /// Number of the newest end.
     pub end_count: u64,
+    /// Highest end that the owner has acknowledged.
     pub acked: u64,
     /// The current incarnation has replied to the newest renewal, and it is the one that the
     /// owner knows.
@@ -31,6 +36,7 @@
     pub voided: u64,
     /// Highest run stopped or ended here, by task.
     pub last_ended: HashMap<TaskKey, RunId>,
+    /// No call reaches the worker.
     pub cut_off: bool,
     /// The worker has crashed and is not back yet.
     pub down: bool,
