--- a/crates/job/tests/crash_sim/mod.rs
+++ b/crates/job/tests/crash_sim/mod.rs
@@ -394,7 +394,7 @@
             .filter(|incarnation| !incarnation.end_known)
         {
             let Some(key) = incarnation.key else { continue };
-            let checked = doubtful.iter().any(|(worker, _)| *worker == key);
+            let checked = doubtful.iter().any(|(asked_key, _)| *asked_key == key);
             match incarnation.crashed_at {
                 Some(crashed_at) if checked && crashed_at + DETECTION_DELAY <= self.now => {
                     incarnation.end_known = true;
--- a/crates/job/tests/event_sim/mod.rs
+++ b/crates/job/tests/event_sim/mod.rs
@@ -110,13 +110,11 @@
             now: Duration::ZERO,
             epoch: 0,
             planner: support::planner(1),
-            /// Key of each worker in the planner.
             keys: Vec::new(),
             raised: vec![0; WORKERS],
             workers: (0..WORKERS).map(|_| Worker::default()).collect(),
             jobs: BTreeMap::new(),
             stored: BTreeMap::new(),
-            /// Commands without a reply, which may still be carried out.
             late: Vec::new(),
             saving: None,
             authority: RenewalAuthority::new(Duration::ZERO, names()),
