--- a/crates/job/src/progress.rs
+++ b/crates/job/src/progress.rs
@@ -80,8 +80,8 @@
     /// Progress by round and step, for steps that have any. Each entry marks the job as started;
     /// if nothing else is to be stored, the first step gets an empty entry for this.
     pub steps: BTreeMap<(u32, u32), StepProgress>,
-    /// Crash records by round, step and task. Must stay the last field, so that rows written by
-    /// versions without it can be decoded.
+    /// Crash records by round, step and task. Must stay the last field: earlier versions decode
+    /// only the fields before it and ignore the rest of the row.
     pub crashes: BTreeMap<(u32, u32, u32), CrashRecord>,
 }
 
--- a/crates/job/tests/crash_sim/mod.rs
+++ b/crates/job/tests/crash_sim/mod.rs
@@ -31,8 +31,8 @@
 /// Simulated time per tick.
 pub const TICK: Duration = Duration::from_millis(10);
 
-/// Maximum number of starts of a task that crashes each worker: after three crashes, up to two
-/// more starts are accepted by the platform.
+/// Maximum number of starts of a task that crashes each worker: after three crashes, the platform
+/// tolerates two more.
 pub const MOST_STARTS: usize = 5;
 
 /// Time from the start of such a task to the crash of its worker.
--- a/crates/job/tests/event_sim/crashes.rs
+++ b/crates/job/tests/event_sim/crashes.rs
@@ -21,7 +21,7 @@
 use crate::support;
 
 /// Maximum number of starts of a task that crashes each worker, if no owner crashes: after three
-/// crashes, up to two more starts are accepted by the platform.
+/// crashes, the platform tolerates two more.
 const MOST_STARTS: usize = 5;
 
 /// Minimum number of crashes under a task after which its job may fail.
