--- a/crates/cell/src/asker.rs
+++ b/crates/cell/src/advice_helper.rs
@@ -10,10 +10,10 @@
 use platform::AdviceClient;
 use platform::AdviceReply;
 
+use crate::AdviceQuery;
+use crate::AdviceResult;
 use crate::Context;
-use crate::HelpOrder;
-use crate::HelpRequest;
-use crate::HelpResult;
+use crate::HelperPoll;
 use crate::OwnerClient;
 
 /// Pause when no owner answers.
@@ -23,7 +23,7 @@
 const ADVICE_SLACK: Duration = Duration::from_millis(400);
 
 /// Makes advice calls until the process stops.
-pub async fn help_owner(context: Context, owner: OwnerClient) {
+pub async fn run_helper(context: Context, owner: OwnerClient) {
     let Some(server) = context.settings.advice_address() else {
         log::info!(code = 321; "no advice service");
         return;
@@ -31,34 +31,34 @@
     let advice = AdviceClient::new(context.client.clone(), server);
     let mut result = None;
     loop {
-        let request = HelpRequest {
+        let request = HelperPoll {
             node: context.settings.node.clone(),
             result: result.take(),
         };
         match owner.help(request).await {
-            Ok(Some(order)) => result = Some(call(&advice, order).await),
+            Ok(Some(query)) => result = Some(call(&advice, query).await),
             Ok(None) => {}
             Err(_) => tokio::time::sleep(NO_OWNER_PAUSE).await,
         }
     }
 }
 
-async fn call(advice: &AdviceClient, order: HelpOrder) -> HelpResult {
-    let timeout = order.cost * 2 + ADVICE_SLACK;
-    let reply = advice.ask(order.step, &order.workers, timeout).await;
+async fn call(advice: &AdviceClient, query: AdviceQuery) -> AdviceResult {
+    let timeout = query.cost * 2 + ADVICE_SLACK;
+    let reply = advice.ask(query.step, &query.workers, timeout).await;
     match reply {
         Ok(AdviceReply::Good(tickets, valid)) => {
             let good = tickets.into_iter();
             let good = good.map(|ticket| (ticket.worker, ticket.text)).collect();
-            result(order.step, order.workers, Some(good), valid)
+            result(query.step, query.workers, Some(good), valid)
         }
         Ok(AdviceReply::Refused(status)) => {
-            log::warn!(code = 322, step:% = order.step, status = status; "advice refused");
-            result(order.step, order.workers, None, None)
+            log::warn!(code = 322, step:% = query.step, status = status; "advice refused");
+            result(query.step, query.workers, None, None)
         }
         Err(error) => {
-            log::warn!(code = 323, step:% = order.step, error:% = error; "advice did not answer");
-            result(order.step, order.workers, None, None)
+            log::warn!(code = 323, step:% = query.step, error:% = error; "advice did not answer");
+            result(query.step, query.workers, None, None)
         }
     }
 }
@@ -68,8 +68,8 @@
     workers: Vec<WorkerId>,
     good: Option<Vec<(WorkerId, String)>>,
     valid: Option<Duration>,
-) -> HelpResult {
-    HelpResult {
+) -> AdviceResult {
+    AdviceResult {
         step,
         workers,
         good,
--- a/crates/cell/src/callers.rs
+++ b/crates/cell/src/callers.rs
@@ -21,30 +21,30 @@
 
 use crate::Acceptor;
 use crate::Context;
+use crate::JobView;
 use crate::OwnerClient;
-use crate::OwnerView;
 use crate::metrics::count;
 
 /// Time for one call to the store. A slow store takes up to 1.2 s for a
 /// transaction; two tries fit into a caller's three seconds.
 pub(crate) const STORE_TIMEOUT: Duration = Duration::from_millis(1300);
 
-/// Pause between two tries of a write whose answer was lost.
+/// Pause between two tries of a write whose respond was lost.
 pub(crate) const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// Longest time for a caller when its queue does not say.
-const LONGEST: Duration = Duration::from_secs(3);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Part of the caller's time after which no further try is begun.
-pub(crate) const TRY_SHARE: f64 = 0.9;
+pub(crate) const ATTEMPT_SHARE: f64 = 0.9;
 
 /// Age of the configuration from which on it denies no queue: two reads in a row
 /// have failed.
-const CONFIG_OLD: Duration = Duration::from_secs(4);
+const CONFIG_MAX_AGE: Duration = Duration::from_secs(4);
 
 /// Seconds after which a refused caller may come back: another host may
 /// serve it at once.
-const RETRY_SECONDS: &str = "1";
+const RETRY_AFTER_SECONDS: &str = "1";
 
 /// Answers callers.
 pub struct CallerHandler {
@@ -75,51 +75,55 @@
         })
     }
 
-    async fn answer(&self, asked: &Asked) -> Whole {
+    async fn respond(&self, request: &Asked) -> Whole {
         let config = self.context.config.borrow().clone();
         let Some(config) = config else {
-            return unavailable("no configuration yet");
+            return service_unavailable("no configuration yet");
         };
-        match find(&config, asked) {
-            Err(whole) if whole.status() == StatusCode::NOT_FOUND => self.denied(*whole),
-            Ok(Target::Queue(queue)) if asked.method == Method::GET => self.waiting(queue).await,
-            Ok(Target::Job(queue, id)) if asked.method == Method::POST => {
-                self.submit(&config, queue, id, asked).await
+        match resolve(&config, request) {
+            Err(response) if response.status() == StatusCode::NOT_FOUND => {
+                self.not_found(*response)
             }
-            Ok(Target::Job(_, id)) if asked.method == Method::GET => self.state(id).await,
-            Ok(Target::Job(queue, id)) if asked.method == Method::DELETE => {
+            Ok(Target::Queue(queue)) if request.method == Method::GET => self.waiting(queue).await,
+            Ok(Target::Job(queue, id)) if request.method == Method::POST => {
+                self.submit(&config, queue, id, request).await
+            }
+            Ok(Target::Job(_, id)) if request.method == Method::GET => self.state(id).await,
+            Ok(Target::Job(queue, id)) if request.method == Method::DELETE => {
                 self.cancel(queue, id).await
             }
             Ok(_) => web::error(
                 StatusCode::METHOD_NOT_ALLOWED,
                 "allowed: POST, GET and DELETE of a job, GET of a queue",
             ),
-            Err(whole) => *whole,
+            Err(response) => *response,
         }
     }
 
-    /// A queue that may just have been added is not denied.
-    fn denied(&self, whole: Whole) -> Whole {
-        if self.context.config_age() > CONFIG_OLD {
-            return unavailable("the configuration cannot be read from this host");
+    /// A queue that may just have been added is not not_found.
+    fn not_found(&self, response: Whole) -> Whole {
+        if self.context.config_age() > CONFIG_MAX_AGE {
+            return service_unavailable("the configuration cannot be read from this host");
         }
-        whole
+        response
     }
 
     async fn state(&self, id: JobId) -> Whole {
         let view = self.owner.state(id).await;
-        if let Ok(OwnerView::Job(shown)) = view {
+        if let Ok(JobView::Job(job_status)) = view {
             count(&self.context.metrics.states, "owner");
-            return shown_reply(id, shown, "owner");
+            return status_reply(id, job_status, "owner");
         }
-        let untouched = view == Ok(OwnerView::Unknown);
-        if self.context.store_silent() {
-            return unavailable("neither the owner nor the store can be reached from this host");
+        let not_started = view == Ok(JobView::Unknown);
+        if self.context.store_unreachable() {
+            return service_unavailable(
+                "neither the owner nor the store can be reached from this host",
+            );
         }
-        match self.stored(id, untouched).await {
-            Ok(Some(shown)) => {
+        match self.stored_status(id, not_started).await {
+            Ok(Some(job_status)) => {
                 count(&self.context.metrics.states, "store");
-                shown_reply(id, shown, "store")
+                status_reply(id, job_status, "store")
             }
             Ok(None) => {
                 count(&self.context.metrics.states, "none");
@@ -129,7 +133,7 @@
             Err(error) => {
                 count(&self.context.metrics.states, "unreadable");
                 log::warn!(code = 413, job:% = hex(id), error:% = error; "state not readable");
-                unavailable("the job's state cannot be read")
+                service_unavailable("the job's state cannot be read")
             }
         }
     }
@@ -143,67 +147,67 @@
             }
             Err(reason) => {
                 log::warn!(code = 418, queue = name, reason:? = reason; "queue length not known");
-                unavailable("no owner of the pool knows how many jobs wait")
+                service_unavailable("no owner of the pool knows how many jobs wait")
             }
         }
     }
 }
 
 impl Handler for CallerHandler {
-    async fn handle(&self, asked: Asked) -> Whole {
-        self.answer(&asked).await
+    async fn handle(&self, request: Asked) -> Whole {
+        self.respond(&request).await
     }
 }
 
-fn find<'a>(config: &'a Config, asked: &Asked) -> Result<Target<'a>, Box<Whole>> {
-    let Some(queue) = config.route(&asked.host, &asked.path) else {
+fn resolve<'a>(config: &'a Config, request: &Asked) -> Result<Target<'a>, Box<Whole>> {
+    let Some(queue) = config.route(&request.host, &request.path) else {
         log::info!(
-            code = 411, host = asked.host.as_str(), path = asked.path.as_str(),
+            code = 411, host = request.host.as_str(), path = request.path.as_str(),
             version = config.version; "no such queue"
         );
-        let whole = web::error(StatusCode::NOT_FOUND, "no such queue");
-        return Err(Box::new(whole));
+        let response = web::error(StatusCode::NOT_FOUND, "no such queue");
+        return Err(Box::new(response));
     };
-    let rest = &asked.path[queue.prefix.len()..];
+    let rest = &request.path[queue.prefix.len()..];
     if rest.is_empty() {
         return Ok(Target::Queue(queue));
     }
     match job::parse_job(rest) {
         Ok(id) => Ok(Target::Job(queue, id)),
         Err(error) => {
-            let whole = web::error(StatusCode::BAD_REQUEST, &error.to_string());
-            Err(Box::new(whole))
+            let response = web::error(StatusCode::BAD_REQUEST, &error.to_string());
+            Err(Box::new(response))
         }
     }
 }
 
-fn shown_reply(id: JobId, shown: Shown, source: &'static str) -> Whole {
-    log::debug!(code = 415, job:% = hex(id), state:% = shown, source = source; "state shown");
-    web::json(StatusCode::OK, &encode_shown(shown))
+fn status_reply(id: JobId, job_status: Shown, source: &'static str) -> Whole {
+    log::debug!(code = 415, job:% = hex(id), state:% = job_status, source = source; "state shown");
+    web::json(StatusCode::OK, &encode_shown(job_status))
 }
 
 /// Nothing was done; the caller may come back, on a new connection that the
 /// balancer leads to a host that works.
-pub(crate) fn unavailable(reason: &str) -> Whole {
-    let mut whole = web::error(StatusCode::SERVICE_UNAVAILABLE, reason);
-    let headers = whole.headers_mut();
-    headers.insert(RETRY_AFTER, HeaderValue::from_static(RETRY_SECONDS));
+pub(crate) fn service_unavailable(reason: &str) -> Whole {
+    let mut response = web::error(StatusCode::SERVICE_UNAVAILABLE, reason);
+    let headers = response.headers_mut();
+    headers.insert(RETRY_AFTER, HeaderValue::from_static(RETRY_AFTER_SECONDS));
     headers.insert(CONNECTION, HeaderValue::from_static("close"));
-    whole
+    response
 }
 
 /// The job may have been accepted. A repetition with the same id, at any host,
 /// makes no second job, so the sooner the caller repeats it the better.
-pub(crate) fn no_answer(reason: &str) -> Whole {
-    let mut whole = web::error(StatusCode::GATEWAY_TIMEOUT, reason);
-    let headers = whole.headers_mut();
+pub(crate) fn outcome_unknown(reason: &str) -> Whole {
+    let mut response = web::error(StatusCode::GATEWAY_TIMEOUT, reason);
+    let headers = response.headers_mut();
     headers.insert(CONNECTION, HeaderValue::from_static("close"));
-    whole
+    response
 }
 
-pub(crate) fn longest(queue: &Queue) -> Duration {
+pub(crate) fn caller_timeout(queue: &Queue) -> Duration {
     if queue.timeout.is_zero() {
-        LONGEST
+        DEFAULT_TIMEOUT
     } else {
         queue.timeout
     }
--- a/crates/cell/src/cancel.rs
+++ b/crates/cell/src/cancel.rs
@@ -11,13 +11,13 @@
 use web::Whole;
 
 use crate::CallerHandler;
+use crate::callers::ATTEMPT_SHARE;
 use crate::callers::Empty;
 use crate::callers::RETRY_PAUSE;
 use crate::callers::STORE_TIMEOUT;
-use crate::callers::TRY_SHARE;
-use crate::callers::longest;
-use crate::callers::no_answer;
-use crate::callers::unavailable;
+use crate::callers::caller_timeout;
+use crate::callers::outcome_unknown;
+use crate::callers::service_unavailable;
 use crate::encode_row;
 use crate::hex;
 use crate::metrics::count;
@@ -58,38 +58,38 @@
     /// Cancels a job. Once an answer was lost, "not stored" may not be said any
     /// more: the write may still be done.
     pub(crate) async fn cancel(&self, queue: &Queue, id: JobId) -> Whole {
-        let end = self.context.now() + longest(queue).mul_f64(TRY_SHARE);
-        let mut unsure = false;
-        let whole = loop {
+        let deadline = self.context.now() + caller_timeout(queue).mul_f64(ATTEMPT_SHARE);
+        let mut ambiguous = false;
+        let response = loop {
             match self.try_cancel(id).await {
                 Ok(status) => {
                     log::info!(code = 421, job:% = hex(id), status = status.as_u16(); "cancel");
                     if status == StatusCode::OK {
                         // The caller need not wait for it; if it fails, the feed tells.
                         let owner = self.owner.clone();
-                        tokio::spawn(async move { owner.canceled(id).await });
+                        tokio::spawn(async move { owner.notify_canceled(id).await });
                     }
                     break web::json(status, &Empty {});
                 }
                 Err(error) => {
-                    unsure |= !error.certainly_not_done();
+                    ambiguous |= !error.certainly_not_done();
                     log::warn!(
-                        code = 422, job:% = hex(id), error:% = error, unsure = unsure;
+                        code = 422, job:% = hex(id), error:% = error, unsure = ambiguous;
                         "try to cancel without success"
                     );
                 }
             }
-            if self.context.now() + RETRY_PAUSE >= end {
-                break if unsure {
-                    no_answer("the store does not answer the cancel")
+            if self.context.now() + RETRY_PAUSE >= deadline {
+                break if ambiguous {
+                    outcome_unknown("the store does not answer the cancel")
                 } else {
-                    unavailable("the store does not take the cancel")
+                    service_unavailable("the store does not take the cancel")
                 };
             }
             tokio::time::sleep(RETRY_PAUSE).await;
         };
-        count(&self.context.metrics.cancels, whole.status().as_str());
-        whole
+        count(&self.context.metrics.cancels, response.status().as_str());
+        response
     }
 
     async fn try_cancel(&self, id: JobId) -> Result<StatusCode, CancelError> {
--- a/crates/cell/src/context.rs
+++ b/crates/cell/src/context.rs
@@ -20,13 +20,13 @@
 
 use crate::CellMetrics;
 use crate::CellSettings;
-use crate::SeatView;
+use crate::OwnershipView;
 
 /// Longest wait for a connection; within a region one takes milliseconds.
-const CONNECT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The same to a worker, over a link of the owner that may be full.
-const WORKER_CONNECT: Duration = Duration::from_secs(1);
+const WORKER_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What every task of a process needs.
 #[derive(Clone, Debug)]
@@ -38,22 +38,22 @@
     /// The platform's store.
     pub store: Store,
     /// Orders to workers.
-    pub orders: OrderClient,
+    pub commands: OrderClient,
     /// Connections to peers and to the advice service.
     pub client: Client,
     /// Newest configuration; none before the first was read.
     pub config: watch::Receiver<Option<Arc<Config>>>,
     /// Who owns the pool, as far as known.
-    pub seat: watch::Receiver<SeatView>,
+    pub ownership: watch::Receiver<OwnershipView>,
     /// Counters and latencies.
     pub metrics: Arc<CellMetrics>,
     /// Turns true when the process has been asked to stop.
     pub stop: watch::Receiver<bool>,
     /// Owner whose process seems to have ended, by its epoch; 0 for none.
-    suspected: Arc<AtomicU64>,
+    suspected_owner: Arc<AtomicU64>,
     /// When the newest read of the configuration began that was answered, in
     /// milliseconds of the process's clock.
-    configured: Arc<AtomicU64>,
+    config_confirmed: Arc<AtomicU64>,
     /// Origin of the process's monotonic clock.
     origin: Instant,
 }
@@ -64,22 +64,22 @@
     pub fn new(
         settings: CellSettings,
         config: watch::Receiver<Option<Arc<Config>>>,
-        seat: watch::Receiver<SeatView>,
+        ownership: watch::Receiver<OwnershipView>,
         stop: watch::Receiver<bool>,
     ) -> Context {
-        let store = Store::new(Client::new(CONNECT), settings.store);
+        let store = Store::new(Client::new(CONNECT_TIMEOUT), settings.store);
         Context {
             settings: Arc::new(settings),
             incarnation: std::hash::RandomState::new().build_hasher().finish(),
             store,
-            orders: OrderClient::new(Client::new(WORKER_CONNECT)),
-            client: Client::new(CONNECT),
+            commands: OrderClient::new(Client::new(WORKER_CONNECT_TIMEOUT)),
+            client: Client::new(CONNECT_TIMEOUT),
             config,
-            seat,
+            ownership,
             metrics: Arc::default(),
             stop,
-            suspected: Arc::default(),
-            configured: Arc::default(),
+            suspected_owner: Arc::default(),
+            config_confirmed: Arc::default(),
             origin: Instant::now(),
         }
     }
@@ -92,46 +92,50 @@
 
     /// Wall-clock time since 1970; it may jump.
     #[must_use]
-    pub fn wall(&self) -> Duration {
+    pub fn wall_time(&self) -> Duration {
         SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
     }
 
     /// The owner of an epoch has broken a call off: its process may have ended.
-    pub fn suspect(&self, epoch: Epoch) {
-        self.suspected.store(epoch, Ordering::Relaxed);
+    pub fn suspect_owner(&self, epoch: Epoch) {
+        self.suspected_owner.store(epoch, Ordering::Relaxed);
     }
 
     /// Whether the owner of an epoch seems to have ended.
     #[must_use]
-    pub fn suspects(&self, epoch: Epoch) -> bool {
-        self.suspected.load(Ordering::Relaxed) == epoch
+    pub fn is_owner_suspected(&self, epoch: Epoch) -> bool {
+        self.suspected_owner.load(Ordering::Relaxed) == epoch
     }
 
-    /// The configuration in force was the newest at `begun`.
-    pub fn confirm_config(&self, begun: Duration) {
-        let begun = u64::try_from(begun.as_millis()).unwrap_or(u64::MAX);
-        self.configured.store(begun, Ordering::Relaxed);
+    /// The configuration in force was the newest at `read_started`.
+    pub fn confirm_config(&self, read_started: Duration) {
+        let read_started = u64::try_from(read_started.as_millis()).unwrap_or(u64::MAX);
+        self.config_confirmed.store(read_started, Ordering::Relaxed);
     }
 
     /// Time since the configuration in force was known to be the newest.
     #[must_use]
     pub fn config_age(&self) -> Duration {
-        let begun = Duration::from_millis(self.configured.load(Ordering::Relaxed));
-        self.now().saturating_sub(begun)
+        let read_started = Duration::from_millis(self.config_confirmed.load(Ordering::Relaxed));
+        self.now().saturating_sub(read_started)
     }
 
     /// Whether the store does not answer this process.
     #[must_use]
-    pub fn store_silent(&self) -> bool {
-        self.seat.borrow().silent.is_some()
+    pub fn store_unreachable(&self) -> bool {
+        self.ownership.borrow().unreachable_since.is_some()
     }
 
     /// Waits until the store does not answer this process any more.
-    pub async fn wait_silent(&self) {
-        let mut seat = self.seat.clone();
-        if seat.wait_for(|view| view.silent.is_some()).await.is_err() {
+    pub async fn wait_unreachable(&self) {
+        let mut ownership = self.ownership.clone();
+        if ownership
+            .wait_for(|view| view.unreachable_since.is_some())
+            .await
+            .is_err()
+        {
             // The keeper is gone: the process is about to end.
             std::future::pending::<()>().await;
         }
@@ -143,21 +147,25 @@
     ///
     /// # Errors
     /// Those of the call, or [`StoreError::Abandoned`].
-    pub async fn until_regained<T>(
+    pub async fn until_recovery<T>(
         &self,
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
-        let regained = async {
-            self.wait_silent().await;
-            let mut seat = self.seat.clone();
-            if seat.wait_for(|view| view.silent.is_none()).await.is_err() {
+        let recovered = async {
+            self.wait_unreachable().await;
+            let mut ownership = self.ownership.clone();
+            if ownership
+                .wait_for(|view| view.unreachable_since.is_none())
+                .await
+                .is_err()
+            {
                 // The keeper is gone: the process is about to end.
                 std::future::pending::<()>().await;
             }
         };
         tokio::select! {
             result = call => result,
-            () = regained => Err(StoreError::Abandoned),
+            () = recovered => Err(StoreError::Abandoned),
         }
     }
 
--- a/crates/cell/src/follow.rs
+++ b/crates/cell/src/follower.rs
@@ -11,14 +11,14 @@
 
 /// Time for an answer beyond the wait that the feed was asked for. A
 /// connection may go silent without a reset; only this time-out shows it. A patient
-/// follower waits twice as long as the last answer took, or after one that did not come.
+/// follower waits twice as long as the last answer delay, or after one that did not come.
 const FEED_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Time for each page of a full read.
 const READ_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// The same where much is read, by an owner that renews meanwhile.
-pub(crate) const LONG_READ: Patience = Patience {
+pub(crate) const LONG_READ_TIMEOUTS: Patience = Patience {
     first: READ_TIMEOUT,
     most: Duration::from_secs(6),
 };
@@ -31,15 +31,15 @@
 
 /// Most answers that are read on: a slow store may bring full ones for seconds, and
 /// what they tell would be known only after the last.
-const MOST_PAGES: usize = 8;
+const MAX_PAGES: usize = 8;
 
 /// What has become known of a table.
 #[derive(Debug)]
 pub enum Change {
     /// All rows: nothing else exists.
-    Full(Vec<Row>),
+    Snapshot(Vec<Row>),
     /// Rows that have changed, in order.
-    Some(Vec<Row>),
+    Delta(Vec<Row>),
 }
 
 /// Follows one table.
@@ -70,11 +70,11 @@
         }
     }
 
-    /// Waits longer for full reads, see [`LONG_READ`], and for changes: what has changed
+    /// Waits longer for full reads, see [`LONG_READ_TIMEOUTS`], and for changes: what has changed
     /// during a full read may take a thin link longer than [`FEED_TIMEOUT`].
-    pub(crate) fn patient(self) -> Follower {
+    pub(crate) fn with_long_timeouts(self) -> Follower {
         Follower {
-            patience: LONG_READ,
+            patience: LONG_READ_TIMEOUTS,
             ..self
         }
     }
@@ -86,32 +86,32 @@
     /// The store cannot be read; the next call continues.
     pub async fn next(&mut self, wait: Duration) -> Result<Change, StoreError> {
         let Some(after) = self.after else {
-            return self.read().await;
+            return self.read_all().await;
         };
-        let begin = Instant::now();
+        let started = Instant::now();
         match self.store.feed(self.table, after, wait, self.timeout).await {
             Ok(rows) => {
                 // The next answer may take as long, and is not to be asked for in vain.
-                let took = begin.elapsed().saturating_sub(wait);
-                self.timeout = (took * 2).min(self.longest()).max(FEED_TIMEOUT);
+                let delay = started.elapsed().saturating_sub(wait);
+                self.timeout = (delay * 2).min(self.max_timeout()).max(FEED_TIMEOUT);
                 self.after = Some(rows.version.max(after));
                 let mut full = rows.rows.len() >= FULL_PAGE;
                 let mut rows = rows.rows;
-                for _ in 1..MOST_PAGES {
+                for _ in 1..MAX_PAGES {
                     if !full {
                         break;
                     }
-                    full = self.append(&mut rows).await;
+                    full = self.read_next_page(&mut rows).await;
                 }
-                Ok(Change::Some(rows))
+                Ok(Change::Delta(rows))
             }
             Err(StoreError::Forgotten) => {
                 log::info!(code = 310, table = self.table, after = after; "store history dropped, reading all");
-                self.read().await
+                self.read_all().await
             }
             Err(error) => {
                 if matches!(error, StoreError::Lost { .. }) {
-                    self.timeout = (self.timeout * 2).min(self.longest());
+                    self.timeout = (self.timeout * 2).min(self.max_timeout());
                 }
                 Err(error)
             }
@@ -119,7 +119,7 @@
     }
 
     /// Longest time for an answer of the feed beyond its wait.
-    fn longest(&self) -> Duration {
+    fn max_timeout(&self) -> Duration {
         if self.patience.most > self.patience.first {
             self.patience.most
         } else {
@@ -129,7 +129,7 @@
 
     /// Reads on after a full answer; gives whether this one was full, too. What it
     /// cannot read is left to the next call.
-    async fn append(&mut self, rows: &mut Vec<Row>) -> bool {
+    async fn read_next_page(&mut self, rows: &mut Vec<Row>) -> bool {
         let after = self.after.unwrap_or_default();
         let feed = self
             .store
@@ -141,13 +141,13 @@
         full
     }
 
-    async fn read(&mut self) -> Result<Change, StoreError> {
+    async fn read_all(&mut self) -> Result<Change, StoreError> {
         let rows = if self.parts {
             self.store.table(self.table, self.patience).await?
         } else {
             self.store.part(self.table, "", self.patience).await?
         };
         self.after = Some(rows.version);
-        Ok(Change::Full(rows.rows))
+        Ok(Change::Snapshot(rows.rows))
     }
 }
--- a/crates/cell/src/lib.rs
+++ b/crates/cell/src/lib.rs
@@ -2,36 +2,36 @@
 //! store; one at a time owns the pool and gives orders to the workers.
 
 mod acceptor;
-mod asker;
+mod advice_helper;
 mod callers;
 mod cancel;
 mod context;
 mod error;
-mod follow;
+mod follower;
 mod logging;
 mod metrics;
 mod owner;
+mod ownership;
 mod peers;
-mod probe;
 mod process;
 mod rows;
-mod seat;
 mod settings;
+mod store_probe;
 mod stored;
 mod submit;
 
 pub use acceptor::*;
-pub use asker::*;
+pub use advice_helper::*;
 pub use callers::*;
 pub use context::*;
 pub use error::*;
-pub use follow::*;
+pub use follower::*;
 pub use logging::*;
 pub use metrics::*;
 pub use owner::*;
+pub use ownership::*;
 pub use peers::*;
-pub(crate) use probe::first_answer;
 pub use process::*;
 pub use rows::*;
-pub use seat::*;
 pub use settings::*;
+pub(crate) use store_probe::probe_store;
--- a/crates/cell/src/logging.rs
+++ b/crates/cell/src/logging.rs
@@ -19,7 +19,7 @@
 const BUFFERED_LINES: usize = 4096;
 
 /// Time between two reports of dropped lines.
-const REPORT_EVERY: Duration = Duration::from_secs(5);
+const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Keeps the writing thread; dropping it writes what is buffered.
 pub struct LogGuard {
@@ -27,7 +27,7 @@
     dropped: ErrorCounter,
     /// Dropped lines that were reported. It outlives the report, which is
     /// begun anew after each signal and would tell them again.
-    told: AtomicUsize,
+    reported: AtomicUsize,
 }
 
 /// Starts logging to standard output. `level` is one of `error`, `warn`,
@@ -52,7 +52,7 @@
     LogGuard {
         _worker: guard,
         dropped,
-        told: AtomicUsize::new(0),
+        reported: AtomicUsize::new(0),
     }
 }
 
@@ -60,11 +60,11 @@
     /// Reports now and then how many lines were dropped.
     pub async fn report_dropped(&self) {
         loop {
-            tokio::time::sleep(REPORT_EVERY).await;
+            tokio::time::sleep(REPORT_INTERVAL).await;
             let dropped = self.dropped.dropped_lines();
-            let told = self.told.swap(dropped, Ordering::Relaxed);
-            if dropped > told {
-                log::warn!(code = 190, lines = dropped - told; "log lines dropped");
+            let reported = self.reported.swap(dropped, Ordering::Relaxed);
+            if dropped > reported {
+                log::warn!(code = 190, lines = dropped - reported; "log lines dropped");
             }
         }
     }
--- a/crates/cell/src/metrics.rs
+++ b/crates/cell/src/metrics.rs
@@ -18,7 +18,7 @@
 use web::Handler;
 use web::Whole;
 
-/// Upper bounds of the latency buckets, in seconds: from one answer of the
+/// Upper bounds of the latency buckets, in seconds: from latency answer of the
 /// store to the longest jobs.
 const BUCKETS: [f64; 12] = [
     0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0,
@@ -41,7 +41,7 @@
     /// Stops ordered, by reason.
     pub stops: IntCounterVec,
     /// Runs that were lost without an end, by cause.
-    pub losses: IntCounterVec,
+    pub lost_runs: IntCounterVec,
     /// Findings of tasks under which workers crashed: `suspected`, `tried`, `cleared`,
     /// `given_up`.
     pub suspects: IntCounterVec,
@@ -57,7 +57,7 @@
     /// Epoch of the ownership that this process has; 0 for none.
     pub epoch: IntGauge,
     /// Version of the configuration in force.
-    pub config: IntGauge,
+    pub config_version: IntGauge,
     /// Time until a submission was answered with success.
     pub accept: Histogram,
     /// Time from acceptance to a job's first start.
@@ -105,7 +105,7 @@
             ),
             &["outcome"],
         );
-        let one = |name, help| {
+        let latency = |name, help| {
             let metric = Histogram::with_opts(histogram(name, help)).expect("valid name");
             register(&registry, metric)
         };
@@ -116,7 +116,7 @@
             starts: counters(&registry, "starts", "Answers to starts", "result"),
             ends: counters(&registry, "ends", "Ends of runs", "how"),
             stops: counters(&registry, "stops", "Stops ordered by reason", "reason"),
-            losses: counters(&registry, "lost_runs", "Runs lost by cause", "cause"),
+            lost_runs: counters(&registry, "lost_runs", "Runs lost by cause", "cause"),
             suspects: counters(
                 &registry,
                 "suspects",
@@ -132,13 +132,13 @@
                 "epoch",
                 "Epoch of the ownership here, 0 for none",
             ),
-            config: gauge(&registry, "config_version", "Configuration in force"),
-            accept: one("accept", "Until a submission was answered with success"),
-            first_start: one(
+            config_version: gauge(&registry, "config_version", "Configuration in force"),
+            accept: latency("accept", "Until a submission was answered with success"),
+            first_start: latency(
                 "first_start",
                 "From acceptance until a worker was known to run a job's first task",
             ),
-            save: one("save", "Transactions of the owner"),
+            save: latency("save", "Transactions of the owner"),
             job: register(&registry, job.expect("valid name")),
             registry,
         }
@@ -157,7 +157,7 @@
     }
 }
 
-/// Counts one event under a label.
+/// Counts latency event under a label.
 pub(crate) fn count(counter: &IntCounterVec, label: &str) {
     counter.with_label_values(&[label]).inc();
 }
--- a/crates/cell/src/owner/helpers.rs
+++ b/crates/cell/src/owner/helpers.rs
@@ -10,10 +10,10 @@
 use tokio::sync::oneshot;
 
 use super::Pool;
-use crate::HELP_WAIT;
-use crate::HelpOrder;
-use crate::HelpRequest;
-use crate::HelpResult;
+use crate::AdviceQuery;
+use crate::AdviceResult;
+use crate::HelperPoll;
+use crate::POLL_WAIT;
 use crate::metrics::count;
 
 /// Part of the helpers that is kept for quick calls: slow ones take most of a
@@ -54,7 +54,7 @@
 
 struct Idle {
     node: String,
-    reply: oneshot::Sender<Option<HelpOrder>>,
+    reply: oneshot::Sender<Option<AdviceQuery>>,
     since: Duration,
 }
 
@@ -83,8 +83,8 @@
 impl Pool {
     pub(super) fn take_help(
         &mut self,
-        request: HelpRequest,
-        reply: oneshot::Sender<Option<HelpOrder>>,
+        request: HelperPoll,
+        reply: oneshot::Sender<Option<AdviceQuery>>,
     ) {
         let now = self.context.now();
         let helper = Helper {
@@ -102,7 +102,7 @@
         });
     }
 
-    fn take_advice(&mut self, result: HelpResult, now: Duration) {
+    fn take_advice(&mut self, result: AdviceResult, now: Duration) {
         let step = result.step;
         let Some(good) = result.good else {
             count(&self.context.metrics.advice, "failed");
@@ -155,7 +155,7 @@
             }
             let step = ask.step;
             let workers = ask.workers.clone();
-            let order = HelpOrder {
+            let order = AdviceQuery {
                 step,
                 workers: ask.workers,
                 cost: ask.cost,
@@ -164,7 +164,7 @@
                 self.planner.advice_failed(step, &workers, Duration::ZERO);
             }
         }
-        let waited = |idle: &Idle| now.saturating_sub(idle.since) >= HELP_WAIT;
+        let waited = |idle: &Idle| now.saturating_sub(idle.since) >= POLL_WAIT;
         while self.helpers.idle.front().is_some_and(waited) {
             if let Some(idle) = self.helpers.idle.pop_front() {
                 // A helper that has left needs no answer.
--- a/crates/cell/src/owner/holder.rs
+++ b/crates/cell/src/owner/holder.rs
@@ -222,7 +222,7 @@
         let timeout = hold.wait + self.pace.answers.limit();
         let (context, address, id) = (self.context.clone(), self.address, self.id.clone());
         self.calls.spawn(async move {
-            let listing = context.orders.hold(address, &id, hold, timeout).await;
+            let listing = context.commands.hold(address, &id, hold, timeout).await;
             let took = context.now().saturating_sub(asked.sent);
             Answer {
                 asked,
--- a/crates/cell/src/owner/intake.rs
+++ b/crates/cell/src/owner/intake.rs
@@ -3,8 +3,8 @@
 use job::JobId;
 
 use super::Pool;
+use crate::JobView;
 use crate::OwnerMessage;
-use crate::OwnerView;
 
 impl Pool {
     pub(super) fn take(&mut self, message: OwnerMessage) {
@@ -60,11 +60,11 @@
     }
 
     /// What is known of a job.
-    fn view(&self, id: JobId) -> OwnerView {
+    fn view(&self, id: JobId) -> JobView {
         if self.planner.undecided(id) {
-            return OwnerView::Undecided;
+            return JobView::Undecided;
         }
         let shown = self.planner.shown(id);
-        shown.map_or(OwnerView::Unknown, OwnerView::Job)
+        shown.map_or(JobView::Unknown, JobView::Job)
     }
 }
--- a/crates/cell/src/owner/load.rs
+++ b/crates/cell/src/owner/load.rs
@@ -34,7 +34,7 @@
     /// Logs what went over the owner's link: it tells a full link from workers that do
     /// not answer.
     fn report_traffic(&self) {
-        let workers = self.context.orders.traffic().take();
+        let workers = self.context.commands.traffic().take();
         let store = self.context.store.traffic().take();
         log::info!(
             code = 373, epoch = self.epoch, answered = workers.answered, lost = workers.lost,
@@ -47,7 +47,7 @@
     /// Logs runs that were lost, and why their tasks wait again.
     pub(super) fn report_losses(&mut self) {
         for lost in self.planner.take_losses() {
-            count(&self.context.metrics.losses, &lost.cause.to_string());
+            count(&self.context.metrics.lost_runs, &lost.cause.to_string());
             log::info!(
                 code = 355, task:% = lost.task, run = lost.run, worker = lost.worker.as_str(),
                 cause:% = lost.cause, confirmed = lost.confirmed, age_ms = millis(lost.age), beside = lost.beside;
--- a/crates/cell/src/owner/messages.rs
+++ b/crates/cell/src/owner/messages.rs
@@ -19,10 +19,10 @@
 use tokio::sync::watch;
 
 use crate::AcceptedJob;
+use crate::AdviceQuery;
 use crate::Change;
-use crate::HelpOrder;
-use crate::HelpRequest;
-use crate::OwnerView;
+use crate::HelperPoll;
+use crate::JobView;
 use crate::UsedWorker;
 
 /// Messages that may wait for the owner. Links, callers and helpers together
@@ -33,11 +33,11 @@
 #[derive(Debug)]
 pub enum OwnerMessage {
     /// Asks for the state of a job.
-    State(JobId, oneshot::Sender<OwnerView>),
+    State(JobId, oneshot::Sender<JobView>),
     /// Asks how many jobs of a queue wait.
     Waiting(String, oneshot::Sender<usize>),
     /// A helper brings a result and asks for work.
-    Help(HelpRequest, oneshot::Sender<Option<HelpOrder>>),
+    Help(HelperPoll, oneshot::Sender<Option<AdviceQuery>>),
     /// Rows of jobs, from a read of the feed that began at this monotonic time.
     Jobs(Change, Duration),
     /// A job was accepted, by the process that did it.
--- a/crates/cell/src/owner/news.rs
+++ b/crates/cell/src/owner/news.rs
@@ -21,12 +21,12 @@
 use crate::UsedWorker;
 use crate::WorkerNews;
 use crate::decode_row;
-use crate::job_of;
+use crate::job_id_of;
 use crate::metrics::count;
 
 impl Pool {
     pub(super) fn take_jobs(&mut self, change: Change) {
-        let (Change::Full(rows) | Change::Some(rows)) = change;
+        let (Change::Snapshot(rows) | Change::Delta(rows)) = change;
         for row in rows {
             self.take_job(&row, None);
         }
@@ -38,7 +38,7 @@
         if row.removed {
             return;
         }
-        let id = job_of(&row.name);
+        let id = job_id_of(&row.name);
         let spec = decode_row::<JobSpec>(&row.value);
         if let Ok(id) = id {
             self.retention.saw(id, &row.name);
@@ -123,7 +123,7 @@
             address: info.address,
             capacity: largest.map_or(info.capacity, |room| room.largest),
             labels: info.labels.clone(),
-            life: info.life,
+            incarnation: info.life,
         };
         self.saver.use_worker(info.id.clone(), used);
     }
--- a/crates/cell/src/owner/pool.rs
+++ b/crates/cell/src/owner/pool.rs
@@ -142,7 +142,7 @@
                 }
             }
         };
-        let wall = context.wall().saturating_sub(context.now());
+        let wall = context.wall_time().saturating_sub(context.now());
         let policy = context.settings.policy();
         let planner = Planner::new(policy, epoch, context.now(), wall);
         let (result_sender, results) = mpsc::channel(RESULT_QUEUE);
@@ -207,7 +207,7 @@
     fn recall(&mut self, id: &str, worker: UsedWorker) {
         let info = WorkerInfo {
             id: id.to_owned(),
-            life: worker.life,
+            life: worker.incarnation,
             service: worker.service,
             address: worker.address,
             capacity: worker.capacity,
@@ -276,7 +276,7 @@
     async fn own(&mut self) -> bool {
         let mut next_plan = self.context.now();
         let mut pending = true;
-        let mut seat = self.context.seat.clone();
+        let mut seat = self.context.ownership.clone();
         loop {
             let now = self.context.now();
             let wake = if pending { next_plan } else { now + TICK };
@@ -410,6 +410,8 @@
 }
 
 fn lost(context: &Context, epoch: Epoch) -> bool {
-    let view = context.seat.borrow();
-    view.seat.as_ref().is_some_and(|seat| seat.epoch > epoch)
+    let view = context.ownership.borrow();
+    view.ownership
+        .as_ref()
+        .is_some_and(|seat| seat.epoch > epoch)
 }
--- a/crates/cell/src/owner/roster.rs
+++ b/crates/cell/src/owner/roster.rs
@@ -45,12 +45,12 @@
 impl Roster {
     fn take(&mut self, change: Change, metrics: &CellMetrics) -> RosterChange {
         let news = RosterChange::default();
-        if let Change::Full(rows) = &change {
+        if let Change::Snapshot(rows) = &change {
             let present: HashSet<&String> = rows.iter().map(|row| &row.name.key).collect();
             let gone = self.known.keys().filter(|id| !present.contains(id));
             self.missing.extend(gone.cloned());
         }
-        let (Change::Full(rows) | Change::Some(rows)) = change;
+        let (Change::Snapshot(rows) | Change::Delta(rows)) = change;
         for row in rows {
             self.take_row(&row, metrics);
         }
--- a/crates/cell/src/owner/saver.rs
+++ b/crates/cell/src/owner/saver.rs
@@ -22,8 +22,8 @@
 use crate::Context;
 use crate::Guard;
 use crate::OwnerMessage;
+use crate::Ownership;
 use crate::Save;
-use crate::Seat;
 use crate::UsedWorker;
 use crate::callers::millis;
 use crate::decode_row;
@@ -31,8 +31,8 @@
 use crate::guard_row;
 use crate::metrics::count;
 use crate::metrics::observe;
+use crate::ownership_row;
 use crate::progress_row;
-use crate::seat_row;
 use crate::used_row;
 
 /// Time between two renewals of the ownership.
@@ -217,7 +217,7 @@
         save.renews = save.release || now.saturating_sub(self.renewed) >= RENEW_EVERY;
         if save.renews {
             self.beat += 1;
-            let seat = Seat {
+            let seat = Ownership {
                 epoch: self.epoch,
                 node: self.context.settings.node.clone(),
                 incarnation: self.context.incarnation,
@@ -227,7 +227,7 @@
                 calls: self.context.settings.owner_calls(),
                 strained: self.strained,
             };
-            puts.push((seat_row(), encode_row(&seat)));
+            puts.push((ownership_row(), encode_row(&seat)));
         }
         Transaction {
             expect: vec![(guard_row(), self.guard)],
@@ -273,7 +273,7 @@
         let sender = self.result_sender.clone();
         tokio::spawn(async move {
             let commit = context.store.commit(&transaction, SAVE_TIMEOUT);
-            let result = context.until_regained(commit).await;
+            let result = context.until_recovery(commit).await;
             let _ = sender.send(OwnerMessage::Saved(save, result)).await;
         });
     }
@@ -332,7 +332,7 @@
             // Of another life than the row says nothing is known to a successor yet.
             let key = key.filter(|key| {
                 let info = self.planner.worker(*key);
-                info.is_some_and(|info| info.life == used.life)
+                info.is_some_and(|info| info.life == used.incarnation)
             });
             if let Some(key) = key
                 && !self.links.contains_key(&key)
--- a/crates/cell/src/owner/sender.rs
+++ b/crates/cell/src/owner/sender.rs
@@ -120,7 +120,7 @@
             "stop"
         );
         let (address, id) = (link.address, link.id.clone());
-        let orders = self.context.orders.clone();
+        let orders = self.context.commands.clone();
         let sender = self.sender.clone();
         let gate = link.gate.clone();
         let token = gate.token();
--- a/crates/cell/src/owner/standing.rs
+++ b/crates/cell/src/owner/standing.rs
@@ -87,7 +87,7 @@
     /// is away, it let the owner tell for as long as that lasted of 0 jobs that
     /// wait, while six did.
     pub(super) fn check_standing(&mut self, now: Duration) {
-        let silent = self.context.seat.borrow().silent;
+        let silent = self.context.ownership.borrow().unreachable_since;
         if silent.is_some_and(|since| self.standing.tenure.written() < since) {
             self.standing.read(now);
         }
--- a/crates/cell/src/owner/start_call.rs
+++ b/crates/cell/src/owner/start_call.rs
@@ -39,7 +39,7 @@
         let limit = self.answers.limit();
         let call = self
             .context
-            .orders
+            .commands
             .start(self.address, &self.id, &self.start, limit);
         tokio::pin!(call);
         let in_time = tokio::time::timeout(self.answers.patience(), &mut call).await;
--- a/crates/cell/src/owner/supervise.rs
+++ b/crates/cell/src/owner/supervise.rs
@@ -16,7 +16,7 @@
 /// just before is opened all the same, which gives it up at once: else it would be
 /// free only when the ownership has run out.
 pub async fn supervise_owner(context: Context, slot: OwnerSlot) {
-    let mut seat = context.seat.clone();
+    let mut seat = context.ownership.clone();
     let mut served: Epoch = 0;
     loop {
         let epoch = seat
--- a/crates/cell/src/owner/takeover.rs
+++ b/crates/cell/src/owner/takeover.rs
@@ -17,7 +17,7 @@
 use crate::Context;
 use crate::Follower;
 use crate::JOB_TABLE;
-use crate::LONG_READ;
+use crate::LONG_READ_TIMEOUTS;
 use crate::OWNER_PART;
 use crate::OwnerMessage;
 use crate::PROGRESS_TABLE;
@@ -84,10 +84,14 @@
 /// Reads the rows of the owner's part, and all jobs.
 async fn read_left(context: &Context) -> Result<Left, StoreError> {
     let store = &context.store;
-    let progress = store.part(PROGRESS_TABLE, OWNER_PART, LONG_READ).await?;
-    let used = store.part(USED_TABLE, OWNER_PART, LONG_READ).await?;
-    let mut follower = Follower::new(store, JOB_TABLE, true).patient();
-    let (Change::Full(jobs) | Change::Some(jobs)) = follower.next(Duration::ZERO).await?;
+    let progress = store
+        .part(PROGRESS_TABLE, OWNER_PART, LONG_READ_TIMEOUTS)
+        .await?;
+    let used = store
+        .part(USED_TABLE, OWNER_PART, LONG_READ_TIMEOUTS)
+        .await?;
+    let mut follower = Follower::new(store, JOB_TABLE, true).with_long_timeouts();
+    let (Change::Snapshot(jobs) | Change::Delta(jobs)) = follower.next(Duration::ZERO).await?;
     let mut left = Left {
         jobs,
         follower,
--- a/crates/cell/src/peers.rs
+++ b/crates/cell/src/peers.rs
@@ -30,21 +30,21 @@
 
 /// Time for the owner's answer about a job; the caller falls back to the
 /// store, so it is short.
-const ASK_TIMEOUT: Duration = Duration::from_millis(400);
+const OWNER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Time for the acceptance of a job that another host has passed on: most of the
 /// three seconds that callers wait.
-const ACCEPT_TIME: Duration = Duration::from_millis(2400);
+const FORWARD_TIMEOUT: Duration = Duration::from_millis(2400);
 
 /// Longest wait of a helper for work.
-pub const HELP_WAIT: Duration = Duration::from_secs(1);
+pub const POLL_WAIT: Duration = Duration::from_secs(1);
 
 /// Time for the owner's answer beyond that wait.
-const HELP_TIMEOUT: Duration = Duration::from_millis(500);
+const POLL_SLACK: Duration = Duration::from_millis(500);
 
 /// An advice call that the owner hands to a helper.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct HelpOrder {
+pub struct AdviceQuery {
     /// The step.
     pub step: StepKey,
     /// The workers to ask about.
@@ -55,10 +55,10 @@
 
 /// What became of an advice call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct HelpResult {
+pub struct AdviceResult {
     /// The step.
     pub step: StepKey,
-    /// The workers asked about.
+    /// The workers request about.
     pub workers: Vec<WorkerId>,
     /// Worker and ticket of those that may run the step; none if the call
     /// failed.
@@ -71,11 +71,11 @@
 
 /// A helper asks for work and brings the result of the former.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct HelpRequest {
+pub struct HelperPoll {
     /// The helper's host.
     pub node: String,
     /// Result of the last call.
-    pub result: Option<HelpResult>,
+    pub result: Option<AdviceResult>,
 }
 
 /// A job whose row was just committed.
@@ -89,7 +89,7 @@
 
 /// What the owner says of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum OwnerView {
+pub enum JobView {
     /// Its state.
     Job(Shown),
     /// Not known here, so nothing of it has started; the store knows more.
@@ -100,7 +100,7 @@
 
 /// Why the owner did not answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoOwner {
+pub enum OwnerError {
     /// None is known.
     None,
     /// It does not answer, or does not own the pool any more.
@@ -113,23 +113,23 @@
     context: Context,
     local: OwnerPort,
     /// Epoch of the owner that did not answer last, and until when it is not
-    /// asked again.
-    quiet: watch::Sender<(Epoch, Duration)>,
+    /// request again.
+    backoff: watch::Sender<(Epoch, Duration)>,
 }
 
-/// Time for which an owner that did not answer is not asked again. Each caller
+/// Time for which an owner that did not answer is not request again. Each caller
 /// would else wait for it in vain before the store is read.
-const QUIET: Duration = Duration::from_millis(700);
+const OWNER_BACKOFF: Duration = Duration::from_millis(700);
 
 impl OwnerClient {
     /// A client; `local` reaches the owner in this process, if it is here.
     #[must_use]
     pub fn new(context: Context, local: OwnerPort) -> OwnerClient {
-        let (quiet, _) = watch::channel((0, Duration::ZERO));
+        let (backoff, _) = watch::channel((0, Duration::ZERO));
         OwnerClient {
             context,
             local,
-            quiet,
+            backoff,
         }
     }
 
@@ -137,14 +137,14 @@
     ///
     /// # Errors
     /// The owner did not answer.
-    pub async fn state(&self, id: JobId) -> Result<OwnerView, NoOwner> {
-        let make = |reply| OwnerMessage::State(id, reply);
+    pub async fn state(&self, id: JobId) -> Result<JobView, OwnerError> {
+        let make_message = |reply| OwnerMessage::State(id, reply);
         self.ask(
-            make,
+            make_message,
             Method::GET,
             &format!("/state/{id:016x}"),
             &(),
-            ASK_TIMEOUT,
+            OWNER_TIMEOUT,
         )
         .await
     }
@@ -153,10 +153,11 @@
     ///
     /// # Errors
     /// The owner did not answer.
-    pub async fn waiting(&self, queue: &str) -> Result<usize, NoOwner> {
-        let make = |reply| OwnerMessage::Waiting(queue.to_owned(), reply);
+    pub async fn waiting(&self, queue: &str) -> Result<usize, OwnerError> {
+        let make_message = |reply| OwnerMessage::Waiting(queue.to_owned(), reply);
         let path = format!("/waiting/{}", web::encode(queue));
-        self.ask(make, Method::GET, &path, &(), ASK_TIMEOUT).await
+        self.ask(make_message, Method::GET, &path, &(), OWNER_TIMEOUT)
+            .await
     }
 
     /// Tells of a job that was accepted. The feed brings it too, but later: up
@@ -164,11 +165,17 @@
     ///
     /// # Errors
     /// The owner did not answer.
-    pub async fn accepted(&self, job: AcceptedJob) -> Result<(), NoOwner> {
+    pub async fn notify_accepted(&self, job: AcceptedJob) -> Result<(), OwnerError> {
         let body = job.clone();
-        let make = |reply| OwnerMessage::Accepted(Box::new(job), reply);
-        self.ask(make, Method::POST, "/accepted", &body, ASK_TIMEOUT)
-            .await
+        let make_message = |reply| OwnerMessage::Accepted(Box::new(job), reply);
+        self.ask(
+            make_message,
+            Method::POST,
+            "/accepted",
+            &body,
+            OWNER_TIMEOUT,
+        )
+        .await
     }
 
     /// Tells of a job that was cancelled. The feed brings it too, but later, and tasks of
@@ -176,17 +183,18 @@
     ///
     /// # Errors
     /// The owner did not answer.
-    pub async fn canceled(&self, id: JobId) -> Result<(), NoOwner> {
-        let make = |reply| OwnerMessage::Canceled(id, reply);
+    pub async fn notify_canceled(&self, id: JobId) -> Result<(), OwnerError> {
+        let make_message = |reply| OwnerMessage::Canceled(id, reply);
         let path = format!("/canceled/{id:016x}");
-        self.ask(make, Method::POST, &path, &(), ASK_TIMEOUT).await
+        self.ask(make_message, Method::POST, &path, &(), OWNER_TIMEOUT)
+            .await
     }
 
     /// Passes a job on to the owner, since the store turns this host away; the
     /// job must certainly not have been accepted here. Nothing if it was not
     /// passed on.
     pub(crate) async fn accept(&self, job: &AcceptedJob, timeout: Duration) -> Option<Acceptance> {
-        let owner = self.context.seat.borrow().owner().cloned()?;
+        let owner = self.context.ownership.borrow().owner().cloned()?;
         if owner.incarnation == self.context.incarnation {
             return None;
         }
@@ -205,37 +213,42 @@
         }
     }
 
-    /// Asks for an advice call to make, and delivers the last result.
+    /// Asks for an advice call to make_message, and delivers the last result.
     ///
     /// # Errors
     /// The owner did not answer; the result may be lost.
-    pub async fn help(&self, request: HelpRequest) -> Result<Option<HelpOrder>, NoOwner> {
+    pub async fn help(&self, request: HelperPoll) -> Result<Option<AdviceQuery>, OwnerError> {
         let body = request.clone();
-        let make = |reply| OwnerMessage::Help(request, reply);
-        let timeout = HELP_WAIT + HELP_TIMEOUT;
-        self.ask(make, Method::POST, "/help", &body, timeout).await
+        let make_message = |reply| OwnerMessage::Help(request, reply);
+        let timeout = POLL_WAIT + POLL_SLACK;
+        self.ask(make_message, Method::POST, "/help", &body, timeout)
+            .await
     }
 
     async fn ask<T, B>(
         &self,
-        make: impl FnOnce(oneshot::Sender<T>) -> OwnerMessage,
+        make_message: impl FnOnce(oneshot::Sender<T>) -> OwnerMessage,
         method: Method,
         path: &str,
         body: &B,
         timeout: Duration,
-    ) -> Result<T, NoOwner>
+    ) -> Result<T, OwnerError>
     where
         T: serde::de::DeserializeOwned,
         B: Serialize,
     {
-        let owner = self.context.seat.borrow().owner().cloned();
-        let owner = owner.ok_or(NoOwner::None)?;
+        let owner = self.context.ownership.borrow().owner().cloned();
+        let owner = owner.ok_or(OwnerError::None)?;
         if owner.incarnation == self.context.incarnation {
-            return self.local.ask(make, timeout).await.ok_or(NoOwner::Silent);
+            return self
+                .local
+                .ask(make_message, timeout)
+                .await
+                .ok_or(OwnerError::Silent);
         }
-        let (epoch, until) = *self.quiet.borrow();
+        let (epoch, until) = *self.backoff.borrow();
         if epoch == owner.epoch && self.context.now() < until {
-            return Err(NoOwner::Silent);
+            return Err(OwnerError::Silent);
         }
         let call = Call::new(method, owner.address, path, timeout).json(body);
         let reply = match self.context.client.send(call).await {
@@ -243,17 +256,17 @@
             Err(error) => {
                 log::warn!(code = 416, owner = owner.node.as_str(), epoch = owner.epoch, error:% = error; "owner does not answer");
                 if error.broken() {
-                    self.context.suspect(owner.epoch);
+                    self.context.suspect_owner(owner.epoch);
                 }
-                let until = self.context.now() + QUIET;
-                self.quiet.send_replace((owner.epoch, until));
-                return Err(NoOwner::Silent);
+                let until = self.context.now() + OWNER_BACKOFF;
+                self.backoff.send_replace((owner.epoch, until));
+                return Err(OwnerError::Silent);
             }
         };
         if reply.status != StatusCode::OK {
-            return Err(NoOwner::Silent);
+            return Err(OwnerError::Silent);
         }
-        reply.json(owner.address).map_err(|_| NoOwner::Silent)
+        reply.json(owner.address).map_err(|_| OwnerError::Silent)
     }
 }
 
@@ -278,22 +291,22 @@
 
     /// Accepts a job for a host that the store turns away.
     async fn accept(&self, job: AcceptedJob) -> Whole {
-        let end = self.context.now() + ACCEPT_TIME;
-        let acceptance = self.acceptor.accept(&job, end).await;
+        let deadline = self.context.now() + FORWARD_TIMEOUT;
+        let acceptance = self.acceptor.accept(&job, deadline).await;
         if acceptance == (Acceptance::Accepted { first: true }) {
             // The feed brings it, if the pool is not owned here any more.
-            let make = |reply| OwnerMessage::Accepted(Box::new(job), reply);
-            let _ = self.port.ask(make, ASK_TIMEOUT).await;
+            let make_message = |reply| OwnerMessage::Accepted(Box::new(job), reply);
+            let _ = self.port.ask(make_message, OWNER_TIMEOUT).await;
         }
         web::json(StatusCode::OK, &acceptance)
     }
 
     async fn relay<T: Serialize>(
         &self,
-        make: impl FnOnce(oneshot::Sender<T>) -> OwnerMessage,
+        make_message: impl FnOnce(oneshot::Sender<T>) -> OwnerMessage,
         timeout: Duration,
     ) -> Whole {
-        match self.port.ask(make, timeout).await {
+        match self.port.ask(make_message, timeout).await {
             Some(value) => web::json(StatusCode::OK, &value),
             None => web::error(StatusCode::CONFLICT, "not the owner of the pool"),
         }
@@ -301,50 +314,50 @@
 }
 
 impl Handler for PeerHandler {
-    async fn handle(&self, asked: Asked) -> Whole {
-        if let Some(id) = asked.path.strip_prefix("/state/") {
+    async fn handle(&self, incoming: Asked) -> Whole {
+        if let Some(id) = incoming.path.strip_prefix("/state/") {
             return match job::parse_job(id) {
                 Ok(id) => {
-                    self.relay(|reply| OwnerMessage::State(id, reply), ASK_TIMEOUT)
+                    self.relay(|reply| OwnerMessage::State(id, reply), OWNER_TIMEOUT)
                         .await
                 }
                 Err(error) => web::error(StatusCode::BAD_REQUEST, &error.to_string()),
             };
         }
-        if let Some(id) = asked.path.strip_prefix("/canceled/") {
+        if let Some(id) = incoming.path.strip_prefix("/canceled/") {
             return match job::parse_job(id) {
                 Ok(id) => {
-                    let make = |reply| OwnerMessage::Canceled(id, reply);
-                    self.relay(make, ASK_TIMEOUT).await
+                    let make_message = |reply| OwnerMessage::Canceled(id, reply);
+                    self.relay(make_message, OWNER_TIMEOUT).await
                 }
                 Err(error) => web::error(StatusCode::BAD_REQUEST, &error.to_string()),
             };
         }
-        if let Some(queue) = asked.path.strip_prefix("/waiting/") {
+        if let Some(queue) = incoming.path.strip_prefix("/waiting/") {
             let queue = queue.to_owned();
-            let make = |reply| OwnerMessage::Waiting(queue, reply);
-            return self.relay(make, ASK_TIMEOUT).await;
+            let make_message = |reply| OwnerMessage::Waiting(queue, reply);
+            return self.relay(make_message, OWNER_TIMEOUT).await;
         }
-        if asked.path == "/help" {
-            return match serde_json::from_slice::<HelpRequest>(&asked.body) {
+        if incoming.path == "/help" {
+            return match serde_json::from_slice::<HelperPoll>(&incoming.body) {
                 Ok(request) => {
-                    let make = |reply| OwnerMessage::Help(request, reply);
-                    self.relay(make, HELP_WAIT + HELP_TIMEOUT).await
+                    let make_message = |reply| OwnerMessage::Help(request, reply);
+                    self.relay(make_message, POLL_WAIT + POLL_SLACK).await
                 }
                 Err(error) => web::error(StatusCode::BAD_REQUEST, &error.to_string()),
             };
         }
-        if asked.path == "/accept" {
-            return match serde_json::from_slice::<AcceptedJob>(&asked.body) {
+        if incoming.path == "/accept" {
+            return match serde_json::from_slice::<AcceptedJob>(&incoming.body) {
                 Ok(job) => self.accept(job).await,
                 Err(error) => web::error(StatusCode::BAD_REQUEST, &error.to_string()),
             };
         }
-        if asked.path == "/accepted" {
-            return match serde_json::from_slice::<AcceptedJob>(&asked.body) {
+        if incoming.path == "/accepted" {
+            return match serde_json::from_slice::<AcceptedJob>(&incoming.body) {
                 Ok(job) => {
-                    let make = |reply| OwnerMessage::Accepted(Box::new(job), reply);
-                    self.relay(make, ASK_TIMEOUT).await
+                    let make_message = |reply| OwnerMessage::Accepted(Box::new(job), reply);
+                    self.relay(make_message, OWNER_TIMEOUT).await
                 }
                 Err(error) => web::error(StatusCode::BAD_REQUEST, &error.to_string()),
             };
--- a/crates/cell/src/process.rs
+++ b/crates/cell/src/process.rs
@@ -27,35 +27,35 @@
 use crate::Follower;
 use crate::MetricsHandler;
 use crate::OwnerClient;
+use crate::OwnerElection;
 use crate::OwnerPort;
+use crate::OwnershipView;
 use crate::PeerHandler;
-use crate::SeatKeeper;
-use crate::SeatView;
 use crate::error::ListenSnafu;
-use crate::help_owner;
+use crate::run_helper;
 use crate::supervise_owner;
 
-/// Longest wait of the feed of the configuration. A feed may go silent; this
+/// Longest wait of the feed of the configuration. A feed may go unreachable; this
 /// bounds how old the configuration can be.
 const CONFIG_WAIT: Duration = Duration::from_millis(800);
 
 /// Pause after a failed read of the configuration.
-const CONFIG_PAUSE: Duration = Duration::from_millis(150);
+const CONFIG_RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 /// The store's silence after which this process is not ready: others may
 /// reach it.
-const SILENT: Duration = Duration::from_millis(1200);
+const UNREADY_AFTER: Duration = Duration::from_millis(1200);
 
 /// Time for which a stopping process goes on serving: the balancer notices
 /// after two checks, one second apart.
-const DRAIN: Duration = Duration::from_millis(2600);
+const DRAIN_TIME: Duration = Duration::from_millis(2600);
 
-/// Part of the grace that is left when the process has ended its requests: the
+/// Part of the grace that is remaining when the process has ended its requests: the
 /// kill must not come first.
-const SPARE: Duration = Duration::from_millis(1500);
+const KILL_MARGIN: Duration = Duration::from_millis(1500);
 
 /// Time within the grace for open requests to end after the owner has.
-const FINISH: Duration = Duration::from_millis(500);
+const FINISH_TIME: Duration = Duration::from_millis(500);
 
 /// A running process.
 pub struct CellProcess {
@@ -75,12 +75,12 @@
     /// An address cannot be listened on.
     pub async fn open(settings: CellSettings) -> Result<CellProcess, CellError> {
         let (config_tx, config) = watch::channel(None);
-        let (seat_tx, seat) = watch::channel(SeatView::default());
+        let (ownership_tx, ownership) = watch::channel(OwnershipView::default());
         let (stop, stop_rx) = watch::channel(false);
         let (close, close_rx) = watch::channel(false);
-        let (slot, slot_rx) = watch::channel(None);
-        let context = Context::new(settings, config, seat, stop_rx);
-        let port = OwnerPort::new(slot_rx);
+        let (owner_slot, owner_slot_rx) = watch::channel(None);
+        let context = Context::new(settings, config, ownership, stop_rx);
+        let port = OwnerPort::new(owner_slot_rx);
         let client = OwnerClient::new(context.clone(), port.clone());
         let listen = &context.settings.listen;
         let callers = bind(listen.callers).await?;
@@ -99,14 +99,14 @@
         servers.spawn(web::serve(metrics, handler, limits, close_rx));
         let mut tasks = JoinSet::new();
         tasks.spawn(follow_config(context.clone(), config_tx));
-        tasks.spawn(SeatKeeper::new(context.clone(), seat_tx).run());
-        tasks.spawn(help_owner(context.clone(), client));
+        tasks.spawn(OwnerElection::new(context.clone(), ownership_tx).run());
+        tasks.spawn(run_helper(context.clone(), client));
         log::info!(
             code = 100, node = context.settings.node.as_str(), zone = context.settings.zone.as_str(),
             incarnation = context.incarnation; "started"
         );
         let grace = context.settings.grace();
-        let owner = tokio::spawn(supervise_owner(context, slot));
+        let owner = tokio::spawn(supervise_owner(context, owner_slot));
         Ok(CellProcess {
             stop,
             close,
@@ -121,20 +121,20 @@
     /// more callers, then lets open requests finish.
     pub async fn close(mut self) {
         log::info!(code = 101; "stopping");
-        let end = Instant::now() + self.grace.saturating_sub(SPARE);
+        let end = Instant::now() + self.grace.saturating_sub(KILL_MARGIN);
         self.stop.send_replace(true);
-        // The owner ends by itself on a stop; one that cannot is left behind.
-        let left = end.saturating_duration_since(Instant::now());
-        let owner = tokio::time::timeout(left.saturating_sub(FINISH), &mut self.owner);
-        let (owner, ()) = tokio::join!(owner, tokio::time::sleep(DRAIN));
+        // The owner ends by itself on a stop; one that cannot is remaining behind.
+        let remaining = end.saturating_duration_since(Instant::now());
+        let owner = tokio::time::timeout(remaining.saturating_sub(FINISH_TIME), &mut self.owner);
+        let (owner, ()) = tokio::join!(owner, tokio::time::sleep(DRAIN_TIME));
         if owner.is_err() {
             log::error!(code = 106; "the owner does not stop");
             self.owner.abort();
         }
         self.close.send_replace(true);
         let finish = async { while self.servers.join_next().await.is_some() {} };
-        let left = end.saturating_duration_since(Instant::now());
-        let whole = tokio::time::timeout(left, finish).await.is_ok();
+        let remaining = end.saturating_duration_since(Instant::now());
+        let whole = tokio::time::timeout(remaining, finish).await.is_ok();
         log::info!(code = 102, whole = whole; "stopped");
     }
 }
@@ -160,16 +160,16 @@
 async fn follow_config(context: Context, config: watch::Sender<Option<Arc<Config>>>) {
     let mut follower = Follower::new(&context.store, OPERATOR_TABLE, false);
     loop {
-        let begun = context.now();
+        let read_started = context.now();
         match follower.next(CONFIG_WAIT).await {
-            Ok(Change::Full(rows) | Change::Some(rows)) => {
+            Ok(Change::Snapshot(rows) | Change::Delta(rows)) => {
                 let mut whole = true;
                 for decoded in rows.iter().filter_map(decode_config) {
                     match decoded {
                         Ok(newer) => {
                             let version = i64::try_from(newer.version).unwrap_or(i64::MAX);
-                            context.metrics.config.set(version);
-                            take_config(&config, newer);
+                            context.metrics.config_version.set(version);
+                            apply_config(&config, newer);
                         }
                         Err(error) => {
                             whole = false;
@@ -178,16 +178,16 @@
                     }
                 }
                 if whole {
-                    context.confirm_config(begun);
+                    context.confirm_config(read_started);
                 }
             }
-            Err(_) => tokio::time::sleep(CONFIG_PAUSE).await,
+            Err(_) => tokio::time::sleep(CONFIG_RETRY_PAUSE).await,
         }
     }
 }
 
 /// Takes a newer version; versions never go back.
-fn take_config(config: &watch::Sender<Option<Arc<Config>>>, newer: Config) {
+fn apply_config(config: &watch::Sender<Option<Arc<Config>>>, newer: Config) {
     config.send_if_modified(|known| {
         let version = known.as_ref().map_or(0, |known| known.version);
         if newer.version <= version {
@@ -211,12 +211,12 @@
 
     fn ready(&self) -> bool {
         let now = self.context.now();
-        let view = self.context.seat.borrow();
-        let silent = view
-            .silent
-            .is_some_and(|since| now.saturating_sub(since) > SILENT);
+        let view = self.context.ownership.borrow();
+        let unreachable = view
+            .unreachable_since
+            .is_some_and(|since| now.saturating_sub(since) > UNREADY_AFTER);
         let configured = self.context.config.borrow().is_some();
-        configured && !silent && !self.context.stopping()
+        configured && !unreachable && !self.context.stopping()
     }
 }
 
--- a/crates/cell/src/rows.rs
+++ b/crates/cell/src/rows.rs
@@ -23,7 +23,7 @@
 pub const PROGRESS_TABLE: &str = "progress";
 
 /// The owner of the pool.
-pub const SEAT_TABLE: &str = "seat";
+pub const OWNERSHIP_TABLE: &str = "seat";
 
 /// Workers that the owner may have given work to, by worker id.
 pub const USED_TABLE: &str = "used";
@@ -38,33 +38,33 @@
 const JOB_PARTS: u64 = 128;
 
 /// Places that a job's row may have. The store may refuse some of its parts and
-/// serve the others: with a fifth of them away, one place turned away a fifth of
+/// serve the others: with a fifth of them away, one index turned away a fifth of
 /// all jobs for as long; four places turn away one in five hundred.
-const JOB_PLACES: usize = 4;
+const JOB_ROWS: usize = 4;
 
 /// Name of the row of a job: the first of its places.
 #[must_use]
 pub fn job_row(id: JobId) -> RowName {
-    place_row(id, 0)
+    job_row_at(id, 0)
 }
 
 /// Names of all rows that a job may have, the usual one first. A job may have
 /// more than one: its first write got no answer and was done late. They say the
 /// same, but for the cancel, which counts if any of them has it.
 #[must_use]
-pub fn job_rows(id: JobId) -> [RowName; JOB_PLACES] {
-    std::array::from_fn(|place| place_row(id, place))
+pub fn job_rows(id: JobId) -> [RowName; JOB_ROWS] {
+    std::array::from_fn(|index| job_row_at(id, index))
 }
 
 /// The parts of a job's places depend on its whole id: a fixed distance apart,
 /// they were away together, since the store deals its parts in a pattern of its
 /// own (one job in twenty had three places away of three).
-fn place_row(id: JobId, place: usize) -> RowName {
+fn job_row_at(id: JobId, index: usize) -> RowName {
     let key = format!("{id:016x}");
-    if place == 0 {
+    if index == 0 {
         return RowName::new(JOB_TABLE, &format!("j{}", id % JOB_PARTS), &key);
     }
-    let key = format!("{key}.{place}");
+    let key = format!("{key}.{index}");
     let part = xxhash_rust::xxh3::xxh3_64(key.as_bytes()) % JOB_PARTS;
     RowName::new(JOB_TABLE, &format!("j{part}"), &key)
 }
@@ -73,7 +73,7 @@
 ///
 /// # Errors
 /// The key is none that a job's row has.
-pub fn job_of(row: &RowName) -> Result<JobId, IdError> {
+pub fn job_id_of(row: &RowName) -> Result<JobId, IdError> {
     let id = row.key.split('.').next().unwrap_or_default();
     job::parse_job(id)
 }
@@ -86,8 +86,8 @@
 
 /// Name of the row that says who owns the pool.
 #[must_use]
-pub fn seat_row() -> RowName {
-    RowName::new(SEAT_TABLE, OWNER_PART, "owner")
+pub fn ownership_row() -> RowName {
+    RowName::new(OWNERSHIP_TABLE, OWNER_PART, "owner")
 }
 
 /// Name of the row of a worker that the owner may have given work to.
@@ -98,7 +98,7 @@
 
 /// Who owns the pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seat {
+pub struct Ownership {
     /// Number of the ownership, from 1.
     pub epoch: Epoch,
     /// Host of the owner.
@@ -118,9 +118,9 @@
     pub strained: bool,
 }
 
-/// What earlier versions wrote of the ownership.
+/// What legacy versions wrote of the ownership.
 #[derive(Deserialize)]
-struct EarlierSeat {
+struct LegacyOwnership {
     epoch: Epoch,
     node: String,
     incarnation: u64,
@@ -140,33 +140,33 @@
     pub capacity: Room,
     /// Kind and rack.
     pub labels: Vec<String>,
-    /// Its life; nothing if not known.
-    pub life: Option<LifeId>,
+    /// Its incarnation; nothing if not known.
+    pub incarnation: Option<LifeId>,
 }
 
-/// Decodes the row of the ownership, also one of an earlier version.
+/// Decodes the row of the ownership, also one of an legacy version.
 ///
 /// # Errors
 /// The bytes are no such row.
-pub fn decode_seat(bytes: &[u8]) -> Result<Seat, postcard::Error> {
-    decode_row::<Seat>(bytes).or_else(|_| {
-        let earlier = decode_row::<EarlierSeat>(bytes)?;
-        Ok(Seat {
-            epoch: earlier.epoch,
-            node: earlier.node,
-            incarnation: earlier.incarnation,
-            address: earlier.address,
-            beat: earlier.beat,
-            released: earlier.released,
+pub fn decode_ownership(bytes: &[u8]) -> Result<Ownership, postcard::Error> {
+    decode_row::<Ownership>(bytes).or_else(|_| {
+        let legacy = decode_row::<LegacyOwnership>(bytes)?;
+        Ok(Ownership {
+            epoch: legacy.epoch,
+            node: legacy.node,
+            incarnation: legacy.incarnation,
+            address: legacy.address,
+            beat: legacy.beat,
+            released: legacy.released,
             calls: 0,
             strained: false,
         })
     })
 }
 
-/// What earlier versions wrote of such a worker: without its life, or without its size.
+/// What legacy versions wrote of such a worker: without its incarnation, or without its size.
 #[derive(Deserialize)]
-struct EarlierUsed {
+struct LegacyUsedWorker {
     service: String,
     address: SocketAddr,
     capacity: Room,
@@ -174,7 +174,7 @@
 }
 
 #[derive(Deserialize)]
-struct UsedAddress {
+struct LegacyWorkerAddress {
     service: String,
     address: SocketAddr,
 }
@@ -194,8 +194,8 @@
     postcard::from_bytes(bytes)
 }
 
-/// Decodes a row of a worker in use, also one of an earlier version, which does
-/// not tell its life, or its size.
+/// Decodes a row of a worker in use, also one of an legacy version, which does
+/// not tell its incarnation, or its size.
 ///
 /// # Errors
 /// The bytes are no such row.
@@ -203,39 +203,39 @@
     if let Ok(worker) = decode_row::<UsedWorker>(bytes) {
         return Ok(worker);
     }
-    if let Ok(earlier) = decode_row::<EarlierUsed>(bytes) {
+    if let Ok(legacy) = decode_row::<LegacyUsedWorker>(bytes) {
         return Ok(UsedWorker {
-            service: earlier.service,
-            address: earlier.address,
-            capacity: earlier.capacity,
-            labels: earlier.labels,
-            life: None,
+            service: legacy.service,
+            address: legacy.address,
+            capacity: legacy.capacity,
+            labels: legacy.labels,
+            incarnation: None,
         });
     }
-    let UsedAddress { service, address } = decode_row(bytes)?;
+    let LegacyWorkerAddress { service, address } = decode_row(bytes)?;
     Ok(UsedWorker {
         service,
         address,
         capacity: Room::default(),
         labels: Vec::new(),
-        life: None,
+        incarnation: None,
     })
 }
 
-/// What earlier versions wrote of a job's progress: without crashes.
+/// What legacy versions wrote of a job's progress: without crashes.
 #[derive(Deserialize)]
-struct EarlierProgress {
+struct LegacyProgress {
     outcome: Option<Outcome>,
     steps: BTreeMap<(u32, u32), StepProgress>,
 }
 
-/// Decodes a row of a job's progress, also one of an earlier version.
+/// Decodes a row of a job's progress, also one of an legacy version.
 ///
 /// # Errors
 /// The bytes are no such row.
 pub fn decode_progress(bytes: &[u8]) -> Result<Progress, postcard::Error> {
     decode_row::<Progress>(bytes).or_else(|_| {
-        let EarlierProgress { outcome, steps } = decode_row(bytes)?;
+        let LegacyProgress { outcome, steps } = decode_row(bytes)?;
         Ok(Progress {
             outcome,
             steps,
--- a/crates/cell/src/stored.rs
+++ b/crates/cell/src/stored.rs
@@ -30,7 +30,7 @@
     /// The store has only its acceptance; whether a task has started is known to
     /// the owner alone.
     #[snafu(display("nothing is recorded but its acceptance"))]
-    Open,
+    Undecided,
     /// The row's value is not what this version writes.
     #[snafu(display("not decoded: {source}"))]
     Decode {
@@ -40,17 +40,17 @@
 }
 
 impl CallerHandler {
-    /// State of a job as the store knows it. `untouched` says that the owner
+    /// State of a job as the store knows it. `not_started` says that the owner
     /// does not know of it, so nothing of it has started.
     ///
     /// The store hears of a start a moment later than the worker. Without the
     /// owner, a job that it had not heard of was shown as pending after it had
     /// been active, and one whose cancel was stored as canceled, which may yet
     /// prove completed.
-    pub(crate) async fn stored(
+    pub(crate) async fn stored_status(
         &self,
         id: JobId,
-        untouched: bool,
+        not_started: bool,
     ) -> Result<Option<Shown>, StoredError> {
         let progress = self.stored_progress(id).await?;
         if let Some(outcome) = progress.as_ref().and_then(|progress| progress.outcome) {
@@ -61,15 +61,15 @@
         };
         let spec = job.spec;
         // The row that was not read may hold the cancel.
-        if let Some(error) = job.unread.filter(|_| !spec.canceled) {
+        if let Some(error) = job.read_error.filter(|_| !spec.canceled) {
             return Err(error).context(ReadSnafu);
         }
         let begun = progress.is_some_and(|progress| progress.begun());
-        match (begun, untouched) {
+        match (begun, not_started) {
             (true, _) => Ok(Some(Shown::Active)),
             (false, true) if spec.canceled => Ok(Some(Shown::Canceled)),
             (false, true) => Ok(Some(Shown::Pending)),
-            (false, false) => OpenSnafu.fail(),
+            (false, false) => UndecidedSnafu.fail(),
         }
     }
 
@@ -77,7 +77,7 @@
         let store = &self.context.store;
         let row = store.get(&progress_row(id), STORE_TIMEOUT).await;
         row.context(ReadSnafu)?
-            .map(|row| checked(id, &row, decode_progress(&row.value)))
+            .map(|row| log_undecodable(id, &row, decode_progress(&row.value)))
             .transpose()
     }
 
@@ -85,30 +85,30 @@
     pub(crate) async fn stored_job(&self, id: JobId) -> Result<Option<StoredJob>, StoredError> {
         let store = &self.context.store;
         let mut found: Option<StoredJob> = None;
-        let mut unread = None;
+        let mut read_error = None;
         for name in &job_rows(id) {
             let row = match store.get(name, STORE_TIMEOUT).await {
                 Ok(Some(row)) => row,
                 Ok(None) => continue,
                 Err(error) => {
-                    unread.get_or_insert(error);
+                    read_error.get_or_insert(error);
                     continue;
                 }
             };
-            let spec: JobSpec = checked(id, &row, decode_row(&row.value))?;
+            let spec: JobSpec = log_undecodable(id, &row, decode_row(&row.value))?;
             match &mut found {
                 Some(job) => job.spec.canceled |= spec.canceled,
                 None => {
                     found = Some(StoredJob {
                         row,
                         spec,
-                        unread: None,
+                        read_error: None,
                     });
                 }
             }
         }
-        match (found, unread) {
-            (Some(job), unread) => Ok(Some(StoredJob { unread, ..job })),
+        match (found, read_error) {
+            (Some(job), read_error) => Ok(Some(StoredJob { read_error, ..job })),
             (None, Some(error)) => Err(error).context(ReadSnafu),
             (None, None) => Ok(None),
         }
@@ -122,11 +122,15 @@
     /// What its rows say together.
     pub(crate) spec: JobSpec,
     /// A place that may hold another row could not be read.
-    pub(crate) unread: Option<StoreError>,
+    pub(crate) read_error: Option<StoreError>,
 }
 
 /// Logs it if a row of a job was not decoded.
-fn checked<T>(id: JobId, row: &Row, decoded: Result<T, postcard::Error>) -> Result<T, StoredError> {
+fn log_undecodable<T>(
+    id: JobId,
+    row: &Row,
+    decoded: Result<T, postcard::Error>,
+) -> Result<T, StoredError> {
     if let Err(error) = &decoded {
         log::error!(
             code = 414, job:% = hex(id), table = row.name.table.as_str(), error:% = error;
--- a/crates/cell/tests/context.rs
+++ b/crates/cell/tests/context.rs
@@ -9,8 +9,8 @@
 use cell::CellSettings;
 use cell::Context;
 use cell::Listen;
+use cell::OwnershipView;
 use cell::Peers;
-use cell::SeatView;
 use platform::StoreError;
 use tokio::sync::watch;
 
@@ -42,10 +42,10 @@
     }
 }
 
-fn silent() -> SeatView {
-    SeatView {
-        silent: Some(Duration::ZERO),
-        ..SeatView::default()
+fn unreachable() -> OwnershipView {
+    OwnershipView {
+        unreachable_since: Some(Duration::ZERO),
+        ..OwnershipView::default()
     }
 }
 
@@ -56,17 +56,17 @@
 #[tokio::test]
 async fn a_write_to_a_silent_store_is_given_up_when_the_store_is_back() {
     let (_config, config) = watch::channel(None);
-    let (view, seat) = watch::channel(SeatView::default());
+    let (view, ownership) = watch::channel(OwnershipView::default());
     let (_stop, stop) = watch::channel(false);
-    let context = Context::new(settings(), config, seat, stop);
+    let context = Context::new(settings(), config, ownership, stop);
     let write = tokio::spawn(async move {
         let never = pending::<Result<(), StoreError>>();
-        context.until_regained(never).await
+        context.until_recovery(never).await
     });
     tokio::task::yield_now().await;
-    view.send_replace(silent());
+    view.send_replace(unreachable());
     tokio::task::yield_now().await;
-    view.send_replace(SeatView::default());
+    view.send_replace(OwnershipView::default());
 
     let result = write.await.expect("write");
 
@@ -76,11 +76,11 @@
 #[tokio::test]
 async fn a_write_goes_on_while_the_store_answers() {
     let (_config, config) = watch::channel(None);
-    let (_view, seat) = watch::channel(SeatView::default());
+    let (_view, ownership) = watch::channel(OwnershipView::default());
     let (_stop, stop) = watch::channel(false);
-    let context = Context::new(settings(), config, seat, stop);
+    let context = Context::new(settings(), config, ownership, stop);
 
-    let result = context.until_regained(async { Ok(7) }).await;
+    let result = context.until_recovery(async { Ok(7) }).await;
 
     assert!(matches!(result, Ok(7)), "{result:?}");
 }
--- a/crates/cell/tests/docs.rs
+++ b/crates/cell/tests/docs.rs
@@ -55,7 +55,7 @@
         &metrics.starts,
         &metrics.ends,
         &metrics.stops,
-        &metrics.losses,
+        &metrics.lost_runs,
         &metrics.suspects,
         &metrics.advice,
         &metrics.saves,
--- a/crates/cell/tests/feed.rs
+++ b/crates/cell/tests/feed.rs
@@ -29,8 +29,8 @@
 
     let change = follower.next(Duration::ZERO).await.expect("changes");
 
-    assert!(matches!(first, Change::Full(rows) if rows.is_empty()));
-    let Change::Some(rows) = change else {
+    assert!(matches!(first, Change::Snapshot(rows) if rows.is_empty()));
+    let Change::Delta(rows) = change else {
         panic!("not a change");
     };
     assert_eq!(rows.len(), 1200);
--- a/crates/cell/tests/foreign.rs
+++ b/crates/cell/tests/foreign.rs
@@ -70,9 +70,13 @@
     let (mut cell, caller) = open(2).await;
     let owner = cell.owner().expect("an owner");
     cell.kill(owner).await;
-    let seat = cell::seat_row();
-    cell.store
-        .write_row(&seat.table, &seat.part, &seat.key, &[0xff; 3]);
+    let ownership = cell::ownership_row();
+    cell.store.write_row(
+        &ownership.table,
+        &ownership.part,
+        &ownership.key,
+        &[0xff; 3],
+    );
     let other = [cell.server(1 - owner)];
 
     let path = "/plain/00000000000000d3";
--- a/crates/cell/tests/rows.rs
+++ b/crates/cell/tests/rows.rs
@@ -37,11 +37,11 @@
         address: ([127, 0, 0, 1], 9).into(),
         capacity,
         labels: labels.iter().map(|&label| label.to_owned()).collect(),
-        life: Some(1_790_000_000_000),
+        incarnation: Some(1_790_000_000_000),
     }
 }
 
-/// What the version before wrote of a worker in use: not its life.
+/// What the version before wrote of a worker in use: not its incarnation.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 struct WithoutLife {
     service: String,
@@ -65,7 +65,13 @@
 
     let decoded = decode_used(&encode_row(&without_life(&row))).expect("a row");
 
-    assert_eq!(decoded, UsedWorker { life: None, ..row });
+    assert_eq!(
+        decoded,
+        UsedWorker {
+            incarnation: None,
+            ..row
+        }
+    );
 }
 
 /// Both versions serve while a cell is replaced process by process.
@@ -100,7 +106,7 @@
     let decoded = decode_used(&encode_row(&former()));
 
     let unnamed = UsedWorker {
-        life: None,
+        incarnation: None,
         ..used(Room::default(), &[])
     };
     assert_eq!(decoded, Ok(unnamed));
--- a/crates/cell/tests/same_id.rs
+++ b/crates/cell/tests/same_id.rs
@@ -458,6 +458,6 @@
 
     let row = cell.store.raw(cell::USED_TABLE, cell::OWNER_PART, "w0");
     let row = cell::decode_used(&row.expect("a row")).expect("readable");
-    assert_eq!(row.life, Some(cell.places[0].current().born));
+    assert_eq!(row.incarnation, Some(cell.places[0].current().born));
     cell.close().await;
 }
--- a/crates/cell/tests/scale.rs
+++ b/crates/cell/tests/scale.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cell::take_turn;
+use cell::takeover_delay;
 use site::SiteCell;
 
 /// Symptom: at 299 hosts the pool changed hands every two seconds after its owner had
@@ -14,13 +14,13 @@
 async fn a_free_pool_is_taken_with_few_writes() {
     let mut cell = SiteCell::open(12, 1).await;
     let owner = cell.wait_owner(|_| true).await;
-    let before = cell.store.asked(cell::SEAT_TABLE);
+    let before = cell.store.asked(cell::OWNERSHIP_TABLE);
 
     cell.kill(owner).await;
     cell.wait_owner(|next| next != owner).await;
     // By then the last host has had its turn.
     tokio::time::sleep(Duration::from_millis(600)).await;
-    let tries = cell.store.asked(cell::SEAT_TABLE) - before;
+    let tries = cell.store.asked(cell::OWNERSHIP_TABLE) - before;
     assert!(tries <= 4, "{tries} hosts wrote");
     cell.close().await;
 }
@@ -35,8 +35,8 @@
     const RESTART: Duration = Duration::from_millis(600);
     let names: Vec<String> = (0..100).map(|nth| format!("entry-{nth}")).collect();
 
-    let small = names.iter().map(|name| take_turn(name, 0.12)).min();
-    let large = names.iter().map(|name| take_turn(name, 0.5)).max();
+    let small = names.iter().map(|name| takeover_delay(name, 0.12)).min();
+    let large = names.iter().map(|name| takeover_delay(name, 0.5)).max();
 
     let (small, large) = (small.expect("hosts"), large.expect("hosts"));
     assert!(small > RESTART + large, "{small:?}, {large:?}");
--- a/crates/site/src/cell.rs
+++ b/crates/site/src/cell.rs
@@ -232,8 +232,8 @@
     pub fn epoch(&self) -> Option<u64> {
         let row = self
             .store
-            .raw(cell::SEAT_TABLE, cell::OWNER_PART, "owner")?;
-        cell::decode_seat(&row).ok().map(|seat| seat.epoch)
+            .raw(cell::OWNERSHIP_TABLE, cell::OWNER_PART, "owner")?;
+        cell::decode_ownership(&row).ok().map(|seat| seat.epoch)
     }
 
     /// A worker goes down and starts again under its id, at another address.
@@ -372,8 +372,8 @@
     pub fn owner(&self) -> Option<usize> {
         let row = self
             .store
-            .raw(cell::SEAT_TABLE, cell::OWNER_PART, "owner")?;
-        let seat = cell::decode_seat(&row).ok()?;
+            .raw(cell::OWNERSHIP_TABLE, cell::OWNER_PART, "owner")?;
+        let seat = cell::decode_ownership(&row).ok()?;
         let at = (0..self.members.len()).find(|&at| self.host(at).ip() == seat.address.ip());
         at.filter(|_| !seat.released)
     }
