--- a/crates/cell/src/acceptor.rs
+++ b/crates/cell/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! Acceptance of jobs: a job is accepted once its row is committed.
+//! Acceptance of jobs: a job is accepted once its row is committed to the store.
 
 use std::time::Duration;
 
@@ -20,41 +20,41 @@
 use crate::metrics::count;
 use crate::metrics::observe;
 
-/// Time without an answer after which a commit is tried once more. A slow store
-/// takes up to 1.2 s for one.
+/// Time without a reply after which a second, identical commit is sent. A slow store takes up to
+/// 1.2 s for one commit.
 const HEDGE_DELAY: Duration = Duration::from_millis(1300);
 
-/// What became of a job that was to be accepted.
+/// Result of an attempt to accept a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Acceptance {
-    /// Its row is committed.
+    /// The job's row is committed.
     Accepted {
-        /// It was not there before.
+        /// Whether this call created the row; false if the row already existed.
         first: bool,
     },
-    /// Certainly not accepted; why.
+    /// The job is certainly not accepted; holds the reason for the caller.
     Refused(String),
-    /// It may have been accepted; why that is not known.
+    /// The job may or may not have been accepted; holds the reason for the caller.
     Unknown(String),
 }
 
-/// Commits the rows of jobs.
+/// Commits the rows of accepted jobs.
 #[derive(Clone, Debug)]
 pub struct Acceptor {
     context: Context,
 }
 
 impl Acceptor {
-    /// An acceptor.
+    /// Creates an acceptor that writes to the store of `context`.
     #[must_use]
     pub fn new(context: Context) -> Acceptor {
         Acceptor { context }
     }
 
-    /// Commits the job by the monotonic time `deadline`. The row must not exist, so a
-    /// try that is done late, or by another process, makes no second job. Once an
-    /// answer was lost, "not accepted" may not be said any more: the write may
-    /// still be done.
+    /// Commits the job's row by the monotonic time `deadline`. The transaction requires that the
+    /// row does not exist, so an attempt that the store carries out late, or one from another
+    /// process, creates no second job. Once a reply has been lost, the result may no longer be
+    /// "refused", because the store may still carry out that write.
     pub(crate) async fn accept(&self, job: &AcceptedJob, deadline: Duration) -> Acceptance {
         let acceptance = self.commit_any_row(job, deadline).await;
         let label = match &acceptance {
@@ -97,7 +97,7 @@
                     self.record_accepted(job, first, elapsed);
                     return Acceptance::Accepted { first };
                 }
-                // This part of the store refuses; others may serve.
+                // Only this part of the store refuses the write; another part may accept it.
                 Err(error) if error.certainly_not_done() && index + 1 < rows.len() => {
                     log::info!(code = 405, job = id.as_str(), place = index, error:% = error; "another part is tried");
                     index += 1;
@@ -127,9 +127,9 @@
         );
     }
 
-    /// Commits within `remaining`. After [`HEDGE_DELAY`] without an answer, the same
-    /// is tried once more, and the first answer counts: a lost one does not
-    /// cost the caller's whole time, a slow one is not given up.
+    /// Commits the transaction within `remaining`. After [`HEDGE_DELAY`] without a reply, the
+    /// same transaction is sent a second time and the first clear reply counts. A lost reply then
+    /// does not use up the caller's whole time, and a slow reply still counts.
     async fn commit(
         &self,
         transaction: &Transaction,
@@ -144,7 +144,7 @@
         }
         let second = store.commit(transaction, remaining.saturating_sub(HEDGE_DELAY));
         tokio::pin!(second);
-        // A refusal of one try says nothing of the other.
+        // A refusal of one attempt says nothing about the other one.
         tokio::select! {
             result = &mut first => match result {
                 Ok(committed) => Ok(committed),
@@ -167,8 +167,9 @@
     }
 }
 
-/// One of two tries got no clear answer, so a refusal of the other does not mean
-/// that nothing was done: callers were told "not accepted" of jobs that ran.
+/// Turns a refusal into an undecided result. It is used when the other of two attempts got no
+/// clear reply and may still be committed: otherwise callers were told "not accepted" about jobs
+/// that then ran.
 fn into_ambiguous(error: StoreError) -> StoreError {
     match error {
         StoreError::Refused { status, .. } => StoreError::Undecided { status },
--- a/crates/cell/src/advice_helper.rs
+++ b/crates/cell/src/advice_helper.rs
@@ -1,7 +1,7 @@
-//! Helper of the owner: makes advice calls on its behalf.
+//! Helper of the pool's owner: makes advice calls on its behalf.
 //!
-//! The service answers one call at a time for each host, so the calls are
-//! spread over all hosts. A helper asks for work when it is idle.
+//! The advice service answers one call at a time for each host, so the calls are spread over all
+//! hosts. An idle helper polls the owner for a query.
 
 use std::time::Duration;
 
@@ -16,13 +16,13 @@
 use crate::HelperPoll;
 use crate::OwnerClient;
 
-/// Pause when no owner answers.
+/// Pause before the next poll when the owner did not answer.
 const NO_OWNER_PAUSE: Duration = Duration::from_millis(100);
 
-/// Time for an answer beyond what the service needs itself.
+/// Time allowed for an advice call beyond twice the expected time of the service.
 const ADVICE_SLACK: Duration = Duration::from_millis(400);
 
-/// Makes advice calls until the process stops.
+/// Polls the owner for advice queries and carries them out until the process stops.
 pub async fn run_helper(context: Context, owner: OwnerClient) {
     let Some(server) = context.settings.advice_address() else {
         log::info!(code = 321; "no advice service");
--- a/crates/cell/src/callers.rs
+++ b/crates/cell/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' requests: what they address, states and the length of a queue.
+//! Callers' HTTP requests: routing, job status and queue length.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,46 +25,46 @@
 use crate::OwnerClient;
 use crate::metrics::count;
 
-/// Time for one call to the store. A slow store takes up to 1.2 s for a
-/// transaction; two tries fit into a caller's three seconds.
+/// Timeout of one call to the store. A slow store takes up to 1.2 s for a transaction; two
+/// attempts fit into a caller's three seconds.
 pub(crate) const STORE_TIMEOUT: Duration = Duration::from_millis(1300);
 
-/// Pause between two tries of a write whose respond was lost.
+/// Pause between two attempts of a write whose reply was lost.
 pub(crate) const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Longest time for a caller when its queue does not say.
+/// Timeout of a caller whose queue sets none.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Part of the caller's time after which no further try is begun.
+/// Share of the caller's timeout after which no further attempt is started.
 pub(crate) const ATTEMPT_SHARE: f64 = 0.9;
 
-/// Age of the configuration from which on it denies no queue: two reads in a row
-/// have failed.
+/// Age of the configuration above which an unknown queue is no longer answered with 404: two
+/// reads in a row have failed by then.
 const CONFIG_MAX_AGE: Duration = Duration::from_secs(4);
 
-/// Seconds after which a refused caller may come back: another host may
-/// serve it at once.
+/// Value of the `Retry-After` header, in seconds, for a refused caller. It is short because
+/// another host may serve the request at once.
 const RETRY_AFTER_SECONDS: &str = "1";
 
-/// Answers callers.
+/// Handles callers' HTTP requests.
 pub struct CallerHandler {
     pub(crate) context: Context,
     pub(crate) owner: OwnerClient,
     pub(crate) acceptor: Acceptor,
 }
 
-/// A body that says nothing beyond the status.
+/// An empty JSON body, for replies that consist of their HTTP status alone.
 #[derive(Serialize)]
 pub(crate) struct Empty {}
 
-/// What a request addresses.
+/// The queue or job that a request addresses.
 enum Target<'a> {
     Queue(&'a Queue),
     Job(&'a Queue, JobId),
 }
 
 impl CallerHandler {
-    /// A handler.
+    /// Creates a handler that asks `owner` for the status of jobs.
     #[must_use]
     pub fn new(context: Context, owner: OwnerClient) -> Arc<CallerHandler> {
         let acceptor = Acceptor::new(context.clone());
@@ -100,7 +100,8 @@
         }
     }
 
-    /// A queue that may just have been added is not not_found.
+    /// Returns 404 for an unknown queue, or 503 if the configuration is too old to tell: the
+    /// queue may have been added since.
     fn not_found(&self, response: Whole) -> Whole {
         if self.context.config_age() > CONFIG_MAX_AGE {
             return service_unavailable("the configuration cannot be read from this host");
@@ -186,8 +187,8 @@
     web::json(StatusCode::OK, &encode_shown(job_status))
 }
 
-/// Nothing was done; the caller may come back, on a new connection that the
-/// balancer leads to a host that works.
+/// Response 503: nothing was done. The connection is closed so that the balancer directs the
+/// caller's next request to a working host.
 pub(crate) fn service_unavailable(reason: &str) -> Whole {
     let mut response = web::error(StatusCode::SERVICE_UNAVAILABLE, reason);
     let headers = response.headers_mut();
@@ -196,8 +197,8 @@
     response
 }
 
-/// The job may have been accepted. A repetition with the same id, at any host,
-/// makes no second job, so the sooner the caller repeats it the better.
+/// Response 504: the request may have been carried out. Repeating it with the same id, at any
+/// host, creates no second job, so the connection is closed to let the caller repeat it soon.
 pub(crate) fn outcome_unknown(reason: &str) -> Whole {
     let mut response = web::error(StatusCode::GATEWAY_TIMEOUT, reason);
     let headers = response.headers_mut();
@@ -217,7 +218,7 @@
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// A job's id as callers write it.
+/// Formats a job's id the way callers write it: 16 hexadecimal digits.
 #[must_use]
 pub fn hex(id: JobId) -> String {
     format!("{id:016x}")
--- a/crates/cell/src/cancel.rs
+++ b/crates/cell/src/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancels: a job is cancelled once its row says so.
+//! Cancellation: a job is cancelled once its row in the store says so.
 
 use hyper::StatusCode;
 use job::JobId;
@@ -24,28 +24,28 @@
 use crate::stored::StoredError;
 use crate::stored::StoredJob;
 
-/// Why a try to cancel a job has no result.
+/// Why an attempt to cancel a job has no result.
 #[derive(Debug, Snafu)]
 enum CancelError {
-    /// Nothing was written: the job's row is not known.
+    /// The job's row could not be read or decoded, so nothing was written.
     #[snafu(display("{source}"))]
     Row {
-        /// Cause.
+        /// Error of the read.
         source: StoredError,
     },
-    /// Another write of the row came in between; nothing was written.
+    /// The row was changed between the read and the write, so nothing was written.
     #[snafu(display("the row has changed"))]
     Changed,
-    /// The write has no result.
+    /// The store did not confirm the write.
     #[snafu(display("not written: {source}"))]
     Write {
-        /// Cause.
+        /// Error of the write.
         source: StoreError,
     },
 }
 
 impl CancelError {
-    /// Whether the cancel certainly was not stored and never will be.
+    /// Whether the cancel is certainly not stored and never will be.
     fn certainly_not_done(&self) -> bool {
         match self {
             CancelError::Row { .. } | CancelError::Changed => true,
@@ -55,8 +55,8 @@
 }
 
 impl CallerHandler {
-    /// Cancels a job. Once an answer was lost, "not stored" may not be said any
-    /// more: the write may still be done.
+    /// Cancels a job. Once a reply to a write has been lost, the response may no longer be "not
+    /// stored", because the store may still carry out that write.
     pub(crate) async fn cancel(&self, queue: &Queue, id: JobId) -> Whole {
         let deadline = self.context.now() + caller_timeout(queue).mul_f64(ATTEMPT_SHARE);
         let mut ambiguous = false;
@@ -65,7 +65,8 @@
                 Ok(status) => {
                     log::info!(code = 421, job:% = hex(id), status = status.as_u16(); "cancel");
                     if status == StatusCode::OK {
-                        // The caller need not wait for it; if it fails, the feed tells.
+                        // The caller does not wait for this message. If it is lost, the owner
+                        // reads the cancel from the change feed of the store.
                         let owner = self.owner.clone();
                         tokio::spawn(async move { owner.notify_canceled(id).await });
                     }
@@ -100,7 +101,7 @@
         if spec.canceled {
             return Ok(StatusCode::OK);
         }
-        // One row that says so is enough, also if the job has others.
+        // Marking one row is enough, even if the job has several.
         spec.canceled = true;
         let transaction = Transaction {
             expect: vec![(row.name.clone(), row.version)],
--- a/crates/cell/src/context.rs
+++ b/crates/cell/src/context.rs
@@ -1,4 +1,4 @@
-//! What every task of a process needs.
+//! State and connections that all tasks of a process share.
 
 use std::hash::BuildHasher;
 use std::hash::Hasher;
@@ -22,44 +22,45 @@
 use crate::CellSettings;
 use crate::OwnershipView;
 
-/// Longest wait for a connection; within a region one takes milliseconds.
+/// Connect timeout to peers, the store and the advice service; within a region a connect takes
+/// milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The same to a worker, over a link of the owner that may be full.
+/// Connect timeout to a worker. It is longer because the owner's link may be full.
 const WORKER_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What every task of a process needs.
+/// State and connections that all tasks of a process share.
 #[derive(Clone, Debug)]
 pub struct Context {
-    /// Settings.
+    /// Settings of the process.
     pub settings: Arc<CellSettings>,
-    /// Run of this process; differs from all others.
+    /// Random id of this start of the process.
     pub incarnation: u64,
-    /// The platform's store.
+    /// Client of the platform's store.
     pub store: Store,
-    /// Orders to workers.
+    /// Client that sends commands to workers.
     pub commands: OrderClient,
-    /// Connections to peers and to the advice service.
+    /// HTTP client for peers and the advice service.
     pub client: Client,
-    /// Newest configuration; none before the first was read.
+    /// Newest configuration; `None` until it has been read once.
     pub config: watch::Receiver<Option<Arc<Config>>>,
-    /// Who owns the pool, as far as known.
+    /// Ownership of the pool as last read from the store.
     pub ownership: watch::Receiver<OwnershipView>,
-    /// Counters and latencies.
+    /// Counters, gauges and latency histograms.
     pub metrics: Arc<CellMetrics>,
     /// Turns true when the process has been asked to stop.
     pub stop: watch::Receiver<bool>,
-    /// Owner whose process seems to have ended, by its epoch; 0 for none.
+    /// Epoch of an owner whose process may have ended, because it broke a connection off; 0 for
+    /// none.
     suspected_owner: Arc<AtomicU64>,
-    /// When the newest read of the configuration began that was answered, in
-    /// milliseconds of the process's clock.
+    /// Start of the newest successful read of the configuration, in milliseconds since `origin`.
     config_confirmed: Arc<AtomicU64>,
     /// Origin of the process's monotonic clock.
     origin: Instant,
 }
 
 impl Context {
-    /// The context of a process that starts now.
+    /// Creates the context of a process that starts now.
     #[must_use]
     pub fn new(
         settings: CellSettings,
@@ -84,13 +85,13 @@
         }
     }
 
-    /// Monotonic time since the process started.
+    /// Returns the monotonic time since the process started.
     #[must_use]
     pub fn now(&self) -> Duration {
         self.origin.elapsed()
     }
 
-    /// Wall-clock time since 1970; it may jump.
+    /// Returns the wall-clock time since 1970; it may jump.
     #[must_use]
     pub fn wall_time(&self) -> Duration {
         SystemTime::now()
@@ -98,37 +99,37 @@
             .unwrap_or_default()
     }
 
-    /// The owner of an epoch has broken a call off: its process may have ended.
+    /// Records that the owner of `epoch` broke a call off, so its process may have ended.
     pub fn suspect_owner(&self, epoch: Epoch) {
         self.suspected_owner.store(epoch, Ordering::Relaxed);
     }
 
-    /// Whether the owner of an epoch seems to have ended.
+    /// Whether the process of the owner of `epoch` may have ended.
     #[must_use]
     pub fn is_owner_suspected(&self, epoch: Epoch) -> bool {
         self.suspected_owner.load(Ordering::Relaxed) == epoch
     }
 
-    /// The configuration in force was the newest at `read_started`.
+    /// Records that the configuration in force was the newest one at the time `read_started`.
     pub fn confirm_config(&self, read_started: Duration) {
         let read_started = u64::try_from(read_started.as_millis()).unwrap_or(u64::MAX);
         self.config_confirmed.store(read_started, Ordering::Relaxed);
     }
 
-    /// Time since the configuration in force was known to be the newest.
+    /// Time since the configuration in force was last confirmed as the newest.
     #[must_use]
     pub fn config_age(&self) -> Duration {
         let read_started = Duration::from_millis(self.config_confirmed.load(Ordering::Relaxed));
         self.now().saturating_sub(read_started)
     }
 
-    /// Whether the store does not answer this process.
+    /// Whether the store currently does not answer this process.
     #[must_use]
     pub fn store_unreachable(&self) -> bool {
         self.ownership.borrow().unreachable_since.is_some()
     }
 
-    /// Waits until the store does not answer this process any more.
+    /// Waits until the store stops answering this process.
     pub async fn wait_unreachable(&self) {
         let mut ownership = self.ownership.clone();
         if ownership
@@ -136,17 +137,17 @@
             .await
             .is_err()
         {
-            // The keeper is gone: the process is about to end.
+            // The sender of the ownership has been dropped: the process is about to end.
             std::future::pending::<()>().await;
         }
     }
 
-    /// Gives up a call to the store once the store is back from a silence:
-    /// what was sent before may never be answered. Waited out, the write of
-    /// ends took up to 1.6 s longer.
+    /// Runs a call to the store, but abandons it when the store answers again after an outage: a
+    /// request that was sent before may never be answered. Waiting for its timeout delayed the
+    /// write of task ends by up to 1.6 s.
     ///
     /// # Errors
-    /// Those of the call, or [`StoreError::Abandoned`].
+    /// Returns the error of the call, or [`StoreError::Abandoned`].
     pub async fn until_recovery<T>(
         &self,
         call: impl Future<Output = Result<T, StoreError>>,
@@ -159,7 +160,7 @@
                 .await
                 .is_err()
             {
-                // The keeper is gone: the process is about to end.
+                // The sender of the ownership has been dropped: the process is about to end.
                 std::future::pending::<()>().await;
             }
         };
@@ -178,7 +179,7 @@
     /// Waits until the process is asked to stop.
     pub async fn stopped(&self) {
         let mut stop = self.stop.clone();
-        // A vanished sender counts as a stop.
+        // A dropped sender counts as a request to stop.
         let _ = stop.wait_for(|stop| *stop).await;
     }
 }
--- a/crates/cell/src/follower.rs
+++ b/crates/cell/src/follower.rs
@@ -9,36 +9,36 @@
 use platform::StoreError;
 use platform::Version;
 
-/// Time for an answer beyond the wait that the feed was asked for. A
-/// connection may go silent without a reset; only this time-out shows it. A patient
-/// follower waits twice as long as the last answer delay, or after one that did not come.
+/// Time for a feed reply beyond the wait that was requested. A connection may go silent without a
+/// reset; only this timeout reveals it. A follower with long timeouts instead allows twice the
+/// delay of the last reply, and doubles the timeout after a lost one.
 const FEED_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Time for each page of a full read.
+/// Timeout of each page of a full read.
 const READ_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// The same where much is read, by an owner that renews meanwhile.
+/// Timeouts of a full read of a large table, by an owner that renews its ownership meanwhile.
 pub(crate) const LONG_READ_TIMEOUTS: Patience = Patience {
     first: READ_TIMEOUT,
     most: Duration::from_secs(6),
 };
 
-/// Rows from which on an answer of the feed may have left some out; the store gives
-/// 500 at most. Read no further until the next turn 0.4 s later, the feed of 3,000
-/// workers, which write 2,000 rows a second, fell behind by ten seconds: workers
-/// that were leaving went on getting work.
+/// Number of rows from which on a feed reply may be incomplete; the store returns at most 500.
+/// When a full page was followed by the next read only 0.4 s later, the feed of 3,000 workers,
+/// which write 2,000 rows a second, fell behind by ten seconds, and workers that were leaving
+/// went on getting work.
 const FULL_PAGE: usize = 250;
 
-/// Most answers that are read on: a slow store may bring full ones for seconds, and
-/// what they tell would be known only after the last.
+/// Limit of consecutive pages read in one call. A slow store may return full pages for seconds,
+/// and the caller sees none of their rows until the last page is read.
 const MAX_PAGES: usize = 8;
 
-/// What has become known of a table.
+/// Rows returned by one read of a table.
 #[derive(Debug)]
 pub enum Change {
-    /// All rows: nothing else exists.
+    /// All rows of the table; no others exist.
     Snapshot(Vec<Row>),
-    /// Rows that have changed, in order.
+    /// Rows that have changed since the last read, in order.
     Delta(Vec<Row>),
 }
 
@@ -47,17 +47,17 @@
 pub struct Follower {
     store: Store,
     table: &'static str,
-    /// All parts, or only the unnamed one.
+    /// Whether all parts are read, or only the unnamed one.
     parts: bool,
     after: Option<Version>,
     patience: Patience,
-    /// Time for the next answer of the feed beyond its wait.
+    /// Timeout of the next feed reply, beyond the wait that was requested.
     timeout: Duration,
 }
 
 impl Follower {
-    /// Follows `table`; with `parts`, all of its parts and not only the
-    /// unnamed one.
+    /// Creates a follower of `table`. With `parts` it reads all parts of the table, otherwise
+    /// only the unnamed one.
     #[must_use]
     pub fn new(store: &Store, table: &'static str, parts: bool) -> Follower {
         Follower {
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Waits longer for full reads, see [`LONG_READ_TIMEOUTS`], and for changes: what has changed
-    /// during a full read may take a thin link longer than [`FEED_TIMEOUT`].
+    /// Uses [`LONG_READ_TIMEOUTS`] for full reads, and allows feed replies as long: the changes
+    /// that gather during a full read may take longer than [`FEED_TIMEOUT`] over a thin link.
     pub(crate) fn with_long_timeouts(self) -> Follower {
         Follower {
             patience: LONG_READ_TIMEOUTS,
@@ -79,11 +79,11 @@
         }
     }
 
-    /// Waits up to `wait` for a change. The first call reads everything, and
-    /// so does the one after the store has dropped its history.
+    /// Waits up to `wait` for a change. The first call reads the whole table, as does the one
+    /// after the store has dropped its history.
     ///
     /// # Errors
-    /// The store cannot be read; the next call continues.
+    /// Fails if the store cannot be read; the next call continues from the same version.
     pub async fn next(&mut self, wait: Duration) -> Result<Change, StoreError> {
         let Some(after) = self.after else {
             return self.read_all().await;
@@ -91,7 +91,7 @@
         let started = Instant::now();
         match self.store.feed(self.table, after, wait, self.timeout).await {
             Ok(rows) => {
-                // The next answer may take as long, and is not to be asked for in vain.
+                // The next reply may take as long, and should not run into its timeout.
                 let delay = started.elapsed().saturating_sub(wait);
                 self.timeout = (delay * 2).min(self.max_timeout()).max(FEED_TIMEOUT);
                 self.after = Some(rows.version.max(after));
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Longest time for an answer of the feed beyond its wait.
+    /// Upper limit of the timeout of a feed reply, beyond its wait.
     fn max_timeout(&self) -> Duration {
         if self.patience.most > self.patience.first {
             self.patience.most
@@ -127,8 +127,8 @@
         }
     }
 
-    /// Reads on after a full answer; gives whether this one was full, too. What it
-    /// cannot read is left to the next call.
+    /// Appends the next page to `rows` and returns whether that page was full, too. After an
+    /// error, the next call to `next` reads the page.
     async fn read_next_page(&mut self, rows: &mut Vec<Row>) -> bool {
         let after = self.after.unwrap_or_default();
         let feed = self
--- a/crates/cell/src/lib.rs
+++ b/crates/cell/src/lib.rs
@@ -1,5 +1,5 @@
-//! Equal processes that share one pool of workers: each accepts jobs into the
-//! store; one at a time owns the pool and gives orders to the workers.
+//! A cell: equal processes that share one pool of workers. Each process accepts jobs into the
+//! store; one process at a time owns the pool and sends commands to the workers.
 
 mod acceptor;
 mod advice_helper;
--- a/crates/cell/src/logging.rs
+++ b/crates/cell/src/logging.rs
@@ -1,7 +1,7 @@
 //! Structured log lines on standard output.
 //!
-//! A reader that stops reading must not hold up decisions: lines go through a
-//! bounded buffer to a thread of their own, and are dropped when it is full.
+//! A reader of the log that stalls must not delay decisions: lines go through a bounded buffer to
+//! a separate thread, and are dropped when the buffer is full.
 
 use std::io::Write;
 use std::sync::atomic::AtomicUsize;
@@ -14,30 +14,29 @@
 use tracing_appender::non_blocking::NonBlockingBuilder;
 use tracing_appender::non_blocking::WorkerGuard;
 
-/// Lines that may wait for the reader. At 200 bytes a line this is below 1 MB
-/// of the small memory of an entry host.
+/// Capacity of the buffer in lines. At 200 bytes a line it takes less than 1 MB of the small
+/// memory of an entry host.
 const BUFFERED_LINES: usize = 4096;
 
-/// Time between two reports of dropped lines.
+/// Interval between two reports of dropped lines.
 const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Keeps the writing thread; dropping it writes what is buffered.
+/// Keeps the writing thread alive; dropping the guard flushes the buffer.
 pub struct LogGuard {
     _worker: WorkerGuard,
     dropped: ErrorCounter,
-    /// Dropped lines that were reported. It outlives the report, which is
-    /// begun anew after each signal and would tell them again.
+    /// Number of dropped lines already reported. It is kept here because the reporting task is
+    /// restarted after each signal and would report the same lines again.
     reported: AtomicUsize,
 }
 
-/// Starts logging to standard output. `level` is one of `error`, `warn`,
-/// `info`, `debug`.
+/// Starts logging to standard output. `level` is one of `error`, `warn`, `info`, `debug`.
 #[must_use]
 pub fn start_logging(level: &str) -> LogGuard {
     start_logging_to(level, std::io::stdout())
 }
 
-/// Starts logging to `output`, which may stop taking lines for good.
+/// Starts logging to `output`, which may block forever.
 #[must_use]
 pub fn start_logging_to<W: Write + Send + 'static>(level: &str, output: W) -> LogGuard {
     let (writer, guard) = NonBlockingBuilder::default()
@@ -57,7 +56,7 @@
 }
 
 impl LogGuard {
-    /// Reports now and then how many lines were dropped.
+    /// Logs the number of newly dropped lines every five seconds.
     pub async fn report_dropped(&self) {
         loop {
             tokio::time::sleep(REPORT_INTERVAL).await;
--- a/crates/cell/src/metrics.rs
+++ b/crates/cell/src/metrics.rs
@@ -18,8 +18,8 @@
 use web::Handler;
 use web::Whole;
 
-/// Upper bounds of the latency buckets, in seconds: from latency answer of the
-/// store to the longest jobs.
+/// Upper bounds of the latency buckets, in seconds: from one reply of the store to the longest
+/// jobs.
 const BUCKETS: [f64; 12] = [
     0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0,
 ];
@@ -30,20 +30,20 @@
     registry: Registry,
     /// Submissions by result: `accepted`, `repeated`, `refused`, `unknown`.
     pub submits: IntCounterVec,
-    /// States shown, by source: `owner`, `store`, `none`, `unreadable`.
+    /// Status replies to callers, by source: `owner`, `store`, `none`, `unreadable`.
     pub states: IntCounterVec,
-    /// Cancels by HTTP status.
+    /// Cancel requests by HTTP status.
     pub cancels: IntCounterVec,
-    /// Answers to starts: `started`, `refused`, `ticket`, `unknown`.
+    /// Workers' replies to start commands: `started`, `refused`, `ticket`, `unknown`.
     pub starts: IntCounterVec,
-    /// Ends of runs, by how.
+    /// Ended runs, by how they ended.
     pub ends: IntCounterVec,
-    /// Stops ordered, by reason.
+    /// Stop commands, by reason.
     pub stops: IntCounterVec,
-    /// Runs that were lost without an end, by cause.
+    /// Runs that were lost without a reported end, by cause.
     pub lost_runs: IntCounterVec,
-    /// Findings of tasks under which workers crashed: `suspected`, `tried`, `cleared`,
-    /// `given_up`.
+    /// Findings about tasks that are suspected of crashing workers: `suspected`, `tried`,
+    /// `cleared`, `given_up`.
     pub suspects: IntCounterVec,
     /// Advice calls by result: `answered`, `failed`.
     pub advice: IntCounterVec,
@@ -51,21 +51,21 @@
     pub saves: IntCounterVec,
     /// Rows that cannot be decoded, by table; each key of a worker counts once.
     pub unreadable: IntCounterVec,
-    /// Figures of the pool, on its owner: `usable`, `placed`, `running`,
-    /// `waiting`, `unfinished`, `cpu`, `cpu_used`, `memory`, `memory_used`.
+    /// Figures of the pool, set by its owner: `usable`, `placed`, `running`, `waiting`,
+    /// `unfinished`, `cpu`, `cpu_used`, `memory`, `memory_used`.
     pub pool: IntGaugeVec,
-    /// Epoch of the ownership that this process has; 0 for none.
+    /// Epoch in which this process owns the pool; 0 if it does not.
     pub epoch: IntGauge,
     /// Version of the configuration in force.
     pub config_version: IntGauge,
-    /// Time until a submission was answered with success.
+    /// Time to accept a submission, of the accepted ones.
     pub accept: Histogram,
-    /// Time from acceptance to a job's first start.
+    /// Time from acceptance to the first start of a job's tasks.
     pub first_start: Histogram,
-    /// Time until a job's end was recorded, by outcome, from when the owner
-    /// learnt of the job; from acceptance for those of a predecessor.
+    /// Time until a job's end was recorded, by outcome. It starts when the owner learns of the
+    /// job; for jobs taken over from a former owner, at their acceptance.
     pub job: HistogramVec,
-    /// Time that a transaction of the owner took.
+    /// Duration of the owner's transactions.
     pub save: Histogram,
 }
 
@@ -84,8 +84,8 @@
     register(registry, gauge)
 }
 
-/// Names are fixed and differ, which the tests of this module's page check, so
-/// registering them cannot fail.
+/// Registers a metric. This cannot fail: all names are fixed and distinct, which the
+/// documentation tests check.
 fn register<T: prometheus::core::Collector + Clone + 'static>(registry: &Registry, metric: T) -> T {
     registry
         .register(Box::new(metric.clone()))
@@ -146,7 +146,7 @@
 }
 
 impl CellMetrics {
-    /// All metrics in the text format.
+    /// Encodes all metrics in the Prometheus text format.
     #[must_use]
     pub fn text(&self) -> String {
         let mut buffer = Vec::new();
@@ -157,7 +157,7 @@
     }
 }
 
-/// Counts latency event under a label.
+/// Increments a counter under one label.
 pub(crate) fn count(counter: &IntCounterVec, label: &str) {
     counter.with_label_values(&[label]).inc();
 }
@@ -167,13 +167,13 @@
     histogram.observe(time.as_secs_f64());
 }
 
-/// Serves the metrics.
+/// Serves the metrics over HTTP.
 pub struct MetricsHandler {
     metrics: Arc<CellMetrics>,
 }
 
 impl MetricsHandler {
-    /// A handler that serves `metrics`.
+    /// Creates a handler that serves `metrics`.
     #[must_use]
     pub fn new(metrics: Arc<CellMetrics>) -> Arc<MetricsHandler> {
         Arc::new(MetricsHandler { metrics })
--- a/crates/cell/src/ownership.rs
+++ b/crates/cell/src/ownership.rs
@@ -1,9 +1,8 @@
-//! Ownership of the pool: who has it, and when to take it.
+//! Election of the pool's owner: who owns the pool, and when another process takes it.
 //!
-//! The owner renews one row of the store. Safety does not rest on its expiry:
-//! each write of the owner is conditional on that row, and workers refuse
-//! orders of a lower epoch. A take-over that comes too early therefore costs
-//! an interruption, never a double start.
+//! The owner renews one row of the store. Safety does not depend on the expiry of that row: each
+//! write of the owner is conditional on it, and workers refuse commands of a lower epoch. A
+//! take-over that comes too early therefore costs an interruption but never starts a task twice.
 
 use std::time::Duration;
 
@@ -29,70 +28,69 @@
 use crate::ownership_row;
 use crate::probe_store;
 
-/// A pool whose owner has not renewed for this long is taken over: three
-/// renewals were missed.
+/// Time without a renewal after which the pool is taken over; three renewals have been missed by
+/// then.
 const OWNER_EXPIRY: Duration = Duration::from_millis(1200);
 
-/// The same when the store is slow: a renewal then takes up to 1.2 s.
+/// Expiry while the store is slow; a renewal then takes up to 1.2 s.
 const SLOW_STORE_EXPIRY: Duration = Duration::from_millis(2500);
 
-/// A read that takes longer than this shows that the store is slow; else one
-/// takes 5 ms.
+/// Duration of a read above which the store counts as slow; a read normally takes 5 ms.
 const SLOW_READ: Duration = Duration::from_millis(100);
 
-/// Longest wait of the feed for a renewal.
+/// Longest wait of the change feed for a renewal.
 const FEED_WAIT: Duration = Duration::from_millis(400);
 
 /// Pause after a failed read.
 const READ_PAUSE: Duration = Duration::from_millis(150);
 
-/// Time without an answer to a plain read, after the feed has failed, from
-/// which on the store counts as silent; a slow store takes 0.3 s.
+/// Time within which plain reads must get a reply after the feed has failed; otherwise the store
+/// counts as unreachable. A slow store takes 0.3 s.
 const PROBE_WINDOW: Duration = Duration::from_millis(400);
 
-/// Longest time of looking for a store that is silent, before the feed is
-/// tried again.
+/// Longest time of probing an unreachable store before the feed is tried again.
 const PROBE_LIMIT: Duration = Duration::from_secs(5);
 
-/// Time for the transaction that takes the pool; a slow store takes up to 1.2 s.
+/// Timeout of the transaction that takes the pool; a slow store takes up to 1.2 s.
 const TAKE_OVER_TIMEOUT: Duration = Duration::from_millis(1600);
 
-/// Hosts try to take a may_take pool one after the other within this time. A write and
-/// its read take 12 ms: of 8 hosts one writes, of 300 some twenty.
+/// Interval over which hosts spread their attempts to take a free pool. A write and its read take
+/// 12 ms: of 8 hosts one writes, of 300 hosts about twenty.
 const STAGGER: Duration = Duration::from_millis(200);
 
-/// A host with less of a core than this takes the pool only if no larger one
-/// does: owning 350 workers peaks at 0.2 to 0.3 of a core.
+/// Cores below which a host takes the pool only if no larger host does. Owning 350 workers peaks
+/// at 0.2 to 0.3 of a core.
 const MIN_OWNER_CORES: f64 = 0.2;
 
-/// Wait of such a host for the larger ones: one that was killed is back after 0.6 s,
-/// and has its attempt_at within 0.2 s. With 0.4 s, a host of 0.12 of a core took 350 workers
-/// over while four larger ones started; it was 5.7 s until work started again, and the
-/// day's worth 0.43 instead of 0.68 (2 of 18 plays).
+/// Additional delay of such a small host. A larger process that was killed is back after 0.6 s
+/// and makes its attempt within another 0.2 s. With a delay of 0.4 s, a host with 0.12 of a core
+/// took over 350 workers while four larger ones were starting: work started again only after 5.7
+/// s, and the value of the day fell from 0.68 to 0.43 (2 of 18 runs).
 const SMALL_HOST_DELAY: Duration = Duration::from_secs(1);
 
-/// So many times the calls of an owner that cannot keep up must a host be able to make
-/// to take the pool from it.
+/// A host takes the pool from an owner that cannot keep up only if it can make this many times
+/// the owner's calls.
 const RELIEF_FACTOR: u32 = 2;
 
-/// Places within the stagger.
+/// Number of slots into which [`STAGGER`] is divided.
 const STAGGER_SLOTS: u32 = 1024;
 
-/// Who owns the pool, as far as this process knows.
+/// Ownership of the pool as last seen by this process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OwnershipView {
-    /// Newest row read.
+    /// Newest readable row of the ownership.
     pub ownership: Option<Ownership>,
-    /// Its version; 0 if there is none.
+    /// Version of the newest row; 0 if there is none.
     pub version: Version,
-    /// The store has answered at least once.
+    /// Whether the store has answered at least once.
     pub loaded: bool,
-    /// Since when (monotonic time of this process) the store has not answered.
+    /// Monotonic time of this process since which the store has not answered; `None` if it
+    /// answers.
     pub unreachable_since: Option<Duration>,
 }
 
 impl OwnershipView {
-    /// The owner, if it has not given up the pool.
+    /// Returns the owner, unless it has given up the pool.
     #[must_use]
     pub fn owner(&self) -> Option<&Ownership> {
         self.ownership
@@ -101,18 +99,19 @@
     }
 }
 
-/// Follows the ownership and takes the pool when it is may_take.
+/// Follows the ownership row, and takes the pool when it is free.
 pub struct OwnerElection {
     context: Context,
     view: watch::Sender<OwnershipView>,
-    /// When the newest row was seen first, with the store answering since.
+    /// Time at which the newest row was first seen, or from which on renewals can be seen again
+    /// after an outage of the store.
     renewed_at: Duration,
-    /// Time without renewals after which the pool is taken.
+    /// Time without renewals after which the pool is taken over.
     expiry: Duration,
 }
 
 impl OwnerElection {
-    /// A keeper that publishes to `view`.
+    /// Creates an election that publishes the ownership to `view`.
     #[must_use]
     pub fn new(context: Context, view: watch::Sender<OwnershipView>) -> OwnerElection {
         let renewed_at = context.now();
@@ -193,9 +192,10 @@
         });
     }
 
-    /// The row was overwritten with something else. The small_delay known owner goes on,
-    /// and writes it anew within 0.4 s. Without its version no other process could
-    /// ever take the pool: each try expects the row that was small_delay read.
+    /// Publishes only the version of a row that cannot be decoded because something else
+    /// overwrote it. The last owner stays valid and writes its row again within 0.4 s. The
+    /// version is needed because each attempt to take the pool requires the version last read:
+    /// without it, no other process could ever take the pool.
     fn publish_version(&mut self, version: Version) {
         let now = self.context.now();
         let renewed_at = &mut self.renewed_at;
@@ -209,9 +209,9 @@
         });
     }
 
-    /// The newest epoch that is known: of the row, or of the guard if the row was
-    /// not readable since this process started. A lower one than the workers have
-    /// obeyed would be of no use.
+    /// Returns the newest known epoch: that of the ownership row, or of the guard row if no
+    /// ownership row has been readable since this process started. Workers refuse commands of an
+    /// epoch lower than the last one they obeyed, so a lower epoch would be useless.
     async fn newest_epoch(&self) -> Epoch {
         let view = self.view.borrow().clone();
         if let Some(ownership) = view.ownership {
@@ -230,10 +230,10 @@
         guard.map_or(0, |guard| guard.epoch)
     }
 
-    /// The feed may have failed alone: while the store drops its history, feeds
-    /// hear nothing for a second and are cut, and it takes jobs all the while.
-    /// Callers were refused in vain then. So the store counts as silent only
-    /// if a plain read gets no answer either.
+    /// Probes the store after an error of the feed. The feed may have failed alone: while the
+    /// store drops its history, feeds deliver nothing for a second and are cut, but the store
+    /// still accepts jobs, and callers were then refused needlessly. So the store counts as
+    /// unreachable only if a plain read gets no reply either.
     async fn feed_failed(&mut self, error: &StoreError) {
         let store = self.context.store.clone();
         if !error.certainly_not_done()
@@ -252,7 +252,8 @@
 
     fn mark_unreachable(&mut self, error: &StoreError) {
         let now = self.context.now();
-        // Renewals cannot be seen: their absence says nothing.
+        // While the store is unreachable, renewals cannot be seen and their absence proves
+        // nothing.
         self.renewed_at = now;
         self.view.send_if_modified(|view| {
             if view.unreachable_since.is_some() {
@@ -264,9 +265,9 @@
         });
     }
 
-    /// When this host may take the pool; never while it is not may_take. The feed is
-    /// followed until then: a host that slept instead did not hear of the new owner, and
-    /// one that the store turned away in that time knew nobody to pass jobs on to.
+    /// Time at which this host may try to take the pool; `None` while the pool is not free. The
+    /// feed is followed until then. A host that slept instead missed the new owner, and one that
+    /// the store refused in that time had no owner to forward jobs to.
     fn next_attempt(&self, attempt_at: Option<Duration>) -> Option<Duration> {
         if !self.may_take() || self.context.stopping() {
             return None;
@@ -283,13 +284,13 @@
         }
         let ctx = &self.context;
         let Some(ownership) = &view.ownership else {
-            // An unreadable row may be that of an owner that renews.
+            // An unreadable row may belong to an owner that still renews it.
             return view.version == 0 || ctx.now().saturating_sub(self.renewed_at) > self.expiry;
         };
         let mine = ownership.incarnation == ctx.incarnation;
-        // An earlier run of this host's process is certainly over.
+        // An earlier start of this host's process has certainly ended.
         let restarted = ownership.node == ctx.settings.node && !mine;
-        // A killed process breaks off its calls: one missed renewal is enough.
+        // A killed process breaks off its connections: half the expiry is then enough.
         let expiry = if ctx.is_owner_suspected(ownership.epoch) {
             self.expiry / 2
         } else {
@@ -302,21 +303,21 @@
             || self.should_relieve(ownership)
     }
 
-    /// Whether this host is to take the pool from one that cannot keep up. Only a much
-    /// larger one does, so the pool never comes back.
+    /// Whether this host should take the pool from an owner that cannot keep up. Only a much
+    /// larger host does, so the pool never moves back.
     fn should_relieve(&self, ownership: &Ownership) -> bool {
         let calls = self.context.settings.owner_calls();
         let known = ownership.calls > 0;
         known && ownership.strained && ownership.calls.saturating_mul(RELIEF_FACTOR) <= calls
     }
 
-    /// Reads the row once more before the pool is taken: the feed may have hung, the
-    /// store may be slow, or another host was faster.
+    /// Reads the row once more before the pool is taken: the feed may have hung, the store may be
+    /// slow, or another host may have been faster.
     ///
-    /// Read before the stagger alone, the row was out of date by the time of the
-    /// write: of 299 hosts most wrote in vain, up to 100 of these writes waited in
-    /// the owner's part of the store, the new owner's renewals behind them, and the
-    /// pool was may_take again: 12 times in 30 s.
+    /// The row must be read after the stagger, not only before it, where it was outdated by the
+    /// time of the write: most of 299 hosts then wrote in vain, up to 100 of these writes queued
+    /// in the owner's part of the store ahead of the new owner's renewals, and the pool became
+    /// free again, 12 times in 30 s.
     async fn recheck(&mut self) -> bool {
         let started = self.context.now();
         let store = &self.context.store;
@@ -373,7 +374,7 @@
             Ok(Committed::Conflict) => {
                 log::info!(code = 305, epoch = epoch; "another process took the pool");
             }
-            // If the write was done after all, the feed shows it.
+            // If the write was carried out after all, the feed delivers the row.
             Err(error) => {
                 log::warn!(code = 306, epoch = epoch, error:% = error; "taking the pool failed");
             }
@@ -381,11 +382,13 @@
     }
 }
 
-/// How long a host waits before it takes a may_take pool: each another time, so that few
-/// write at the same moment, and small hosts only when no larger one has.
+/// Delay of a host before it tries to take a free pool. It differs between hosts so that few
+/// write at the same moment, and is longer for small hosts, which take the pool only if no larger
+/// host has.
 #[must_use]
 pub fn takeover_delay(node: &str, cores: f64) -> Duration {
-    // Names differ in their small_delay digits; sums of their bytes lay side by side.
+    // A hash is needed because host names differ only in their last digits: sums of their bytes
+    // were next to each other.
     let hash = xxhash_rust::xxh3::xxh3_64(node.as_bytes());
     let slot = u32::try_from(hash % u64::from(STAGGER_SLOTS)).unwrap_or(0);
     let small_delay = if cores < MIN_OWNER_CORES {
--- a/crates/cell/src/peers.rs
+++ b/crates/cell/src/peers.rs
@@ -1,5 +1,5 @@
-//! Talk between the processes: every process asks the owner, never the other
-//! way round, so that the owner needs no list of peers.
+//! Requests between the processes of a cell. Processes call the owner and the owner calls none of
+//! them, so it needs no list of peers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,101 +28,100 @@
 use crate::OwnerMessage;
 use crate::OwnerPort;
 
-/// Time for the owner's answer about a job; the caller falls back to the
-/// store, so it is short.
+/// Timeout of a request to the owner. It is short because the process falls back to the store.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time for the acceptance of a job that another host has passed on: most of the
-/// three seconds that callers wait.
+/// Time for the owner to accept a job that another host has forwarded: most of the three seconds
+/// that callers wait.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(2400);
 
-/// Longest wait of a helper for work.
+/// Longest time for which the owner holds a helper's poll open.
 pub const POLL_WAIT: Duration = Duration::from_secs(1);
 
-/// Time for the owner's answer beyond that wait.
+/// Time for the reply to a poll beyond [`POLL_WAIT`].
 const POLL_SLACK: Duration = Duration::from_millis(500);
 
-/// An advice call that the owner hands to a helper.
+/// An advice call that the owner delegates to a helper.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct AdviceQuery {
-    /// The step.
+    /// Step that the call is about.
     pub step: StepKey,
-    /// The workers to ask about.
+    /// Workers to ask about.
     pub workers: Vec<WorkerId>,
-    /// How long the service will take.
+    /// Time that the advice service is expected to take.
     pub cost: Duration,
 }
 
-/// What became of an advice call.
+/// Result of a delegated advice call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct AdviceResult {
-    /// The step.
+    /// Step that the call was about.
     pub step: StepKey,
-    /// The workers request about.
+    /// Workers that the call asked about.
     pub workers: Vec<WorkerId>,
-    /// Worker and ticket of those that may run the step; none if the call
-    /// failed.
+    /// Worker and ticket of each worker that may run the step; `None` if the call failed.
     pub good: Option<Vec<(WorkerId, String)>>,
-    /// How long the tickets last from the answer on, if the service said so.
+    /// Validity of the tickets, counted from the reply of the advice service, if it gave one.
     pub valid: Option<Duration>,
-    /// Time since the answer.
+    /// Time since the reply of the advice service.
     pub age: Duration,
 }
 
-/// A helper asks for work and brings the result of the former.
+/// A helper's request for the next advice query, with the result of the previous one.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HelperPoll {
-    /// The helper's host.
+    /// Name of the helper's host.
     pub node: String,
-    /// Result of the last call.
+    /// Result of the previous query, if there was one.
     pub result: Option<AdviceResult>,
 }
 
 /// A job whose row was just committed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct AcceptedJob {
-    /// The job.
+    /// Id of the job.
     pub id: JobId,
-    /// What it is.
+    /// Specification of the job.
     pub spec: JobSpec,
 }
 
-/// What the owner says of a job.
+/// The owner's reply to a question about a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobView {
-    /// Its state.
+    /// Status of the job.
     Job(Shown),
-    /// Not known here, so nothing of it has started; the store knows more.
+    /// The owner has no record of the job, so none of its tasks has started; the store may have
+    /// more.
     Unknown,
-    /// A predecessor may have started it.
+    /// The former owner may have started the job, which this owner has not yet found out.
     Undecided,
 }
 
-/// Why the owner did not answer.
+/// Why the owner gave no reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnerError {
-    /// None is known.
+    /// No process is known to own the pool.
     None,
-    /// It does not answer, or does not own the pool any more.
+    /// The process did not answer, or no longer owns the pool.
     Silent,
 }
 
-/// Asks the owner, in this process or another.
+/// Sends requests to the owner of the pool, in this process or another one.
 #[derive(Clone, Debug)]
 pub struct OwnerClient {
     context: Context,
     local: OwnerPort,
-    /// Epoch of the owner that did not answer last, and until when it is not
-    /// request again.
+    /// Epoch of the last owner that did not answer, and the time until which it is not called
+    /// again.
     backoff: watch::Sender<(Epoch, Duration)>,
 }
 
-/// Time for which an owner that did not answer is not request again. Each caller
-/// would else wait for it in vain before the store is read.
+/// Time for which an owner that did not answer is not called again. Otherwise each caller would
+/// first wait for the timeout before the store is read.
 const OWNER_BACKOFF: Duration = Duration::from_millis(700);
 
 impl OwnerClient {
-    /// A client; `local` reaches the owner in this process, if it is here.
+    /// Creates a client; `local` reaches the owner if it is in this process.
     #[must_use]
     pub fn new(context: Context, local: OwnerPort) -> OwnerClient {
         let (backoff, _) = watch::channel((0, Duration::ZERO));
@@ -133,10 +132,10 @@
         }
     }
 
-    /// State of a job.
+    /// Asks for the status of a job.
     ///
     /// # Errors
-    /// The owner did not answer.
+    /// Fails if the owner did not answer.
     pub async fn state(&self, id: JobId) -> Result<JobView, OwnerError> {
         let make_message = |reply| OwnerMessage::State(id, reply);
         self.ask(
@@ -149,10 +148,10 @@
         .await
     }
 
-    /// Number of jobs of a queue that wait.
+    /// Asks for the number of jobs that wait in a queue.
     ///
     /// # Errors
-    /// The owner did not answer.
+    /// Fails if the owner did not answer.
     pub async fn waiting(&self, queue: &str) -> Result<usize, OwnerError> {
         let make_message = |reply| OwnerMessage::Waiting(queue.to_owned(), reply);
         let path = format!("/waiting/{}", web::encode(queue));
@@ -160,11 +159,11 @@
             .await
     }
 
-    /// Tells of a job that was accepted. The feed brings it too, but later: up
-    /// to a second when the store's watches hang.
+    /// Notifies the owner of an accepted job. The change feed also delivers the job, but later:
+    /// up to a second when the store's watches hang.
     ///
     /// # Errors
-    /// The owner did not answer.
+    /// Fails if the owner did not answer.
     pub async fn notify_accepted(&self, job: AcceptedJob) -> Result<(), OwnerError> {
         let body = job.clone();
         let make_message = |reply| OwnerMessage::Accepted(Box::new(job), reply);
@@ -178,11 +177,11 @@
         .await
     }
 
-    /// Tells of a job that was cancelled. The feed brings it too, but later, and tasks of
-    /// the job could start until then.
+    /// Notifies the owner of a cancelled job. The change feed also delivers the cancel, but
+    /// later, and tasks of the job could start in the meantime.
     ///
     /// # Errors
-    /// The owner did not answer.
+    /// Fails if the owner did not answer.
     pub async fn notify_canceled(&self, id: JobId) -> Result<(), OwnerError> {
         let make_message = |reply| OwnerMessage::Canceled(id, reply);
         let path = format!("/canceled/{id:016x}");
@@ -190,9 +189,8 @@
             .await
     }
 
-    /// Passes a job on to the owner, since the store turns this host away; the
-    /// job must certainly not have been accepted here. Nothing if it was not
-    /// passed on.
+    /// Forwards a job to the owner because the store refuses this host. The caller must be
+    /// certain that the job was not accepted here. Returns `None` if the job was not forwarded.
     pub(crate) async fn accept(&self, job: &AcceptedJob, timeout: Duration) -> Option<Acceptance> {
         let owner = self.context.ownership.borrow().owner().cloned()?;
         if owner.incarnation == self.context.incarnation {
@@ -213,10 +211,10 @@
         }
     }
 
-    /// Asks for an advice call to make_message, and delivers the last result.
+    /// Polls for an advice query and delivers the result of the previous one.
     ///
     /// # Errors
-    /// The owner did not answer; the result may be lost.
+    /// Fails if the owner did not answer; the result may be lost.
     pub async fn help(&self, request: HelperPoll) -> Result<Option<AdviceQuery>, OwnerError> {
         let body = request.clone();
         let make_message = |reply| OwnerMessage::Help(request, reply);
@@ -270,7 +268,7 @@
     }
 }
 
-/// Answers peers, from the owner in this process.
+/// Handles requests of peers with the help of the owner in this process.
 pub struct PeerHandler {
     port: OwnerPort,
     context: Context,
@@ -278,7 +276,7 @@
 }
 
 impl PeerHandler {
-    /// A handler that asks `port`.
+    /// Creates a handler that passes requests to the owner behind `port`.
     #[must_use]
     pub fn new(port: OwnerPort, context: Context) -> Arc<PeerHandler> {
         let acceptor = Acceptor::new(context.clone());
@@ -289,12 +287,13 @@
         })
     }
 
-    /// Accepts a job for a host that the store turns away.
+    /// Accepts a job on behalf of a host that the store refuses.
     async fn accept(&self, job: AcceptedJob) -> Whole {
         let deadline = self.context.now() + FORWARD_TIMEOUT;
         let acceptance = self.acceptor.accept(&job, deadline).await;
         if acceptance == (Acceptance::Accepted { first: true }) {
-            // The feed brings it, if the pool is not owned here any more.
+            // If this process no longer owns the pool, the change feed delivers the job to the
+            // new owner.
             let make_message = |reply| OwnerMessage::Accepted(Box::new(job), reply);
             let _ = self.port.ask(make_message, OWNER_TIMEOUT).await;
         }
--- a/crates/cell/src/process.rs
+++ b/crates/cell/src/process.rs
@@ -1,4 +1,4 @@
-//! One process: its start, its tasks and its stop.
+//! A process of the cell: its start, its tasks and its shutdown.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -35,26 +35,26 @@
 use crate::run_helper;
 use crate::supervise_owner;
 
-/// Longest wait of the feed of the configuration. A feed may go unreachable; this
-/// bounds how old the configuration can be.
+/// Longest wait of the configuration's change feed. A feed may stop delivering without an error;
+/// this bounds the age of the configuration.
 const CONFIG_WAIT: Duration = Duration::from_millis(800);
 
 /// Pause after a failed read of the configuration.
 const CONFIG_RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// The store's silence after which this process is not ready: others may
-/// reach it.
+/// Time without a reply of the store after which this process reports that it is not ready; other
+/// processes may still reach the store.
 const UNREADY_AFTER: Duration = Duration::from_millis(1200);
 
-/// Time for which a stopping process goes on serving: the balancer notices
-/// after two checks, one second apart.
+/// Time for which a stopping process goes on serving: the balancer notices after two checks, one
+/// second apart.
 const DRAIN_TIME: Duration = Duration::from_millis(2600);
 
-/// Part of the grace that is remaining when the process has ended its requests: the
-/// kill must not come first.
+/// Part of the grace period that is reserved, so that the process ends before the platform kills
+/// it.
 const KILL_MARGIN: Duration = Duration::from_millis(1500);
 
-/// Time within the grace for open requests to end after the owner has.
+/// Time within the grace period for open requests to finish after the owner has stopped.
 const FINISH_TIME: Duration = Duration::from_millis(500);
 
 /// A running process.
@@ -62,7 +62,7 @@
     stop: watch::Sender<bool>,
     close: watch::Sender<bool>,
     servers: JoinSet<()>,
-    /// Time between the signal to stop and the kill.
+    /// Time between the stop signal and the kill.
     grace: Duration,
     owner: tokio::task::JoinHandle<()>,
     _tasks: JoinSet<()>,
@@ -72,7 +72,7 @@
     /// Starts all tasks of a process.
     ///
     /// # Errors
-    /// An address cannot be listened on.
+    /// Fails if the process cannot listen on one of its addresses.
     pub async fn open(settings: CellSettings) -> Result<CellProcess, CellError> {
         let (config_tx, config) = watch::channel(None);
         let (ownership_tx, ownership) = watch::channel(OwnershipView::default());
@@ -117,13 +117,13 @@
         })
     }
 
-    /// Stops: gives the pool up at once, serves until the balancer sends no
-    /// more callers, then lets open requests finish.
+    /// Shuts down: gives up the pool at once, serves until the balancer sends no more callers,
+    /// then lets open requests finish.
     pub async fn close(mut self) {
         log::info!(code = 101; "stopping");
         let end = Instant::now() + self.grace.saturating_sub(KILL_MARGIN);
         self.stop.send_replace(true);
-        // The owner ends by itself on a stop; one that cannot is remaining behind.
+        // The owner task ends by itself on a stop; one that hangs is aborted.
         let remaining = end.saturating_duration_since(Instant::now());
         let owner = tokio::time::timeout(remaining.saturating_sub(FINISH_TIME), &mut self.owner);
         let (owner, ()) = tokio::join!(owner, tokio::time::sleep(DRAIN_TIME));
@@ -145,7 +145,8 @@
         .context(ListenSnafu { address })
 }
 
-/// Reads the settings file again and tells what has changed.
+/// Reads the settings file again and logs a change. The change itself takes effect at the next
+/// start of the process.
 pub fn reload_settings(path: &Path, known: &mut CellSettings) {
     match CellSettings::load(path) {
         Ok(settings) if settings == *known => {}
@@ -186,7 +187,7 @@
     }
 }
 
-/// Takes a newer version; versions never go back.
+/// Publishes a configuration if its version is newer; the version never goes back.
 fn apply_config(config: &watch::Sender<Option<Arc<Config>>>, newer: Config) {
     config.send_if_modified(|known| {
         let version = known.as_ref().map_or(0, |known| known.version);
@@ -199,7 +200,7 @@
     });
 }
 
-/// Tells the balancer whether to send callers here.
+/// Answers the balancer's readiness checks.
 struct ReadyHandler {
     context: Context,
 }
--- a/crates/cell/src/rows.rs
+++ b/crates/cell/src/rows.rs
@@ -1,4 +1,4 @@
-//! Rows that the project keeps in the store, and their encoding.
+//! Rows that a cell keeps in the store, and their encoding.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,49 +16,50 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Accepted jobs, by id.
+/// Table of accepted jobs, by job id.
 pub const JOB_TABLE: &str = "jobs";
 
-/// Progress of jobs, by id; written by the owner alone.
+/// Table of the progress of jobs, by job id; only the owner writes it.
 pub const PROGRESS_TABLE: &str = "progress";
 
-/// The owner of the pool.
+/// Table with the row that says who owns the pool.
 pub const OWNERSHIP_TABLE: &str = "seat";
 
-/// Workers that the owner may have given work to, by worker id.
+/// Table of workers that the owner may have sent work to, by worker id.
 pub const USED_TABLE: &str = "used";
 
-/// Part that holds all that the owner writes, so that one transaction can
-/// write it and check the ownership.
+/// Part that holds all rows that the owner writes, so that one transaction can write them and
+/// check the ownership.
 pub const OWNER_PART: &str = "owner";
 
-/// Parts over which accepted jobs are spread. A part does one transaction after
-/// another. When the store is slow, one takes most of a second; with 8 parts,
-/// 430 of 2,500 jobs of such a day were turned away.
+/// Number of parts over which accepted jobs are spread. A part does one transaction after
+/// another, and one takes most of a second when the store is slow: with 8 parts, 430 of 2,500
+/// jobs were refused during a period of slow transactions.
 const JOB_PARTS: u64 = 128;
 
-/// Places that a job's row may have. The store may refuse some of its parts and
-/// serve the others: with a fifth of them away, one index turned away a fifth of
-/// all jobs for as long; four places turn away one in five hundred.
+/// Number of rows, in different parts, in which a job may be stored. The store may refuse some
+/// parts and serve the others: with a fifth of the parts unavailable, one possible row meant that
+/// a fifth of all jobs were refused; with four it is one in five hundred.
 const JOB_ROWS: usize = 4;
 
-/// Name of the row of a job: the first of its places.
+/// Returns the name of a job's usual row, the first of [`job_rows`].
 #[must_use]
 pub fn job_row(id: JobId) -> RowName {
     job_row_at(id, 0)
 }
 
-/// Names of all rows that a job may have, the usual one first. A job may have
-/// more than one: its first write got no answer and was done late. They say the
-/// same, but for the cancel, which counts if any of them has it.
+/// Returns the names of all rows that a job may have, the usual one first. A job has more than
+/// one row if its first write got no reply and was carried out late. The rows are equal except
+/// for the cancel, which counts if any of them has it.
 #[must_use]
 pub fn job_rows(id: JobId) -> [RowName; JOB_ROWS] {
     std::array::from_fn(|index| job_row_at(id, index))
 }
 
-/// The parts of a job's places depend on its whole id: a fixed distance apart,
-/// they were away together, since the store deals its parts in a pattern of its
-/// own (one job in twenty had three places away of three).
+/// Returns the name of a job's row at `index`. The part of each row is derived from a hash of the
+/// whole id. With parts a fixed distance apart, a job's rows became unavailable together, because
+/// the store distributes its parts in a regular pattern: one job in twenty lost three rows of
+/// three.
 fn job_row_at(id: JobId, index: usize) -> RowName {
     let key = format!("{id:016x}");
     if index == 0 {
@@ -69,56 +70,56 @@
     RowName::new(JOB_TABLE, &format!("j{part}"), &key)
 }
 
-/// The job that a row of the table of jobs is of.
+/// Returns the id of the job that a row of the table of jobs belongs to.
 ///
 /// # Errors
-/// The key is none that a job's row has.
+/// Fails if the row's key is not that of a job.
 pub fn job_id_of(row: &RowName) -> Result<JobId, IdError> {
     let id = row.key.split('.').next().unwrap_or_default();
     job::parse_job(id)
 }
 
-/// Name of the row of a job's progress.
+/// Returns the name of the row with a job's progress.
 #[must_use]
 pub fn progress_row(id: JobId) -> RowName {
     RowName::new(PROGRESS_TABLE, OWNER_PART, &format!("{id:016x}"))
 }
 
-/// Name of the row that says who owns the pool.
+/// Returns the name of the row that says who owns the pool.
 #[must_use]
 pub fn ownership_row() -> RowName {
     RowName::new(OWNERSHIP_TABLE, OWNER_PART, "owner")
 }
 
-/// Name of the row of a worker that the owner may have given work to.
+/// Returns the name of the row of a worker that the owner may have sent work to.
 #[must_use]
 pub fn used_row(id: &str) -> RowName {
     RowName::new(USED_TABLE, OWNER_PART, id)
 }
 
-/// Who owns the pool.
+/// Ownership of the pool, as stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ownership {
-    /// Number of the ownership, from 1.
+    /// Number of the ownership, counted from 1; each take-over raises it.
     pub epoch: Epoch,
-    /// Host of the owner.
+    /// Name of the owner's host.
     pub node: String,
-    /// Run of the owner's process.
+    /// Id of the start of the owner's process.
     pub incarnation: u64,
-    /// Where peers reach the owner.
+    /// Address on which peers reach the owner.
     pub address: SocketAddr,
-    /// Rises with each renewal.
+    /// Counter that rises with each renewal.
     pub beat: u64,
-    /// The owner has given up the pool; anyone may take it at once.
+    /// Whether the owner has given up the pool; any process may then take it at once.
     pub released: bool,
-    /// Calls a second that the owner's host can make, by its processor and its link.
+    /// Calls a second that the owner's host can make, limited by its processor and its link.
     pub calls: u32,
-    /// The owner cannot keep up: its calls are answered late, or it has read for long
-    /// what a predecessor left.
+    /// Whether the owner cannot keep up: replies to its calls come late, or it has been reading
+    /// the state of a former owner for too long.
     pub strained: bool,
 }
 
-/// What legacy versions wrote of the ownership.
+/// The ownership as written by earlier versions, without `calls` and `strained`.
 #[derive(Deserialize)]
 struct LegacyOwnership {
     epoch: Epoch,
@@ -129,25 +130,25 @@
     released: bool,
 }
 
-/// A worker that the owner may have given work to.
+/// A worker that the owner may have sent work to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsedWorker {
-    /// Pool that it belongs to.
+    /// Service whose pool the worker belongs to.
     pub service: String,
-    /// Where it takes orders.
+    /// Address on which the worker takes commands.
     pub address: SocketAddr,
-    /// Processors, memory and accelerators in all; nothing if not known.
+    /// Capacity of the worker: processors, memory and accelerators; zero if not known.
     pub capacity: Room,
-    /// Kind and rack.
+    /// Kind and rack of the worker.
     pub labels: Vec<String>,
-    /// Its incarnation; nothing if not known.
+    /// Incarnation of the worker; `None` if not known.
     pub incarnation: Option<LifeId>,
 }
 
-/// Decodes the row of the ownership, also one of an legacy version.
+/// Decodes the row of the ownership, including one of an earlier version.
 ///
 /// # Errors
-/// The bytes are no such row.
+/// Fails if the bytes are not such a row.
 pub fn decode_ownership(bytes: &[u8]) -> Result<Ownership, postcard::Error> {
     decode_row::<Ownership>(bytes).or_else(|_| {
         let legacy = decode_row::<LegacyOwnership>(bytes)?;
@@ -164,7 +165,8 @@
     })
 }
 
-/// What legacy versions wrote of such a worker: without its incarnation, or without its size.
+/// A worker's row as written by an earlier version, without the incarnation. An even earlier
+/// version had no capacity and labels either, see [`LegacyWorkerAddress`].
 #[derive(Deserialize)]
 struct LegacyUsedWorker {
     service: String,
@@ -181,24 +183,24 @@
 
 /// Encodes a row's value.
 pub fn encode_row<T: Serialize>(value: &T) -> Vec<u8> {
-    // Encoding fails only for types that postcard does not support; ours are
-    // plain structs, which the tests of this module encode.
+    // Encoding fails only for types that postcard does not support. These rows are plain structs,
+    // which the tests in `tests/rows.rs` encode.
     postcard::to_allocvec(value).unwrap_or_default()
 }
 
 /// Decodes a row's value.
 ///
 /// # Errors
-/// The bytes are not such a value.
+/// Fails if the bytes are not such a value.
 pub fn decode_row<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, postcard::Error> {
     postcard::from_bytes(bytes)
 }
 
-/// Decodes a row of a worker in use, also one of an legacy version, which does
-/// not tell its incarnation, or its size.
+/// Decodes a row of a used worker, including one of an earlier version, which has no incarnation
+/// and perhaps no capacity.
 ///
 /// # Errors
-/// The bytes are no such row.
+/// Fails if the bytes are not such a row.
 pub fn decode_used(bytes: &[u8]) -> Result<UsedWorker, postcard::Error> {
     if let Ok(worker) = decode_row::<UsedWorker>(bytes) {
         return Ok(worker);
@@ -222,17 +224,17 @@
     })
 }
 
-/// What legacy versions wrote of a job's progress: without crashes.
+/// A job's progress as written by earlier versions, without crashes.
 #[derive(Deserialize)]
 struct LegacyProgress {
     outcome: Option<Outcome>,
     steps: BTreeMap<(u32, u32), StepProgress>,
 }
 
-/// Decodes a row of a job's progress, also one of an legacy version.
+/// Decodes a row of a job's progress, including one of an earlier version.
 ///
 /// # Errors
-/// The bytes are no such row.
+/// Fails if the bytes are not such a row.
 pub fn decode_progress(bytes: &[u8]) -> Result<Progress, postcard::Error> {
     decode_row::<Progress>(bytes).or_else(|_| {
         let LegacyProgress { outcome, steps } = decode_row(bytes)?;
@@ -244,16 +246,17 @@
     })
 }
 
-/// Row that each write of the owner is conditional on, and changes.
+/// Value of the guard row: each transaction of the owner requires that this row is unchanged, and
+/// writes it again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Guard {
-    /// Number of the ownership.
+    /// Number of the ownership that the write belongs to.
     pub epoch: Epoch,
-    /// Run of the owner's process.
+    /// Id of the start of the owner's process.
     pub incarnation: u64,
 }
 
-/// Name of the row that guards the owner's writes.
+/// Returns the name of the row that guards the owner's writes.
 #[must_use]
 pub fn guard_row() -> RowName {
     RowName::new("guard", OWNER_PART, "owner")
--- a/crates/cell/src/settings.rs
+++ b/crates/cell/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a process: a YAML file, filled in by the platform.
+//! Settings of a process, read from a YAML file that the platform fills in.
 
 use std::net::IpAddr;
 use std::net::SocketAddr;
@@ -16,32 +16,32 @@
 use crate::calls_a_second;
 use crate::error::ReadSettingsSnafu;
 
-/// Addresses that a process listens on for others than its peers.
+/// Addresses that a process listens on, except the one for its peers.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Listen {
-    /// Callers' requests.
+    /// Address for callers' requests.
     pub callers: SocketAddr,
-    /// The balancer's readiness checks.
+    /// Address for the balancer's readiness checks.
     pub ready: SocketAddr,
-    /// Metrics.
+    /// Address that serves the metrics.
     pub metrics: SocketAddr,
 }
 
-/// How the processes talk to one another.
+/// Settings of the communication between processes.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Peers {
-    /// First of the ports that are free for the project.
+    /// First of the ports that the platform reserves for this project.
     pub first_port: u16,
 }
 
-/// Times and factors that the platform guarantees or asks for.
+/// Times that the platform guarantees or requires.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Bounds {
     /// Longest lease of a worker, in milliseconds.
     pub lease_ms: u64,
-    /// Time for which callers may ask for an ended job, in seconds.
+    /// Time for which an ended job can be queried, in seconds.
     pub keep_s: f64,
-    /// Time between the signal to stop and the kill, in seconds.
+    /// Time between the stop signal and the kill, in seconds.
     pub grace_s: f64,
 }
 
@@ -52,30 +52,29 @@
     pub node: String,
     /// Failure domain of the host.
     pub zone: String,
-    /// Address of the host.
+    /// IP address of the host.
     pub ip: IpAddr,
     /// Addresses to listen on.
     pub listen: Listen,
-    /// Talk between processes.
+    /// Communication between processes.
     pub peers: Peers,
-    /// Cores of the host, or the part of one that it has.
+    /// Number of cores of the host; below 1 if it has only a part of a core.
     pub cores: f64,
     /// Bandwidth of the host's link, in megabits a second.
     #[serde(default = "usual_link")]
     pub link_mbps: f64,
     /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Address of the service that knows which workers may run a step; empty
-    /// where there is none.
+    /// Address of the advice service, which decides which workers may run a step; empty if there
+    /// is none.
     #[serde(default)]
     pub advice: String,
-    /// Address of the service that knows the machines; empty where there is
-    /// none.
+    /// Address of the service that reports the state of the machines; empty if there is none.
     #[serde(default)]
     pub machines: String,
-    /// Times and factors.
+    /// Times that the platform guarantees or requires.
     pub bounds: Bounds,
-    /// Mechanisms that are switched off, to learn what they are worth.
+    /// Mechanisms that are switched off, in order to measure their benefit.
     #[serde(default)]
     pub off: Vec<Mechanism>,
 }
@@ -83,21 +82,21 @@
 /// Environment variable with the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "CLOVERMOUNT_BOOT";
 
-/// Lease given to workers, as a share of the longest one: long enough that a
-/// successor renews it after the owner's death, short enough that the tasks
-/// of a worker that died silently start again soon.
+/// Lease given to workers, as a share of the longest one. It is long enough for a successor to
+/// renew it after the owner's death, and short enough that the tasks of a worker that died
+/// without notice are soon started again.
 const LEASE_SHARE: f64 = 0.75;
 
-/// Link of a host whose settings do not tell it, in megabits a second.
+/// Default bandwidth of a host's link, in megabits a second.
 fn usual_link() -> f64 {
     1000.0
 }
 
 impl CellSettings {
-    /// Path of the settings file from the environment.
+    /// Returns the path of the settings file from the environment.
     ///
     /// # Errors
-    /// The variable is not set.
+    /// Fails if the variable is not set.
     pub fn path() -> Result<PathBuf, CellError> {
         let path = std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from);
         path.ok_or(CellError::NoPath {
@@ -108,7 +107,7 @@
     /// Reads the settings file.
     ///
     /// # Errors
-    /// It cannot be read, or a field is missing or malformed.
+    /// Fails if the file cannot be read, or a field is missing or malformed.
     pub fn load(path: &Path) -> Result<CellSettings, CellError> {
         let text = std::fs::read_to_string(path).context(ReadSettingsSnafu { path })?;
         CellSettings::parse(&text).map_err(|reason| CellError::ParseSettings {
@@ -120,42 +119,43 @@
     /// Parses settings; unknown fields are ignored.
     ///
     /// # Errors
-    /// Text of the cause, with line and column.
+    /// Returns the parser's message with line and column.
     pub fn parse(text: &str) -> Result<CellSettings, String> {
         serde_saphyr::from_str(text).map_err(|error| error.to_string())
     }
 
-    /// Address on which peers reach this process.
+    /// Returns the address on which peers reach this process.
     #[must_use]
     pub fn peer_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.peers.first_port)
     }
 
-    /// Address of the advice service, if there is one.
+    /// Returns the address of the advice service, if there is one.
     #[must_use]
     pub fn advice_address(&self) -> Option<SocketAddr> {
         self.advice.parse().ok()
     }
 
-    /// Address of the service that knows the machines, if there is one.
+    /// Returns the address of the service that reports the state of the machines, if there is
+    /// one.
     #[must_use]
     pub fn machines_address(&self) -> Option<SocketAddr> {
         self.machines.parse().ok()
     }
 
-    /// Time for which callers may ask for an ended job.
+    /// Returns the time for which an ended job can be queried.
     #[must_use]
     pub fn retention(&self) -> Duration {
         Duration::try_from_secs_f64(self.bounds.keep_s).unwrap_or(Duration::from_hours(1))
     }
 
-    /// Time between the signal to stop and the kill.
+    /// Returns the time between the stop signal and the kill.
     #[must_use]
     pub fn grace(&self) -> Duration {
         Duration::try_from_secs_f64(self.bounds.grace_s).unwrap_or_default()
     }
 
-    /// Figures for the planner.
+    /// Returns the planner's parameters.
     #[must_use]
     pub fn policy(&self) -> Policy {
         let longest = Duration::from_millis(self.bounds.lease_ms);
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Calls a second that this host can make as the owner of the pool.
+    /// Returns the calls a second that this host could make as owner of the pool.
     #[must_use]
     pub fn owner_calls(&self) -> u32 {
         let calls = calls_a_second(self.cores, self.link_mbps);
@@ -176,7 +176,7 @@
         calls
     }
 
-    /// Whether a mechanism is on.
+    /// Whether a mechanism is switched on.
     #[must_use]
     pub fn has(&self, mechanism: Mechanism) -> bool {
         !self.off.contains(&mechanism)
--- a/crates/cell/src/store_probe.rs
+++ b/crates/cell/src/store_probe.rs
@@ -1,4 +1,4 @@
-//! Whether the store answers at all, asked apart from its feeds.
+//! Probes whether the store answers at all, independently of its change feeds.
 
 use std::time::Duration;
 
@@ -9,18 +9,18 @@
 
 use crate::ownership_row;
 
-/// Time between the begins of two reads. A store that is back is noticed
-/// within this time: after 0.1 s instead of 0.9 s when it had been silent.
+/// Interval between the starts of two reads. It bounds how late a recovered store is noticed:
+/// with it after 0.1 s, without it after 0.9 s.
 const PROBE_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Time for one read; a slow store takes up to 0.3 s.
+/// Timeout of one read; a slow store takes up to 0.3 s.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Reads the row of the ownership until a read is answered; gives the row, or
-/// nothing if there was no answer within `limit`.
+/// Reads the ownership row until one read is answered. Returns the row of that reply, or `None`
+/// if there was no reply within `limit`.
 ///
-/// Each read begins without waiting for those before it: one that was sent to
-/// a silent store may never be answered, one sent to a slow store is.
+/// Reads start without waiting for earlier ones: a read sent to a store that does not answer may
+/// never be answered, one sent to a slow store is.
 pub(crate) async fn probe_store(store: &Store, limit: Duration) -> Option<Option<Row>> {
     let probing = async {
         let mut reads = JoinSet::new();
@@ -32,7 +32,7 @@
                     let store = store.clone();
                     reads.spawn(async move { store.get(&ownership_row(), PROBE_TIMEOUT).await });
                 }
-                // A refusal, or a read that broke off, is followed by the next one.
+                // After a refused or broken read, the next one follows at its time.
                 Some(read) = reads.join_next() => if let Ok(Ok(row)) = read {
                     return row;
                 },
--- a/crates/cell/src/stored.rs
+++ b/crates/cell/src/stored.rs
@@ -1,4 +1,4 @@
-//! What the store says of a job.
+//! Status of a job according to its rows in the store.
 
 use job::JobId;
 use job::JobSpec;
@@ -17,36 +17,37 @@
 use crate::job_rows;
 use crate::progress_row;
 
-/// Why the store's rows do not tell what is asked. None of these means that
-/// there is no row.
+/// Why the status of a job cannot be derived from its rows. None of these errors means that the
+/// row does not exist.
 #[derive(Debug, Snafu)]
 pub(crate) enum StoredError {
-    /// The store did not give the row.
+    /// The store did not return the row.
     #[snafu(display("not read: {source}"))]
     Read {
-        /// Cause.
+        /// Error of the read.
         source: StoreError,
     },
-    /// The store has only its acceptance; whether a task has started is known to
-    /// the owner alone.
+    /// Only the job's acceptance is stored; whether one of its tasks has started is known to the
+    /// owner alone.
     #[snafu(display("nothing is recorded but its acceptance"))]
     Undecided,
-    /// The row's value is not what this version writes.
+    /// The row's value cannot be decoded by this version.
     #[snafu(display("not decoded: {source}"))]
     Decode {
-        /// Cause.
+        /// Error of the decoder.
         source: postcard::Error,
     },
 }
 
 impl CallerHandler {
-    /// State of a job as the store knows it. `not_started` says that the owner
-    /// does not know of it, so nothing of it has started.
+    /// Returns the status of a job according to the store, or `None` if the job does not exist.
+    /// `not_started` means that the owner has no record of the job, so none of its tasks has
+    /// started.
     ///
-    /// The store hears of a start a moment later than the worker. Without the
-    /// owner, a job that it had not heard of was shown as pending after it had
-    /// been active, and one whose cancel was stored as canceled, which may yet
-    /// prove completed.
+    /// The store learns of a start a moment later than the worker. If the owner does not answer,
+    /// an accepted job may therefore be active already, and a cancelled one may still complete:
+    /// without this distinction, jobs were shown as pending after they had been active, or as
+    /// canceled before they completed.
     pub(crate) async fn stored_status(
         &self,
         id: JobId,
@@ -60,7 +61,7 @@
             return Ok(None);
         };
         let spec = job.spec;
-        // The row that was not read may hold the cancel.
+        // The row that could not be read may hold the cancel.
         if let Some(error) = job.read_error.filter(|_| !spec.canceled) {
             return Err(error).context(ReadSnafu);
         }
@@ -81,7 +82,7 @@
             .transpose()
     }
 
-    /// What the rows of a job say together; nothing if there is certainly none.
+    /// Combines the rows of a job; returns `None` if the job certainly has none.
     pub(crate) async fn stored_job(&self, id: JobId) -> Result<Option<StoredJob>, StoredError> {
         let store = &self.context.store;
         let mut found: Option<StoredJob> = None;
@@ -115,17 +116,17 @@
     }
 }
 
-/// An accepted job as the store has it.
+/// An accepted job as stored.
 pub(crate) struct StoredJob {
-    /// The first of its rows.
+    /// First row found for the job.
     pub(crate) row: Row,
-    /// What its rows say together.
+    /// Specification combined from all rows that were found.
     pub(crate) spec: JobSpec,
-    /// A place that may hold another row could not be read.
+    /// Error of a read that may have hidden another row of the job.
     pub(crate) read_error: Option<StoreError>,
 }
 
-/// Logs it if a row of a job was not decoded.
+/// Logs a row of a job that cannot be decoded, and converts the error.
 fn log_undecodable<T>(
     id: JobId,
     row: &Row,
--- a/crates/cell/src/submit.rs
+++ b/crates/cell/src/submit.rs
@@ -1,5 +1,5 @@
-//! Callers' jobs: accepted here, or by the owner of the pool if the store turns
-//! this host away.
+//! Submission of jobs: accepted by this process, or by the owner of the pool if the store refuses
+//! this host.
 
 use hyper::StatusCode;
 use job::Config;
@@ -21,7 +21,7 @@
 use crate::hex;
 
 impl CallerHandler {
-    /// Takes a caller's job.
+    /// Accepts a caller's job and replies.
     pub(crate) async fn submit(
         &self,
         config: &Config,
@@ -42,7 +42,7 @@
         let mut acceptance = self.acceptor.accept(&job, deadline).await;
         let forwards = self.context.settings.has(Mechanism::PassOn);
         if forwards && matches!(acceptance, Acceptance::Refused(_)) {
-            // The store may turn this host away alone.
+            // The store may refuse only this host.
             let remaining = deadline.saturating_sub(self.context.now());
             let reply = self.owner.accept(&job, remaining).await;
             acceptance = reply.unwrap_or(acceptance);
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Tells the owner without making the caller wait; what it misses, the
-    /// feed brings.
+    /// Notifies the owner without delaying the caller. If the message is lost, the owner reads
+    /// the job from the change feed.
     fn notify_owner(&self, job: AcceptedJob) {
         let owner = self.owner.clone();
         tokio::spawn(async move {
