--- a/crates/cell/src/acceptor.rs
+++ b/crates/cell/src/acceptor.rs
@@ -72,7 +72,7 @@
         let started = self.context.now();
         let mut ambiguous = false;
         if self.context.store_unreachable() {
-            log::warn!(code = 402, job = id.as_str(), reason = "store silent"; "job refused");
+            log::warn!(code = 402, job = id.as_str(), reason = "store unreachable"; "job refused");
             return Acceptance::Refused("the store cannot be reached from this host".to_owned());
         }
         let mut rows = job_rows(job.id).to_vec();
@@ -86,7 +86,7 @@
             let result = tokio::select! {
                 result = self.commit(&transaction, remaining) => result,
                 () = self.context.wait_unreachable() => {
-                    log::warn!(code = 403, job = id.as_str(), reason = "store silent"; "acceptance unknown");
+                    log::warn!(code = 403, job = id.as_str(), reason = "store unreachable"; "acceptance unknown");
                     return Acceptance::Unknown("the store cannot be reached from this host".to_owned());
                 }
             };
@@ -99,7 +99,7 @@
                 }
                 // Only this part of the store refuses the write; another part may accept it.
                 Err(error) if error.certainly_not_done() && index + 1 < rows.len() => {
-                    log::info!(code = 405, job = id.as_str(), place = index, error:% = error; "another part is tried");
+                    log::info!(code = 405, job = id.as_str(), place = index, error:% = error; "part of the store refused the job; trying another part");
                     index += 1;
                     continue;
                 }
--- a/crates/cell/src/advice_helper.rs
+++ b/crates/cell/src/advice_helper.rs
@@ -25,7 +25,7 @@
 /// Polls the owner for advice queries and carries them out until the process stops.
 pub async fn run_helper(context: Context, owner: OwnerClient) {
     let Some(server) = context.settings.advice_address() else {
-        log::info!(code = 321; "no advice service");
+        log::info!(code = 321; "no advice service configured");
         return;
     };
     let advice = AdviceClient::new(context.client.clone(), server);
@@ -53,11 +53,11 @@
             result(query.step, query.workers, Some(good), valid)
         }
         Ok(AdviceReply::Refused(status)) => {
-            log::warn!(code = 322, step:% = query.step, status = status; "advice refused");
+            log::warn!(code = 322, step:% = query.step, status = status; "advice call refused");
             result(query.step, query.workers, None, None)
         }
         Err(error) => {
-            log::warn!(code = 323, step:% = query.step, error:% = error; "advice did not answer");
+            log::warn!(code = 323, step:% = query.step, error:% = error; "advice service did not answer");
             result(query.step, query.workers, None, None)
         }
     }
--- a/crates/cell/src/callers.rs
+++ b/crates/cell/src/callers.rs
@@ -133,7 +133,7 @@
             }
             Err(error) => {
                 count(&self.context.metrics.states, "unreadable");
-                log::warn!(code = 413, job:% = hex(id), error:% = error; "state not readable");
+                log::warn!(code = 413, job:% = hex(id), error:% = error; "job status cannot be read");
                 service_unavailable("the job's state cannot be read")
             }
         }
@@ -143,11 +143,11 @@
         let name = queue.name.as_str();
         match self.owner.waiting(name).await {
             Ok(waiting) => {
-                log::info!(code = 417, queue = name, waiting = waiting; "queue length shown");
+                log::info!(code = 417, queue = name, waiting = waiting; "queue length returned");
                 web::json(StatusCode::OK, &encode_waiting(waiting))
             }
             Err(reason) => {
-                log::warn!(code = 418, queue = name, reason:? = reason; "queue length not known");
+                log::warn!(code = 418, queue = name, reason:? = reason; "queue length unknown: the owner did not answer");
                 service_unavailable("no owner of the pool knows how many jobs wait")
             }
         }
@@ -183,7 +183,7 @@
 }
 
 fn status_reply(id: JobId, job_status: Shown, source: &'static str) -> Whole {
-    log::debug!(code = 415, job:% = hex(id), state:% = job_status, source = source; "state shown");
+    log::debug!(code = 415, job:% = hex(id), state:% = job_status, source = source; "job status returned");
     web::json(StatusCode::OK, &encode_shown(job_status))
 }
 
--- a/crates/cell/src/cancel.rs
+++ b/crates/cell/src/cancel.rs
@@ -34,7 +34,7 @@
         source: StoredError,
     },
     /// The row was changed between the read and the write, so nothing was written.
-    #[snafu(display("the row has changed"))]
+    #[snafu(display("the row was changed by another write"))]
     Changed,
     /// The store did not confirm the write.
     #[snafu(display("not written: {source}"))]
@@ -63,7 +63,7 @@
         let response = loop {
             match self.try_cancel(id).await {
                 Ok(status) => {
-                    log::info!(code = 421, job:% = hex(id), status = status.as_u16(); "cancel");
+                    log::info!(code = 421, job:% = hex(id), status = status.as_u16(); "cancel answered");
                     if status == StatusCode::OK {
                         // The caller does not wait for this message. If it is lost, the owner
                         // reads the cancel from the change feed of the store.
@@ -76,7 +76,7 @@
                     ambiguous |= !error.certainly_not_done();
                     log::warn!(
                         code = 422, job:% = hex(id), error:% = error, unsure = ambiguous;
-                        "try to cancel without success"
+                        "attempt to cancel failed"
                     );
                 }
             }
--- a/crates/cell/src/follower.rs
+++ b/crates/cell/src/follower.rs
@@ -106,7 +106,7 @@
                 Ok(Change::Delta(rows))
             }
             Err(StoreError::Forgotten) => {
-                log::info!(code = 310, table = self.table, after = after; "store history dropped, reading all");
+                log::info!(code = 310, table = self.table, after = after; "store has dropped its history; reading the whole table");
                 self.read_all().await
             }
             Err(error) => {
@@ -134,10 +134,10 @@
         let feed = self
             .store
             .feed(self.table, after, Duration::ZERO, FEED_TIMEOUT);
-        let Ok(more) = feed.await else { return false };
-        self.after = Some(more.version.max(after));
-        let full = more.rows.len() >= FULL_PAGE;
-        rows.extend(more.rows);
+        let Ok(page) = feed.await else { return false };
+        self.after = Some(page.version.max(after));
+        let full = page.rows.len() >= FULL_PAGE;
+        rows.extend(page.rows);
         full
     }
 
--- a/crates/cell/src/owner/saver.rs
+++ b/crates/cell/src/owner/saver.rs
@@ -33,7 +33,7 @@
 use crate::metrics::observe;
 use crate::ownership_row;
 use crate::progress_row;
-use crate::used_row;
+use crate::used_worker_row;
 
 /// Time between two renewals of the ownership.
 const RENEW_EVERY: Duration = Duration::from_millis(400);
@@ -212,7 +212,7 @@
         puts.extend(progress.map(|(id, progress)| (progress_row(*id), encode_row(progress))));
         (save.used, save.unused) = self.workers.take(MOST_WORKERS);
         let used = save.used.iter();
-        puts.extend(used.map(|(id, worker)| (used_row(id), encode_row(worker))));
+        puts.extend(used.map(|(id, worker)| (used_worker_row(id), encode_row(worker))));
         save.release = self.release == Release::Wanted && save.batch.ends_complete;
         save.renews = save.release || now.saturating_sub(self.renewed) >= RENEW_EVERY;
         if save.renews {
@@ -232,7 +232,7 @@
         Transaction {
             expect: vec![(guard_row(), self.guard)],
             puts,
-            removes: save.unused.iter().map(|id| used_row(id)).collect(),
+            removes: save.unused.iter().map(|id| used_worker_row(id)).collect(),
         }
     }
 }
--- a/crates/cell/src/owner/takeover.rs
+++ b/crates/cell/src/owner/takeover.rs
@@ -21,10 +21,10 @@
 use crate::OWNER_PART;
 use crate::OwnerMessage;
 use crate::PROGRESS_TABLE;
-use crate::USED_TABLE;
+use crate::USED_WORKER_TABLE;
 use crate::UsedWorker;
 use crate::decode_progress;
-use crate::decode_used;
+use crate::decode_used_worker;
 use crate::metrics::count;
 
 /// Pause after a failed read.
@@ -88,7 +88,7 @@
         .part(PROGRESS_TABLE, OWNER_PART, LONG_READ_TIMEOUTS)
         .await?;
     let used = store
-        .part(USED_TABLE, OWNER_PART, LONG_READ_TIMEOUTS)
+        .part(USED_WORKER_TABLE, OWNER_PART, LONG_READ_TIMEOUTS)
         .await?;
     let mut follower = Follower::new(store, JOB_TABLE, true).with_long_timeouts();
     let (Change::Snapshot(jobs) | Change::Delta(jobs)) = follower.next(Duration::ZERO).await?;
@@ -133,10 +133,10 @@
     }
 
     fn take_used(&mut self, row: &Row, metrics: &IntCounterVec) {
-        match decode_used(&row.value) {
+        match decode_used_worker(&row.value) {
             Ok(worker) => self.used.push((row.name.key.clone(), worker)),
             Err(error) => {
-                count(metrics, USED_TABLE);
+                count(metrics, USED_WORKER_TABLE);
                 log::error!(code = 338, key = row.name.key.as_str(), error:% = error; "worker row unreadable");
                 self.used_unreadable += 1;
             }
--- a/crates/cell/src/ownership.rs
+++ b/crates/cell/src/ownership.rs
@@ -150,20 +150,20 @@
     fn apply_rows(&mut self, rows: &[Row]) {
         let now = self.context.now();
         self.view.send_if_modified(|view| {
-            let back = view.unreachable_since.take().is_some();
+            let recovered = view.unreachable_since.take().is_some();
             let first = !std::mem::replace(&mut view.loaded, true);
-            if back || first {
+            if recovered || first {
                 self.renewed_at = now;
-                log::info!(code = 302, back = back; "store answers");
+                log::info!(code = 302, back = recovered; "store answers");
             }
-            back || first
+            recovered || first
         });
         for row in rows {
             match decode_ownership(&row.value) {
                 Ok(ownership) => self.publish(ownership, row.version),
                 Err(error) => {
                     count(&self.context.metrics.unreadable, OWNERSHIP_TABLE);
-                    log::error!(code = 303, error:% = error; "seat row unreadable");
+                    log::error!(code = 303, error:% = error; "ownership row cannot be decoded");
                     self.publish_version(row.version);
                 }
             }
@@ -182,7 +182,7 @@
             if changed || ownership.released {
                 log::info!(
                     code = 304, epoch = ownership.epoch, owner = ownership.node.as_str(),
-                    released = ownership.released, version = version; "owner of the pool"
+                    released = ownership.released, version = version; "ownership of the pool changed"
                 );
             }
             *renewed_at = now;
@@ -239,7 +239,7 @@
         if !error.certainly_not_done()
             && let Some(row) = probe_store(&store, PROBE_WINDOW).await
         {
-            log::info!(code = 307, error:% = error; "feed failed, store answers");
+            log::info!(code = 307, error:% = error; "change feed failed, but the store answers");
             self.apply_rows(row.as_slice());
             return;
         }
@@ -287,9 +287,9 @@
             // An unreadable row may belong to an owner that still renews it.
             return view.version == 0 || ctx.now().saturating_sub(self.renewed_at) > self.expiry;
         };
-        let mine = ownership.incarnation == ctx.incarnation;
+        let owned_here = ownership.incarnation == ctx.incarnation;
         // An earlier start of this host's process has certainly ended.
-        let restarted = ownership.node == ctx.settings.node && !mine;
+        let restarted = ownership.node == ctx.settings.node && !owned_here;
         // A killed process breaks off its connections: half the expiry is then enough.
         let expiry = if ctx.is_owner_suspected(ownership.epoch) {
             self.expiry / 2
@@ -297,9 +297,9 @@
             self.expiry
         };
         let expired = ctx.now().saturating_sub(self.renewed_at) > expiry;
-        ownership.released && !mine
+        ownership.released && !owned_here
             || restarted
-            || expired && !mine
+            || expired && !owned_here
             || self.should_relieve(ownership)
     }
 
@@ -307,8 +307,8 @@
     /// larger host does, so the pool never moves back.
     fn should_relieve(&self, ownership: &Ownership) -> bool {
         let calls = self.context.settings.owner_calls();
-        let known = ownership.calls > 0;
-        known && ownership.strained && ownership.calls.saturating_mul(RELIEF_FACTOR) <= calls
+        let calls_known = ownership.calls > 0;
+        calls_known && ownership.strained && ownership.calls.saturating_mul(RELIEF_FACTOR) <= calls
     }
 
     /// Reads the row once more before the pool is taken: the feed may have hung, the store may be
@@ -376,7 +376,7 @@
             }
             // If the write was carried out after all, the feed delivers the row.
             Err(error) => {
-                log::warn!(code = 306, epoch = epoch, error:% = error; "taking the pool failed");
+                log::warn!(code = 306, epoch = epoch, error:% = error; "attempt to take the pool failed");
             }
         }
     }
--- a/crates/cell/src/peers.rs
+++ b/crates/cell/src/peers.rs
@@ -110,7 +110,7 @@
 #[derive(Clone, Debug)]
 pub struct OwnerClient {
     context: Context,
-    local: OwnerPort,
+    local_owner: OwnerPort,
     /// Epoch of the last owner that did not answer, and the time until which it is not called
     /// again.
     backoff: watch::Sender<(Epoch, Duration)>,
@@ -121,13 +121,13 @@
 const OWNER_BACKOFF: Duration = Duration::from_millis(700);
 
 impl OwnerClient {
-    /// Creates a client; `local` reaches the owner if it is in this process.
+    /// Creates a client; `local_owner` reaches the owner if it is in this process.
     #[must_use]
-    pub fn new(context: Context, local: OwnerPort) -> OwnerClient {
+    pub fn new(context: Context, local_owner: OwnerPort) -> OwnerClient {
         let (backoff, _) = watch::channel((0, Duration::ZERO));
         OwnerClient {
             context,
-            local,
+            local_owner,
             backoff,
         }
     }
@@ -239,7 +239,7 @@
         let owner = owner.ok_or(OwnerError::None)?;
         if owner.incarnation == self.context.incarnation {
             return self
-                .local
+                .local_owner
                 .ask(make_message, timeout)
                 .await
                 .ok_or(OwnerError::Silent);
--- a/crates/cell/src/process.rs
+++ b/crates/cell/src/process.rs
@@ -128,14 +128,14 @@
         let owner = tokio::time::timeout(remaining.saturating_sub(FINISH_TIME), &mut self.owner);
         let (owner, ()) = tokio::join!(owner, tokio::time::sleep(DRAIN_TIME));
         if owner.is_err() {
-            log::error!(code = 106; "the owner does not stop");
+            log::error!(code = 106; "owner task did not stop in time; aborting it");
             self.owner.abort();
         }
         self.close.send_replace(true);
         let finish = async { while self.servers.join_next().await.is_some() {} };
         let remaining = end.saturating_duration_since(Instant::now());
-        let whole = tokio::time::timeout(remaining, finish).await.is_ok();
-        log::info!(code = 102, whole = whole; "stopped");
+        let finished = tokio::time::timeout(remaining, finish).await.is_ok();
+        log::info!(code = 102, whole = finished; "stopped");
     }
 }
 
@@ -147,14 +147,14 @@
 
 /// Reads the settings file again and logs a change. The change itself takes effect at the next
 /// start of the process.
-pub fn reload_settings(path: &Path, known: &mut CellSettings) {
+pub fn reload_settings(path: &Path, current: &mut CellSettings) {
     match CellSettings::load(path) {
-        Ok(settings) if settings == *known => {}
+        Ok(settings) if settings == *current => {}
         Ok(settings) => {
             log::info!(code = 103, settings:? = settings; "settings changed");
-            *known = settings;
+            *current = settings;
         }
-        Err(error) => log::error!(code = 104, error:% = error; "settings not reloaded"),
+        Err(error) => log::error!(code = 104, error:% = error; "settings cannot be reloaded"),
     }
 }
 
@@ -164,7 +164,7 @@
         let read_started = context.now();
         match follower.next(CONFIG_WAIT).await {
             Ok(Change::Snapshot(rows) | Change::Delta(rows)) => {
-                let mut whole = true;
+                let mut all_decoded = true;
                 for decoded in rows.iter().filter_map(decode_config) {
                     match decoded {
                         Ok(newer) => {
@@ -173,12 +173,12 @@
                             apply_config(&config, newer);
                         }
                         Err(error) => {
-                            whole = false;
-                            log::error!(code = 201, error:% = error; "configuration unreadable");
+                            all_decoded = false;
+                            log::error!(code = 201, error:% = error; "configuration cannot be decoded");
                         }
                     }
                 }
-                if whole {
+                if all_decoded {
                     context.confirm_config(read_started);
                 }
             }
@@ -189,13 +189,13 @@
 
 /// Publishes a configuration if its version is newer; the version never goes back.
 fn apply_config(config: &watch::Sender<Option<Arc<Config>>>, newer: Config) {
-    config.send_if_modified(|known| {
-        let version = known.as_ref().map_or(0, |known| known.version);
+    config.send_if_modified(|current| {
+        let version = current.as_ref().map_or(0, |current| current.version);
         if newer.version <= version {
             return false;
         }
-        log::info!(code = 200, version = newer.version, former = version, queues = newer.queues.len(); "configuration in force");
-        *known = Some(Arc::new(newer));
+        log::info!(code = 200, version = newer.version, former = version, queues = newer.queues.len(); "configuration applied");
+        *current = Some(Arc::new(newer));
         true
     });
 }
--- a/crates/cell/src/rows.rs
+++ b/crates/cell/src/rows.rs
@@ -26,7 +26,7 @@
 pub const OWNERSHIP_TABLE: &str = "seat";
 
 /// Table of workers that the owner may have sent work to, by worker id.
-pub const USED_TABLE: &str = "used";
+pub const USED_WORKER_TABLE: &str = "used";
 
 /// Part that holds all rows that the owner writes, so that one transaction can write them and
 /// check the ownership.
@@ -93,8 +93,8 @@
 
 /// Returns the name of the row of a worker that the owner may have sent work to.
 #[must_use]
-pub fn used_row(id: &str) -> RowName {
-    RowName::new(USED_TABLE, OWNER_PART, id)
+pub fn used_worker_row(id: &str) -> RowName {
+    RowName::new(USED_WORKER_TABLE, OWNER_PART, id)
 }
 
 /// Ownership of the pool, as stored.
@@ -201,7 +201,7 @@
 ///
 /// # Errors
 /// Fails if the bytes are not such a row.
-pub fn decode_used(bytes: &[u8]) -> Result<UsedWorker, postcard::Error> {
+pub fn decode_used_worker(bytes: &[u8]) -> Result<UsedWorker, postcard::Error> {
     if let Ok(worker) = decode_row::<UsedWorker>(bytes) {
         return Ok(worker);
     }
--- a/crates/cell/src/store_probe.rs
+++ b/crates/cell/src/store_probe.rs
@@ -22,13 +22,13 @@
 /// Reads start without waiting for earlier ones: a read sent to a store that does not answer may
 /// never be answered, one sent to a slow store is.
 pub(crate) async fn probe_store(store: &Store, limit: Duration) -> Option<Option<Row>> {
-    let probing = async {
+    let probe = async {
         let mut reads = JoinSet::new();
-        let mut begin = tokio::time::interval(PROBE_INTERVAL);
-        begin.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut ticker = tokio::time::interval(PROBE_INTERVAL);
+        ticker.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                _ = begin.tick() => {
+                _ = ticker.tick() => {
                     let store = store.clone();
                     reads.spawn(async move { store.get(&ownership_row(), PROBE_TIMEOUT).await });
                 }
@@ -39,5 +39,5 @@
             }
         }
     };
-    tokio::time::timeout(limit, probing).await.ok()
+    tokio::time::timeout(limit, probe).await.ok()
 }
--- a/crates/cell/src/stored.rs
+++ b/crates/cell/src/stored.rs
@@ -22,17 +22,17 @@
 #[derive(Debug, Snafu)]
 pub(crate) enum StoredError {
     /// The store did not return the row.
-    #[snafu(display("not read: {source}"))]
+    #[snafu(display("row not read: {source}"))]
     Read {
         /// Error of the read.
         source: StoreError,
     },
     /// Only the job's acceptance is stored; whether one of its tasks has started is known to the
     /// owner alone.
-    #[snafu(display("nothing is recorded but its acceptance"))]
+    #[snafu(display("only the acceptance of the job is stored"))]
     Undecided,
     /// The row's value cannot be decoded by this version.
-    #[snafu(display("not decoded: {source}"))]
+    #[snafu(display("row not decoded: {source}"))]
     Decode {
         /// Error of the decoder.
         source: postcard::Error,
@@ -135,7 +135,7 @@
     if let Err(error) = &decoded {
         log::error!(
             code = 414, job:% = hex(id), table = row.name.table.as_str(), error:% = error;
-            "row of a job unreadable"
+            "row of a job cannot be decoded"
         );
     }
     decoded.context(DecodeSnafu)
--- a/crates/cell/tests/cut_workers.rs
+++ b/crates/cell/tests/cut_workers.rs
@@ -94,9 +94,11 @@
     cell.store.set_faults(StoreFaults::default());
 
     wait_figure(&cell, &caller, "running", 1).await;
-    let row = cell
-        .store
-        .raw(cell::USED_TABLE, cell::OWNER_PART, &cell.workers[0].id);
+    let row = cell.store.raw(
+        cell::USED_WORKER_TABLE,
+        cell::OWNER_PART,
+        &cell.workers[0].id,
+    );
     assert!(row.is_some(), "the worker has work and no row");
     assert_eq!(cell.log.faults(), Vec::<String>::new());
     cell.close().await;
--- a/crates/cell/tests/foreign.rs
+++ b/crates/cell/tests/foreign.rs
@@ -54,7 +54,7 @@
 
     let row = cell
         .store
-        .raw(cell::USED_TABLE, cell::OWNER_PART, "w-foreign");
+        .raw(cell::USED_WORKER_TABLE, cell::OWNER_PART, "w-foreign");
 
     assert_eq!(row, None, "it was to be used");
     let path = "/plain/00000000000000d2";
--- a/crates/cell/tests/late_orders.rs
+++ b/crates/cell/tests/late_orders.rs
@@ -226,7 +226,7 @@
             Known::Registrations => {
                 let id = &cell.workers[at].id;
                 cell.store
-                    .remove_from(cell::USED_TABLE, cell::OWNER_PART, id);
+                    .remove_from(cell::USED_WORKER_TABLE, cell::OWNER_PART, id);
             }
         }
     }
--- a/crates/cell/tests/rows.rs
+++ b/crates/cell/tests/rows.rs
@@ -7,7 +7,7 @@
 use cell::UsedWorker;
 use cell::decode_progress;
 use cell::decode_row;
-use cell::decode_used;
+use cell::decode_used_worker;
 use cell::encode_row;
 use job::CrashRecord;
 use job::Outcome;
@@ -63,7 +63,7 @@
 fn the_row_of_an_earlier_version_tells_no_life() {
     let row = used(room(), &["a", "r1-1"]);
 
-    let decoded = decode_used(&encode_row(&without_life(&row))).expect("a row");
+    let decoded = decode_used_worker(&encode_row(&without_life(&row))).expect("a row");
 
     assert_eq!(
         decoded,
@@ -96,14 +96,14 @@
 fn the_row_of_a_used_worker_tells_its_kind() {
     let row = used(room(), &["a", "r1-1"]);
 
-    let decoded = decode_used(&encode_row(&row));
+    let decoded = decode_used_worker(&encode_row(&row));
 
     assert_eq!(decoded, Ok(row));
 }
 
 #[test]
 fn a_row_without_a_size_is_read() {
-    let decoded = decode_used(&encode_row(&former()));
+    let decoded = decode_used_worker(&encode_row(&former()));
 
     let unnamed = UsedWorker {
         incarnation: None,
--- a/crates/cell/tests/same_id.rs
+++ b/crates/cell/tests/same_id.rs
@@ -456,8 +456,10 @@
     restart_all(&cell, Restart::after(Duration::from_millis(20))).await;
     wait_claimed(&cell, before).await;
 
-    let row = cell.store.raw(cell::USED_TABLE, cell::OWNER_PART, "w0");
-    let row = cell::decode_used(&row.expect("a row")).expect("readable");
+    let row = cell
+        .store
+        .raw(cell::USED_WORKER_TABLE, cell::OWNER_PART, "w0");
+    let row = cell::decode_used_worker(&row.expect("a row")).expect("readable");
     assert_eq!(row.incarnation, Some(cell.places[0].current().born));
     cell.close().await;
 }
