--- a/crates/cell/tests/acceptance.rs
+++ b/crates/cell/tests/acceptance.rs
@@ -1,4 +1,4 @@
-//! What callers are told of a write whose answer is missing or unclear.
+//! Replies to callers when the store's reply to a write is missing or ambiguous.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use site::SiteCell;
 use site::job;
 
-/// A cell whose store is known to answer.
+/// Opens a cell and completes one job, which shows that the store answers.
 async fn open() -> (SiteCell, Caller) {
     let cell = SiteCell::open(1, 1).await;
     let caller = Caller::new();
@@ -28,12 +28,11 @@
     }
 }
 
-/// A caller was told that its job had not been accepted, and the job ran. The
-/// first try of the write got no answer for a while, so a second one was sent;
-/// that was done, and its answer was broken. Then the first one was refused,
-/// and this refusal was taken for that of both.
+/// Guards against a reply "not accepted" for a job that then runs. The first attempt of the write
+/// gets no reply for a while, so a second one is sent, which the store carries out with a garbled
+/// reply. Then the first attempt is refused, and that refusal was taken to mean both attempts.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_refusal_of_one_try_does_not_stand_for_the_other() {
+async fn a_refusal_of_one_attempt_is_not_taken_for_both() {
     let (cell, caller) = open().await;
     let path = "/plain/00000000000000f1";
     let acts = [
@@ -46,35 +45,35 @@
         .send(Method::POST, cell.server(0), path, &job(1, "20"))
         .await;
 
-    assert_eq!(status, 200, "found by the next try");
+    assert_eq!(status, 200, "found by the next attempt");
     caller.wait_state(&cell.servers(), path, "completed").await;
     cell.close().await;
 }
 
-/// A caller was told that its job had not been accepted, and the job ran. The
-/// store did the write and then failed with a status that does not say that
-/// nothing was done; every status but success was taken for a refusal.
+/// Guards against a reply "not accepted" for a job that then runs. The store carries out the
+/// write, but replies with an error status that does not rule this out. Every status except
+/// success was taken for a refusal.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_status_that_leaves_it_open_is_no_refusal() {
+async fn an_ambiguous_error_status_is_not_taken_for_a_refusal() {
     let (cell, caller) = open().await;
     for (nth, status) in [500, 502, 504].into_iter().enumerate() {
         let path = format!("/plain/{:016x}", 0xf10 + nth);
         let acts = [act(true, 0, Answer::Status(status))];
         cell.store.set_script(cell::JOB_TABLE, &acts);
 
-        let (told, _) = caller
+        let (returned, _) = caller
             .send(Method::POST, cell.server(0), &path, &job(1, "20"))
             .await;
 
-        assert_eq!(told, 200, "{status}: found by the next try");
+        assert_eq!(returned, 200, "{status}: found by the next attempt");
     }
     cell.close().await;
 }
 
-/// A caller was told that its cancel had not been stored, though the store may
-/// still do it: no try of the write was answered.
+/// Guards against a reply "cancel not stored" although the store may still carry out the write:
+/// none of the attempts gets a reply.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cancel_without_answer_is_not_said_to_be_refused() {
+async fn a_cancel_without_a_store_reply_is_not_reported_as_refused() {
     let (cell, caller) = open().await;
     let path = "/plain/00000000000000f2";
     caller.submit(&cell.servers(), path, &job(1, "30000")).await;
@@ -89,9 +88,9 @@
     cell.close().await;
 }
 
-/// A cancel that was certainly not stored is said to be refused.
+/// A cancel that is certainly not stored is answered with 503.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_refused_cancel_is_said_to_be_refused() {
+async fn a_refused_cancel_is_reported_as_refused() {
     let (cell, caller) = open().await;
     let path = "/plain/00000000000000f3";
     caller.submit(&cell.servers(), path, &job(1, "30000")).await;
--- a/crates/cell/tests/context.rs
+++ b/crates/cell/tests/context.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a process share.
+//! Calls to the store that a process abandons after an outage.
 
 use std::future::pending;
 use std::net::Ipv4Addr;
@@ -14,7 +14,7 @@
 use platform::StoreError;
 use tokio::sync::watch;
 
-/// Settings of a process that is not opened.
+/// Settings of a process that is never opened.
 fn settings() -> CellSettings {
     let ip = Ipv4Addr::LOCALHOST.into();
     let address = SocketAddr::new(ip, 1);
@@ -49,12 +49,11 @@
     }
 }
 
-/// Symptom: ends of tasks were shown to callers up to 1.6 s after the store was
-/// back. Sequence: the store falls silent with a write under way, and is back;
-/// the write is never answered. Cause: it was waited for until its timeout, and
-/// the next one behind it.
+/// Guards against task ends that reach callers up to 1.6 s after the store has recovered. The
+/// store stops answering while a write is under way and recovers, but never answers that write.
+/// The write, and the next one behind it, used to wait until its timeout.
 #[tokio::test]
-async fn a_write_to_a_silent_store_is_given_up_when_the_store_is_back() {
+async fn a_write_to_an_unreachable_store_is_abandoned_when_the_store_recovers() {
     let (_config, config) = watch::channel(None);
     let (view, ownership) = watch::channel(OwnershipView::default());
     let (_stop, stop) = watch::channel(false);
@@ -74,7 +73,7 @@
 }
 
 #[tokio::test]
-async fn a_write_goes_on_while_the_store_answers() {
+async fn a_write_completes_while_the_store_answers() {
     let (_config, config) = watch::channel(None);
     let (_view, ownership) = watch::channel(OwnershipView::default());
     let (_stop, stop) = watch::channel(false);
--- a/crates/cell/tests/docs.rs
+++ b/crates/cell/tests/docs.rs
@@ -1,4 +1,4 @@
-//! The pages of logs and metrics list exactly what the code has.
+//! Checks that the documentation lists exactly the log codes and metrics of the code.
 
 mod template;
 
@@ -10,7 +10,7 @@
 
 const PAGE: &str = include_str!("../../../docs/OBSERVABILITY.md");
 
-/// Text of all source files below a folder.
+/// Returns the text of all source files below a folder.
 fn sources(folder: &Path) -> String {
     let mut text = String::new();
     for entry in std::fs::read_dir(folder).expect("folder") {
@@ -24,7 +24,7 @@
     text
 }
 
-/// Numbers that follow `mark` in a text.
+/// Returns the numbers that follow `mark` in a text.
 fn numbers(text: &str, mark: &str) -> BTreeSet<u32> {
     let found = text.match_indices(mark).filter_map(|(at, _)| {
         let rest = &text[at + mark.len()..];
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn the_catalogue_lists_each_line_of_the_log() {
+fn the_documentation_lists_each_log_code() {
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let daemon = Path::new(env!("CARGO_MANIFEST_DIR")).join("../daemon/src");
 
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn the_page_lists_each_metric() {
+fn the_documentation_lists_each_metric() {
     let metrics = CellMetrics::default();
     for counter in [
         &metrics.submits,
@@ -85,9 +85,9 @@
     }
 }
 
-/// The template with its placeholders filled in parses as settings.
+/// The deployment's settings template parses as settings once its placeholders are filled in.
 #[test]
-fn the_template_gives_valid_settings() {
+fn the_settings_template_is_valid() {
     let text = template::filled();
 
     let settings = CellSettings::parse(&text);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_wrong_setting_is_named() {
+fn an_invalid_setting_is_reported_with_its_line() {
     let wrong = "node: n\nzone: z\nip: nowhere\n";
 
     let error = CellSettings::parse(wrong).expect_err("wrong address");
--- a/crates/cell/tests/feed.rs
+++ b/crates/cell/tests/feed.rs
@@ -1,4 +1,4 @@
-//! A feed that brings more than one answer holds.
+//! A change feed with more rows than one reply holds.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 
 const TABLE: &str = "servers";
 
-/// Symptom: workers that were leaving went on getting work for ten seconds. Sequence:
-/// 3,000 workers write 2,000 rows a second; an answer of the feed holds 500; the owner
-/// reads one each 0.4 s and falls behind. Cause: it did not read on after a full one.
+/// Guards against a change feed that falls behind: workers that were leaving went on getting work
+/// for ten seconds. 3,000 workers write 2,000 rows a second and a feed reply holds 500, but the
+/// owner read only one reply every 0.4 s, even after a full one.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_feed_is_read_until_its_answers_are_not_full() {
+async fn a_feed_is_read_until_a_page_is_not_full() {
     let stand = StoreStand::new();
     let (_stop, stopped) = watch::channel(false);
     let address = serve(stand.clone(), &stopped).await;
--- a/crates/cell/tests/foreign.rs
+++ b/crates/cell/tests/foreign.rs
@@ -1,4 +1,4 @@
-//! Entries of another writer in the tables that the owner follows.
+//! Rows of another writer in the tables that the owner follows.
 
 use std::time::Duration;
 
@@ -17,10 +17,10 @@
     (cell, caller)
 }
 
-/// A good worker got no work any more: its entry was overwritten with one whose
-/// state and size nobody knows, and both were taken at their word.
+/// Guards against losing a good worker: it got no work any more after its row had been
+/// overwritten with one of unknown state and capacity, which the owner applied.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_known_worker_outlives_an_entry_of_another_writer() {
+async fn a_worker_stays_usable_after_its_row_is_overwritten() {
     let (cell, caller) = open(1).await;
     let id = cell.workers[0].id.clone();
     let entry = json!({"service": "desk", "state": "resting", "address": 5});
@@ -40,13 +40,13 @@
     cell.close().await;
 }
 
-/// The owner called an address that an entry of an unknown service named, and
-/// held back tasks of a predecessor for it.
+/// Guards against using the row of an unknown service: the owner called the address that it
+/// named, and delayed tasks of a former owner because of it.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_of_an_unknown_service_names_no_worker() {
+async fn a_row_of_an_unknown_service_adds_no_worker() {
     let (cell, caller) = open(1).await;
-    let nobody = "127.0.0.1:9".parse().expect("address");
-    let mut entry = registration(nobody, 1);
+    let unused_address = "127.0.0.1:9".parse().expect("address");
+    let mut entry = registration(unused_address, 1);
     entry["service"] = json!("laundry");
     cell.store
         .write(platform::WORKER_TABLE, "w-foreign", &entry);
@@ -56,17 +56,17 @@
         .store
         .raw(cell::USED_WORKER_TABLE, cell::OWNER_PART, "w-foreign");
 
-    assert_eq!(row, None, "it was to be used");
+    assert_eq!(row, None, "the owner stored it as a used worker");
     let path = "/plain/00000000000000d2";
     caller.submit(&cell.servers(), path, &job(1, "20")).await;
     caller.wait_state(&cell.servers(), path, "completed").await;
     cell.close().await;
 }
 
-/// No process could take the pool any more: the row that says who owns it held
-/// something else, and each try expected the version before that.
+/// Guards against a pool that no process can take: the ownership row was overwritten with an
+/// unreadable value, and each attempt required the version before that.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_unreadable_owner_row_does_not_keep_the_pool_from_a_successor() {
+async fn an_unreadable_ownership_row_does_not_block_a_successor() {
     let (mut cell, caller) = open(2).await;
     let owner = cell.owner().expect("an owner");
     cell.kill(owner).await;
--- a/crates/cell/tests/log_reader.rs
+++ b/crates/cell/tests/log_reader.rs
@@ -1,4 +1,4 @@
-//! A reader of the log that stops reading holds up no decision.
+//! A stalled reader of the log does not delay decisions.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -13,31 +13,31 @@
 use site::SiteCell;
 use site::job;
 
-/// Lines that fill whatever is buffered for the reader.
-const FLOOD: u32 = 20_000;
+/// Number of lines that exceeds the log's buffer.
+const FLOOD_LINES: u32 = 20_000;
 
-/// Longest time for a job with a silent reader; with a reader it takes 0.1 s.
-const SOON: Duration = Duration::from_secs(10);
+/// Time limit of a job while the output is stalled; otherwise it takes 0.1 s.
+const JOB_LIMIT: Duration = Duration::from_secs(10);
 
 /// Time within which dropped lines are reported.
-const REPORTED: Duration = Duration::from_secs(6);
+const REPORT_LIMIT: Duration = Duration::from_secs(6);
 
-/// A reader that may stop taking lines.
+/// An output of the log that can stall.
 #[derive(Clone, Debug, Default)]
-struct Reader {
+struct StallingOutput {
     state: Arc<(Mutex<State>, Condvar)>,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    stopped: bool,
+    stalled: bool,
     text: String,
 }
 
-impl Reader {
-    fn set_stopped(&self, stopped: bool) {
+impl StallingOutput {
+    fn set_stalled(&self, stalled: bool) {
         let (state, changed) = &*self.state;
-        state.lock().unwrap_or_else(PoisonError::into_inner).stopped = stopped;
+        state.lock().unwrap_or_else(PoisonError::into_inner).stalled = stalled;
         changed.notify_all();
     }
 
@@ -48,12 +48,12 @@
     }
 }
 
-impl Write for Reader {
+impl Write for StallingOutput {
     fn write(&mut self, line: &[u8]) -> std::io::Result<usize> {
         let (state, changed) = &*self.state;
         let state = state.lock().unwrap_or_else(PoisonError::into_inner);
         let mut state = changed
-            .wait_while(state, |state| state.stopped)
+            .wait_while(state, |state| state.stalled)
             .unwrap_or_else(PoisonError::into_inner);
         state.text.push_str(&String::from_utf8_lossy(line));
         Ok(line.len())
@@ -64,19 +64,19 @@
     }
 }
 
-/// Starts logging; panics of the test go on to its own output, not to the log.
-fn start(reader: &Reader) -> LogGuard {
+/// Starts logging; panics of the test go to its own output, not to the log.
+fn start(output: &StallingOutput) -> LogGuard {
     let hook = std::panic::take_hook();
-    let guard = start_logging_to("info", reader.clone());
+    let guard = start_logging_to("info", output.clone());
     std::panic::set_hook(hook);
     guard
 }
 
-/// Logs more than is buffered, on a thread of its own.
+/// Logs more lines than the buffer holds, on a separate thread.
 async fn flood() {
     let (done, flooded) = tokio::sync::oneshot::channel();
     std::thread::spawn(move || {
-        for number in 0..FLOOD {
+        for number in 0..FLOOD_LINES {
             log::info!(number = number; "flood");
         }
         let _ = done.send(());
@@ -84,35 +84,34 @@
     let _ = flooded.await;
 }
 
-// Whoever reads the log of a process may stall, and a full pipe blocks the
-// thread that writes to it. Jobs must go on being accepted, started and ended,
-// and the lines that were dropped meanwhile must be counted in the log. That
-// count stood there twice: the report is begun anew when settings are read
-// again, and counted from nothing then.
+// The reader of a process's log may stall, and a full pipe blocks the thread that writes to it.
+// Jobs must still be accepted, started and ended, and the log must report the number of dropped
+// lines once. It reported it twice when the reporting task was restarted, as happens when
+// settings are read again, and started counting from zero.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_reader_that_stops_holds_up_no_job() {
-    let reader = Reader::default();
-    let guard = start(&reader);
+async fn a_stalled_log_reader_does_not_delay_jobs() {
+    let output = StallingOutput::default();
+    let guard = start(&output);
     let cell = SiteCell::open(2, 2).await;
     let caller = Caller::new();
     let path = "/plain/00000000000000f1";
 
-    reader.set_stopped(true);
-    let flooded = tokio::time::timeout(SOON, flood()).await;
+    output.set_stalled(true);
+    let flooded = tokio::time::timeout(JOB_LIMIT, flood()).await;
     let work = async {
         caller.submit(&cell.servers(), path, &job(2, "20")).await;
         caller.wait_state(&cell.servers(), path, "completed").await;
     };
-    let worked = tokio::time::timeout(SOON, work).await;
-    reader.set_stopped(false);
+    let worked = tokio::time::timeout(JOB_LIMIT, work).await;
+    output.set_stalled(false);
     for _ in ["before", "after settings were read again"] {
-        let report = tokio::time::timeout(REPORTED, guard.report_dropped()).await;
+        let report = tokio::time::timeout(REPORT_LIMIT, guard.report_dropped()).await;
         assert!(report.is_err(), "the report never ends by itself");
     }
 
-    assert!(flooded.is_ok(), "a line waited for the reader");
-    assert!(worked.is_ok(), "the job waited for the reader");
-    let told = reader.text().matches("log lines dropped").count();
-    assert_eq!(told, 1, "one count for the time without a reader");
+    assert!(flooded.is_ok(), "a log call waited for the output");
+    assert!(worked.is_ok(), "the job waited for the output");
+    let reports = output.text().matches("log lines dropped").count();
+    assert_eq!(reports, 1, "one report for the time with a stalled output");
     cell.close().await;
 }
--- a/crates/cell/tests/log_volume.rs
+++ b/crates/cell/tests/log_volume.rs
@@ -1,4 +1,4 @@
-//! The log of a cell stays small under load: so many bytes for each job.
+//! Limits of the bytes that a cell logs for each job and each start.
 
 use std::io::Write;
 use std::ops::Range;
@@ -14,36 +14,36 @@
 use site::SiteCell;
 use site::job;
 
-/// Jobs of the run, and tasks of each.
+/// Number of jobs, and number of tasks of each.
 const JOBS: u32 = 100;
 const TASKS: u32 = 2;
 
-/// Time without a line after which a log counts as complete.
-const QUIET: Duration = Duration::from_millis(300);
+/// Time without a new line after which the log counts as complete.
+const QUIET_TIME: Duration = Duration::from_millis(300);
 
-/// Most bytes of log for each job and each start, and for all else in a run of
+/// Limits of the logged bytes for each job, for each start, and for everything else in a run of
 /// some seconds.
 const JOB_BYTES: usize = 400;
 const START_BYTES: usize = 450;
 const OTHER_BYTES: usize = 4096;
 
-/// What all processes of the cell have logged.
+/// Output of all processes of the cell.
 #[derive(Clone, Debug, Default)]
-struct Logged {
+struct LogOutput {
     bytes: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Logged {
+impl LogOutput {
     fn text(&self) -> String {
         let bytes = self.bytes.lock().unwrap_or_else(PoisonError::into_inner);
         String::from_utf8_lossy(&bytes).into_owned()
     }
 
-    /// The text once nothing new has come for a while.
+    /// Returns the text once no new line has arrived for [`QUIET_TIME`].
     async fn settled(&self) -> String {
         let mut text = self.text();
         loop {
-            tokio::time::sleep(QUIET).await;
+            tokio::time::sleep(QUIET_TIME).await;
             let now = self.text();
             if now.len() == text.len() {
                 return now;
@@ -53,7 +53,7 @@
     }
 }
 
-impl Write for Logged {
+impl Write for LogOutput {
     fn write(&mut self, line: &[u8]) -> std::io::Result<usize> {
         let mut bytes = self.bytes.lock().unwrap_or_else(PoisonError::into_inner);
         bytes.extend_from_slice(line);
@@ -65,38 +65,38 @@
     }
 }
 
-/// Starts logging; panics of the test go on to its own output, not to the log.
-fn start(logged: &Logged) -> LogGuard {
+/// Starts logging; panics of the test go to its own output, not to the log.
+fn start(output: &LogOutput) -> LogGuard {
     let hook = std::panic::take_hook();
-    let guard = start_logging_to("info", logged.clone());
+    let guard = start_logging_to("info", output.clone());
     std::panic::set_hook(hook);
     guard
 }
 
-/// Lines of one job (accepted, ended) and of one start (sent, ended) hold 317
-/// and 367 bytes; a line more for each would break these bounds.
+/// The log lines of one job (accepted, ended) take 317 bytes, those of one start (sent, ended)
+/// 367 bytes. One more line for each exceeds the limits.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_and_a_start_cost_few_bytes_of_log() {
-    let logged = Logged::default();
-    let _guard = start(&logged);
+async fn the_log_bytes_of_jobs_and_starts_stay_within_limits() {
+    let output = LogOutput::default();
+    let _guard = start(&output);
     let cell = SiteCell::open(3, 4).await;
     let caller = Caller::new();
     run_jobs(&cell, &caller, 0..1).await;
-    let before = logged.settled().await;
+    let before = output.settled().await;
 
     run_jobs(&cell, &caller, 1..JOBS + 1).await;
-    let after = logged.settled().await;
+    let after = output.settled().await;
 
     let bytes = after.len() - before.len();
     let starts = usize::try_from(JOBS * TASKS).expect("a small number");
     let jobs = usize::try_from(JOBS).expect("a small number");
     let text = &after[before.len()..];
-    let of_jobs = bytes_of(text, &["362", "401"]) / jobs;
-    let of_starts = bytes_of(text, &["350", "354"]) / starts;
-    println!("{of_jobs} bytes a job, {of_starts} bytes a start, {bytes} bytes in all");
+    let job_bytes = code_bytes(text, &["362", "401"]) / jobs;
+    let start_bytes = code_bytes(text, &["350", "354"]) / starts;
+    println!("{job_bytes} bytes a job, {start_bytes} bytes a start, {bytes} bytes in all");
     let bound = jobs * JOB_BYTES + starts * START_BYTES + OTHER_BYTES;
     assert!(bytes <= bound, "{bytes} bytes, at most {bound}:\n{text}");
-    assert!(of_jobs > 0 && of_starts > 0, "{text}");
+    assert!(job_bytes > 0 && start_bytes > 0, "{text}");
     cell.close().await;
 }
 
@@ -114,8 +114,8 @@
     }
 }
 
-/// Bytes of the lines with these codes, line ends included.
-fn bytes_of(text: &str, codes: &[&str]) -> usize {
+/// Returns the bytes of the lines with these codes, including line ends.
+fn code_bytes(text: &str, codes: &[&str]) -> usize {
     let wanted = |line: &&str| {
         let line: Value = serde_json::from_str(line).unwrap_or_default();
         codes.contains(&line["code"].to_string().as_str())
--- a/crates/cell/tests/metrics.rs
+++ b/crates/cell/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics are served, and count what callers did.
+//! Metrics and readiness as served over HTTP.
 
 use serde_json::Value;
 use site::Caller;
@@ -6,7 +6,7 @@
 use site::job;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_metrics_of_a_process_are_served() {
+async fn metrics_are_served_over_http() {
     let cell = SiteCell::open(1, 1).await;
     let caller = Caller::new();
     let path = "/plain/00000000000000e1";
@@ -25,7 +25,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn readiness_follows_the_store() {
+async fn a_process_without_the_store_is_not_ready() {
     let cell = SiteCell::open(1, 1).await;
     let caller = Caller::new();
     let path = "/plain/00000000000000e2";
@@ -49,10 +49,10 @@
     cell.close().await;
 }
 
-/// A process that had lost the pool showed the load of the day it had it: the
-/// figures were set by the owner and cleared by nobody.
+/// Guards against a former owner that still reports the pool's load: the owner set the gauges,
+/// and nothing cleared them when the process lost the pool.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_former_owner_shows_no_load() {
+async fn a_former_owner_reports_no_load() {
     let cell = SiteCell::open(2, 1).await;
     let caller = Caller::new();
     let path = "/plain/00000000000000e4";
--- a/crates/cell/tests/path.rs
+++ b/crates/cell/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path with whole processes: submit, advice, start, end, state.
+//! End-to-end tests with whole processes: submission, advice, start, end and job status.
 
 use hyper::Method;
 use serde_json::Value;
@@ -12,7 +12,7 @@
 const JOB: &str = "/plain/00000000000000a1";
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_is_accepted_and_completed_and_known_at_every_process() {
+async fn a_completed_job_is_shown_by_every_process() {
     let cell = SiteCell::open(3, 2).await;
     let caller = Caller::new();
 
@@ -27,7 +27,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_advised_queue_asks_before_it_starts() {
+async fn a_queue_with_advice_calls_the_advice_service() {
     let cell = SiteCell::open(2, 2).await;
     let caller = Caller::new();
     let path = "/advised/00000000000000a2";
@@ -40,7 +40,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_same_id_at_two_processes_is_one_job() {
+async fn the_same_id_submitted_to_two_processes_is_one_job() {
     let cell = SiteCell::open(2, 2).await;
     let caller = Caller::new();
 
@@ -53,7 +53,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_task_that_fails_too_often_fails_its_job() {
+async fn a_job_fails_after_the_last_attempt_of_a_task() {
     let cell = SiteCell::open(1, 2).await;
     let caller = Caller::new();
 
@@ -65,7 +65,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cancelled_job_stops() {
+async fn a_cancelled_job_is_shown_as_canceled() {
     let cell = SiteCell::open(2, 1).await;
     let caller = Caller::new();
     caller.submit(&cell.servers(), JOB, &job(2, "600000")).await;
@@ -81,22 +81,27 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_requests_get_a_clear_answer() {
+async fn invalid_requests_get_a_specific_status() {
     let cell = SiteCell::open(1, 1).await;
     let caller = Caller::new();
     caller.submit(&cell.servers(), JOB, &job(1, "20")).await;
     let server = cell.server(0);
-    let none = json!({"spec": "", "steps": []});
-    let order = json!({"spec": "", "steps": [{"count": 1, "after": [0]}]});
+    let no_steps = json!({"spec": "", "steps": []});
+    let self_dependency = json!({"spec": "", "steps": [{"count": 1, "after": [0]}]});
     let cases = [
-        (Method::POST, "/plain/123", &none, 400),
-        (Method::POST, "/plain/00000000000000A1", &none, 400),
-        (Method::POST, "/plain/00000000000000a3", &none, 400),
-        (Method::POST, "/plain/00000000000000a3", &order, 400),
-        (Method::POST, "/other/00000000000000a3", &none, 404),
-        (Method::GET, "/plain/00000000000000a4", &none, 410),
-        (Method::DELETE, "/plain/00000000000000a4", &none, 410),
-        (Method::PUT, "/plain/00000000000000a4", &none, 405),
+        (Method::POST, "/plain/123", &no_steps, 400),
+        (Method::POST, "/plain/00000000000000A1", &no_steps, 400),
+        (Method::POST, "/plain/00000000000000a3", &no_steps, 400),
+        (
+            Method::POST,
+            "/plain/00000000000000a3",
+            &self_dependency,
+            400,
+        ),
+        (Method::POST, "/other/00000000000000a3", &no_steps, 404),
+        (Method::GET, "/plain/00000000000000a4", &no_steps, 410),
+        (Method::DELETE, "/plain/00000000000000a4", &no_steps, 410),
+        (Method::PUT, "/plain/00000000000000a4", &no_steps, 405),
     ];
 
     for (method, path, body, expected) in cases {
@@ -108,7 +113,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_queue_tells_how_many_jobs_wait() {
+async fn a_queue_reports_its_waiting_jobs() {
     let cell = SiteCell::open(2, 1).await;
     let caller = Caller::new();
     caller.submit(&cell.servers(), JOB, &job(4, "600000")).await;
@@ -116,7 +121,7 @@
     let waiting = "/plain/00000000000000a5";
     caller.submit(&cell.servers(), waiting, &job(1, "20")).await;
 
-    let looks = async {
+    let polling = async {
         loop {
             let server = cell.server(1);
             let (status, body) = caller
@@ -128,12 +133,12 @@
         }
     };
 
-    assert!(tokio::time::timeout(PATIENCE, looks).await.is_ok());
+    assert!(tokio::time::timeout(PATIENCE, polling).await.is_ok());
     cell.close().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_newer_configuration_is_taken_up_everywhere() {
+async fn a_newer_configuration_is_applied_by_every_process() {
     let cell = SiteCell::open(2, 1).await;
     let caller = Caller::new();
     caller.submit(&cell.servers(), JOB, &job(1, "20")).await;
--- a/crates/cell/tests/refusals.rs
+++ b/crates/cell/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! Which jobs a successor ends because no worker could ever take them.
+//! Jobs that a successor fails because no worker could ever run them.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
 /// Longer than a successor waits for workers to register.
 const SETTLED: Duration = Duration::from_millis(5_500);
 
-/// A gang was shown as failed though the pool could hold it. One of two workers
-/// died together with the owner. The successor knew of the dead one by its row
-/// only, which did not tell its size, and judged the gang by the other.
+/// Guards against failing a gang that fits into the pool. One of two workers dies together with
+/// the owner. The successor knows the dead worker only from its row, which had no capacity, and
+/// judged the gang by the other worker alone.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_worker_that_died_with_the_owner_fails_no_gang() {
+async fn a_gang_is_not_failed_because_a_worker_died_with_the_owner() {
     let mut cell = SiteCell::open(2, 2).await;
     let caller = Caller::new();
     let first = "/plain/00000000000000d1";
--- a/crates/cell/tests/rows.rs
+++ b/crates/cell/tests/rows.rs
@@ -1,4 +1,4 @@
-//! Rows that the project keeps in the store.
+//! Encoding of the rows that a cell keeps in the store, and compatibility with earlier versions.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -17,21 +17,21 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A worker's row without its size.
+/// A worker's row as written by the earliest version, without the capacity.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-struct Former {
+struct WithoutCapacity {
     service: String,
     address: SocketAddr,
 }
 
-fn former() -> Former {
-    Former {
+fn without_capacity() -> WithoutCapacity {
+    WithoutCapacity {
         service: "desk".to_owned(),
         address: ([127, 0, 0, 1], 9).into(),
     }
 }
 
-fn used(capacity: Room, labels: &[&str]) -> UsedWorker {
+fn used_worker(capacity: Room, labels: &[&str]) -> UsedWorker {
     UsedWorker {
         service: "desk".to_owned(),
         address: ([127, 0, 0, 1], 9).into(),
@@ -41,29 +41,29 @@
     }
 }
 
-/// What the version before wrote of a worker in use: not its incarnation.
+/// A worker's row as written by the previous version, without the incarnation.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-struct WithoutLife {
+struct WithoutIncarnation {
     service: String,
     address: SocketAddr,
     capacity: Room,
     labels: Vec<String>,
 }
 
-fn without_life(used: &UsedWorker) -> WithoutLife {
-    WithoutLife {
-        service: used.service.clone(),
-        address: used.address,
-        capacity: used.capacity,
-        labels: used.labels.clone(),
+fn without_incarnation(used_worker: &UsedWorker) -> WithoutIncarnation {
+    WithoutIncarnation {
+        service: used_worker.service.clone(),
+        address: used_worker.address,
+        capacity: used_worker.capacity,
+        labels: used_worker.labels.clone(),
     }
 }
 
 #[test]
-fn the_row_of_an_earlier_version_tells_no_life() {
-    let row = used(room(), &["a", "r1-1"]);
+fn a_worker_row_of_the_previous_version_has_no_incarnation() {
+    let row = used_worker(resources(), &["a", "r1-1"]);
 
-    let decoded = decode_used_worker(&encode_row(&without_life(&row))).expect("a row");
+    let decoded = decode_used_worker(&encode_row(&without_incarnation(&row))).expect("a row");
 
     assert_eq!(
         decoded,
@@ -74,17 +74,17 @@
     );
 }
 
-/// Both versions serve while a cell is replaced process by process.
+/// Both versions are in service while a cell is replaced process by process.
 #[test]
-fn an_earlier_version_reads_the_row_of_a_used_worker() {
-    let row = used(room(), &["a", "r1-1"]);
+fn the_previous_version_reads_a_worker_row() {
+    let row = used_worker(resources(), &["a", "r1-1"]);
 
-    let decoded = decode_row::<WithoutLife>(&encode_row(&row));
+    let decoded = decode_row::<WithoutIncarnation>(&encode_row(&row));
 
-    assert_eq!(decoded, Ok(without_life(&row)));
+    assert_eq!(decoded, Ok(without_incarnation(&row)));
 }
 
-fn room() -> Room {
+fn resources() -> Room {
     Room {
         cpu: 4000,
         memory: 64_000,
@@ -93,8 +93,8 @@
 }
 
 #[test]
-fn the_row_of_a_used_worker_tells_its_kind() {
-    let row = used(room(), &["a", "r1-1"]);
+fn a_worker_row_is_decoded() {
+    let row = used_worker(resources(), &["a", "r1-1"]);
 
     let decoded = decode_used_worker(&encode_row(&row));
 
@@ -102,29 +102,29 @@
 }
 
 #[test]
-fn a_row_without_a_size_is_read() {
-    let decoded = decode_used_worker(&encode_row(&former()));
+fn a_worker_row_without_capacity_is_decoded() {
+    let decoded = decode_used_worker(&encode_row(&without_capacity()));
 
-    let unnamed = UsedWorker {
+    let expected = UsedWorker {
         incarnation: None,
-        ..used(Room::default(), &[])
+        ..used_worker(Room::default(), &[])
     };
-    assert_eq!(decoded, Ok(unnamed));
+    assert_eq!(decoded, Ok(expected));
 }
 
 /// While a cell is updated, processes of both versions own the pool in turn.
 #[test]
-fn an_earlier_version_reads_the_row() {
-    let row = encode_row(&used(room(), &["a", "r1-1"]));
+fn the_earliest_version_reads_a_worker_row() {
+    let row = encode_row(&used_worker(resources(), &["a", "r1-1"]));
 
-    let decoded = decode_row::<Former>(&row);
+    let decoded = decode_row::<WithoutCapacity>(&row);
 
-    assert_eq!(decoded, Ok(former()));
+    assert_eq!(decoded, Ok(without_capacity()));
 }
 
-/// Progress of a job without crashes.
+/// Progress of a job as written by the previous version, without crashes.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-struct FormerProgress {
+struct WithoutCrashes {
     outcome: Option<Outcome>,
     steps: BTreeMap<(u32, u32), StepProgress>,
 }
@@ -151,25 +151,26 @@
 }
 
 #[test]
-fn progress_tells_of_crashes() {
+fn progress_with_crashes_is_decoded() {
     let decoded = decode_progress(&encode_row(&with_crashes()));
 
     assert_eq!(decoded, Ok(with_crashes()));
 }
 
-/// While a cell is updated, processes of both versions own the pool in turn. A row that
-/// the other version could not read would leave its job alone for good.
+/// While a cell is updated, processes of both versions own the pool in turn. If one could not
+/// read a row of the other, the row's job would never be continued.
 #[test]
-fn progress_of_both_versions_is_read_by_both() {
-    let former = FormerProgress {
+fn both_versions_read_the_progress_of_both() {
+    let previous = WithoutCrashes {
         outcome: None,
         steps: steps(),
     };
 
-    let by_this = decode_progress(&encode_row(&former)).expect("a former row");
-    let by_former = decode_row::<FormerProgress>(&encode_row(&with_crashes()));
+    let by_current =
+        decode_progress(&encode_row(&previous)).expect("a row of the previous version");
+    let by_previous = decode_row::<WithoutCrashes>(&encode_row(&with_crashes()));
 
-    assert_eq!(by_this.steps, steps());
-    assert!(by_this.crashes.is_empty());
-    assert_eq!(by_former, Ok(former));
+    assert_eq!(by_current.steps, steps());
+    assert!(by_current.crashes.is_empty());
+    assert_eq!(by_previous, Ok(previous));
 }
--- a/crates/cell/tests/stale.rs
+++ b/crates/cell/tests/stale.rs
@@ -1,4 +1,4 @@
-//! What an owner tells whose knowledge has grown old.
+//! Replies of an owner whose information may be out of date.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 use site::StoreFaults;
 use site::job;
 
-/// Longer than what callers are told may be old.
+/// Longer than the age that information in replies to callers may have.
 const TOO_OLD: Duration = Duration::from_millis(2_600);
 
-/// A cell whose workers are full for the whole test.
+/// Opens a cell whose workers are fully booked for the whole test.
 async fn open(processes: usize, workers: u32) -> (SiteCell, Caller) {
     let cell = SiteCell::open(processes, workers as usize).await;
     let caller = Caller::new();
@@ -37,10 +37,10 @@
     send.await
 }
 
-/// A job is accepted of which the owner is not told.
-fn accept_untold(cell: &SiteCell) {
-    let known = cell::job_row(0x70);
-    let row = cell.store.raw(&known.table, &known.part, &known.key);
+/// Stores an accepted job without notifying the owner, as a copy of the first job's row.
+fn accept_without_notification(cell: &SiteCell) {
+    let first = cell::job_row(0x70);
+    let row = cell.store.raw(&first.table, &first.part, &first.key);
     let copy = row.expect("row of the first job");
     let other = cell::job_row(0x71);
     cell.store
@@ -55,12 +55,11 @@
     }
 }
 
-/// A caller was told that no job waits while six did. Its process owned the
-/// pool and was cut off, from the store and from the workers; another process
-/// took the pool and accepted jobs. Nothing told the former owner, which went on
-/// answering with what it had known.
+/// Guards against the reply that no job waits while six do. The owner's process is cut off from
+/// the store and from the workers; another process takes the pool and accepts jobs. The former
+/// owner is not notified, and went on answering with old information.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_owner_that_was_cut_off_tells_nothing() {
+async fn an_owner_that_was_cut_off_gives_no_count_or_status() {
     let (cell, caller) = open(2, 1).await;
     let former = cell.wait_owner(|_| true).await;
     cell.workers[0].set_silent(true);
@@ -76,9 +75,9 @@
     cell.close().await;
 }
 
-/// The same with an owner that was frozen, and is asked when it goes on.
+/// The same with an owner that is frozen, and is asked as soon as it continues.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_owner_that_was_frozen_tells_nothing_old() {
+async fn an_owner_that_was_frozen_gives_no_stale_count() {
     let (cell, caller) = open(2, 1).await;
     let former = cell.wait_owner(|_| true).await;
     cell.freeze(former, Duration::from_secs(5));
@@ -92,13 +91,13 @@
     cell.close().await;
 }
 
-/// A caller was told that no job waits while one did. The process that had
-/// accepted it could not tell the owner, and the owner could not read the feed.
+/// Guards against the reply that no job waits while one does. The process that accepted the job
+/// cannot notify the owner, and the owner cannot read the change feed.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_that_cannot_read_new_jobs_gives_no_count() {
     let (cell, caller) = open(1, 1).await;
     cell.store.set_faults(faults(false, true));
-    accept_untold(&cell);
+    accept_without_notification(&cell);
     tokio::time::sleep(TOO_OLD).await;
 
     let (status, body) = get(&cell, &caller, 0, "/plain/").await;
@@ -107,18 +106,18 @@
     cell.close().await;
 }
 
-/// The same with a store that refuses reads and does transactions. It counted
-/// as silent, so that nothing could be accepted, and the owner went on telling
-/// what it knew for as long as that lasted.
+/// The same with a store that refuses reads but carries out transactions. The store counted as
+/// unreachable, so nothing was accepted, and the owner went on answering with old information for
+/// as long as that lasted.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_owner_that_may_write_and_not_read_gives_no_count() {
+async fn an_owner_that_can_write_but_not_read_gives_no_count() {
     let (cell, caller) = open(1, 1).await;
     let refused = StoreFaults {
         refuses: Refuses::Reads,
         ..StoreFaults::default()
     };
     cell.store.set_faults(refused);
-    accept_untold(&cell);
+    accept_without_notification(&cell);
     tokio::time::sleep(TOO_OLD * 2).await;
 
     let (status, body) = get(&cell, &caller, 0, "/plain/").await;
@@ -127,27 +126,27 @@
     cell.close().await;
 }
 
-/// While the store is away for all, nothing is accepted and nobody else takes
-/// the pool: what the owner knows stays true, and it goes on telling. Over half
-/// of the workers vouch for it, so one that answers late does not matter.
+/// While the store is down for all processes, no job is accepted and no other process takes the
+/// pool, so the owner's information stays valid and it goes on answering. Replies of more than
+/// half of the workers confirm its ownership, so one late worker does not matter.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_owner_goes_on_telling_while_the_store_is_away() {
+async fn an_owner_goes_on_answering_while_the_store_is_down() {
     let (cell, caller) = open(2, 3).await;
     submit_some(&cell, &caller, 0, 3).await;
     tokio::time::sleep(Duration::from_millis(500)).await;
     cell.store.set_faults(faults(true, false));
-    let mut told = Vec::new();
+    let mut replies = Vec::new();
 
     for _ in 0..8 {
         tokio::time::sleep(Duration::from_millis(500)).await;
         for at in 0..2 {
             let (status, body) = get(&cell, &caller, at, "/plain/").await;
-            told.push((status, body["waiting"].as_u64()));
+            replies.push((status, body["waiting"].as_u64()));
             let path = "/plain/0000000000000070";
-            told.push((get(&cell, &caller, at, path).await.0, Some(3)));
+            replies.push((get(&cell, &caller, at, path).await.0, Some(3)));
         }
     }
 
-    assert_eq!(told, vec![(200, Some(3)); 32]);
+    assert_eq!(replies, vec![(200, Some(3)); 32]);
     cell.close().await;
 }
--- a/crates/cell/tests/states.rs
+++ b/crates/cell/tests/states.rs
@@ -1,4 +1,4 @@
-//! States that callers are shown while the owner changes.
+//! Job status and queue lookups while the owner changes or the store is unreachable.
 
 use std::time::Duration;
 
@@ -9,17 +9,17 @@
 use site::SiteCell;
 use site::job;
 
-/// How far a job is in a state.
+/// Order of a job status in the life of a job that completes.
 fn rank(state: &str) -> usize {
     let states = ["pending", "active", "completed"];
     let found = states.iter().position(|known| *known == state);
     found.expect("state of a job that ends well")
 }
 
-/// States that a process shows until the job is completed.
-async fn watch(cell: &SiteCell, caller: &Caller, at: usize, path: &str) -> Vec<String> {
+/// Polls a process for the status of a job until it is completed; returns each change.
+async fn poll_statuses(cell: &SiteCell, caller: &Caller, at: usize, path: &str) -> Vec<String> {
     let mut shown = Vec::new();
-    let looks = async {
+    let polling = async {
         while shown.last().is_none_or(|state| state != "completed") {
             let (status, body) = caller
                 .send(Method::GET, cell.server(at), path, &Value::Null)
@@ -30,18 +30,17 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    let ended = tokio::time::timeout(PATIENCE, looks).await;
+    let ended = tokio::time::timeout(PATIENCE, polling).await;
     assert!(ended.is_ok(), "never completed: {shown:?}");
     shown.dedup();
     shown
 }
 
-/// A caller was shown a job as active and then as pending. The owner was
-/// killed; nothing of the job had ended, so the store had nothing of it but its
-/// row, and this was taken for a job of which nothing has started. So was it by
-/// the successor, until it had asked the workers.
+/// Guards against a job that is shown as active and then as pending. The owner is killed before a
+/// task has ended, so the store holds only the job's row. Processes took this for a job of which
+/// nothing had started, and so did the successor until it had the reports of the workers.
 #[tokio::test(flavor = "multi_thread")]
-async fn states_do_not_go_back_when_the_owner_dies() {
+async fn job_status_does_not_go_back_when_the_owner_dies() {
     let mut cell = SiteCell::open(2, 2).await;
     let caller = Caller::new();
     let path = "/plain/0000000000000081";
@@ -50,18 +49,17 @@
     let owner = cell.wait_owner(|_| true).await;
     cell.kill(owner).await;
 
-    let shown = watch(&cell, &caller, 1 - owner, path).await;
+    let shown = poll_statuses(&cell, &caller, 1 - owner, path).await;
 
     assert!(shown.is_sorted_by_key(|state| rank(state)), "{shown:?}");
     assert!(!shown.contains(&"pending".to_owned()), "{shown:?}");
     cell.close().await;
 }
 
-/// A caller was told that a queue does not exist (404) which had been added
-/// seconds before. The process could not read the store, and answered by the
-/// configuration that it had.
+/// Guards against a 404 for a queue that was added seconds before. The process cannot read the
+/// store, and answered from its old configuration.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_old_configuration_does_not_deny_a_queue() {
+async fn an_old_configuration_does_not_rule_out_a_queue() {
     let cell = SiteCell::open(2, 1).await;
     let caller = Caller::new();
     let path = "/plain/0000000000000082";
--- a/crates/cell/tests/switches.rs
+++ b/crates/cell/tests/switches.rs
@@ -1,4 +1,4 @@
-//! Mechanisms that the settings switch off.
+//! Mechanisms that can be switched off in the settings.
 
 mod template;
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn every_mechanism_is_on_unless_the_settings_say_otherwise() {
+fn every_mechanism_is_on_by_default() {
     let settings = settings("").expect("settings");
 
     for mechanism in Mechanism::all() {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn an_unknown_mechanism_is_refused() {
+fn an_unknown_mechanism_is_rejected() {
     let error = settings("off: [luck]\n").expect_err("no such mechanism");
 
     assert!(
--- a/crates/cell/tests/template/mod.rs
+++ b/crates/cell/tests/template/mod.rs
@@ -1,8 +1,8 @@
-//! The settings template of the deployment, filled in.
+//! The deployment's settings template with its placeholders filled in.
 
 const TEMPLATE: &str = include_str!("../../../../deploy/settings.yaml");
 
-/// The template with a value for each placeholder.
+/// Returns the template with a value for each placeholder.
 pub fn filled() -> String {
     let mut text = String::new();
     for line in TEMPLATE.lines() {
--- a/crates/cell/tests/turned_away.rs
+++ b/crates/cell/tests/turned_away.rs
@@ -1,5 +1,5 @@
-//! A store that refuses a part of its rows, or one of the hosts, and serves the
-//! others: jobs are accepted all the same, once.
+//! A store that refuses some of its parts, or one of the hosts, and serves the others: jobs are
+//! still accepted, and only once.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// A cell that has served a job, and the part that its next job usually has.
+/// Opens a cell and completes one job; also returns the usual part of the next job.
 async fn open(processes: usize) -> (SiteCell, Caller, &'static str) {
     let cell = SiteCell::open(processes, 1).await;
     let caller = Caller::new();
@@ -31,10 +31,10 @@
     (cell, caller, part)
 }
 
-/// Callers were turned away while a fifth of the store's parts was: a job was
-/// offered to the one part that its id names, and refused with it.
+/// Guards against refusing jobs because of one part of the store. While a fifth of the parts was
+/// unavailable, a job was offered only to the part that its id selects, and refused with it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_whose_part_is_away_goes_to_another() {
+async fn a_job_is_accepted_while_its_usual_part_is_unavailable() {
     let (cell, caller, part) = open(1).await;
     cell.store.set_faults(faults(part));
 
@@ -47,8 +47,8 @@
     cell.close().await;
 }
 
-/// A repetition that finds the usual part back writes a second row of the job;
-/// it is one job all the same, and its end stands.
+/// A repeated submission that finds the usual part available again writes a second row of the
+/// job. It must remain one job, and its end must stand.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_job_with_two_rows_runs_once() {
     let (cell, caller, part) = open(1).await;
@@ -60,7 +60,7 @@
     let (status, _) = caller
         .send(Method::POST, cell.server(0), PATH, &job(1, "20"))
         .await;
-    // The feed brings the second row within 0.3 s.
+    // The feed delivers the second row within 0.3 s.
     tokio::time::sleep(Duration::from_millis(800)).await;
 
     assert_eq!(status, 200);
@@ -75,9 +75,9 @@
     cell.close().await;
 }
 
-/// A cancel finds a job whose row is not in its usual place.
+/// A cancel finds a job whose row is not in its usual part.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_in_another_part_is_cancelled() {
+async fn a_job_outside_its_usual_part_is_cancelled() {
     let (cell, caller, part) = open(1).await;
     cell.store.set_faults(faults(part));
     caller.submit(&cell.servers(), PATH, &job(1, "30000")).await;
@@ -92,10 +92,10 @@
     cell.close().await;
 }
 
-/// Callers of a host that the store turned away were told to come back, and came
-/// after their objective, while every other host could have taken their jobs.
+/// Guards against refusing callers at a host that the store refuses: they were told to retry and
+/// missed their objective, while every other host could have accepted their jobs.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_host_that_the_store_turns_away_passes_jobs_on() {
+async fn a_host_that_the_store_refuses_forwards_jobs() {
     let (cell, caller, _) = open(3).await;
     let owner = cell.owner().expect("an owner");
     let other = (owner + 1) % 3;
@@ -106,7 +106,7 @@
             .send(Method::POST, cell.server(other), PATH, &job(1, "20"))
             .await;
         assert_eq!(status, 200);
-        // By then the host knows that the store does not answer it.
+        // By the second submission the host knows that the store does not answer it.
         tokio::time::sleep(Duration::from_millis(900)).await;
     }
 
--- a/crates/cell/tests/unreadable.rs
+++ b/crates/cell/tests/unreadable.rs
@@ -1,5 +1,4 @@
-//! Rows that cannot be decoded: what they hold is not known, which is not the
-//! same as that there is nothing.
+//! Rows that cannot be decoded: their content is unknown, which differs from a missing row.
 
 use std::time::Duration;
 
@@ -10,10 +9,10 @@
 use site::SiteCell;
 use site::job;
 
-/// Bytes that are no row of ours.
+/// Bytes that decode as none of the stored rows.
 const GARBAGE: [u8; 3] = [0xff; 3];
 
-fn spoil(cell: &SiteCell, row: &RowName) {
+fn overwrite(cell: &SiteCell, row: &RowName) {
     cell.store
         .write_row(&row.table, &row.part, &row.key, &GARBAGE);
 }
@@ -23,43 +22,42 @@
     send.await.0
 }
 
-/// A caller was told that its job does not exist (410), and so was one that
-/// cancelled it. The job's row was there, and could not be decoded.
+/// Guards against a reply that a job does not exist (410), to its status query and its cancel,
+/// while its row exists but cannot be decoded.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_unreadable_job_is_not_said_to_be_missing() {
+async fn an_unreadable_job_is_not_reported_as_missing() {
     let cell = SiteCell::open(1, 1).await;
     let caller = Caller::new();
     let path = "/plain/00000000000000a1";
     caller.submit(&cell.servers(), path, &job(1, "20")).await;
-    spoil(&cell, &cell::job_row(0xa2));
-    let spoilt = "/plain/00000000000000a2";
+    overwrite(&cell, &cell::job_row(0xa2));
+    let unreadable = "/plain/00000000000000a2";
 
-    let state = ask(&cell, &caller, Method::GET, spoilt).await;
-    let cancel = ask(&cell, &caller, Method::DELETE, spoilt).await;
+    let state = ask(&cell, &caller, Method::GET, unreadable).await;
+    let cancel = ask(&cell, &caller, Method::DELETE, unreadable).await;
 
     assert_eq!((state, cancel), (503, 503));
     cell.close().await;
 }
 
-/// A job that had been shown as completed ran again, and was shown as pending.
-/// The row of its progress could not be decoded at a take-over, and the job was
-/// taken for one that had never begun.
+/// Guards against running a completed job again and showing it as pending. At a take-over the row
+/// of its progress cannot be decoded, and the job was treated as one that had never begun.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_of_unreadable_progress_does_not_run_again() {
+async fn a_job_with_unreadable_progress_does_not_run_again() {
     let mut cell = SiteCell::open(1, 1).await;
     let caller = Caller::new();
     let path = "/plain/00000000000000a3";
     caller.submit(&cell.servers(), path, &job(1, "20")).await;
     caller.wait_state(&cell.servers(), path, "completed").await;
     cell.kill(0).await;
-    spoil(&cell, &cell::progress_row(0xa3));
+    overwrite(&cell, &cell::progress_row(0xa3));
     cell.start(0).await;
-    // The successor works: what it starts, it has started.
+    // The successor starts and completes another job, so it would have started this one, too.
     let other = "/plain/00000000000000a4";
     caller.submit(&cell.servers(), other, &job(1, "20")).await;
     caller.wait_state(&cell.servers(), other, "completed").await;
     let cancel = ask(&cell, &caller, Method::DELETE, path).await;
-    // The feed brings the row again, as that of a job that is changed.
+    // The feed delivers the job's row again, because the cancel changed it.
     tokio::time::sleep(Duration::from_millis(800)).await;
 
     let state = ask(&cell, &caller, Method::GET, path).await;
--- a/crates/cell/tests/waiting.rs
+++ b/crates/cell/tests/waiting.rs
@@ -1,5 +1,5 @@
-//! The length of a queue, as callers are told, while workers leave starts
-//! unanswered; with whole processes.
+//! Length of a queue as reported to callers while workers leave start commands unanswered; with
+//! whole processes.
 
 use std::time::Duration;
 
@@ -17,8 +17,8 @@
     format!("/plain/{:016x}", 0xf100 + nth)
 }
 
-/// Starts are carried out so late that none is within the test.
-fn deaf_to_starts() -> LatePlan {
+/// Start commands are carried out so late that none takes effect within the test.
+fn starts_after_the_test() -> LatePlan {
     LatePlan {
         starts: 1.0,
         stops: 0.0,
@@ -36,12 +36,12 @@
     body[field].clone()
 }
 
-/// A caller was told that no job waits, while six had been accepted more than
-/// five seconds before and no worker had begun a task of them: the owner had
-/// ordered their starts, the workers left these unanswered, and what was ordered
-/// counted as begun. The owner's log said: waiting=1, ordered=41, unfinished=176.
+/// Guards against the reply that no job waits, although six were accepted more than five seconds
+/// before and no worker had begun one of their tasks. The owner had sent start commands that the
+/// workers left unanswered, and counted these tasks as begun. The owner's log showed waiting=1,
+/// ordered=41, unfinished=176.
 #[tokio::test(flavor = "multi_thread")]
-async fn jobs_that_no_worker_has_begun_are_told_as_waiting() {
+async fn jobs_whose_starts_are_unanswered_count_as_waiting() {
     let cell = SiteCell::open(2, 2).await;
     let caller = Caller::new();
     caller
@@ -51,14 +51,14 @@
         .wait_state(&cell.servers(), "/plain/00000000000000f0", "completed")
         .await;
     for worker in &cell.workers {
-        worker.set_late(deaf_to_starts());
+        worker.set_late(starts_after_the_test());
     }
     for nth in 0..JOBS {
         caller
             .submit(&cell.servers(), &path(nth), &job(1, "20"))
             .await;
     }
-    // Longer than the 0.5 s after which a start counts as unanswered.
+    // Longer than the 0.5 s after which a start command counts as unanswered.
     tokio::time::sleep(Duration::from_millis(1500)).await;
 
     let waiting = ask(&caller, &cell, "/plain/", "waiting").await;
