--- a/crates/cell/src/cancel.rs
+++ b/crates/cell/src/cancel.rs
@@ -63,7 +63,7 @@
         let response = loop {
             match self.try_cancel(id).await {
                 Ok(status) => {
-                    log::info!(code = 421, job:% = hex(id), status = status.as_u16(); "cancel answered");
+                    log::info!(code = 421, job:% = hex(id), status = status.as_u16(); "cancel");
                     if status == StatusCode::OK {
                         // The caller does not wait for this message. If it is lost, the owner
                         // reads the cancel from the change feed of the store.
--- a/crates/cell/src/metrics.rs
+++ b/crates/cell/src/metrics.rs
@@ -101,7 +101,7 @@
         let job = HistogramVec::new(
             histogram(
                 "job",
-                "From when the owner learnt of a job until its end was recorded",
+                "From when the owner learnt of a job to its recorded end",
             ),
             &["outcome"],
         );
@@ -111,11 +111,11 @@
         };
         CellMetrics {
             submits: counters(&registry, "submits", "Submissions by result", "result"),
-            states: counters(&registry, "states", "Status replies by source", "source"),
+            states: counters(&registry, "states", "States shown by source", "source"),
             cancels: counters(&registry, "cancels", "Cancels by status", "status"),
-            starts: counters(&registry, "starts", "Replies to start commands", "result"),
+            starts: counters(&registry, "starts", "Answers to starts", "result"),
             ends: counters(&registry, "ends", "Ends of runs", "how"),
-            stops: counters(&registry, "stops", "Stop commands by reason", "reason"),
+            stops: counters(&registry, "stops", "Stops ordered by reason", "reason"),
             lost_runs: counters(&registry, "lost_runs", "Runs lost by cause", "cause"),
             suspects: counters(
                 &registry,
@@ -125,27 +125,18 @@
             ),
             advice: counters(&registry, "advice", "Advice calls by result", "result"),
             saves: counters(&registry, "saves", "Transactions of the owner", "result"),
-            unreadable: counters(
-                &registry,
-                "unreadable_rows",
-                "Rows that cannot be decoded",
-                "table",
-            ),
+            unreadable: counters(&registry, "unreadable_rows", "Rows not decoded", "table"),
             pool: register(&registry, pool),
             epoch: gauge(
                 &registry,
                 "epoch",
-                "Epoch in which this process owns the pool, 0 if it does not",
-            ),
-            config_version: gauge(
-                &registry,
-                "config_version",
-                "Version of the configuration in force",
+                "Epoch of the ownership here, 0 for none",
             ),
-            accept: latency("accept", "Time to accept a submission"),
+            config_version: gauge(&registry, "config_version", "Configuration in force"),
+            accept: latency("accept", "Until a submission was answered with success"),
             first_start: latency(
                 "first_start",
-                "From acceptance until the owner knew that a worker runs the first task of a job",
+                "From acceptance until a worker was known to run a job's first task",
             ),
             save: latency("save", "Transactions of the owner"),
             job: register(&registry, job.expect("valid name")),
--- a/crates/cell/src/ownership.rs
+++ b/crates/cell/src/ownership.rs
@@ -290,7 +290,7 @@
         let owned_here = ownership.incarnation == ctx.incarnation;
         // An earlier start of this host's process has certainly ended.
         let restarted = ownership.node == ctx.settings.node && !owned_here;
-        // A killed process breaks off its connections: half the expiry is then enough.
+        // A killed process breaks off its connections: one missed renewal is then enough.
         let expiry = if ctx.is_owner_suspected(ownership.epoch) {
             self.expiry / 2
         } else {
