--- a/crates/cell/src/callers.rs
+++ b/crates/cell/src/callers.rs
@@ -55,7 +55,7 @@
 
 /// An empty JSON body, for replies that consist of their HTTP status alone.
 #[derive(Serialize)]
-pub(crate) struct Empty {}
+pub(crate) struct EmptyBody {}
 
 /// The queue or job that a request addresses.
 enum Target<'a> {
--- a/crates/cell/src/cancel.rs
+++ b/crates/cell/src/cancel.rs
@@ -12,7 +12,7 @@
 
 use crate::CallerHandler;
 use crate::callers::ATTEMPT_SHARE;
-use crate::callers::Empty;
+use crate::callers::EmptyBody;
 use crate::callers::RETRY_PAUSE;
 use crate::callers::STORE_TIMEOUT;
 use crate::callers::caller_timeout;
@@ -70,7 +70,7 @@
                         let owner = self.owner.clone();
                         tokio::spawn(async move { owner.notify_canceled(id).await });
                     }
-                    break web::json(status, &Empty {});
+                    break web::json(status, &EmptyBody {});
                 }
                 Err(error) => {
                     ambiguous |= !error.certainly_not_done();
--- a/crates/cell/src/follower.rs
+++ b/crates/cell/src/follower.rs
@@ -71,7 +71,7 @@
     }
 
     /// Uses [`LONG_READ_TIMEOUTS`] for full reads, and allows feed replies as long: the changes
-    /// that gather during a full read may take longer than [`FEED_TIMEOUT`] over a thin link.
+    /// that gather during a full read may take longer than [`FEED_TIMEOUT`] over a slow link.
     pub(crate) fn with_long_timeouts(self) -> Follower {
         Follower {
             patience: LONG_READ_TIMEOUTS,
--- a/crates/cell/src/logging.rs
+++ b/crates/cell/src/logging.rs
@@ -56,7 +56,7 @@
 }
 
 impl LogGuard {
-    /// Logs the number of newly dropped lines every five seconds.
+    /// Reports newly dropped lines, if any, in intervals of [`REPORT_INTERVAL`].
     pub async fn report_dropped(&self) {
         loop {
             tokio::time::sleep(REPORT_INTERVAL).await;
--- a/crates/cell/src/ownership.rs
+++ b/crates/cell/src/ownership.rs
@@ -65,7 +65,7 @@
 /// Additional delay of such a small host. A larger process that was killed is back after 0.6 s
 /// and makes its attempt within another 0.2 s. With a delay of 0.4 s, a host with 0.12 of a core
 /// took over 350 workers while four larger ones were starting: work started again only after 5.7
-/// s, and the value of the day fell from 0.68 to 0.43 (2 of 18 runs).
+/// s, and the score of the simulated day fell from 0.68 to 0.43 (2 of 18 runs).
 const SMALL_HOST_DELAY: Duration = Duration::from_secs(1);
 
 /// A host takes the pool from an owner that cannot keep up only if it can make this many times
@@ -315,7 +315,7 @@
     /// slow, or another host may have been faster.
     ///
     /// The row must be read after the stagger, not only before it, where it was outdated by the
-    /// time of the write: most of 299 hosts then wrote in vain, up to 100 of these writes queued
+    /// time of the write: most of 299 hosts then wrote needlessly, up to 100 of these writes queued
     /// in the owner's part of the store ahead of the new owner's renewals, and the pool became
     /// free again, 12 times in 30 s.
     async fn recheck(&mut self) -> bool {
--- a/crates/cell/src/rows.rs
+++ b/crates/cell/src/rows.rs
@@ -34,7 +34,7 @@
 
 /// Number of parts over which accepted jobs are spread. A part does one transaction after
 /// another, and one takes most of a second when the store is slow: with 8 parts, 430 of 2,500
-/// jobs were refused during a period of slow transactions.
+/// jobs of a day with a slow store were refused.
 const JOB_PARTS: u64 = 128;
 
 /// Number of rows, in different parts, in which a job may be stored. The store may refuse some
--- a/crates/cell/src/submit.rs
+++ b/crates/cell/src/submit.rs
@@ -14,7 +14,7 @@
 use crate::AcceptedJob;
 use crate::CallerHandler;
 use crate::callers::ATTEMPT_SHARE;
-use crate::callers::Empty;
+use crate::callers::EmptyBody;
 use crate::callers::caller_timeout;
 use crate::callers::outcome_unknown;
 use crate::callers::service_unavailable;
@@ -50,9 +50,9 @@
         match acceptance {
             Acceptance::Accepted { first: true } => {
                 self.notify_owner(job);
-                web::json(StatusCode::OK, &Empty {})
+                web::json(StatusCode::OK, &EmptyBody {})
             }
-            Acceptance::Accepted { first: false } => web::json(StatusCode::OK, &Empty {}),
+            Acceptance::Accepted { first: false } => web::json(StatusCode::OK, &EmptyBody {}),
             Acceptance::Refused(reason) => service_unavailable(&reason),
             Acceptance::Unknown(reason) => outcome_unknown(&reason),
         }
--- a/crates/cell/tests/log_volume.rs
+++ b/crates/cell/tests/log_volume.rs
@@ -40,7 +40,7 @@
     }
 
     /// Returns the text once no new line has arrived for [`QUIET_TIME`].
-    async fn settled(&self) -> String {
+    async fn wait_quiet(&self) -> String {
         let mut text = self.text();
         loop {
             tokio::time::sleep(QUIET_TIME).await;
@@ -82,10 +82,10 @@
     let cell = SiteCell::open(3, 4).await;
     let caller = Caller::new();
     run_jobs(&cell, &caller, 0..1).await;
-    let before = output.settled().await;
+    let before = output.wait_quiet().await;
 
     run_jobs(&cell, &caller, 1..JOBS + 1).await;
-    let after = output.settled().await;
+    let after = output.wait_quiet().await;
 
     let bytes = after.len() - before.len();
     let starts = usize::try_from(JOBS * TASKS).expect("a small number");
--- a/crates/cell/tests/refusals.rs
+++ b/crates/cell/tests/refusals.rs
@@ -9,7 +9,7 @@
 use site::job;
 
 /// Longer than a successor waits for workers to register.
-const SETTLED: Duration = Duration::from_millis(5_500);
+const REGISTRATION_WAIT: Duration = Duration::from_millis(5_500);
 
 /// Guards against failing a gang that fits into the pool. One of two workers dies together with
 /// the owner. The successor knows the dead worker only from its row, which had no capacity, and
@@ -31,7 +31,7 @@
     gang["steps"][0]["gang"] = true.into();
     caller.submit(&[cell.server(next)], path, &gang).await;
 
-    tokio::time::sleep(SETTLED).await;
+    tokio::time::sleep(REGISTRATION_WAIT).await;
 
     let (_, body) = caller
         .send(Method::GET, cell.server(next), path, &Value::Null)
--- a/crates/cell/tests/stale.rs
+++ b/crates/cell/tests/stale.rs
@@ -11,7 +11,7 @@
 use site::job;
 
 /// Longer than the age that information in replies to callers may have.
-const TOO_OLD: Duration = Duration::from_millis(2_600);
+const STALE_AFTER: Duration = Duration::from_millis(2_600);
 
 /// Opens a cell whose workers are fully booked for the whole test.
 async fn open(processes: usize, workers: u32) -> (SiteCell, Caller) {
@@ -24,7 +24,7 @@
     (cell, caller)
 }
 
-async fn submit_some(cell: &SiteCell, caller: &Caller, at: usize, count: u32) {
+async fn submit_jobs(cell: &SiteCell, caller: &Caller, at: usize, count: u32) {
     for nth in 0..count {
         let path = format!("/plain/{:016x}", 0x7100 + nth);
         let small = job(1, "20");
@@ -65,8 +65,8 @@
     cell.workers[0].set_silent(true);
     cell.doors[former].set_cut(true);
     let next = cell.wait_owner(|next| next != former).await;
-    submit_some(&cell, &caller, next, 6).await;
-    tokio::time::sleep(TOO_OLD).await;
+    submit_jobs(&cell, &caller, next, 6).await;
+    tokio::time::sleep(STALE_AFTER).await;
 
     let count = get(&cell, &caller, former, "/plain/").await;
     let state = get(&cell, &caller, former, "/plain/0000000000000070").await;
@@ -82,7 +82,7 @@
     let former = cell.wait_owner(|_| true).await;
     cell.freeze(former, Duration::from_secs(5));
     let next = cell.wait_owner(|next| next != former).await;
-    submit_some(&cell, &caller, next, 6).await;
+    submit_jobs(&cell, &caller, next, 6).await;
 
     let (status, body) = get(&cell, &caller, former, "/plain/").await;
 
@@ -98,7 +98,7 @@
     let (cell, caller) = open(1, 1).await;
     cell.store.set_faults(faults(false, true));
     accept_without_notification(&cell);
-    tokio::time::sleep(TOO_OLD).await;
+    tokio::time::sleep(STALE_AFTER).await;
 
     let (status, body) = get(&cell, &caller, 0, "/plain/").await;
 
@@ -118,7 +118,7 @@
     };
     cell.store.set_faults(refused);
     accept_without_notification(&cell);
-    tokio::time::sleep(TOO_OLD * 2).await;
+    tokio::time::sleep(STALE_AFTER * 2).await;
 
     let (status, body) = get(&cell, &caller, 0, "/plain/").await;
 
@@ -132,7 +132,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_goes_on_answering_while_the_store_is_down() {
     let (cell, caller) = open(2, 3).await;
-    submit_some(&cell, &caller, 0, 3).await;
+    submit_jobs(&cell, &caller, 0, 3).await;
     tokio::time::sleep(Duration::from_millis(500)).await;
     cell.store.set_faults(faults(true, false));
     let mut replies = Vec::new();
--- a/crates/cell/tests/states.rs
+++ b/crates/cell/tests/states.rs
@@ -9,31 +9,31 @@
 use site::SiteCell;
 use site::job;
 
-/// Order of a job status in the life of a job that completes.
+/// Position of a status among those that a completing job passes through.
 fn rank(state: &str) -> usize {
     let states = ["pending", "active", "completed"];
-    let found = states.iter().position(|known| *known == state);
+    let found = states.iter().position(|name| *name == state);
     found.expect("state of a job that ends well")
 }
 
 /// Polls a process for the status of a job until it is completed; returns each change.
 async fn poll_statuses(cell: &SiteCell, caller: &Caller, at: usize, path: &str) -> Vec<String> {
-    let mut shown = Vec::new();
+    let mut statuses = Vec::new();
     let polling = async {
-        while shown.last().is_none_or(|state| state != "completed") {
+        while statuses.last().is_none_or(|state| state != "completed") {
             let (status, body) = caller
                 .send(Method::GET, cell.server(at), path, &Value::Null)
                 .await;
             if status == 200 {
-                shown.push(body["state"].as_str().unwrap_or_default().to_owned());
+                statuses.push(body["state"].as_str().unwrap_or_default().to_owned());
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
     let ended = tokio::time::timeout(PATIENCE, polling).await;
-    assert!(ended.is_ok(), "never completed: {shown:?}");
-    shown.dedup();
-    shown
+    assert!(ended.is_ok(), "never completed: {statuses:?}");
+    statuses.dedup();
+    statuses
 }
 
 /// Guards against a job that is shown as active and then as pending. The owner is killed before a
@@ -49,10 +49,13 @@
     let owner = cell.wait_owner(|_| true).await;
     cell.kill(owner).await;
 
-    let shown = poll_statuses(&cell, &caller, 1 - owner, path).await;
+    let statuses = poll_statuses(&cell, &caller, 1 - owner, path).await;
 
-    assert!(shown.is_sorted_by_key(|state| rank(state)), "{shown:?}");
-    assert!(!shown.contains(&"pending".to_owned()), "{shown:?}");
+    assert!(
+        statuses.is_sorted_by_key(|state| rank(state)),
+        "{statuses:?}"
+    );
+    assert!(!statuses.contains(&"pending".to_owned()), "{statuses:?}");
     cell.close().await;
 }
 
@@ -64,7 +67,7 @@
     let caller = Caller::new();
     let path = "/plain/0000000000000082";
     caller.submit(&cell.servers(), path, &job(1, "20")).await;
-    let (known, _) = caller
+    let (missing, _) = caller
         .send(Method::GET, cell.server(0), "/never/", &Value::Null)
         .await;
     cell.doors[0].set_cut(true);
@@ -75,6 +78,6 @@
         .send(Method::GET, cell.server(0), "/added/", &Value::Null)
         .await;
 
-    assert_eq!((known, added), (404, 503));
+    assert_eq!((missing, added), (404, 503));
     cell.close().await;
 }
--- a/crates/cell/tests/unreadable.rs
+++ b/crates/cell/tests/unreadable.rs
@@ -17,7 +17,7 @@
         .write_row(&row.table, &row.part, &row.key, &GARBAGE);
 }
 
-async fn ask(cell: &SiteCell, caller: &Caller, method: Method, path: &str) -> u16 {
+async fn send_request(cell: &SiteCell, caller: &Caller, method: Method, path: &str) -> u16 {
     let send = caller.send(method, cell.server(0), path, &Value::Null);
     send.await.0
 }
@@ -33,8 +33,8 @@
     overwrite(&cell, &cell::job_row(0xa2));
     let unreadable = "/plain/00000000000000a2";
 
-    let state = ask(&cell, &caller, Method::GET, unreadable).await;
-    let cancel = ask(&cell, &caller, Method::DELETE, unreadable).await;
+    let state = send_request(&cell, &caller, Method::GET, unreadable).await;
+    let cancel = send_request(&cell, &caller, Method::DELETE, unreadable).await;
 
     assert_eq!((state, cancel), (503, 503));
     cell.close().await;
@@ -56,11 +56,11 @@
     let other = "/plain/00000000000000a4";
     caller.submit(&cell.servers(), other, &job(1, "20")).await;
     caller.wait_state(&cell.servers(), other, "completed").await;
-    let cancel = ask(&cell, &caller, Method::DELETE, path).await;
+    let cancel = send_request(&cell, &caller, Method::DELETE, path).await;
     // The feed delivers the job's row again, because the cancel changed it.
     tokio::time::sleep(Duration::from_millis(800)).await;
 
-    let state = ask(&cell, &caller, Method::GET, path).await;
+    let state = send_request(&cell, &caller, Method::GET, path).await;
 
     assert_eq!(cell.log.starts("00000000000000a3"), 1);
     assert_eq!((cancel, state), (200, 503));
--- a/crates/cell/tests/waiting.rs
+++ b/crates/cell/tests/waiting.rs
@@ -28,7 +28,7 @@
     }
 }
 
-async fn ask(caller: &Caller, cell: &SiteCell, path: &str, field: &str) -> Value {
+async fn get_field(caller: &Caller, cell: &SiteCell, path: &str, field: &str) -> Value {
     let (status, body) = caller
         .send(Method::GET, cell.server(0), path, &Value::Null)
         .await;
@@ -61,8 +61,8 @@
     // Longer than the 0.5 s after which a start command counts as unanswered.
     tokio::time::sleep(Duration::from_millis(1500)).await;
 
-    let waiting = ask(&caller, &cell, "/plain/", "waiting").await;
-    let state = ask(&caller, &cell, &path(0), "state").await;
+    let waiting = get_field(&caller, &cell, "/plain/", "waiting").await;
+    let state = get_field(&caller, &cell, &path(0), "state").await;
     for worker in &cell.workers {
         worker.set_late(LatePlan::default());
     }
