--- a/crates/cell/src/owner/sender.rs
+++ b/crates/cell/src/owner/commands.rs
@@ -15,24 +15,24 @@
 use super::Pool;
 use super::start_call::StartCall;
 use crate::OwnerMessage;
-use crate::WorkerNews;
+use crate::WorkerEvent;
 use crate::metrics::count;
 use crate::metrics::observe;
 
 /// Pause before the planner learns of a stop that was not delivered, and repeats it.
-const STOP_PAUSE: Duration = Duration::from_millis(200);
+const STOP_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 impl Pool {
     /// Records how long the jobs that have just started had waited.
-    pub(super) fn observe_starts(&mut self) {
+    pub(super) fn record_first_starts(&mut self) {
         for waited in self.planner.take_first_starts() {
             observe(&self.context.metrics.first_start, waited);
         }
     }
 
-    pub(super) fn send_orders(&mut self) {
-        for order in self.planner.take_orders() {
-            match order {
+    pub(super) fn send_commands(&mut self) {
+        for command in self.planner.take_orders() {
+            match command {
                 Order::Start {
                     worker,
                     task,
@@ -62,10 +62,10 @@
                     if let Some(link) = self.links.remove(&worker) {
                         link.close();
                     }
-                    self.used.remove(&id);
-                    self.saver.drop_worker(id);
+                    self.used_workers.remove(&id);
+                    self.saver.queue_removal(id);
                 }
-                Order::Begin { worker } => self.begin_life(worker),
+                Order::Begin { worker } => self.queue_worker_row(worker),
             }
         }
     }
@@ -73,7 +73,7 @@
     fn send_start(&mut self, worker: WorkerKey, mut start: Start) {
         let lease = self.context.settings.policy().lease;
         let info = self.planner.worker(worker);
-        let named = info.is_some_and(|info| info.life.is_some());
+        let names_incarnation = info.is_some_and(|info| info.life.is_some());
         let link = self.links.get(&worker);
         let now = self.context.now();
         // A start renews the lease of its worker, so it is sent only while the ownership is
@@ -82,28 +82,28 @@
         let lease_end = link.and_then(|link| link.lease_end(now, lease));
         let (Some(link), Some(lease_end)) = (link, lease_end) else {
             let (task, run) = (start.task, start.run);
-            log::error!(code = 353, task:% = task, run = run; "start without a link");
+            log::error!(code = 353, task:% = task, run = run; "start without an open link");
             let reply = StartReply::Refused;
             self.planner.start_reply(worker, task, run, reply);
             return;
         };
         start.lease_end = lease_end;
-        start.token = link.gate.begin_start();
+        start.token = link.fencing.begin_start();
         log::info!(
             code = 350, task:% = start.task, run = start.run, worker = link.id.as_str(),
             epoch = self.epoch, resumes = !start.checkpoint.is_empty(); "start"
         );
-        self.window.sent();
+        self.start_window.record_sent();
         let call = StartCall {
             context: self.context.clone(),
             worker,
             id: link.id.clone(),
             address: link.address,
-            named,
+            names_incarnation,
             start,
-            gate: link.gate.clone(),
-            answers: self.answers.clone(),
-            window: self.window.clone(),
+            fencing: link.fencing.clone(),
+            latency: self.latency.clone(),
+            start_window: self.start_window.clone(),
             sender: self.sender.clone(),
         };
         tokio::spawn(call.run());
@@ -111,7 +111,7 @@
 
     fn send_stop(&self, worker: WorkerKey, task: TaskKey, run: RunId, reason: StopReason) {
         let Some(link) = self.links.get(&worker) else {
-            self.put_off_stop(worker, task, run);
+            self.defer_stop(worker, task, run);
             return;
         };
         count(&self.context.metrics.stops, &reason.to_string());
@@ -123,33 +123,35 @@
         let (address, id) = (link.address, link.id.clone());
         let orders = self.context.orders.clone();
         let sender = self.sender.clone();
-        let gate = link.gate.clone();
-        let token = gate.token();
-        let patience = self.answers.patience();
+        let fencing = link.fencing.clone();
+        let token = fencing.token();
+        let late_after = self.latency.late_after();
         tokio::spawn(async move {
-            let answer = orders.stop(address, &id, task, run, token, patience).await;
-            let news = match answer {
-                Ordered::Done(_) => WorkerNews::StopAnswered(task, run, StopReply::Stopped),
-                Ordered::Fenced if !gate.overtaken(token) => WorkerNews::Fenced,
-                Ordered::Replaced => WorkerNews::Over,
+            let answer = orders
+                .stop(address, &id, task, run, token, late_after)
+                .await;
+            let event = match answer {
+                Ordered::Done(_) => WorkerEvent::StopAnswered(task, run, StopReply::Stopped),
+                Ordered::Fenced if !fencing.superseded(token) => WorkerEvent::Fenced,
+                Ordered::Replaced => WorkerEvent::Ended,
                 _ => {
-                    tokio::time::sleep(STOP_PAUSE).await;
-                    WorkerNews::StopAnswered(task, run, StopReply::Unknown)
+                    tokio::time::sleep(STOP_RETRY_PAUSE).await;
+                    WorkerEvent::StopAnswered(task, run, StopReply::Unknown)
                 }
             };
-            let _ = sender.send(OwnerMessage::Worker(worker, news)).await;
+            let _ = sender.send(OwnerMessage::Worker(worker, event)).await;
         });
     }
 
     /// Reports a stop as undelivered, after a pause: there is no link until the row of the
     /// worker's incarnation is written.
-    fn put_off_stop(&self, worker: WorkerKey, task: TaskKey, run: RunId) {
+    fn defer_stop(&self, worker: WorkerKey, task: TaskKey, run: RunId) {
         let sender = self.sender.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(STOP_PAUSE).await;
-            let news = WorkerNews::StopAnswered(task, run, StopReply::Unknown);
+            tokio::time::sleep(STOP_RETRY_PAUSE).await;
+            let event = WorkerEvent::StopAnswered(task, run, StopReply::Unknown);
             // Fails only if the owner has ended, which then needs no stop.
-            let _ = sender.send(OwnerMessage::Worker(worker, news)).await;
+            let _ = sender.send(OwnerMessage::Worker(worker, event)).await;
         });
     }
 }
--- a/crates/cell/src/owner/gate.rs
+++ b/crates/cell/src/owner/fencing.rs
@@ -25,34 +25,35 @@
 use job::Token;
 use job::WorkerId;
 
+/// Fencing token and number of starts, under the lock.
 #[derive(Debug, Default)]
-struct State {
+struct FencingState {
     epoch: Epoch,
     /// How often the token was raised in this epoch.
-    raised: u64,
-    sent: u64,
+    raises: u64,
+    starts_sent: u64,
     /// Starts whose reply is awaited, or that may still be carried out.
-    open: u64,
+    starts_open: u64,
 }
 
-impl State {
+impl FencingState {
     fn token(&self) -> Token {
-        job::token(self.epoch, self.raised)
+        job::token(self.epoch, self.raises)
     }
 }
 
 /// Fencing token and starts of one worker, across its incarnations.
 #[derive(Debug, Default)]
-pub(super) struct Gate {
-    state: Mutex<State>,
+pub(super) struct WorkerFencing {
+    state: Mutex<FencingState>,
 }
 
 /// Number of starts that had been sent when none was in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Quiet(u64);
+pub(super) struct IdleMark(u64);
 
-impl Gate {
-    fn lock(&self) -> MutexGuard<'_, State> {
+impl WorkerFencing {
+    fn lock(&self) -> MutexGuard<'_, FencingState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -63,43 +64,43 @@
 
     /// Whether this owner has sent commands with a higher token since: then a refusal of
     /// `token` does not mean that there is a newer owner.
-    pub(super) fn overtaken(&self, token: Token) -> bool {
+    pub(super) fn superseded(&self, token: Token) -> bool {
         token < self.token()
     }
 
     /// Records that a start is being sent, and returns its token.
     pub(super) fn begin_start(&self) -> Token {
         let mut state = self.lock();
-        state.sent += 1;
-        state.open += 1;
+        state.starts_sent += 1;
+        state.starts_open += 1;
         state.token()
     }
 
     /// Raises the token for all later commands, after a start got no reply in time.
-    pub(super) fn raise(&self) {
-        self.lock().raised += 1;
+    pub(super) fn raise_token(&self) {
+        self.lock().raises += 1;
     }
 
     /// Records that a start was answered, or cannot be carried out any more.
     pub(super) fn end_start(&self) {
         let mut state = self.lock();
-        state.open = state.open.saturating_sub(1);
+        state.starts_open = state.starts_open.saturating_sub(1);
     }
 
     /// The number of starts sent so far, if none is in progress.
-    pub(super) fn quiet(&self) -> Option<Quiet> {
+    pub(super) fn idle_mark(&self) -> Option<IdleMark> {
         let state = self.lock();
-        (state.open == 0).then_some(Quiet(state.sent))
+        (state.starts_open == 0).then_some(IdleMark(state.starts_sent))
     }
 
     /// The token for an acknowledgement, if no start has been sent since `mark`. Later starts
     /// carry a higher one.
-    pub(super) fn acknowledge(&self, quiet: Quiet) -> Option<Token> {
+    pub(super) fn ack_token(&self, mark: IdleMark) -> Option<Token> {
         let mut state = self.lock();
-        let still = state.open == 0 && state.sent == quiet.0;
-        still.then(|| {
+        let unchanged = state.starts_open == 0 && state.starts_sent == mark.0;
+        unchanged.then(|| {
             let token = state.token();
-            state.raised += 1;
+            state.raises += 1;
             token
         })
     }
@@ -107,21 +108,21 @@
 
 /// Fencing state of all workers of an owner.
 #[derive(Debug, Default)]
-pub(super) struct Gates(HashMap<WorkerId, Arc<Gate>>);
+pub(super) struct FencingTable(HashMap<WorkerId, Arc<WorkerFencing>>);
 
-impl Gates {
+impl FencingTable {
     /// Fencing state for a new link to a worker; its commands carry a higher token than all
     /// earlier ones.
-    pub(super) fn open(&mut self, epoch: Epoch, id: &str) -> Arc<Gate> {
-        let gate = self.0.entry(id.to_owned()).or_default().clone();
-        let mut state = gate.lock();
-        state.raised = if state.epoch == epoch {
-            state.raised + 1
+    pub(super) fn open(&mut self, epoch: Epoch, id: &str) -> Arc<WorkerFencing> {
+        let fencing = self.0.entry(id.to_owned()).or_default().clone();
+        let mut state = fencing.lock();
+        state.raises = if state.epoch == epoch {
+            state.raises + 1
         } else {
             0
         };
         state.epoch = epoch;
         drop(state);
-        gate
+        fencing
     }
 }
--- a/crates/cell/src/owner/standing.rs
+++ b/crates/cell/src/owner/freshness.rs
@@ -13,7 +13,7 @@
 use super::Pool;
 
 /// Greatest age of the knowledge behind an answer to a caller.
-const MOST_AGE: Duration = Duration::from_secs(2);
+const MAX_AGE: Duration = Duration::from_secs(2);
 
 /// While the store alone confirms the ownership for longer than this, the workers' replies are
 /// not examined. It is longer than the time between two planning cycles.
@@ -21,66 +21,66 @@
 
 /// When the owner's knowledge was last confirmed.
 #[derive(Debug)]
-pub(super) struct Standing {
+pub(super) struct Freshness {
     /// Confirmations that this process owns the pool.
     pub(super) tenure: Tenure,
     /// Until when the ownership is confirmed, as of the last planning cycle: links renew leases
     /// until then.
-    until: watch::Sender<Duration>,
+    owned_until: watch::Sender<Duration>,
     /// When the newest successful read of the feed of job rows started: all jobs accepted
     /// before it are known.
-    read: Duration,
+    jobs_read: Duration,
     /// Queue lengths are not answered, since the knowledge is too old.
     mute: bool,
 }
 
-impl Standing {
+impl Freshness {
     /// All rows, including those of the used workers, were read no earlier than `now`.
-    pub(super) fn new(now: Duration, tenure: Tenure) -> Standing {
-        Standing {
-            until: watch::Sender::new(tenure.by_store()),
+    pub(super) fn new(now: Duration, tenure: Tenure) -> Freshness {
+        Freshness {
+            owned_until: watch::Sender::new(tenure.by_store()),
             tenure,
-            read: now,
+            jobs_read: now,
             mute: false,
         }
     }
 
     /// Subscribes to the time until which leases may be renewed.
-    pub(super) fn follow_tenure(&self) -> watch::Receiver<Duration> {
-        self.until.subscribe()
+    pub(super) fn subscribe_tenure(&self) -> watch::Receiver<Duration> {
+        self.owned_until.subscribe()
     }
 
-    /// Records that all jobs accepted before `begun` are known.
-    pub(super) fn read(&mut self, begun: Duration) {
-        self.read = self.read.max(begun);
+    /// Records that all jobs accepted before `started` are known.
+    pub(super) fn record_jobs_read(&mut self, started: Duration) {
+        self.jobs_read = self.jobs_read.max(started);
     }
 }
 
 impl Pool {
     /// Whether the ownership is confirmed, so that leases may be renewed.
     pub(super) fn owned(&self) -> bool {
-        !self.deposed && self.context.now() < *self.standing.until.borrow()
+        !self.deposed && self.context.now() < *self.freshness.owned_until.borrow()
     }
 
     /// Computes until when the ownership is confirmed, and publishes it to the links.
     pub(super) fn publish_tenure(&self, now: Duration) {
-        let tenure = &self.standing.tenure;
-        let heard = |worker: &str| {
+        let tenure = &self.freshness.tenure;
+        let last_accepted = |worker: &str| {
             let key = self.planner.worker_of(worker)?;
-            self.links.get(&key)?.heard()
+            self.links.get(&key)?.last_accepted()
         };
         let end = if tenure.by_store() > now + TENURE_SLACK {
             tenure.by_store()
         } else {
-            tenure.until(heard)
+            tenure.until(last_accepted)
         };
-        self.standing.until.send_replace(end);
+        self.freshness.owned_until.send_replace(end);
     }
 
     /// Whether the ownership and the knowledge of all jobs were confirmed recently.
-    pub(super) fn knows_jobs(&self) -> bool {
-        let since = self.context.now().saturating_sub(MOST_AGE);
-        self.standing.read >= since && self.owned()
+    pub(super) fn jobs_current(&self) -> bool {
+        let since = self.context.now().saturating_sub(MAX_AGE);
+        self.freshness.jobs_read >= since && self.owned()
     }
 
     /// While the store accepts no writes, no job is accepted, so none is missed. If it only
@@ -88,21 +88,24 @@
     /// refuses reads but still carries out the owner's writes does accept jobs: when it was
     /// treated like one that is down, the owner answered for the whole outage that 0 jobs wait,
     /// although six did.
-    pub(super) fn check_standing(&mut self, now: Duration) {
+    pub(super) fn check_freshness(&mut self, now: Duration) {
         let silent = self.context.seat.borrow().silent;
-        if silent.is_some_and(|since| self.standing.tenure.written() < since) {
-            self.standing.read(now);
+        if silent.is_some_and(|since| self.freshness.tenure.written() < since) {
+            self.freshness.record_jobs_read(now);
         }
-        let mute = !self.knows_jobs();
-        if mute == self.standing.mute {
+        let mute = !self.jobs_current();
+        if mute == self.freshness.mute {
             return;
         }
-        self.standing.mute = mute;
+        self.freshness.mute = mute;
         let age = |at: Duration| now.saturating_sub(at).as_millis();
-        let (written, read) = (age(self.standing.tenure.written()), age(self.standing.read));
+        let (written, read) = (
+            age(self.freshness.tenure.written()),
+            age(self.freshness.jobs_read),
+        );
         log::warn!(
             code = 371, epoch = self.epoch, mute = mute, written_ms = written, read_ms = read;
-            "age of the owner's knowledge"
+            "freshness of the owner's state changed"
         );
     }
 }
--- a/crates/cell/src/owner/news.rs
+++ b/crates/cell/src/owner/handlers.rs
@@ -17,38 +17,39 @@
 use super::Pool;
 use crate::Change;
 use crate::JOB_TABLE;
-use crate::RosterChange;
+use crate::RegistrationChange;
 use crate::UsedWorker;
-use crate::WorkerNews;
+use crate::WorkerEvent;
 use crate::decode_row;
 use crate::job_of;
 use crate::metrics::count;
 
 impl Pool {
-    pub(super) fn take_jobs(&mut self, change: Change) {
+    pub(super) fn handle_jobs(&mut self, change: Change) {
         let (Change::Full(rows) | Change::Some(rows)) = change;
         for row in rows {
-            self.take_job(&row, None);
+            self.handle_job(&row, None);
         }
     }
 
     /// Handles a job's row. At take-over, `inherited` is the progress that the former owner
     /// left, by job.
-    pub(super) fn take_job(&mut self, row: &Row, left: Option<&HashMap<JobId, Progress>>) {
+    pub(super) fn handle_job(&mut self, row: &Row, inherited: Option<&HashMap<JobId, Progress>>) {
         if row.removed {
             return;
         }
         let id = job_of(&row.name);
         let spec = decode_row::<JobSpec>(&row.value);
         if let Ok(id) = id {
-            self.retention.saw(id, &row.name);
+            self.retention.record_row(id, &row.name);
         }
         match (id, spec) {
-            (Ok(id), Ok(_)) if self.unreadable.contains(&id) => {}
-            (Ok(id), Ok(_)) if self.retention.outlived(id, row.version) => {}
+            (Ok(id), Ok(_)) if self.unreadable_jobs.contains(&id) => {}
+            (Ok(id), Ok(_)) if self.retention.predates_removal(id, row.version) => {}
             (Ok(id), Ok(spec)) => {
-                let progress = left.and_then(|left| left.get(&id));
-                self.planner.take_job(id, spec, progress, left.is_some());
+                let progress = inherited.and_then(|inherited| inherited.get(&id));
+                self.planner
+                    .take_job(id, spec, progress, inherited.is_some());
             }
             (_, Err(error)) => {
                 count(&self.context.metrics.unreadable, JOB_TABLE);
@@ -61,37 +62,37 @@
         }
     }
 
-    pub(super) fn take_workers(&mut self, change: RosterChange) {
-        for info in change.present {
-            self.take_registration(info);
+    pub(super) fn handle_registrations(&mut self, change: RegistrationChange) {
+        for info in change.updated {
+            self.handle_registration(info);
         }
-        self.registered = self.registered.max(change.read);
-        for id in change.gone {
+        self.registrations_read = self.registrations_read.max(change.read_started);
+        for id in change.deleted {
             log::info!(code = 341, worker = id.as_str(); "worker's registration is gone");
             self.planner.lose_worker(&id);
         }
     }
 
-    fn take_registration(&mut self, info: WorkerInfo) {
-        let (id, life, address) = (info.id.clone(), info.life, info.address);
+    fn handle_registration(&mut self, info: WorkerInfo) {
+        let (id, incarnation, address) = (info.id.clone(), info.life, info.address);
         if info.draining {
             log::info!(code = 342, worker = id.as_str(); "worker is leaving");
         }
         let before = self.planner.capacity(&id);
         let new = self.planner.take_worker(info);
         if let Some(key) = new {
-            log::info!(code = 340, worker = id.as_str(), life = life, address:% = address; "worker registered");
-            self.begin_life(key);
+            log::info!(code = 340, worker = id.as_str(), life = incarnation, address:% = address; "worker registered");
+            self.queue_worker_row(key);
             return;
         }
         let Some(key) = self.planner.worker_of(&id) else {
             return;
         };
         let known = self.planner.worker(key).and_then(|info| info.life);
-        if known != life {
+        if known != incarnation {
             log::info!(
-                code = 387, worker = id.as_str(), life = life, known = known, address:% = address;
-                "worker registered as another life"
+                code = 387, worker = id.as_str(), life = incarnation, known = known, address:% = address;
+                "worker registered as another incarnation"
             );
             return;
         }
@@ -102,19 +103,19 @@
         if before.now != after.now {
             log::info!(
                 code = 382, worker = id.as_str(), cpu = after.now.cpu, memory = after.now.memory,
-                cpu_before = before.now.cpu, memory_before = before.now.memory; "worker's room has changed"
+                cpu_before = before.now.cpu, memory_before = before.now.memory; "worker's capacity has changed"
             );
         }
         if after.largest != before.largest {
             // A successor that first sees the worker while it is small must know that it can
             // grow.
-            self.begin_life(key);
+            self.queue_worker_row(key);
         }
     }
 
     /// Queues the row of a worker, after which the worker may be used. The row holds the
     /// largest capacity that the worker has had.
-    pub(super) fn begin_life(&mut self, key: WorkerKey) {
+    pub(super) fn queue_worker_row(&mut self, key: WorkerKey) {
         let Some(info) = self.planner.worker(key) else {
             return;
         };
@@ -122,16 +123,16 @@
         let used = UsedWorker {
             service: info.service.clone(),
             address: info.address,
-            capacity: largest.map_or(info.capacity, |room| room.largest),
+            capacity: largest.map_or(info.capacity, |size| size.largest),
             labels: info.labels.clone(),
             life: info.life,
         };
-        self.saver.use_worker(info.id.clone(), used);
+        self.saver.queue_row(info.id.clone(), used);
     }
 
     /// Moves the links of silent workers that have registered at another address to that
     /// address.
-    pub(super) fn follow_moved(&mut self) {
+    pub(super) fn move_links(&mut self) {
         for (key, address) in self.planner.moved() {
             self.move_link(key, address);
         }
@@ -149,96 +150,96 @@
         }
     }
 
-    pub(super) fn take_news(&mut self, key: WorkerKey, news: WorkerNews) {
+    pub(super) fn handle_event(&mut self, key: WorkerKey, event: WorkerEvent) {
         // The incarnation has ended, so its events no longer count. Even a refused token says
         // nothing of a newer owner: the next incarnation has received a higher token.
         if self.planner.worker(key).is_none() {
             return;
         }
-        match news {
-            WorkerNews::LeaseSent => self.planner.lease_sent(key),
-            WorkerNews::Silent => self.planner.worker_silent(key),
-            WorkerNews::Late(sent, until) => self.planner.await_answer(key, sent, until),
-            WorkerNews::Listed(sent, listing) => self.take_list(key, sent, &listing),
-            WorkerNews::StartAnswered(task, run, reply) => {
+        match event {
+            WorkerEvent::LeaseSent => self.planner.lease_sent(key),
+            WorkerEvent::Silent => self.planner.worker_silent(key),
+            WorkerEvent::Late(sent, until) => self.planner.await_answer(key, sent, until),
+            WorkerEvent::Reported(sent, report) => self.handle_report(key, sent, &report),
+            WorkerEvent::StartAnswered(task, run, reply) => {
                 count(&self.context.metrics.starts, &reply.to_string());
                 self.planner.start_reply(key, task, run, reply);
             }
-            WorkerNews::StopAnswered(task, run, reply) => {
+            WorkerEvent::StopAnswered(task, run, reply) => {
                 self.planner.stop_reply(key, task, run, reply);
             }
-            WorkerNews::Fenced => {
-                log::warn!(code = 335, worker = self.worker_name(key), epoch = self.epoch; "worker obeys a newer owner");
+            WorkerEvent::Fenced => {
+                log::warn!(code = 335, worker = self.worker_id(key), epoch = self.epoch; "worker obeys a newer owner");
                 self.deposed = true;
             }
-            WorkerNews::Over => {
-                log::info!(code = 344, worker = self.worker_name(key); "worker's life is over");
+            WorkerEvent::Ended => {
+                log::info!(code = 344, worker = self.worker_id(key); "worker's incarnation has ended");
                 self.planner.worker_over(key);
             }
         }
     }
 
-    fn take_list(&mut self, key: WorkerKey, sent: Duration, listing: &Listing) {
-        let life = self.planner.life_seen(key, sent, listing);
-        if life != LifeSeen::Known {
-            self.report_life(key, listing, life);
-            self.planner.take_listing(key, sent, listing);
+    fn handle_report(&mut self, key: WorkerKey, sent: Duration, report: &Listing) {
+        let seen = self.planner.life_seen(key, sent, report);
+        if seen != LifeSeen::Known {
+            self.log_other_incarnation(key, report, seen);
+            self.planner.take_listing(key, sent, report);
             return;
         }
         if let Some(link) = self.links.get_mut(&key) {
-            link.set_clock(listing.clock, self.context.now());
-            link.hear(sent);
+            link.set_clock(report.clock, self.context.now());
+            link.record_accepted(sent);
         }
         if !self.planner.claimed(key) {
             log::info!(
-                code = 343, worker = self.worker_name(key), life = listing.life, epoch = self.epoch,
-                running = listing.running.len(), ended = listing.ended.len();
+                code = 343, worker = self.worker_id(key), life = report.life, epoch = self.epoch,
+                running = report.running.len(), ended = report.ended.len();
                 "worker claimed"
             );
         }
-        let taken = self.planner.newest_end(key);
-        self.report_passed(key, listing);
-        for end in listing.ended.iter().filter(|end| end.number > taken) {
+        let handled_end = self.planner.newest_end(key);
+        self.log_ignored_ends(key, report);
+        for end in report.ended.iter().filter(|end| end.number > handled_end) {
             count(&self.context.metrics.ends, &end.how.to_string());
             log::info!(
                 code = 354, task:% = end.task, run = end.run, how:% = end.how,
-                number = end.number, worker = self.worker_name(key); "task ended"
+                number = end.number, worker = self.worker_id(key); "task ended"
             );
         }
-        let unnamed = self
+        let lacks_incarnation = self
             .planner
             .worker(key)
             .is_some_and(|info| info.life.is_none());
-        self.planner.take_listing(key, sent, listing);
-        if unnamed && listing.life.is_some() {
+        self.planner.take_listing(key, sent, report);
+        if lacks_incarnation && report.life.is_some() {
             // The row is of an earlier version: a successor must know which incarnation it is
             // for.
-            self.begin_life(key);
+            self.queue_worker_row(key);
         }
     }
 
     /// Logs that a report is of another incarnation than the known one, and up to which number
     /// the ends of the known one were acknowledged.
-    fn report_life(&self, key: WorkerKey, listing: &Listing, seen: LifeSeen) {
+    fn log_other_incarnation(&self, key: WorkerKey, report: &Listing, seen: LifeSeen) {
         let known = self.planner.worker(key).and_then(|info| info.life);
-        let acknowledged = self.links.get(&key).map(Link::seen);
+        let acknowledged = self.links.get(&key).map(Link::saved_end);
         log::warn!(
-            code = 384, worker = self.worker_name(key), life = listing.life, known = known, seen:% = seen,
+            code = 384, worker = self.worker_id(key), life = report.life, known = known, seen:% = seen,
             taken = self.planner.newest_end(key), acknowledged = acknowledged,
-            running = listing.running.len(), ended = listing.ended.len();
-            "worker lists another life"
+            running = report.running.len(), ended = report.ended.len();
+            "worker report of another incarnation"
         );
     }
 
     /// Logs reported ends that are ignored, since their numbers were already handled, although
     /// their runs are still booked.
-    fn report_passed(&self, key: WorkerKey, listing: &Listing) {
-        let taken = self.planner.newest_end(key);
-        let passed = listing.ended.iter().filter(|end| end.number <= taken);
-        for end in passed.filter(|end| self.planner.holds(key, end.task, end.run)) {
+    fn log_ignored_ends(&self, key: WorkerKey, report: &Listing) {
+        let handled_end = self.planner.newest_end(key);
+        let ignored = report.ended.iter().filter(|end| end.number <= handled_end);
+        for end in ignored.filter(|end| self.planner.holds(key, end.task, end.run)) {
             log::warn!(
                 code = 385, task:% = end.task, run = end.run, how:% = end.how, number = end.number,
-                taken = taken, worker = self.worker_name(key), life = listing.life; "end passed over"
+                taken = handled_end, worker = self.worker_id(key), life = report.life; "reported end ignored"
             );
         }
     }
--- a/crates/cell/src/owner/helpers.rs
+++ b/crates/cell/src/owner/helpers.rs
@@ -19,40 +19,40 @@
 /// One in this many helpers is kept for quick calls: slow calls take most of a second, and a
 /// quick one that waits for them misses its objective. At 110 quick calls of 15 ms per second,
 /// two of 32 helpers were too few.
-const QUICK_PART: usize = 4;
+const QUICK_DIVISOR: usize = 4;
 
 /// Fewest helpers that are kept for quick calls, if there are that many.
-const QUICK_HELPERS: usize = 2;
+const MIN_QUICK: usize = 2;
 
 /// If more than one in this many helpers is idle, a gang may have several calls.
-const IDLE_PART: usize = 2;
+const IDLE_DIVISOR: usize = 2;
 
 /// Longest time spent on assigning calls in one planning cycle: for each call, all workers are
 /// examined. With 300 idle helpers after a take-over of 3,000 workers, one cycle took longer
 /// than an ownership lasts without renewal; with 4 ms, too few calls were made.
-const ASK_TIME: Duration = Duration::from_millis(20);
+const ASSIGN_TIME: Duration = Duration::from_millis(20);
 
 /// A call that takes longer than this is slow.
-const SLOW: Duration = Duration::from_millis(60);
+const SLOW_CALL: Duration = Duration::from_millis(60);
 
 /// Time without a request after which a helper is removed.
-const FORGET: Duration = Duration::from_secs(4);
+const HELPER_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Time that a result may have been in transit, subtracted from the validity of its tickets.
-const TRANSIT: Duration = Duration::from_millis(20);
+const MAX_TRANSIT: Duration = Duration::from_millis(20);
 
 /// Validity of a ticket if neither the service nor the queue states one.
-const DEFAULT_VALID: Duration = Duration::from_secs(1);
+const DEFAULT_VALIDITY: Duration = Duration::from_secs(1);
 
 /// Pause after a call that failed.
-const FAILED_PAUSE: Duration = Duration::from_millis(50);
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 struct Helper {
-    seen: Duration,
+    last_request: Duration,
     slow: bool,
 }
 
-struct Idle {
+struct IdleHelper {
     node: String,
     reply: oneshot::Sender<Option<HelpOrder>>,
     since: Duration,
@@ -61,18 +61,18 @@
 /// Helpers by node, and requests that wait for a call.
 #[derive(Default)]
 pub(crate) struct Helpers {
-    known: HashMap<String, Helper>,
-    idle: VecDeque<Idle>,
+    by_node: HashMap<String, Helper>,
+    idle: VecDeque<IdleHelper>,
 }
 
 impl Helpers {
-    fn free(&self) -> FreeHelpers {
-        let slow = self.known.values().filter(|helper| helper.slow).count();
-        let quick = (self.known.len() / QUICK_PART).max(QUICK_HELPERS);
-        let most = self.known.len().saturating_sub(quick).max(1);
+    fn available(&self) -> FreeHelpers {
+        let slow = self.by_node.values().filter(|helper| helper.slow).count();
+        let quick = (self.by_node.len() / QUICK_DIVISOR).max(MIN_QUICK);
+        let most = self.by_node.len().saturating_sub(quick).max(1);
         if slow >= most {
             FreeHelpers::Few
-        } else if self.idle.len() * IDLE_PART > self.known.len() {
+        } else if self.idle.len() * IDLE_DIVISOR > self.by_node.len() {
             FreeHelpers::Most
         } else {
             FreeHelpers::Some
@@ -81,41 +81,41 @@
 }
 
 impl Pool {
-    pub(super) fn take_help(
+    pub(super) fn handle_help(
         &mut self,
         request: HelpRequest,
         reply: oneshot::Sender<Option<HelpOrder>>,
     ) {
         let now = self.context.now();
         let helper = Helper {
-            seen: now,
+            last_request: now,
             slow: false,
         };
-        self.helpers.known.insert(request.node.clone(), helper);
+        self.helpers.by_node.insert(request.node.clone(), helper);
         if let Some(result) = request.result {
-            self.take_advice(result, now);
+            self.handle_advice(result, now);
         }
-        self.helpers.idle.push_back(Idle {
+        self.helpers.idle.push_back(IdleHelper {
             node: request.node,
             reply,
             since: now,
         });
     }
 
-    fn take_advice(&mut self, result: HelpResult, now: Duration) {
+    fn handle_advice(&mut self, result: HelpResult, now: Duration) {
         let step = result.step;
         let Some(good) = result.good else {
             count(&self.context.metrics.advice, "failed");
             self.planner
-                .advice_failed(step, &result.workers, FAILED_PAUSE);
+                .advice_failed(step, &result.workers, RETRY_PAUSE);
             return;
         };
         count(&self.context.metrics.advice, "answered");
-        let valid = result.valid.unwrap_or(DEFAULT_VALID);
-        let until = (now + valid).saturating_sub(result.age + TRANSIT);
+        let valid = result.valid.unwrap_or(DEFAULT_VALIDITY);
+        let until = (now + valid).saturating_sub(result.age + MAX_TRANSIT);
         log::info!(
             code = 320, step:% = step, asked = result.workers.len(), good = good.len(),
-            valid = valid.as_millis(); "advice"
+            valid = valid.as_millis(); "advice received"
         );
         let tickets = good.into_iter();
         let tickets: Vec<Ticket> = tickets
@@ -125,13 +125,13 @@
             .take_advice(step, &result.workers, &tickets, until);
     }
 
-    /// Assigns calls to idle helpers, and answers helpers that have waited for [`HELP_WAIT`]
-    /// with no call.
-    pub(super) fn give_help(&mut self, now: Duration) {
+    /// Assigns calls to idle helpers, and sends an empty reply to helpers that have waited for
+    /// [`HELP_WAIT`].
+    pub(super) fn assign_calls(&mut self, now: Duration) {
         self.helpers
-            .known
-            .retain(|_, helper| now.saturating_sub(helper.seen) < FORGET);
-        let end = self.context.now() + ASK_TIME;
+            .by_node
+            .retain(|_, helper| now.saturating_sub(helper.last_request) < HELPER_TIMEOUT);
+        let end = self.context.now() + ASSIGN_TIME;
         while self.context.now() < end
             && let Some(idle) = self.helpers.idle.front()
         {
@@ -140,18 +140,18 @@
                 continue;
             }
             let quick = self.context.settings.has(Mechanism::QuickHelpers);
-            let free = match self.helpers.free() {
+            let available = match self.helpers.available() {
                 FreeHelpers::Few if !quick => FreeHelpers::Some,
-                free => free,
+                available => available,
             };
-            let Some(ask) = self.planner.next_ask(free) else {
+            let Some(ask) = self.planner.next_ask(available) else {
                 break;
             };
             let Some(idle) = self.helpers.idle.pop_front() else {
                 break;
             };
-            if let Some(helper) = self.helpers.known.get_mut(&idle.node) {
-                helper.slow = ask.cost > SLOW;
+            if let Some(helper) = self.helpers.by_node.get_mut(&idle.node) {
+                helper.slow = ask.cost > SLOW_CALL;
             }
             let step = ask.step;
             let workers = ask.workers.clone();
@@ -164,7 +164,7 @@
                 self.planner.advice_failed(step, &workers, Duration::ZERO);
             }
         }
-        let waited = |idle: &Idle| now.saturating_sub(idle.since) >= HELP_WAIT;
+        let waited = |idle: &IdleHelper| now.saturating_sub(idle.since) >= HELP_WAIT;
         while self.helpers.idle.front().is_some_and(waited) {
             if let Some(idle) = self.helpers.idle.pop_front() {
                 // The helper may have closed its request; then it needs no reply.
--- a/crates/cell/src/owner/hold_pace.rs
+++ b/crates/cell/src/owner/hold_interval.rs
@@ -13,29 +13,29 @@
 /// it times out. With 1 s here and a timeout of 0.5 s, ends arrived up to 1.7 s late; with a
 /// third of all commands unanswered on three days, 705 lookups failed with those values and 346
 /// with the present one.
-const SHORTEST: Duration = Duration::from_millis(400);
+const MIN_WAIT: Duration = Duration::from_millis(400);
 
 /// Upper limit of the same time: within a lease of 4.5 s, two calls may fail.
-const LONGEST: Duration = Duration::from_millis(1600);
+const MAX_WAIT: Duration = Duration::from_millis(1600);
 
 /// Share of the owner's processor, and of its link, for these calls.
-const SHARE: f64 = 0.2;
+const CALL_SHARE: f64 = 0.2;
 
 /// Calls that a core makes in a second, from the load of an owner with 3,000 workers.
-const CALLS_A_CORE: f64 = 15_000.0;
+const CALLS_PER_CORE: f64 = 15_000.0;
 
 /// Size of a call and its reply, including headers, in bytes.
 const CALL_BYTES: f64 = 500.0;
 
 /// Bytes per second on a link of 1 Mbit/s.
-const BYTES_A_MBIT: f64 = 125_000.0;
+const BYTES_PER_MBIT: f64 = 125_000.0;
 
 /// Calls per second that an owner can make with `cores` processor cores and a link of
 /// `link_mbps`.
 #[must_use]
-pub fn calls_a_second(cores: f64, link_mbps: f64) -> f64 {
-    let by_core = cores * CALLS_A_CORE;
-    let by_link = link_mbps * BYTES_A_MBIT / CALL_BYTES;
+pub fn calls_per_second(cores: f64, link_mbps: f64) -> f64 {
+    let by_core = cores * CALLS_PER_CORE;
+    let by_link = link_mbps * BYTES_PER_MBIT / CALL_BYTES;
     by_core.min(by_link)
 }
 
@@ -43,9 +43,9 @@
 /// owner with `cores` processor cores and a link of `link_mbps`.
 #[must_use]
 pub fn hold_wait(workers: usize, cores: f64, link_mbps: f64) -> Duration {
-    let calls = (calls_a_second(cores, link_mbps) * SHARE).max(1.0);
+    let calls = (calls_per_second(cores, link_mbps) * CALL_SHARE).max(1.0);
     #[allow(clippy::cast_precision_loss)]
     let wait = workers as f64 / calls;
-    let wait = Duration::from_secs_f64(wait.min(LONGEST.as_secs_f64()));
-    wait.max(SHORTEST)
+    let wait = Duration::from_secs_f64(wait.min(MAX_WAIT.as_secs_f64()));
+    wait.max(MIN_WAIT)
 }
--- /dev/null
+++ b/crates/cell/src/owner/hold_task.rs
@@ -0,0 +1,396 @@
+//! The task of a link: keeps a call open to one worker, which renews the worker's lease and
+//! returns its reports.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use job::LifeId;
+use job::Listing;
+use job::Token;
+use job::WorkerInfo;
+use job::WorkerKey;
+use platform::Hold;
+use platform::Ordered;
+use tokio::sync::mpsc;
+use tokio::sync::watch;
+use tokio::task::JoinSet;
+
+use super::LinkShared;
+use super::clock_estimate::ClockEstimate;
+use super::fencing::IdleMark;
+use super::fencing::WorkerFencing;
+use crate::Context;
+use crate::OwnerMessage;
+use crate::WorkerEvent;
+
+/// Pause after the first failed call; it doubles with each further failure in a row.
+const RETRY_PAUSE: Duration = Duration::from_millis(150);
+
+/// Longest pause after a failed call: half of the time that is left of a lease after two calls.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(600);
+
+/// Most calls to one worker that are still open, including those whose reply is late.
+const MAX_CALLS: usize = 3;
+
+/// Reason given for a call whose reply is late.
+const LATE_REPLY: &str = "reply is late";
+
+/// Pause before the next call if a start was in progress during the last one.
+const START_PAUSE: Duration = Duration::from_millis(20);
+
+/// Reason given for a call that another incarnation of the worker has answered.
+const OTHER_INCARNATION: &str = "another incarnation of the worker answers";
+
+/// Reason given for a reply that does not name the worker's incarnation.
+const NO_INCARNATION: &str = "worker report without an incarnation";
+
+/// Longest wait until reported ends are saved, before the next call: the worker answers at once
+/// while it has ends that were not acknowledged.
+const SAVE_WAIT: Duration = Duration::from_millis(250);
+
+/// Sends calls to one worker and passes its reports on to the owner.
+pub(super) struct HoldTask {
+    context: Context,
+    key: WorkerKey,
+    address: SocketAddr,
+    id: String,
+    fencing: Arc<WorkerFencing>,
+    /// The worker's incarnation, if it is known.
+    incarnation: Option<LifeId>,
+    lease: Duration,
+    sender: mpsc::Sender<OwnerMessage>,
+    shared: LinkShared,
+    /// Number of the newest end that is saved in the store.
+    saved_end: watch::Receiver<u64>,
+    clock: Option<ClockEstimate>,
+    /// The worker answered the last call, so the next one renews its lease and acknowledges
+    /// ends. Calls to a silent worker do neither: each of them might arrive, so that the lease
+    /// would never expire and its tasks would never run again; and the worker may have started
+    /// again, with ends of the same numbers that the owner has not received.
+    renews: bool,
+    /// Number of the newest end that the worker has reported.
+    reported_end: u64,
+    /// Number of the newest end that was acknowledged to the worker.
+    acked_end: u64,
+    /// Set if no start was in progress when the newest answered call was sent.
+    idle_mark: Option<IdleMark>,
+    /// Calls without a reply yet, including those whose reply is late.
+    calls: JoinSet<HoldReply>,
+    /// The newest call, until it is answered or its reply is late.
+    open_call: Option<HoldCall>,
+    /// When the newest call was sent whose report was passed on.
+    report_sent: Duration,
+}
+
+/// A call that was sent.
+#[derive(Clone, Copy, Debug)]
+struct HoldCall {
+    sent: Duration,
+    token: Token,
+    /// Set if no start was in progress.
+    idle_mark: Option<IdleMark>,
+    /// How long the worker may hold the call while it has no end to report.
+    wait: Duration,
+}
+
+/// The result of a call.
+struct HoldReply {
+    call: HoldCall,
+    took: Duration,
+    report: Ordered<Listing>,
+}
+
+/// Result of waiting for the open calls.
+enum HoldOutcome {
+    /// The worker has sent a report.
+    Report,
+    /// The worker cannot be reached, or refused the call.
+    Failure(String),
+    /// The worker refused the call since a later command of this owner, with a higher token,
+    /// reached it first.
+    Superseded,
+    /// No reply arrived in time.
+    TimedOut,
+    /// The link has no further use: the incarnation has ended, or the worker obeys a newer
+    /// owner.
+    Closed,
+}
+
+impl HoldTask {
+    /// Creates the task of a link to a worker. The last argument holds the state that all links
+    /// share, and the number of the newest end that is saved.
+    pub(super) fn new(
+        context: &Context,
+        key: WorkerKey,
+        info: &WorkerInfo,
+        fencing: Arc<WorkerFencing>,
+        sender: mpsc::Sender<OwnerMessage>,
+        (shared, saved_end): (LinkShared, watch::Receiver<u64>),
+    ) -> HoldTask {
+        HoldTask {
+            context: context.clone(),
+            key,
+            address: info.address,
+            id: info.id.clone(),
+            fencing,
+            idle_mark: None,
+            acked_end: 0,
+            incarnation: info.life,
+            lease: context.settings.policy().lease,
+            sender,
+            shared,
+            saved_end,
+            clock: None,
+            renews: false,
+            reported_end: 0,
+            calls: JoinSet::new(),
+            open_call: None,
+            report_sent: Duration::ZERO,
+        }
+    }
+
+    /// Claims the worker and then renews its lease, until the link has no further use.
+    pub(super) async fn run(mut self) {
+        let mut reached = true;
+        let mut failures = 0;
+        // Acquiring fails only if the semaphore is closed, which never happens.
+        let mut permit = self.shared.claim_permits.clone().acquire_owned().await.ok();
+        loop {
+            let call = self.send_call().await;
+            let late_at = call.sent + call.wait + self.shared.latency.late_after();
+            let mut outcome = self.await_reply(late_at).await;
+            permit.take();
+            let reason = match &outcome {
+                HoldOutcome::Failure(reason) => Some(reason.as_str()),
+                HoldOutcome::TimedOut => Some(LATE_REPLY),
+                HoldOutcome::Report | HoldOutcome::Superseded | HoldOutcome::Closed => None,
+            };
+            if let Some(reason) = reason {
+                self.mark_silent(reached, reason).await;
+                reached = false;
+                let pause = retry_pause(failures);
+                failures += 1;
+                outcome = self.await_reply(self.context.now() + pause).await;
+            }
+            match outcome {
+                HoldOutcome::Closed => return,
+                HoldOutcome::Failure(_) | HoldOutcome::Superseded | HoldOutcome::TimedOut => {}
+                HoldOutcome::Report => {
+                    if !reached {
+                        log::info!(code = 348, worker = self.id.as_str(); "worker answers again");
+                    }
+                    reached = true;
+                    failures = 0;
+                }
+            }
+        }
+    }
+
+    async fn mark_silent(&mut self, reached: bool, reason: &str) {
+        if let Some(open) = self.open_call.take() {
+            let until = open.sent + open.wait + self.shared.latency.lost_after();
+            self.notify_owner(WorkerEvent::Late(open.sent, until)).await;
+        }
+        self.renews = false;
+        // A call that acknowledged ends may not have been carried out.
+        self.acked_end = 0;
+        self.notify_owner(WorkerEvent::Silent).await;
+        if reached {
+            log::warn!(code = 347, worker = self.id.as_str(), reason = reason; "worker does not answer");
+        }
+    }
+
+    /// Sends a call to the worker, unless a call is open whose reply is not late, or too many
+    /// calls are.
+    async fn send_call(&mut self) -> HoldCall {
+        if let Some(open) = self.open_call {
+            return open;
+        }
+        let sent = self.context.now();
+        let hold = self.build_hold(sent);
+        let call = HoldCall {
+            sent,
+            token: hold.token,
+            idle_mark: self.fencing.idle_mark(),
+            wait: hold.wait,
+        };
+        if self.calls.len() >= MAX_CALLS {
+            return call;
+        }
+        if hold.lease_end.is_some() {
+            self.notify_owner(WorkerEvent::LeaseSent).await;
+        }
+        self.open_call = Some(call);
+        let timeout = hold.wait + self.shared.latency.call_timeout();
+        let (context, address, id) = (self.context.clone(), self.address, self.id.clone());
+        self.calls.spawn(async move {
+            let report = context.orders.hold(address, &id, hold, timeout).await;
+            let took = context.now().saturating_sub(call.sent);
+            HoldReply { call, took, report }
+        });
+        call
+    }
+
+    /// Number of the end up to which the next call acknowledges, and the call's token. A worker
+    /// that names its incarnation gets an acknowledgement only of ends that were not
+    /// acknowledged before, in a call that it answers at once.
+    fn acknowledgement(&mut self, saved: u64) -> (u64, Token) {
+        let token = self.fencing.token();
+        if !self.renews {
+            return (0, token);
+        }
+        if self.incarnation.is_none() {
+            return (saved, token);
+        }
+        let idle_mark = self.idle_mark.filter(|_| saved > self.acked_end);
+        let Some(token) = idle_mark.and_then(|idle_mark| self.fencing.ack_token(idle_mark)) else {
+            return (0, token);
+        };
+        self.acked_end = saved;
+        (saved, token)
+    }
+
+    fn build_hold(&mut self, sent: Duration) -> Hold {
+        let saved = *self.saved_end.borrow_and_update();
+        let (seen, token) = self.acknowledgement(saved);
+        let unacknowledged = self.reported_end > saved
+            || self.incarnation.is_some() && self.reported_end > self.acked_end;
+        let clock = self.clock.filter(|_| self.renews);
+        let owned = sent < *self.shared.tenure.borrow();
+        let acknowledges = self.incarnation.is_some() && seen > 0;
+        let wait = if unacknowledged || acknowledges || clock.is_none() {
+            Duration::ZERO
+        } else {
+            *self.shared.wait.borrow()
+        };
+        Hold {
+            token,
+            seen,
+            lease_end: clock
+                .filter(|_| owned)
+                .map(|clock| clock.worker_time(sent) + self.lease),
+            wait,
+        }
+    }
+
+    /// Waits until one of the open calls is answered. Late replies count too: they may report
+    /// the end of a task.
+    async fn await_reply(&mut self, until: Duration) -> HoldOutcome {
+        loop {
+            let remaining = until.saturating_sub(self.context.now());
+            let reply = tokio::select! {
+                Some(Ok(reply)) = self.calls.join_next() => reply,
+                () = tokio::time::sleep(remaining) => return HoldOutcome::TimedOut,
+            };
+            let is_newest = self
+                .open_call
+                .is_some_and(|open| open.sent == reply.call.sent);
+            if is_newest {
+                self.open_call = None;
+            }
+            match reply.report {
+                Ordered::Done(report) => {
+                    self.record_latency(reply.call, reply.took);
+                    let first_report =
+                        self.report_sent == Duration::ZERO && self.incarnation.is_none();
+                    if report.life != self.incarnation && !first_report {
+                        let reason = self.handle_other_incarnation(reply.call.sent, report).await;
+                        return HoldOutcome::Failure(reason.to_owned());
+                    }
+                    // Replies may arrive out of order.
+                    if reply.call.sent >= self.report_sent {
+                        self.report_sent = reply.call.sent;
+                        self.idle_mark = reply.call.idle_mark;
+                        self.handle_report(reply.call.sent, report).await;
+                        return HoldOutcome::Report;
+                    }
+                }
+                // Refused due to a later command of this owner.
+                Ordered::Fenced if self.fencing.superseded(reply.call.token) => {
+                    self.acked_end = 0;
+                    if is_newest {
+                        return HoldOutcome::Superseded;
+                    }
+                }
+                Ordered::Fenced => {
+                    self.notify_owner(WorkerEvent::Fenced).await;
+                    return HoldOutcome::Closed;
+                }
+                Ordered::Replaced => {
+                    self.notify_owner(WorkerEvent::Ended).await;
+                    return HoldOutcome::Closed;
+                }
+                Ordered::Unknown(error) | Ordered::Unreachable(error) if is_newest => {
+                    return HoldOutcome::Failure(error.to_string());
+                }
+                other if is_newest => return HoldOutcome::Failure(format!("{other:?}")),
+                _ => {}
+            }
+        }
+    }
+
+    /// Records how long a reply took beyond the time for which the worker may hold the call.
+    fn record_latency(&self, call: HoldCall, took: Duration) {
+        if let Some(time) = took.checked_sub(call.wait) {
+            self.shared.latency.record(time);
+        }
+    }
+
+    async fn handle_report(&mut self, sent: Duration, report: Listing) {
+        self.renews = true;
+        self.incarnation = report.life;
+        self.clock = Some(ClockEstimate {
+            reading: report.clock,
+            read_at: self.context.now(),
+        });
+        let newest_end = report.ended.last().map_or(0, |end| end.number);
+        self.reported_end = self.reported_end.max(newest_end);
+        self.notify_owner(WorkerEvent::Reported(sent, report)).await;
+        let reported_end = self.reported_end;
+        let saved = self
+            .saved_end
+            .wait_for(|saved_end| *saved_end >= reported_end);
+        // If the save takes longer, the worker is called all the same: its lease must not
+        // expire while the store is down.
+        let _ = tokio::time::timeout(SAVE_WAIT, saved).await;
+        if self.incarnation.is_some()
+            && self.reported_end > self.acked_end
+            && self.idle_mark.is_none()
+        {
+            // The worker answers at once until its ends are acknowledged, which needs a moment
+            // without starts in progress. Calls repeated without a pause would fill a slow
+            // link.
+            tokio::time::sleep(START_PAUSE.max(self.shared.latency.mean_latency())).await;
+        }
+    }
+
+    /// Passes on a report of another incarnation than the one this link was opened for; returns
+    /// the reason for the log. The owner decides whether the known incarnation has ended.
+    async fn handle_other_incarnation(&mut self, sent: Duration, report: Listing) -> &'static str {
+        self.renews = false;
+        if report.life.is_none() {
+            log::error!(
+                code = 386, worker = self.id.as_str(), known = self.incarnation;
+                "worker report does not name its incarnation"
+            );
+            return NO_INCARNATION;
+        }
+        self.notify_owner(WorkerEvent::Reported(sent, report)).await;
+        OTHER_INCARNATION
+    }
+
+    async fn notify_owner(&self, event: WorkerEvent) {
+        // Fails only if the owner has ended, and then this task is about to end as well.
+        let _ = self
+            .sender
+            .send(OwnerMessage::Worker(self.key, event))
+            .await;
+    }
+}
+
+/// Pause after this number of failed calls in a row.
+fn retry_pause(failures: u32) -> Duration {
+    let pause = RETRY_PAUSE.saturating_mul(1 << failures.min(8));
+    pause.min(MAX_RETRY_PAUSE)
+}
--- a/crates/cell/src/owner/link.rs
+++ b/crates/cell/src/owner/link.rs
@@ -11,29 +11,29 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-use super::AnswerTime;
-use super::clock_guess::ClockGuess;
-use super::gate::Gate;
-use super::holder::Holder;
+use super::ReplyLatency;
+use super::clock_estimate::ClockEstimate;
+use super::fencing::WorkerFencing;
+use super::hold_task::HoldTask;
 use crate::Context;
 use crate::OwnerMessage;
 
 /// Workers that are claimed at the same time. When an owner that took over 3,000 workers
 /// claimed all of them at once, its own renewals were delayed by 1.2 s, and the pool was lost
 /// as soon as it was opened, again and again.
-pub(crate) const CLAIMS: usize = 128;
+pub(crate) const MAX_CLAIMS: usize = 128;
 
 /// State that all links of an owner share.
 #[derive(Clone, Debug)]
-pub(crate) struct LinkPace {
+pub(crate) struct LinkShared {
     /// Until when leases may be renewed.
     pub(crate) tenure: watch::Receiver<Duration>,
     /// How long a worker may hold a call while it has no end to report.
     pub(crate) wait: watch::Receiver<Duration>,
     /// Permits to claim a worker, [`MAX_CLAIMS`] of them.
-    pub(crate) claims: Arc<Semaphore>,
+    pub(crate) claim_permits: Arc<Semaphore>,
     /// Estimate of how long workers take to answer.
-    pub(crate) answers: Arc<AnswerTime>,
+    pub(crate) latency: Arc<ReplyLatency>,
 }
 
 /// The owner's side of the connection to one worker.
@@ -43,11 +43,12 @@
     /// Id of the worker.
     pub(crate) id: String,
     /// Fencing token of the worker's commands, and starts in progress.
-    pub(super) gate: Arc<Gate>,
-    clock: Option<ClockGuess>,
+    pub(super) fencing: Arc<WorkerFencing>,
+    clock: Option<ClockEstimate>,
     /// When the newest call was sent that the worker accepted.
-    heard: Option<Duration>,
-    seen: watch::Sender<u64>,
+    last_accepted: Option<Duration>,
+    /// Number of the newest end that is saved in the store.
+    saved_end: watch::Sender<u64>,
     task: JoinHandle<()>,
 }
 
@@ -57,53 +58,60 @@
         context: &Context,
         key: WorkerKey,
         info: &WorkerInfo,
-        gate: Arc<Gate>,
+        fencing: Arc<WorkerFencing>,
         sender: mpsc::Sender<OwnerMessage>,
-        pace: LinkPace,
+        shared: LinkShared,
     ) -> Link {
-        let (seen, seen_rx) = watch::channel(0);
-        let holder = Holder::new(context, key, info, gate.clone(), sender, (pace, seen_rx));
+        let (saved_end, saved_end_rx) = watch::channel(0);
+        let hold_task = HoldTask::new(
+            context,
+            key,
+            info,
+            fencing.clone(),
+            sender,
+            (shared, saved_end_rx),
+        );
         Link {
             address: info.address,
             id: info.id.clone(),
-            gate,
+            fencing,
             clock: None,
-            heard: None,
-            seen,
-            task: tokio::spawn(holder.run()),
+            last_accepted: None,
+            saved_end,
+            task: tokio::spawn(hold_task.run()),
         }
     }
 
-    pub(crate) fn set_clock(&mut self, worker: Duration, ours: Duration) {
-        self.clock = Some(ClockGuess { worker, ours });
+    pub(crate) fn set_clock(&mut self, reading: Duration, read_at: Duration) {
+        self.clock = Some(ClockEstimate { reading, read_at });
     }
 
     /// Number of the newest end that is saved in the store, up to which ends may be
     /// acknowledged.
-    pub(crate) fn seen(&self) -> u64 {
-        *self.seen.borrow()
+    pub(crate) fn saved_end(&self) -> u64 {
+        *self.saved_end.borrow()
     }
 
     /// Records that the worker accepted a call that was sent at this time.
-    pub(crate) fn hear(&mut self, sent: Duration) {
-        self.heard = self.heard.max(Some(sent));
+    pub(crate) fn record_accepted(&mut self, sent: Duration) {
+        self.last_accepted = self.last_accepted.max(Some(sent));
     }
 
     /// When the newest call was sent that the worker accepted.
-    pub(crate) fn heard(&self) -> Option<Duration> {
-        self.heard
+    pub(crate) fn last_accepted(&self) -> Option<Duration> {
+        self.last_accepted
     }
 
     /// End of a lease that begins now, on the worker's clock.
     pub(crate) fn lease_end(&self, now: Duration, lease: Duration) -> Option<Duration> {
-        self.clock.map(|clock| clock.at(now) + lease)
+        self.clock.map(|clock| clock.worker_time(now) + lease)
     }
 
     /// Records that ends up to `number` are saved in the store.
-    pub(crate) fn set_seen(&self, number: u64) {
-        self.seen.send_if_modified(|seen| {
-            let higher = number > *seen;
-            *seen = number.max(*seen);
+    pub(crate) fn set_saved_end(&self, number: u64) {
+        self.saved_end.send_if_modified(|saved_end| {
+            let higher = number > *saved_end;
+            *saved_end = number.max(*saved_end);
             higher
         });
     }
--- a/crates/cell/src/owner/lives.rs
+++ b/crates/cell/src/owner/liveness.rs
@@ -17,27 +17,28 @@
 use crate::OwnerMessage;
 
 /// Time between two requests for the list of machines while workers are silent.
-const ASK_EVERY: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Silence before the first request: most silences are shorter.
-const FIRST_ASK: Duration = Duration::from_millis(250);
+const CHECK_DELAY: Duration = Duration::from_millis(250);
 
 /// Timeout of a request.
-const ASK_TIMEOUT: Duration = Duration::from_millis(800);
+const CHECK_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// When to ask about silent workers.
 #[derive(Debug, Default)]
-pub(crate) struct LifeCheck {
-    busy: bool,
+pub(crate) struct LivenessCheck {
+    in_progress: bool,
     /// Since when at least one worker has been silent without a break.
-    since: Option<Duration>,
-    after: Duration,
+    silent_since: Option<Duration>,
+    /// Earliest time of the next request.
+    next_check: Duration,
 }
 
 impl Pool {
     /// Requests the list of machines if a worker is silent and runs or a take-over depend on
     /// it.
-    pub(super) fn check_lives(&mut self, now: Duration) {
+    pub(super) fn check_liveness(&mut self, now: Duration) {
         let Some(server) = self.context.settings.machines_address() else {
             return;
         };
@@ -46,37 +47,37 @@
         }
         let silent = self.planner.doubtful();
         if silent.is_empty() {
-            self.lives.since = None;
+            self.liveness.silent_since = None;
             return;
         }
-        let since = *self.lives.since.get_or_insert(now);
-        let early = now < since + FIRST_ASK || now < self.lives.after;
-        if self.lives.busy || early {
+        let silent_since = *self.liveness.silent_since.get_or_insert(now);
+        let early = now < silent_since + CHECK_DELAY || now < self.liveness.next_check;
+        if self.liveness.in_progress || early {
             return;
         }
-        self.lives.busy = true;
+        self.liveness.in_progress = true;
         let client = MachineClient::new(self.context.client.clone(), server);
         let sender = self.sender.clone();
         tokio::spawn(async move {
-            let lives = client.lives(ASK_TIMEOUT).await;
-            if let Err(error) = &lives {
+            let listed = client.lives(CHECK_TIMEOUT).await;
+            if let Err(error) = &listed {
                 log::warn!(code = 380, error:% = error; "machines cannot be listed");
             }
-            let dead = lives.map_or_else(|_| Vec::new(), |lives| missing(silent, &lives));
-            let _ = sender.send(OwnerMessage::Dead(dead)).await;
+            let ended = listed.map_or_else(|_| Vec::new(), |listed| unlisted(silent, &listed));
+            let _ = sender.send(OwnerMessage::WorkersEnded(ended)).await;
         });
     }
 
     /// Handles the reply: ends the incarnations of those workers that were silent at the time
     /// of the request and that the list of machines does not show.
-    pub(super) fn take_dead(&mut self, dead: &[WorkerKey]) {
-        self.lives.busy = false;
-        self.lives.after = self.context.now() + ASK_EVERY;
+    pub(super) fn handle_ended(&mut self, ended: &[WorkerKey]) {
+        self.liveness.in_progress = false;
+        self.liveness.next_check = self.context.now() + CHECK_INTERVAL;
         for (key, id) in self.planner.doubtful() {
-            if !dead.contains(&key) {
+            if !ended.contains(&key) {
                 continue;
             }
-            log::info!(code = 381, worker = id.as_str(), epoch = self.epoch; "silent worker is dead");
+            log::info!(code = 381, worker = id.as_str(), epoch = self.epoch; "silent worker's incarnation has ended");
             self.planner.worker_over(key);
         }
     }
@@ -86,14 +87,14 @@
 /// the list was made count: a younger worker is missing from it, and if it were taken for dead,
 /// it would get no work for its whole incarnation, or keep running tasks unnoticed. The list
 /// has only the ids of workers, so it speaks of the incarnations that were silent then.
-fn missing(silent: Vec<(WorkerKey, WorkerId)>, lives: &HashSet<WorkerId>) -> Vec<WorkerKey> {
+fn unlisted(silent: Vec<(WorkerKey, WorkerId)>, listed: &HashSet<WorkerId>) -> Vec<WorkerKey> {
     // An empty list does not prove that any worker has ended.
-    if lives.is_empty() {
+    if listed.is_empty() {
         return Vec::new();
     }
     silent
         .into_iter()
-        .filter(|(_, id)| !lives.contains(id))
+        .filter(|(_, id)| !listed.contains(id))
         .map(|(key, _)| key)
         .collect()
 }
--- a/crates/cell/src/owner/load.rs
+++ b/crates/cell/src/owner/load.rs
@@ -11,15 +11,15 @@
 use crate::metrics::count;
 
 /// Time between two log lines about the pool's load.
-const REPORT_EVERY: Duration = Duration::from_secs(1);
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Pool {
     /// Logs the pool's load once in [`LOG_INTERVAL`].
-    pub(super) fn report_load(&mut self, now: Duration) {
-        if now < self.reported + REPORT_EVERY {
+    pub(super) fn log_load(&mut self, now: Duration) {
+        if now < self.load_logged + LOG_INTERVAL {
             return;
         }
-        self.reported = now;
+        self.load_logged = now;
         let load = self.planner.load();
         self.publish_load(&load);
         log::info!(
@@ -28,12 +28,12 @@
             placed = load.placed, running = load.running, waiting = load.waiting, steps = load.open,
             unfinished = load.unfinished; "load of the pool"
         );
-        self.report_traffic();
+        self.log_traffic();
     }
 
     /// Logs the traffic on the owner's link, which distinguishes a full link from workers that
     /// do not answer.
-    fn report_traffic(&self) {
+    fn log_traffic(&self) {
         let workers = self.context.orders.traffic().take();
         let store = self.context.store.traffic().take();
         log::info!(
@@ -45,7 +45,7 @@
     }
 
     /// Logs runs that were lost, and why their tasks wait again.
-    pub(super) fn report_losses(&mut self) {
+    pub(super) fn log_losses(&mut self) {
         for lost in self.planner.take_losses() {
             count(&self.context.metrics.losses, &lost.cause.to_string());
             log::info!(
@@ -57,7 +57,7 @@
     }
 
     /// Logs the findings about tasks under which workers crashed.
-    pub(super) fn report_suspects(&mut self) {
+    pub(super) fn log_suspects(&mut self) {
         for suspect in self.planner.take_findings() {
             let Suspect {
                 task, run, crashes, ..
--- a/crates/cell/src/owner/messages.rs
+++ b/crates/cell/src/owner/messages.rs
@@ -27,52 +27,52 @@
 
 /// Messages that may wait for the owner. Links, callers and helpers together send far fewer
 /// within one planning cycle.
-pub(crate) const OWNER_QUEUE: usize = 4096;
+pub(crate) const OWNER_QUEUE_CAPACITY: usize = 4096;
 
 /// A message to the owner's task.
 #[derive(Debug)]
 pub enum OwnerMessage {
     /// Asks for the state of a job.
-    State(JobId, oneshot::Sender<OwnerView>),
+    JobState(JobId, oneshot::Sender<OwnerView>),
     /// Asks how many jobs of a queue wait.
-    Waiting(String, oneshot::Sender<usize>),
+    QueueLength(String, oneshot::Sender<usize>),
     /// A helper delivers a result and asks for a call.
     Help(HelpRequest, oneshot::Sender<Option<HelpOrder>>),
     /// Rows of jobs, from a read of the feed that started at this monotonic time.
-    Jobs(Change, Duration),
+    JobRows(Change, Duration),
     /// A job was accepted; sent by the process that accepted it.
-    Accepted(Box<AcceptedJob>, oneshot::Sender<()>),
+    JobAccepted(Box<AcceptedJob>, oneshot::Sender<()>),
     /// A job was cancelled; sent by the process that cancelled it.
-    Canceled(JobId, oneshot::Sender<()>),
+    JobCanceled(JobId, oneshot::Sender<()>),
     /// Registrations of workers have changed.
-    Workers(RosterChange),
+    Registrations(RegistrationChange),
     /// An event from the link to a worker.
-    Worker(WorkerKey, WorkerNews),
+    Worker(WorkerKey, WorkerEvent),
     /// Silent workers whose incarnation has ended by the list of machines; empty if the list
     /// could not be read.
-    Dead(Vec<WorkerKey>),
+    WorkersEnded(Vec<WorkerKey>),
     /// The rows of these jobs were removed, at these versions.
-    Removed(Vec<(JobId, Version)>),
+    RowsRemoved(Vec<(JobId, Version)>),
     /// A transaction of the owner has finished.
-    Saved(Save, Result<Committed, StoreError>),
+    SaveFinished(Save, Result<Committed, StoreError>),
     /// The guard row, on which the owner's writes are conditional, was read again.
-    Guard(Result<Option<Version>, StoreError>),
+    GuardRead(Result<Option<Version>, StoreError>),
 }
 
 /// Changes among the registered workers.
 #[derive(Debug, Default)]
-pub struct RosterChange {
+pub struct RegistrationChange {
     /// Workers whose registration is new or has changed.
-    pub present: Vec<WorkerInfo>,
+    pub updated: Vec<WorkerInfo>,
     /// Workers whose registration was removed.
-    pub gone: Vec<String>,
+    pub deleted: Vec<String>,
     /// When the read that returned these changes started.
-    pub read: Duration,
+    pub read_started: Duration,
 }
 
 /// An event from the link to a worker.
 #[derive(Debug)]
-pub enum WorkerNews {
+pub enum WorkerEvent {
     /// A call that renews the worker's lease is being sent.
     LeaseSent,
     /// The worker did not answer a call in time.
@@ -81,7 +81,7 @@
     /// reply may arrive until the second.
     Late(Duration, Duration),
     /// The worker sent a report, in reply to a call that was sent at this monotonic time.
-    Listed(Duration, Listing),
+    Reported(Duration, Listing),
     /// The worker answered a start.
     StartAnswered(TaskKey, RunId, StartReply),
     /// The worker answered a stop.
@@ -89,7 +89,7 @@
     /// The worker refused a command since it obeys a newer owner.
     Fenced,
     /// The incarnation of the worker has ended.
-    Over,
+    Ended,
 }
 
 /// Contents of a transaction of the owner.
@@ -98,40 +98,40 @@
     /// Progress of jobs, and the numbers of the ends that it covers.
     pub batch: Batch,
     /// Workers that are about to be used.
-    pub used: Vec<(String, UsedWorker)>,
+    pub used_workers: Vec<(String, UsedWorker)>,
     /// Workers on which no run can be left.
-    pub unused: Vec<String>,
+    pub unused_workers: Vec<String>,
     /// The transaction releases the pool.
-    pub release: bool,
+    pub releases: bool,
     /// The transaction renews the ownership.
     pub renews: bool,
     /// When the transaction was sent.
-    pub begun: Duration,
+    pub started: Duration,
 }
 
 /// Handle to the owner in this process, if there is one.
 #[derive(Clone, Debug)]
-pub struct OwnerPort {
+pub struct OwnerHandle {
     sender: watch::Receiver<Option<mpsc::Sender<OwnerMessage>>>,
 }
 
-impl OwnerPort {
+impl OwnerHandle {
     /// Creates a handle that follows the sender in this slot.
     #[must_use]
-    pub fn new(sender: watch::Receiver<Option<mpsc::Sender<OwnerMessage>>>) -> OwnerPort {
-        OwnerPort { sender }
+    pub fn new(sender: watch::Receiver<Option<mpsc::Sender<OwnerMessage>>>) -> OwnerHandle {
+        OwnerHandle { sender }
     }
 
     /// Sends a question and waits for its answer. Returns `None` if there is no owner in this
     /// process, or if it does not answer in time.
     pub async fn ask<T>(
         &self,
-        make: impl FnOnce(oneshot::Sender<T>) -> OwnerMessage,
+        make_message: impl FnOnce(oneshot::Sender<T>) -> OwnerMessage,
         timeout: Duration,
     ) -> Option<T> {
         let sender = self.sender.borrow().clone()?;
         let (reply, answer) = oneshot::channel();
-        sender.try_send(make(reply)).ok()?;
+        sender.try_send(make_message(reply)).ok()?;
         tokio::time::timeout(timeout, answer).await.ok()?.ok()
     }
 }
--- a/crates/cell/src/owner/answer_time.rs
+++ b/crates/cell/src/owner/reply_latency.rs
@@ -10,22 +10,22 @@
 use std::time::Duration;
 
 /// Shortest timeout for a reply; a reply usually takes 5 ms.
-const LEAST: Duration = Duration::from_millis(250);
+const MIN_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Longest timeout for a reply, after which a worker counts as silent: within a lease, two
 /// calls may time out in a row.
-const MOST: Duration = Duration::from_secs(1);
+const MAX_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time for which the reply to a call is awaited in all, as a multiple of the time after which
 /// it is late.
-const LATE_FACTOR: u32 = 4;
+const ABANDON_FACTOR: u32 = 4;
 
 /// Weight of one reply in the mean, and in the deviation from it.
 const MEAN_GAIN: f64 = 0.125;
 const DEVIATION_GAIN: f64 = 0.25;
 
 /// Deviations above the mean that a reply may take before it is late.
-const DEVIATIONS: f64 = 4.0;
+const DEVIATION_FACTOR: f64 = 4.0;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Estimate {
@@ -36,17 +36,17 @@
 
 /// Estimate of the time that workers take to answer, shared by all links of an owner.
 #[derive(Debug, Default)]
-pub struct AnswerTime {
+pub struct ReplyLatency {
     estimate: Mutex<Estimate>,
 }
 
-impl AnswerTime {
+impl ReplyLatency {
     fn lock(&self) -> MutexGuard<'_, Estimate> {
         self.estimate.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Records the time that a reply took, including late ones.
-    pub fn took(&self, time: Duration) {
+    pub fn record(&self, time: Duration) {
         let time = time.as_secs_f64();
         let mut estimate = self.lock();
         let error = time - estimate.mean;
@@ -56,27 +56,27 @@
 
     /// Mean time that a reply takes.
     #[must_use]
-    pub fn usual(&self) -> Duration {
+    pub fn mean_latency(&self) -> Duration {
         Duration::from_secs_f64(self.lock().mean.max(0.0))
     }
 
     /// Time after which a reply is late, and its worker counts as silent.
     #[must_use]
-    pub fn patience(&self) -> Duration {
+    pub fn late_after(&self) -> Duration {
         let estimate = *self.lock();
-        let usual = estimate.mean + estimate.deviation * DEVIATIONS;
-        Duration::from_secs_f64(usual).clamp(LEAST, MOST)
+        let timeout = estimate.mean + estimate.deviation * DEVIATION_FACTOR;
+        Duration::from_secs_f64(timeout).clamp(MIN_TIMEOUT, MAX_TIMEOUT)
     }
 
     /// Time after which a reply that a worker has sent is not expected to arrive any more.
     #[must_use]
-    pub fn longest(&self) -> Duration {
-        self.patience() * 2
+    pub fn lost_after(&self) -> Duration {
+        self.late_after() * 2
     }
 
     /// Time after which a call is abandoned.
     #[must_use]
-    pub fn limit(&self) -> Duration {
-        self.patience() * LATE_FACTOR
+    pub fn call_timeout(&self) -> Duration {
+        self.late_after() * ABANDON_FACTOR
     }
 }
--- a/crates/cell/src/owner/retention.rs
+++ b/crates/cell/src/owner/retention.rs
@@ -20,46 +20,47 @@
 use crate::progress_row;
 
 /// Time between two removals.
-const REMOVE_EVERY: Duration = Duration::from_millis(500);
+const REMOVE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Most jobs in one removal: 40 jobs a second keep up with the load of today's sites and hardly
 /// use the store's rate limit.
-const MOST_JOBS: usize = 20;
+const MAX_JOBS: usize = 20;
 
 /// Timeout of one transaction.
 const REMOVE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Time for which a job is kept beyond the retention that callers are promised: a late repeat
 /// of its submission must still find it.
-const SPARE: Duration = Duration::from_secs(30);
+const EXTRA_RETENTION: Duration = Duration::from_secs(30);
 
 /// Time after a removal within which rows that were read before it may arrive: a read has many
 /// pages, each of which may take seconds.
-const READ_TIME: Duration = Duration::from_mins(1);
+const MAX_READ_TIME: Duration = Duration::from_mins(1);
 
 /// Which rows were removed, and when the next removal may start.
 #[derive(Debug, Default)]
 pub(crate) struct Retention {
-    busy: bool,
-    after: Duration,
+    in_progress: bool,
+    /// Earliest time of the next removal.
+    next_removal: Duration,
     /// Version and time of the removal, by job.
     removed: HashMap<JobId, (Version, Duration)>,
     /// Jobs that have a row elsewhere than in its usual place.
-    strayed: HashSet<JobId>,
+    misplaced: HashSet<JobId>,
 }
 
 impl Retention {
     /// Records where a job's row was read.
-    pub(crate) fn saw(&mut self, id: JobId, row: &RowName) {
+    pub(crate) fn record_row(&mut self, id: JobId, row: &RowName) {
         if *row != crate::job_row(id) {
-            self.strayed.insert(id);
+            self.misplaced.insert(id);
         }
     }
 
     /// Whether a job's row of this version was read before its removal. The owner has forgotten
     /// the job by then; treated as a new job, it would run again after it was done, and be
     /// counted as started twice.
-    pub(crate) fn outlived(&self, id: JobId, version: Version) -> bool {
+    pub(crate) fn predates_removal(&self, id: JobId, version: Version) -> bool {
         let removed = self.removed.get(&id);
         removed.is_some_and(|(removed, _)| version < *removed)
     }
@@ -67,44 +68,46 @@
 
 impl Pool {
     /// Starts to remove the rows of jobs whose retention has ended.
-    pub(super) fn remove_expired(&mut self, now: Duration) {
-        if self.retention.busy || now < self.retention.after {
+    pub(super) fn remove_expired_jobs(&mut self, now: Duration) {
+        if self.retention.in_progress || now < self.retention.next_removal {
             return;
         }
-        self.retention.after = now + REMOVE_EVERY;
-        let keep = self.context.settings.retention() + SPARE;
-        let ids = self.planner.expired(keep, MOST_JOBS);
+        self.retention.next_removal = now + REMOVE_INTERVAL;
+        let keep = self.context.settings.retention() + EXTRA_RETENTION;
+        let ids = self.planner.expired(keep, MAX_JOBS);
         if ids.is_empty() {
             return;
         }
-        self.retention.busy = true;
-        let strayed = self.retention.strayed.clone();
+        self.retention.in_progress = true;
+        let misplaced = self.retention.misplaced.clone();
         let store = self.context.store.clone();
         let sender = self.sender.clone();
         tokio::spawn(async move {
             let mut removed = Vec::new();
             for id in ids {
-                match remove(&store, id, strayed.contains(&id)).await {
+                match remove_job(&store, id, misplaced.contains(&id)).await {
                     Ok(version) => removed.push((id, version)),
                     Err(error) => {
-                        log::warn!(code = 364, job:% = crate::hex(id), error:% = error; "job not removed");
+                        log::warn!(code = 364, job:% = crate::hex(id), error:% = error; "expired job not removed");
                         break;
                     }
                 }
             }
-            let _ = sender.send(OwnerMessage::Removed(removed)).await;
+            let _ = sender.send(OwnerMessage::RowsRemoved(removed)).await;
         });
     }
 
     /// Forgets jobs whose rows were removed at these versions.
-    pub(super) fn take_removed(&mut self, removed: &[(JobId, Version)]) {
+    pub(super) fn handle_removed(&mut self, removed: &[(JobId, Version)]) {
         let now = self.context.now();
         let retention = &mut self.retention;
-        retention.busy = false;
-        retention.removed.retain(|_, (_, at)| *at + READ_TIME > now);
+        retention.in_progress = false;
+        retention
+            .removed
+            .retain(|_, (_, at)| *at + MAX_READ_TIME > now);
         for &(id, version) in removed {
             retention.removed.insert(id, (version, now));
-            retention.strayed.remove(&id);
+            retention.misplaced.remove(&id);
             self.planner.forget(&[id]);
         }
     }
@@ -113,11 +116,11 @@
 /// Removes a job's row, and after it the job's progress: in the other order, a successor would
 /// take the job for one that never started. Returns the version of the removal of the job's
 /// row.
-async fn remove(store: &Store, id: JobId, strayed: bool) -> Result<Version, StoreError> {
+async fn remove_job(store: &Store, id: JobId, misplaced: bool) -> Result<Version, StoreError> {
     let [usual, others @ ..] = crate::job_rows(id);
     // Rows that only some jobs have are removed first: if a successor found one without the
     // job's progress, it would take the job for one that never started.
-    for row in others.into_iter().filter(|_| strayed) {
+    for row in others.into_iter().filter(|_| misplaced) {
         remove_row(store, row).await?;
     }
     let removed = remove_row(store, usual).await?;
--- a/crates/cell/src/owner/saver.rs
+++ b/crates/cell/src/owner/saver.rs
@@ -36,18 +36,18 @@
 use crate::used_row;
 
 /// Time between two renewals of the ownership.
-const RENEW_EVERY: Duration = Duration::from_millis(400);
+const RENEW_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Shortest time between two transactions: changes that come up meanwhile share the next one.
 /// Ends of runs wait 15 ms longer on average, and a tenth of the calls to the store are saved.
-const SAVE_GAP: Duration = Duration::from_millis(30);
+const MIN_SAVE_GAP: Duration = Duration::from_millis(30);
 
 /// Most jobs in one transaction; the store takes 100 entries, a few of which are the guard row,
 /// the renewal and workers.
-const MOST_JOBS: usize = 60;
+const MAX_JOBS: usize = 60;
 
 /// Most workers whose rows are written or removed in one transaction.
-const MOST_WORKERS: usize = 35;
+const MAX_WORKERS: usize = 35;
 
 /// Longest time for which an owner renews the ownership while it still reads the state of its
 /// predecessor. A megabyte takes 4 s on a link of 2 Mbit/s; a host that has not read everything
@@ -62,36 +62,38 @@
 const SAVE_TIMEOUT: Duration = Duration::from_millis(1600);
 
 /// Pause after a transaction that failed.
-const FAILED_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Whether the ownership of the pool is being released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Release {
     /// The pool is owned, and no release was requested.
-    Held,
+    NotRequested,
     /// The next transaction releases the pool.
-    Wanted,
+    Requested,
     /// The store has confirmed the release.
-    Done,
+    Confirmed,
 }
 
 /// State of the owner's writes.
 pub(crate) struct Saver {
     context: Context,
     epoch: Epoch,
-    guard: Version,
+    guard_version: Version,
+    /// Counter that each renewal increases.
     beat: u64,
     /// A transaction, or a read of the guard row, is in progress.
-    busy: bool,
+    in_progress: bool,
     /// No transaction starts before this time.
-    after: Duration,
-    renewed: Duration,
+    not_before: Duration,
+    /// When the newest confirmed renewal was sent during the take-over, or confirmed after it.
+    last_renewal: Duration,
     /// When the newest confirmed renewal during the take-over started.
-    written: Duration,
-    workers: WorkerRows,
+    confirmed_renewal: Duration,
+    row_changes: WorkerRows,
     release: Release,
     /// The owner cannot keep up with the pool; its renewals say so.
-    strained: bool,
+    overloaded: bool,
 }
 
 impl Saver {
@@ -99,22 +101,22 @@
         Saver {
             context: context.clone(),
             epoch,
-            guard: 0,
+            guard_version: 0,
             beat: 0,
-            busy: false,
-            after: Duration::ZERO,
-            renewed: context.now(),
-            written: Duration::ZERO,
-            workers: WorkerRows::default(),
-            release: Release::Held,
-            strained: false,
+            in_progress: false,
+            not_before: Duration::ZERO,
+            last_renewal: context.now(),
+            confirmed_renewal: Duration::ZERO,
+            row_changes: WorkerRows::default(),
+            release: Release::NotRequested,
+            overloaded: false,
         }
     }
 
     /// Reads the guard row; returns whether this process still owns the pool.
-    pub(crate) async fn read_guard(&mut self) -> Result<bool, StoreError> {
-        let version = find_guard(&self.context, self.epoch).await?;
-        self.guard = version.unwrap_or(self.guard);
+    pub(crate) async fn refresh_guard(&mut self) -> Result<bool, StoreError> {
+        let version = read_guard_version(&self.context, self.epoch).await?;
+        self.guard_version = version.unwrap_or(self.guard_version);
         Ok(version.is_some())
     }
 
@@ -128,15 +130,15 @@
         loop {
             tokio::select! {
                 _ = &mut reading => return true,
-                () = tokio::time::sleep(RENEW_EVERY) => {}
+                () = tokio::time::sleep(RENEW_INTERVAL) => {}
                 () = self.context.stopped() => {
-                    self.give_up();
+                    self.request_release();
                     self.renew(self.context.now()).await;
                     return false;
                 }
             }
             let now = self.context.now();
-            self.strained = now > begin + LONG_TAKE_OVER;
+            self.overloaded = now > begin + LONG_TAKE_OVER;
             if now < end && !self.renew(now).await {
                 return false;
             }
@@ -148,62 +150,62 @@
         let mut save = Save::default();
         // No worker report was handled yet, so there is no unsaved end.
         save.batch.ends_complete = true;
-        let transaction = self.transaction(&mut save, now);
+        let transaction = self.build_transaction(&mut save, now);
         match self.context.store.commit(&transaction, SAVE_TIMEOUT).await {
             Ok(Committed::Done(version)) => {
-                self.guard = version;
-                self.renewed = now;
-                self.written = now;
+                self.guard_version = version;
+                self.last_renewal = now;
+                self.confirmed_renewal = now;
                 true
             }
             // The guard row was changed by an earlier renewal whose reply was lost, or by a
             // successor.
-            Ok(Committed::Conflict) => self.read_guard().await.unwrap_or(true),
+            Ok(Committed::Conflict) => self.refresh_guard().await.unwrap_or(true),
             Err(error) => {
-                log::warn!(code = 308, epoch = self.epoch, error:% = error; "no renewal while reading");
+                log::warn!(code = 308, epoch = self.epoch, error:% = error; "renewal failed during take-over");
                 true
             }
         }
     }
 
     /// When the newest confirmed renewal during the take-over started.
-    pub(super) fn written(&self) -> Duration {
-        self.written
+    pub(super) fn confirmed_renewal(&self) -> Duration {
+        self.confirmed_renewal
     }
 
     /// Queues the row of a worker that is about to be used: the row is written first, so that a
     /// successor knows that it has to ask this worker for a report.
-    pub(crate) fn use_worker(&mut self, id: String, worker: UsedWorker) {
-        self.workers.put(id, worker);
+    pub(crate) fn queue_row(&mut self, id: String, worker: UsedWorker) {
+        self.row_changes.put(id, worker);
     }
 
     /// Queues the removal of the row of a worker on which no run can be left.
-    pub(crate) fn drop_worker(&mut self, id: String) {
-        self.workers.remove(id);
+    pub(crate) fn queue_removal(&mut self, id: String) {
+        self.row_changes.remove(id);
     }
 
     /// Sets whether the next renewal says that the owner cannot keep up.
-    pub(super) fn set_strained(&mut self, strained: bool) {
-        self.strained = strained;
+    pub(super) fn set_overloaded(&mut self, overloaded: bool) {
+        self.overloaded = overloaded;
     }
 
     /// Makes the next transaction release the pool.
-    pub(crate) fn give_up(&mut self) {
-        self.release = Release::Wanted;
+    pub(crate) fn request_release(&mut self) {
+        self.release = Release::Requested;
     }
 
     pub(crate) fn released(&self) -> bool {
-        self.release == Release::Done
+        self.release == Release::Confirmed
     }
 
     fn due(&self, now: Duration, unsaved: bool) -> bool {
-        let renewal = now.saturating_sub(self.renewed) >= RENEW_EVERY;
-        let workers = !self.workers.is_empty();
-        let wanted = renewal || workers || unsaved || self.release == Release::Wanted;
-        wanted && !self.busy && !self.released() && now >= self.after
+        let renewal = now.saturating_sub(self.last_renewal) >= RENEW_INTERVAL;
+        let row_changes = !self.row_changes.is_empty();
+        let wanted = renewal || row_changes || unsaved || self.release == Release::Requested;
+        wanted && !self.in_progress && !self.released() && now >= self.not_before
     }
 
-    fn transaction(&mut self, save: &mut Save, now: Duration) -> Transaction {
+    fn build_transaction(&mut self, save: &mut Save, now: Duration) -> Transaction {
         let guard = Guard {
             epoch: self.epoch,
             incarnation: self.context.incarnation,
@@ -211,11 +213,11 @@
         let mut puts: Vec<(RowName, Vec<u8>)> = vec![(guard_row(), encode_row(&guard))];
         let progress = save.batch.jobs.iter();
         puts.extend(progress.map(|(id, progress)| (progress_row(*id), encode_row(progress))));
-        (save.used, save.unused) = self.workers.take(MOST_WORKERS);
-        let used = save.used.iter();
-        puts.extend(used.map(|(id, worker)| (used_row(id), encode_row(worker))));
-        save.release = self.release == Release::Wanted && save.batch.ends_complete;
-        save.renews = save.release || now.saturating_sub(self.renewed) >= RENEW_EVERY;
+        (save.used_workers, save.unused_workers) = self.row_changes.take(MAX_WORKERS);
+        let used_workers = save.used_workers.iter();
+        puts.extend(used_workers.map(|(id, worker)| (used_row(id), encode_row(worker))));
+        save.releases = self.release == Release::Requested && save.batch.ends_complete;
+        save.renews = save.releases || now.saturating_sub(self.last_renewal) >= RENEW_INTERVAL;
         if save.renews {
             self.beat += 1;
             let seat = Seat {
@@ -224,22 +226,25 @@
                 incarnation: self.context.incarnation,
                 address: self.context.settings.peer_address(),
                 beat: self.beat,
-                released: save.release,
+                released: save.releases,
                 calls: self.context.settings.owner_calls(),
-                strained: self.strained,
+                strained: self.overloaded,
             };
             puts.push((seat_row(), encode_row(&seat)));
         }
         Transaction {
-            expect: vec![(guard_row(), self.guard)],
+            expect: vec![(guard_row(), self.guard_version)],
             puts,
-            removes: save.unused.iter().map(|id| used_row(id)).collect(),
+            removes: save.unused_workers.iter().map(|id| used_row(id)).collect(),
         }
     }
 }
 
 /// Version of the guard row, if this ownership wrote it.
-async fn find_guard(context: &Context, epoch: Epoch) -> Result<Option<Version>, StoreError> {
+async fn read_guard_version(
+    context: &Context,
+    epoch: Epoch,
+) -> Result<Option<Version>, StoreError> {
     let row = context.store.get(&guard_row(), SAVE_TIMEOUT).await?;
     Ok(row.and_then(|row| {
         let guard = decode_row::<Guard>(&row.value);
@@ -254,97 +259,97 @@
 
 impl Pool {
     /// Starts a transaction if one is due and none is in progress.
-    pub(super) fn begin_save(&mut self, now: Duration) {
+    pub(super) fn start_save(&mut self, now: Duration) {
         if !self.saver.due(now, self.planner.unsaved()) {
             return;
         }
         let mut save = Save {
-            batch: self.planner.take_batch(MOST_JOBS),
-            begun: now,
+            batch: self.planner.take_batch(MAX_JOBS),
+            started: now,
             ..Save::default()
         };
-        let transaction = self.saver.transaction(&mut save, now);
-        let used = save.used.iter().map(|(id, _)| id);
-        for id in used.chain(&save.unused) {
-            self.standing.tenure.changing(id);
+        let transaction = self.saver.build_transaction(&mut save, now);
+        let used_workers = save.used_workers.iter().map(|(id, _)| id);
+        for id in used_workers.chain(&save.unused_workers) {
+            self.freshness.tenure.changing(id);
         }
-        self.saver.busy = true;
-        self.saver.after = now + SAVE_GAP;
+        self.saver.in_progress = true;
+        self.saver.not_before = now + MIN_SAVE_GAP;
         let context = self.context.clone();
         let sender = self.result_sender.clone();
         tokio::spawn(async move {
             let commit = context.store.commit(&transaction, SAVE_TIMEOUT);
             let result = context.until_regained(commit).await;
-            let _ = sender.send(OwnerMessage::Saved(save, result)).await;
+            let _ = sender.send(OwnerMessage::SaveFinished(save, result)).await;
         });
     }
 
-    pub(super) fn take_saved(&mut self, save: Save, result: Result<Committed, StoreError>) {
+    pub(super) fn handle_saved(&mut self, save: Save, result: Result<Committed, StoreError>) {
         let now = self.context.now();
         let metrics = self.context.metrics.clone();
         match result {
             Ok(Committed::Done(version)) => {
                 count(&metrics.saves, "done");
-                observe(&metrics.save, now.saturating_sub(save.begun));
-                self.saver.busy = false;
-                self.saver.guard = version;
-                self.standing.tenure.wrote(save.begun);
-                if save.release {
-                    self.saver.release = Release::Done;
+                observe(&metrics.save, now.saturating_sub(save.started));
+                self.saver.in_progress = false;
+                self.saver.guard_version = version;
+                self.freshness.tenure.wrote(save.started);
+                if save.releases {
+                    self.saver.release = Release::Confirmed;
                 }
                 if save.renews {
-                    self.saver.renewed = now;
+                    self.saver.last_renewal = now;
                 }
-                self.saved(save);
+                self.apply_saved(save);
             }
             Ok(Committed::Conflict) => {
                 count(&metrics.saves, "conflict");
-                self.unsaved(save);
-                self.check_guard();
+                self.restore_save(save);
+                self.reread_guard();
             }
             Err(error) => {
-                log::warn!(code = 361, epoch = self.epoch, error:% = error; "progress not saved");
+                log::warn!(code = 361, epoch = self.epoch, error:% = error; "save transaction failed");
                 count(&metrics.saves, "failed");
-                self.saver.busy = false;
-                self.saver.after = now + FAILED_PAUSE;
-                self.unsaved(save);
+                self.saver.in_progress = false;
+                self.saver.not_before = now + RETRY_PAUSE;
+                self.restore_save(save);
             }
         }
     }
 
-    fn saved(&mut self, save: Save) {
+    fn apply_saved(&mut self, save: Save) {
         for (id, progress) in &save.batch.jobs {
             if let Some(outcome) = progress.outcome {
-                self.job_ended(*id, outcome);
+                self.log_job_end(*id, outcome);
             }
         }
         self.planner.batch_saved(&save.batch);
         for (key, number) in &save.batch.ends {
             if let Some(link) = self.links.get(key) {
-                link.set_seen(*number);
+                link.set_saved_end(*number);
             }
         }
-        for id in &save.unused {
-            self.standing.tenure.removed(id);
+        for id in &save.unused_workers {
+            self.freshness.tenure.removed(id);
         }
-        for (id, used) in save.used {
-            self.standing.tenure.added(&id);
+        for (id, worker) in save.used_workers {
+            self.freshness.tenure.added(&id);
             let key = self.planner.worker_of(&id);
             // If the row names another incarnation, a successor does not know of this one yet.
             let key = key.filter(|key| {
                 let info = self.planner.worker(*key);
-                info.is_some_and(|info| info.life == used.life)
+                info.is_some_and(|info| info.life == worker.life)
             });
             if let Some(key) = key
                 && !self.links.contains_key(&key)
             {
-                self.used.insert(id);
+                self.used_workers.insert(id);
                 self.open_link(key);
             }
         }
     }
 
-    fn job_ended(&self, id: JobId, outcome: Outcome) {
+    fn log_job_end(&self, id: JobId, outcome: Outcome) {
         let Some(timing) = self.planner.timing(id) else {
             return;
         };
@@ -359,33 +364,35 @@
     }
 
     /// Puts back the changes of a failed transaction.
-    fn unsaved(&mut self, save: Save) {
+    fn restore_save(&mut self, save: Save) {
         self.planner.batch_failed(&save.batch);
-        self.saver.workers.put_back(save.used, save.unused);
+        self.saver
+            .row_changes
+            .put_back(save.used_workers, save.unused_workers);
     }
 
     /// Reads the guard row after a conflict: it was changed by an earlier transaction of this
     /// owner whose reply was lost, or by a successor.
-    fn check_guard(&self) {
+    fn reread_guard(&self) {
         let context = self.context.clone();
         let sender = self.result_sender.clone();
         let epoch = self.epoch;
         tokio::spawn(async move {
-            let result = find_guard(&context, epoch).await;
-            let _ = sender.send(OwnerMessage::Guard(result)).await;
+            let result = read_guard_version(&context, epoch).await;
+            let _ = sender.send(OwnerMessage::GuardRead(result)).await;
         });
     }
 
-    pub(super) fn take_guard(&mut self, result: Result<Option<Version>, StoreError>) {
+    pub(super) fn handle_guard(&mut self, result: Result<Option<Version>, StoreError>) {
         match result {
             Ok(Some(version)) => {
-                self.saver.guard = version;
-                self.saver.busy = false;
+                self.saver.guard_version = version;
+                self.saver.in_progress = false;
             }
             Ok(None) => self.deposed = true,
             Err(error) => {
-                log::warn!(code = 363, epoch = self.epoch, error:% = error; "guard not readable");
-                self.check_guard();
+                log::warn!(code = 363, epoch = self.epoch, error:% = error; "guard row cannot be read");
+                self.reread_guard();
             }
         }
     }
--- a/crates/cell/src/owner/start_call.rs
+++ b/crates/cell/src/owner/start_call.rs
@@ -10,25 +10,25 @@
 use platform::Start;
 use tokio::sync::mpsc;
 
-use super::AnswerTime;
+use super::ReplyLatency;
 use super::StartWindow;
-use super::gate::Gate;
+use super::fencing::WorkerFencing;
 use crate::Context;
 use crate::OwnerMessage;
-use crate::WorkerNews;
+use crate::WorkerEvent;
 
-/// A start, and what its call needs.
+/// A start that is being sent, with the state that its call needs.
 pub(super) struct StartCall {
     pub(super) context: Context,
     pub(super) worker: WorkerKey,
     pub(super) id: WorkerId,
     pub(super) address: SocketAddr,
     /// The worker names its incarnation in its reports.
-    pub(super) named: bool,
+    pub(super) names_incarnation: bool,
     pub(super) start: Start,
-    pub(super) gate: Arc<Gate>,
-    pub(super) answers: Arc<AnswerTime>,
-    pub(super) window: StartWindow,
+    pub(super) fencing: Arc<WorkerFencing>,
+    pub(super) latency: Arc<ReplyLatency>,
+    pub(super) start_window: StartWindow,
     pub(super) sender: mpsc::Sender<OwnerMessage>,
 }
 
@@ -36,71 +36,72 @@
     /// Sends the start and notifies the owner of the reply, also if it is late.
     pub(super) async fn run(self) {
         let sent = self.context.now();
-        let limit = self.answers.limit();
+        let call_timeout = self.latency.call_timeout();
         let call = self
             .context
             .orders
-            .start(self.address, &self.id, &self.start, limit);
+            .start(self.address, &self.id, &self.start, call_timeout);
         tokio::pin!(call);
-        let in_time = tokio::time::timeout(self.answers.patience(), &mut call).await;
-        self.window.settled();
+        let in_time = tokio::time::timeout(self.latency.late_after(), &mut call).await;
+        self.start_window.record_settled();
         let answer = if let Ok(answer) = in_time {
             answer
         } else {
-            self.log("late");
-            self.raise();
-            self.tell(self.answered(StartReply::Unknown)).await;
+            self.log_unconfirmed("late");
+            self.raise_token();
+            self.notify_owner(self.start_answered(StartReply::Unknown))
+                .await;
             call.await
         };
         if let Ordered::Done(_) = answer {
-            self.answers.took(self.context.now().saturating_sub(sent));
+            self.latency.record(self.context.now().saturating_sub(sent));
         } else {
-            self.log(&format!("{answer:?}"));
+            self.log_unconfirmed(&format!("{answer:?}"));
         }
-        let news = self.news(&answer);
+        let event = self.event_for(&answer);
         let lost = matches!(answer, Ordered::Unknown(_) | Ordered::Garbled(_));
         if lost {
-            self.raise();
+            self.raise_token();
         }
-        self.tell(news).await;
-        if self.named && lost {
+        self.notify_owner(event).await;
+        if self.names_incarnation && lost {
             let end = sent + self.context.settings.policy().order_late;
             tokio::time::sleep(end.saturating_sub(self.context.now())).await;
         }
-        self.gate.end_start();
+        self.fencing.end_start();
     }
 
     /// Raises the token of later commands, so that a worker which carries out one of them
     /// refuses this start if it arrives afterwards.
-    fn raise(&self) {
-        if self.named {
-            self.gate.raise();
+    fn raise_token(&self) {
+        if self.names_incarnation {
+            self.fencing.raise_token();
         }
     }
 
-    async fn tell(&self, news: WorkerNews) {
+    async fn notify_owner(&self, event: WorkerEvent) {
         // Fails only if the owner has ended; its successor asks the worker for a report.
         let _ = self
             .sender
-            .send(OwnerMessage::Worker(self.worker, news))
+            .send(OwnerMessage::Worker(self.worker, event))
             .await;
     }
 
-    fn answered(&self, reply: StartReply) -> WorkerNews {
-        WorkerNews::StartAnswered(self.start.task, self.start.run, reply)
+    fn start_answered(&self, reply: StartReply) -> WorkerEvent {
+        WorkerEvent::StartAnswered(self.start.task, self.start.run, reply)
     }
 
-    fn log(&self, answer: &str) {
+    fn log_unconfirmed(&self, answer: &str) {
         let (task, run) = (self.start.task, self.start.run);
         log::warn!(code = 351, task:% = task, run = run, worker = self.id.as_str(), answer = answer; "start not confirmed");
     }
 
-    fn news<T>(&self, answer: &Ordered<T>) -> WorkerNews {
+    fn event_for<T>(&self, answer: &Ordered<T>) -> WorkerEvent {
         let reply = match answer {
             Ordered::Done(_) => StartReply::Started,
-            Ordered::Fenced if self.gate.overtaken(self.start.token) => StartReply::Refused,
-            Ordered::Fenced => return WorkerNews::Fenced,
-            Ordered::Replaced => return WorkerNews::Over,
+            Ordered::Fenced if self.fencing.superseded(self.start.token) => StartReply::Refused,
+            Ordered::Fenced => return WorkerEvent::Fenced,
+            Ordered::Replaced => return WorkerEvent::Ended,
             Ordered::Ticket => StartReply::Ticket,
             Ordered::Unknown(_) | Ordered::Garbled(_) => StartReply::Unknown,
             Ordered::Old
@@ -109,6 +110,6 @@
             | Ordered::Refused(..)
             | Ordered::Unreachable(_) => StartReply::Refused,
         };
-        self.answered(reply)
+        self.start_answered(reply)
     }
 }
--- a/crates/cell/src/owner/start_window.rs
+++ b/crates/cell/src/owner/start_window.rs
@@ -8,51 +8,51 @@
 use std::sync::atomic::Ordering;
 
 /// Time on the link, in seconds, that the starts in progress may take.
-const LINK_TIME: f64 = 0.1;
+const MAX_LINK_TIME: f64 = 0.1;
 
 /// Size of a start and its reply, including headers, in bytes.
 const START_BYTES: f64 = 1_500.0;
 
 /// Bytes per second on a link of 1 Mbit/s.
-const BYTES_A_MBIT: f64 = 125_000.0;
+const BYTES_PER_MBIT: f64 = 125_000.0;
 
 /// Fewest starts that may be in progress, however slow the link is.
-const LEAST: f64 = 8.0;
+const MIN_STARTS: f64 = 8.0;
 
 /// Counts the starts in progress; clones share the count.
 #[derive(Clone, Debug)]
 pub struct StartWindow {
-    most: usize,
-    open: Arc<AtomicUsize>,
+    limit: usize,
+    in_progress: Arc<AtomicUsize>,
 }
 
 impl StartWindow {
     /// The window for an owner with a link of `link_mbps`.
     #[must_use]
     pub fn new(link_mbps: f64) -> StartWindow {
-        let starts = link_mbps * BYTES_A_MBIT * LINK_TIME / START_BYTES;
+        let starts = link_mbps * BYTES_PER_MBIT * MAX_LINK_TIME / START_BYTES;
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-        let most = starts.max(LEAST) as usize; // saturates
+        let limit = starts.max(MIN_STARTS) as usize; // saturates
         StartWindow {
-            most,
-            open: Arc::default(),
+            limit,
+            in_progress: Arc::default(),
         }
     }
 
     /// Number of starts that may still be sent.
     #[must_use]
-    pub fn room(&self) -> usize {
-        let open = self.open.load(Ordering::Relaxed);
-        self.most.saturating_sub(open)
+    pub fn available(&self) -> usize {
+        let in_progress = self.in_progress.load(Ordering::Relaxed);
+        self.limit.saturating_sub(in_progress)
     }
 
     /// Records that a start was sent.
-    pub fn sent(&self) {
-        self.open.fetch_add(1, Ordering::Relaxed);
+    pub fn record_sent(&self) {
+        self.in_progress.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Records that a start was answered, or that its reply is late.
-    pub fn settled(&self) {
-        self.open.fetch_sub(1, Ordering::Relaxed);
+    pub fn record_settled(&self) {
+        self.in_progress.fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/crates/cell/src/owner/supervise.rs
+++ b/crates/cell/src/owner/supervise.rs
@@ -5,7 +5,7 @@
 use tokio::sync::watch;
 
 use super::Pool;
-use super::messages::OWNER_QUEUE;
+use super::messages::OWNER_QUEUE_CAPACITY;
 use crate::Context;
 use crate::OwnerMessage;
 
@@ -17,17 +17,17 @@
 /// when the ownership expires.
 pub async fn supervise_owner(context: Context, slot: OwnerSlot) {
     let mut seat = context.seat.clone();
-    let mut served: Epoch = 0;
+    let mut last_epoch: Epoch = 0;
     loop {
         let epoch = seat
             .borrow_and_update()
             .owner()
             .filter(|owner| owner.incarnation == context.incarnation)
             .map(|owner| owner.epoch)
-            .filter(|epoch| *epoch > served);
+            .filter(|epoch| *epoch > last_epoch);
         if let Some(epoch) = epoch {
-            served = epoch;
-            let (sender, receiver) = mpsc::channel(OWNER_QUEUE);
+            last_epoch = epoch;
+            let (sender, receiver) = mpsc::channel(OWNER_QUEUE_CAPACITY);
             let pool = Pool::open(context.clone(), epoch, sender.clone(), receiver).await;
             if let Some(pool) = pool {
                 let gauge = &context.metrics.epoch;
--- a/crates/cell/src/owner/takeover.rs
+++ b/crates/cell/src/owner/takeover.rs
@@ -29,14 +29,14 @@
 use crate::metrics::count;
 
 /// Pause after a failed read.
-pub(super) const READ_PAUSE: Duration = Duration::from_millis(100);
+pub(super) const READ_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Time between two reads of the feed of job rows. The process that accepts a job notifies the
 /// owner at once; the feed brings the jobs for which this failed.
-const READ_EVERY: Duration = Duration::from_millis(300);
+const FEED_INTERVAL: Duration = Duration::from_millis(300);
 
 /// State that the former owner left in the store.
-pub(super) struct Left {
+pub(super) struct InheritedState {
     /// Rows of all accepted jobs.
     pub(super) jobs: Vec<Row>,
     /// Follows changes of the job rows from where `jobs` ends.
@@ -44,11 +44,11 @@
     /// Progress by job.
     pub(super) progress: HashMap<JobId, Progress>,
     /// Jobs with progress that cannot be decoded.
-    pub(super) unreadable: HashSet<JobId>,
+    pub(super) unreadable_jobs: HashSet<JobId>,
     /// Workers to which the former owner may have given tasks.
-    pub(super) used: Vec<(String, UsedWorker)>,
+    pub(super) used_workers: Vec<(String, UsedWorker)>,
     /// Number of further rows of used workers, which cannot be decoded.
-    pub(super) used_unreadable: usize,
+    pub(super) undecodable_workers: usize,
 }
 
 /// Reads the state that the former owner left and renews the ownership meanwhile. Returns
@@ -61,15 +61,15 @@
 pub(super) async fn take_over(
     context: &Context,
     saver: &mut Saver,
-) -> Result<Option<Left>, StoreError> {
-    if !saver.read_guard().await? {
+) -> Result<Option<InheritedState>, StoreError> {
+    if !saver.refresh_guard().await? {
         return Ok(None);
     }
-    let (done, reading) = oneshot::channel::<()>();
+    let (read_done, reading) = oneshot::channel::<()>();
     let read = async move {
-        let left = read_left(context).await;
-        drop(done);
-        left
+        let inherited = read_inherited(context).await;
+        drop(read_done);
+        inherited
     };
     tokio::pin!(read);
     let renewals = saver.renew_until(reading);
@@ -77,38 +77,38 @@
     tokio::select! {
         biased;
         // The ownership is lost, so the rest of the read is of no use.
-        ours = &mut renewals => if ours { read.await.map(Some) } else { Ok(None) },
-        left = &mut read => if renewals.await { left.map(Some) } else { Ok(None) },
+        owned = &mut renewals => if owned { read.await.map(Some) } else { Ok(None) },
+        inherited = &mut read => if renewals.await { inherited.map(Some) } else { Ok(None) },
     }
 }
 
 /// Reads the rows in the owner's part of the store, and all job rows.
-async fn read_left(context: &Context) -> Result<Left, StoreError> {
+async fn read_inherited(context: &Context) -> Result<InheritedState, StoreError> {
     let store = &context.store;
     let progress = store.part(PROGRESS_TABLE, OWNER_PART, LONG_READ).await?;
-    let used = store.part(USED_TABLE, OWNER_PART, LONG_READ).await?;
+    let used_workers = store.part(USED_TABLE, OWNER_PART, LONG_READ).await?;
     let mut follower = Follower::new(store, JOB_TABLE, true).patient();
     let (Change::Full(jobs) | Change::Some(jobs)) = follower.next(Duration::ZERO).await?;
-    let mut left = Left {
+    let mut inherited = InheritedState {
         jobs,
         follower,
         progress: HashMap::new(),
-        unreadable: HashSet::new(),
-        used: Vec::new(),
-        used_unreadable: 0,
+        unreadable_jobs: HashSet::new(),
+        used_workers: Vec::new(),
+        undecodable_workers: 0,
     };
     let unreadable = &context.metrics.unreadable;
     for row in &progress.rows {
-        left.take_progress(row, unreadable);
+        inherited.add_progress(row, unreadable);
     }
-    for row in &used.rows {
-        left.take_used(row, unreadable);
+    for row in &used_workers.rows {
+        inherited.add_worker(row, unreadable);
     }
-    Ok(left)
+    Ok(inherited)
 }
 
-impl Left {
-    fn take_progress(&mut self, row: &Row, metrics: &IntCounterVec) {
+impl InheritedState {
+    fn add_progress(&mut self, row: &Row, metrics: &IntCounterVec) {
         let id = match job::parse_job(&row.name.key) {
             Ok(id) => id,
             Err(error) => {
@@ -124,18 +124,18 @@
             Err(error) => {
                 count(metrics, PROGRESS_TABLE);
                 log::error!(code = 337, key = row.name.key.as_str(), error:% = error; "progress row unreadable");
-                self.unreadable.insert(id);
+                self.unreadable_jobs.insert(id);
             }
         }
     }
 
-    fn take_used(&mut self, row: &Row, metrics: &IntCounterVec) {
+    fn add_worker(&mut self, row: &Row, metrics: &IntCounterVec) {
         match decode_used(&row.value) {
-            Ok(worker) => self.used.push((row.name.key.clone(), worker)),
+            Ok(worker) => self.used_workers.push((row.name.key.clone(), worker)),
             Err(error) => {
                 count(metrics, USED_TABLE);
                 log::error!(code = 338, key = row.name.key.as_str(), error:% = error; "worker row unreadable");
-                self.used_unreadable += 1;
+                self.undecodable_workers += 1;
             }
         }
     }
@@ -147,27 +147,27 @@
     mut jobs: Follower,
     sender: mpsc::Sender<OwnerMessage>,
 ) {
-    let mut away = false;
+    let mut unavailable = false;
     loop {
-        let begun = context.now();
+        let started = context.now();
         match jobs.next(Duration::ZERO).await {
             Ok(change) => {
-                if std::mem::take(&mut away) {
+                if std::mem::take(&mut unavailable) {
                     log::info!(code = 349; "jobs can be read again");
                 }
                 // Also sent without changes: it tells the owner that there are none up to this
                 // time.
-                let news = OwnerMessage::Jobs(change, begun);
-                if sender.send(news).await.is_err() {
+                let message = OwnerMessage::JobRows(change, started);
+                if sender.send(message).await.is_err() {
                     return;
                 }
-                tokio::time::sleep(READ_EVERY).await;
+                tokio::time::sleep(FEED_INTERVAL).await;
             }
             Err(error) => {
-                if !std::mem::replace(&mut away, true) {
+                if !std::mem::replace(&mut unavailable, true) {
                     log::warn!(code = 339, error:% = error; "jobs cannot be read");
                 }
-                tokio::time::sleep(READ_PAUSE).await;
+                tokio::time::sleep(READ_RETRY_PAUSE).await;
             }
         }
     }
--- a/crates/cell/src/owner/worker_rows.rs
+++ b/crates/cell/src/owner/worker_rows.rs
@@ -13,29 +13,29 @@
 #[derive(Debug, Default)]
 pub(crate) struct WorkerRows {
     /// The row to write, or `None` for a row to remove, by worker.
-    wishes: BTreeMap<String, Option<UsedWorker>>,
+    changes: BTreeMap<String, Option<UsedWorker>>,
 }
 
 impl WorkerRows {
     pub(crate) fn is_empty(&self) -> bool {
-        self.wishes.is_empty()
+        self.changes.is_empty()
     }
 
     /// Queues the row of a worker to be written.
     pub(crate) fn put(&mut self, id: String, worker: UsedWorker) {
-        self.wishes.insert(id, Some(worker));
+        self.changes.insert(id, Some(worker));
     }
 
     /// Queues the row of a worker to be removed.
     pub(crate) fn remove(&mut self, id: String) {
-        self.wishes.insert(id, None);
+        self.changes.insert(id, None);
     }
 
-    /// Takes up to `most` pending changes: rows to write, and rows to remove.
-    pub(crate) fn take(&mut self, most: usize) -> (Vec<(String, UsedWorker)>, Vec<String>) {
+    /// Takes up to `limit` pending changes: rows to write, and rows to remove.
+    pub(crate) fn take(&mut self, limit: usize) -> (Vec<(String, UsedWorker)>, Vec<String>) {
         let (mut puts, mut removes) = (Vec::new(), Vec::new());
-        for _ in 0..most {
-            match self.wishes.pop_first() {
+        for _ in 0..limit {
+            match self.changes.pop_first() {
                 Some((id, Some(worker))) => puts.push((id, worker)),
                 Some((id, None)) => removes.push(id),
                 None => break,
@@ -48,8 +48,8 @@
     pub(crate) fn put_back(&mut self, puts: Vec<(String, UsedWorker)>, removes: Vec<String>) {
         let puts = puts.into_iter().map(|(id, worker)| (id, Some(worker)));
         let removes = removes.into_iter().map(|id| (id, None));
-        for (id, wish) in puts.chain(removes) {
-            self.wishes.entry(id).or_insert(wish);
+        for (id, change) in puts.chain(removes) {
+            self.changes.entry(id).or_insert(change);
         }
     }
 }
--- a/crates/cell/src/peers.rs
+++ b/crates/cell/src/peers.rs
@@ -25,8 +25,8 @@
 use crate::Acceptance;
 use crate::Acceptor;
 use crate::Context;
+use crate::OwnerHandle;
 use crate::OwnerMessage;
-use crate::OwnerPort;
 
 /// Time for the owner's answer about a job; the caller falls back to the
 /// store, so it is short.
@@ -111,7 +111,7 @@
 #[derive(Clone, Debug)]
 pub struct OwnerClient {
     context: Context,
-    local: OwnerPort,
+    local: OwnerHandle,
     /// Epoch of the owner that did not answer last, and until when it is not
     /// asked again.
     quiet: watch::Sender<(Epoch, Duration)>,
@@ -124,7 +124,7 @@
 impl OwnerClient {
     /// A client; `local` reaches the owner in this process, if it is here.
     #[must_use]
-    pub fn new(context: Context, local: OwnerPort) -> OwnerClient {
+    pub fn new(context: Context, local: OwnerHandle) -> OwnerClient {
         let (quiet, _) = watch::channel((0, Duration::ZERO));
         OwnerClient {
             context,
@@ -138,7 +138,7 @@
     /// # Errors
     /// The owner did not answer.
     pub async fn state(&self, id: JobId) -> Result<OwnerView, NoOwner> {
-        let make = |reply| OwnerMessage::State(id, reply);
+        let make = |reply| OwnerMessage::JobState(id, reply);
         self.ask(
             make,
             Method::GET,
@@ -154,7 +154,7 @@
     /// # Errors
     /// The owner did not answer.
     pub async fn waiting(&self, queue: &str) -> Result<usize, NoOwner> {
-        let make = |reply| OwnerMessage::Waiting(queue.to_owned(), reply);
+        let make = |reply| OwnerMessage::QueueLength(queue.to_owned(), reply);
         let path = format!("/waiting/{}", web::encode(queue));
         self.ask(make, Method::GET, &path, &(), ASK_TIMEOUT).await
     }
@@ -166,7 +166,7 @@
     /// The owner did not answer.
     pub async fn accepted(&self, job: AcceptedJob) -> Result<(), NoOwner> {
         let body = job.clone();
-        let make = |reply| OwnerMessage::Accepted(Box::new(job), reply);
+        let make = |reply| OwnerMessage::JobAccepted(Box::new(job), reply);
         self.ask(make, Method::POST, "/accepted", &body, ASK_TIMEOUT)
             .await
     }
@@ -177,7 +177,7 @@
     /// # Errors
     /// The owner did not answer.
     pub async fn canceled(&self, id: JobId) -> Result<(), NoOwner> {
-        let make = |reply| OwnerMessage::Canceled(id, reply);
+        let make = |reply| OwnerMessage::JobCanceled(id, reply);
         let path = format!("/canceled/{id:016x}");
         self.ask(make, Method::POST, &path, &(), ASK_TIMEOUT).await
     }
@@ -259,7 +259,7 @@
 
 /// Answers peers, from the owner in this process.
 pub struct PeerHandler {
-    port: OwnerPort,
+    port: OwnerHandle,
     context: Context,
     acceptor: Acceptor,
 }
@@ -267,7 +267,7 @@
 impl PeerHandler {
     /// A handler that asks `port`.
     #[must_use]
-    pub fn new(port: OwnerPort, context: Context) -> Arc<PeerHandler> {
+    pub fn new(port: OwnerHandle, context: Context) -> Arc<PeerHandler> {
         let acceptor = Acceptor::new(context.clone());
         Arc::new(PeerHandler {
             port,
@@ -282,7 +282,7 @@
         let acceptance = self.acceptor.accept(&job, end).await;
         if acceptance == (Acceptance::Accepted { first: true }) {
             // The feed brings it, if the pool is not owned here any more.
-            let make = |reply| OwnerMessage::Accepted(Box::new(job), reply);
+            let make = |reply| OwnerMessage::JobAccepted(Box::new(job), reply);
             let _ = self.port.ask(make, ASK_TIMEOUT).await;
         }
         web::json(StatusCode::OK, &acceptance)
@@ -305,7 +305,7 @@
         if let Some(id) = asked.path.strip_prefix("/state/") {
             return match job::parse_job(id) {
                 Ok(id) => {
-                    self.relay(|reply| OwnerMessage::State(id, reply), ASK_TIMEOUT)
+                    self.relay(|reply| OwnerMessage::JobState(id, reply), ASK_TIMEOUT)
                         .await
                 }
                 Err(error) => web::error(StatusCode::BAD_REQUEST, &error.to_string()),
@@ -314,7 +314,7 @@
         if let Some(id) = asked.path.strip_prefix("/canceled/") {
             return match job::parse_job(id) {
                 Ok(id) => {
-                    let make = |reply| OwnerMessage::Canceled(id, reply);
+                    let make = |reply| OwnerMessage::JobCanceled(id, reply);
                     self.relay(make, ASK_TIMEOUT).await
                 }
                 Err(error) => web::error(StatusCode::BAD_REQUEST, &error.to_string()),
@@ -322,7 +322,7 @@
         }
         if let Some(queue) = asked.path.strip_prefix("/waiting/") {
             let queue = queue.to_owned();
-            let make = |reply| OwnerMessage::Waiting(queue, reply);
+            let make = |reply| OwnerMessage::QueueLength(queue, reply);
             return self.relay(make, ASK_TIMEOUT).await;
         }
         if asked.path == "/help" {
@@ -343,7 +343,7 @@
         if asked.path == "/accepted" {
             return match serde_json::from_slice::<AcceptedJob>(&asked.body) {
                 Ok(job) => {
-                    let make = |reply| OwnerMessage::Accepted(Box::new(job), reply);
+                    let make = |reply| OwnerMessage::JobAccepted(Box::new(job), reply);
                     self.relay(make, ASK_TIMEOUT).await
                 }
                 Err(error) => web::error(StatusCode::BAD_REQUEST, &error.to_string()),
--- a/crates/cell/src/process.rs
+++ b/crates/cell/src/process.rs
@@ -27,7 +27,7 @@
 use crate::Follower;
 use crate::MetricsHandler;
 use crate::OwnerClient;
-use crate::OwnerPort;
+use crate::OwnerHandle;
 use crate::PeerHandler;
 use crate::SeatKeeper;
 use crate::SeatView;
@@ -80,7 +80,7 @@
         let (close, close_rx) = watch::channel(false);
         let (slot, slot_rx) = watch::channel(None);
         let context = Context::new(settings, config, seat, stop_rx);
-        let port = OwnerPort::new(slot_rx);
+        let port = OwnerHandle::new(slot_rx);
         let client = OwnerClient::new(context.clone(), port.clone());
         let listen = &context.settings.listen;
         let callers = bind(listen.callers).await?;
--- a/crates/cell/src/settings.rs
+++ b/crates/cell/src/settings.rs
@@ -13,7 +13,7 @@
 use snafu::ResultExt;
 
 use crate::CellError;
-use crate::calls_a_second;
+use crate::calls_per_second;
 use crate::error::ReadSettingsSnafu;
 
 /// Addresses that a process listens on for others than its peers.
@@ -170,7 +170,7 @@
     /// Calls a second that this host can make as the owner of the pool.
     #[must_use]
     pub fn owner_calls(&self) -> u32 {
-        let calls = calls_a_second(self.cores, self.link_mbps);
+        let calls = calls_per_second(self.cores, self.link_mbps);
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
         let calls = calls as u32; // saturates
         calls
--- a/crates/cell/tests/crashing.rs
+++ b/crates/cell/tests/crashing.rs
@@ -8,14 +8,14 @@
 
 /// Most starts of a task that crashes each worker: the platform allows two more after three
 /// crashes.
-const MOST_STARTS: usize = 5;
+const MAX_STARTS: usize = 5;
 
 /// Guards against a task that crashes each worker it is started on, one after the other, as
 /// long as the pool has workers, while its caller waits without end: no crash was recorded. The
 /// planner has a test of its own for this. Here the simulated workers crash 10 ms after the
 /// start and come back 1.5 s later at their address, under another id.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_task_that_crashes_its_workers_is_given_up_by_the_cell() {
+async fn a_task_that_crashes_its_workers_fails() {
     let cell = SiteCell::open(2, 6).await;
     let caller = Caller::new();
     let path = "/plain/00000000000000d1";
@@ -23,21 +23,23 @@
         .submit(&cell.servers(), path, &job(1, "crash 0 300"))
         .await;
     for nth in 0..10 {
-        let sound = format!("/plain/{:016x}", 0xe00 + nth);
-        caller.submit(&cell.servers(), &sound, &job(2, "300")).await;
+        let healthy = format!("/plain/{:016x}", 0xe00 + nth);
+        caller
+            .submit(&cell.servers(), &healthy, &job(2, "300"))
+            .await;
     }
 
     let servers = cell.servers();
-    let shown = caller.wait_state(&servers, path, "failed");
-    let shown = tokio::time::timeout(Duration::from_secs(20), shown).await;
+    let failed = caller.wait_state(&servers, path, "failed");
+    let failed = tokio::time::timeout(Duration::from_secs(20), failed).await;
 
     let starts = cell.log.starts("00000000000000d1");
-    assert!(starts <= MOST_STARTS, "{starts} starts");
-    assert!(shown.is_ok(), "not failed after {starts} starts");
+    assert!(starts <= MAX_STARTS, "{starts} starts");
+    assert!(failed.is_ok(), "not failed after {starts} starts");
     for nth in 0..10 {
-        let sound = format!("/plain/{:016x}", 0xe00 + nth);
+        let healthy = format!("/plain/{:016x}", 0xe00 + nth);
         caller
-            .wait_state(&cell.servers(), &sound, "completed")
+            .wait_state(&cell.servers(), &healthy, "completed")
             .await;
     }
     assert_eq!(cell.log.faults(), Vec::<String>::new());
@@ -48,24 +50,26 @@
 /// owner here is killed one second after a crash, when the crash is known and saved; its
 /// successor knows neither the next run nor the worker that crashed under it.
 #[tokio::test(flavor = "multi_thread")]
-async fn killed_owners_take_no_crash_along() {
+async fn crash_counts_survive_killed_owners() {
     let mut cell = SiteCell::open(3, 6).await;
     let caller = Caller::new();
     let id = "00000000000000d2";
     let path = format!("/plain/{id}");
     let text = job(1, "crash 0 300");
     caller.submit(&cell.servers(), &path, &text).await;
-    let sound = "/plain/00000000000000d3";
-    caller.submit(&cell.servers(), sound, &job(4, "200")).await;
+    let healthy = "/plain/00000000000000d3";
+    caller
+        .submit(&cell.servers(), healthy, &job(4, "200"))
+        .await;
 
     for crashes in 1..=3 {
-        let again = async {
+        let crashed = async {
             while cell.log.gone(id) < crashes {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         };
-        let again = tokio::time::timeout(Duration::from_secs(20), again).await;
-        assert!(again.is_ok(), "{} crashes", cell.log.gone(id));
+        let crashed = tokio::time::timeout(Duration::from_secs(20), crashed).await;
+        assert!(crashed.is_ok(), "{} crashes", cell.log.gone(id));
         tokio::time::sleep(Duration::from_secs(1)).await;
         let owner = cell.wait_owner(|_| true).await;
         cell.kill(owner).await;
@@ -74,9 +78,11 @@
     }
 
     caller.wait_state(&cell.servers(), &path, "failed").await;
-    caller.wait_state(&cell.servers(), sound, "completed").await;
+    caller
+        .wait_state(&cell.servers(), healthy, "completed")
+        .await;
     let starts = cell.log.starts(id);
-    assert!(starts <= MOST_STARTS, "{starts} starts");
+    assert!(starts <= MAX_STARTS, "{starts} starts");
     assert_eq!(cell.log.faults(), Vec::<String>::new());
     cell.close().await;
 }
--- a/crates/cell/tests/cut_workers.rs
+++ b/crates/cell/tests/cut_workers.rs
@@ -11,20 +11,20 @@
 use site::job;
 
 /// Waits until a condition holds.
-async fn wait_for(what: &str, is: impl Fn() -> bool) {
-    let looks = async {
-        while !is() {
+async fn wait_for(failure: &str, condition: impl Fn() -> bool) {
+    let polling = async {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    let come = tokio::time::timeout(PATIENCE, looks).await;
-    assert!(come.is_ok(), "{what}");
+    let reached = tokio::time::timeout(PATIENCE, polling).await;
+    assert!(reached.is_ok(), "{failure}");
 }
 
 /// Waits until a figure of the pool has a value; figures are published once a second.
 async fn wait_figure(cell: &SiteCell, caller: &Caller, figure: &str, value: u64) {
     let line = format!("clovermount_pool{{figure=\"{figure}\"}} {value}");
-    let looks = async {
+    let polling = async {
         while !caller
             .text(cell.metrics(0), "/metrics")
             .await
@@ -33,8 +33,8 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     };
-    let come = tokio::time::timeout(PATIENCE, looks).await;
-    assert!(come.is_ok(), "never {line}");
+    let reached = tokio::time::timeout(PATIENCE, polling).await;
+    assert!(reached.is_ok(), "the metric never became {line}");
 }
 
 /// Guards against a task that runs on two workers at a time after a take-over. The new owner
@@ -106,19 +106,25 @@
 /// of machines. That list was older than the worker; since the worker had not answered yet when
 /// the list arrived, the owner took it for dead.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_list_of_machines_says_nothing_of_younger_workers() {
+async fn a_list_of_machines_does_not_end_younger_workers() {
     let mut cell = SiteCell::open(1, 0).await;
     let caller = Caller::new();
     cell.advice.set_list_delay(Duration::from_millis(700));
     cell.add_worker().await;
     cell.workers[0].set_silent(true);
     let lists = cell.advice.lists();
-    wait_for("no list is asked for", || cell.advice.lists() > lists).await;
+    wait_for("the list of machines is not requested", || {
+        cell.advice.lists() > lists
+    })
+    .await;
 
     cell.add_worker().await;
     cell.workers[1].set_silent(true);
     let lists = cell.advice.lists();
-    wait_for("no further list", || cell.advice.lists() > lists).await;
+    wait_for("the list of machines is not requested again", || {
+        cell.advice.lists() > lists
+    })
+    .await;
     cell.workers[1].set_silent(false);
 
     let path = "/plain/00000000000000f6";
--- a/crates/cell/tests/full_link.rs
+++ b/crates/cell/tests/full_link.rs
@@ -17,7 +17,7 @@
 
 /// Guards against losing ends that workers report in time, but whose replies arrive late.
 #[tokio::test(flavor = "multi_thread")]
-async fn answers_that_take_long_are_taken() {
+async fn late_replies_are_handled() {
     let cell = SiteCell::open(2, 3).await;
     let caller = Caller::new();
     let path = "/plain/00000000000000e1";
@@ -61,7 +61,7 @@
         assert_eq!(
             cell.log.starts(id),
             4,
-            "{path}: starts under way were stopped"
+            "{path}: starts in progress were stopped"
         );
     }
     cell.close().await;
--- a/crates/cell/tests/hold_pace.rs
+++ b/crates/cell/tests/hold_interval.rs
@@ -5,33 +5,33 @@
 use cell::hold_wait;
 
 /// Most calls per second for which the owner's share of half a core suffices.
-const CALLS: f64 = 2000.0;
+const MAX_CALLS: f64 = 2000.0;
 
 /// Guards against calls at a fixed interval, whatever the size of the pool: with 3,000 workers
 /// called every 0.4 s, the owner's half of a core did nothing else, leases expired and no job
 /// was served; a worker that was leaving got work 5 s after it had said so.
 #[test]
-fn a_large_pool_is_asked_at_a_pace_that_its_owner_bears() {
+fn calls_to_a_large_pool_do_not_overload_its_owner() {
     let wait = hold_wait(3_000, 0.5, 200.0);
 
-    assert!(3_000.0 / wait.as_secs_f64() <= CALLS, "{wait:?}");
+    assert!(3_000.0 / wait.as_secs_f64() <= MAX_CALLS, "{wait:?}");
 }
 
 /// Guards against calls that fill a link of 2 Mbit/s: with 85 workers, the calls waited for the
 /// link longer than their timeout, half of the workers counted as silent, and their tasks were
 /// started again.
 #[test]
-fn a_thin_link_is_not_filled_by_asking_workers() {
-    let bytes_a_second = 2.0 * 125_000.0;
+fn calls_do_not_fill_a_slow_link() {
+    let bytes_per_second = 2.0 * 125_000.0;
 
     let wait = hold_wait(85, 0.12, 2.0);
 
-    let asked = 85.0 / wait.as_secs_f64() * 500.0;
-    assert!(asked <= bytes_a_second / 4.0, "{wait:?}");
+    let call_bytes = 85.0 / wait.as_secs_f64() * 500.0;
+    assert!(call_bytes <= bytes_per_second / 4.0, "{wait:?}");
 }
 
 #[test]
-fn an_owner_with_room_asks_often_and_none_asks_too_seldom() {
+fn hold_times_stay_within_their_limits() {
     assert_eq!(hold_wait(48, 0.25, 1000.0), Duration::from_millis(400));
     assert_eq!(hold_wait(540, 0.5, 200.0), Duration::from_millis(400));
     assert_eq!(hold_wait(100_000, 0.12, 2.0), Duration::from_millis(1600));
--- a/crates/cell/tests/strain.rs
+++ b/crates/cell/tests/overload.rs
@@ -14,7 +14,7 @@
 use site::job;
 
 /// Time within which the pool would have changed hands.
-const WHILE: Duration = Duration::from_secs(4);
+const TAKEOVER_TIME: Duration = Duration::from_secs(4);
 
 /// A cell whose first host is small and owns the pool.
 async fn owned_by_a_small_host() -> SiteCell {
@@ -54,7 +54,7 @@
 
     cell.start(1).await;
 
-    tokio::time::sleep(WHILE).await;
+    tokio::time::sleep(TAKEOVER_TIME).await;
     assert_eq!(cell.owner(), Some(0));
     cell.close().await;
 }
@@ -69,7 +69,7 @@
     }
     cell.wait_owner(|owner| owner == 1).await;
 
-    tokio::time::sleep(WHILE).await;
+    tokio::time::sleep(TAKEOVER_TIME).await;
 
     assert_eq!(cell.owner(), Some(1));
     cell.close().await;
--- a/crates/cell/tests/retention.rs
+++ b/crates/cell/tests/retention.rs
@@ -9,7 +9,7 @@
 use site::job;
 
 /// Time between two checks of the store.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Guards against a job that runs again half a minute or more after it was done. The store had
 /// dropped its history, so the owner read all rows of jobs. While this read was in progress,
@@ -34,12 +34,12 @@
     let removals = async {
         while cell.store.count(cell::JOB_TABLE) > 0 {
             cell.store.forget();
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
         }
     };
     let removed = tokio::time::timeout(PATIENCE, removals).await;
 
-    assert!(removed.is_ok(), "rows of old jobs stay");
+    assert!(removed.is_ok(), "rows of old jobs were not removed");
     // Rows that were read before the last removal have arrived by now.
     tokio::time::sleep(Duration::from_millis(2500)).await;
     for id in &ids {
--- a/crates/cell/tests/scale.rs
+++ b/crates/cell/tests/scale.rs
@@ -20,8 +20,8 @@
     cell.wait_owner(|next| next != owner).await;
     // By then the last host has had its turn.
     tokio::time::sleep(Duration::from_millis(600)).await;
-    let tries = cell.store.asked(cell::SEAT_TABLE) - before;
-    assert!(tries <= 4, "{tries} hosts wrote");
+    let writes = cell.store.asked(cell::SEAT_TABLE) - before;
+    assert!(writes <= 4, "{writes} hosts wrote");
     cell.close().await;
 }
 
@@ -32,12 +32,12 @@
 /// and a killed process is back after 0.6 s.
 #[test]
 fn a_small_host_leaves_a_free_pool_to_larger_ones_that_start_again() {
-    const RESTART: Duration = Duration::from_millis(600);
+    const RESTART_TIME: Duration = Duration::from_millis(600);
     let names: Vec<String> = (0..100).map(|nth| format!("entry-{nth}")).collect();
 
     let small = names.iter().map(|name| take_turn(name, 0.12)).min();
     let large = names.iter().map(|name| take_turn(name, 0.5)).max();
 
     let (small, large) = (small.expect("hosts"), large.expect("hosts"));
-    assert!(small > RESTART + large, "{small:?}, {large:?}");
+    assert!(small > RESTART_TIME + large, "{small:?}, {large:?}");
 }
--- a/crates/cell/tests/thin_links.rs
+++ b/crates/cell/tests/slow_links.rs
@@ -1,7 +1,7 @@
 //! Hosts with a slow link to the store: reads take seconds.
 //!
-//! The last two tests guard against tasks that were started for jobs cancelled 17 s before, and
-//! against tasks that ran again after they were done. A host on a slow link took the pool and
+//! The tests with a slow feed guard against tasks that were started for jobs cancelled 17 s
+//! before, and against tasks that ran again after they were done. A host on a slow link took the pool and
 //! read all jobs for 4 s. The changes made meanwhile took longer than 0.6 s to arrive; the
 //! owner abandoned that read and repeated it without end. The cause was a fixed timeout for the
 //! reply of the feed. Log line 339 ("jobs cannot be read") showed it, without a line 349 after
@@ -54,9 +54,9 @@
 /// released the pool only after that. The cause was that an owner did not check for a stop
 /// while it read.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_owner_that_has_to_stop_while_it_reads_gives_the_pool_up() {
+async fn an_owner_that_has_to_stop_while_it_reads_releases_the_pool() {
     // A process that stops drains for 2.6 s; a free pool is taken within a second.
-    const SOON: Duration = Duration::from_millis(3600);
+    const RELEASE_TIME: Duration = Duration::from_millis(3600);
     let mut cell = SiteCell::open(3, 1).await;
     let first = cell.wait_owner(|_| true).await;
     cell.store.set_faults(StoreFaults {
@@ -66,18 +66,21 @@
     cell.kill(first).await;
     let second = cell.wait_owner(|next| next != first).await;
 
-    let asked = Instant::now();
+    let requested = Instant::now();
     cell.stop(second).await;
 
     cell.wait_owner(|next| next != first && next != second)
         .await;
-    let took = asked.elapsed();
-    assert!(took < SOON, "held for {took:?} by a host that stops");
+    let took = requested.elapsed();
+    assert!(
+        took < RELEASE_TIME,
+        "the pool was held for {took:?} by a host that stops"
+    );
     cell.close().await;
 }
 
 /// Time within which the tasks of a cancelled job have to end.
-const SOON: Duration = Duration::from_secs(8);
+const END_TIME: Duration = Duration::from_secs(8);
 
 /// A cell that runs a job of two long tasks, and whose feed of job rows takes `delay` to
 /// answer.
@@ -98,12 +101,12 @@
 
 /// Waits until no task of a job is running; returns false if one still runs after `time`.
 async fn ends_within(cell: &SiteCell, id: JobId, time: Duration) -> bool {
-    let asked = Instant::now();
+    let requested = Instant::now();
     let ended = || {
         let spans = cell.log.spans(&cell::hex(id));
         spans.iter().all(|span| span.end.is_some())
     };
-    while !ended() && asked.elapsed() < time {
+    while !ended() && requested.elapsed() < time {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     ended()
@@ -112,7 +115,7 @@
 /// Guards against an owner that never learns of cancellations, since its reads of the feed time
 /// out.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_owner_whose_feed_takes_long_hears_of_cancels() {
+async fn an_owner_with_a_slow_feed_learns_of_cancellations() {
     const ID: JobId = 0xd2;
     let (cell, _) = with_slow_feed(ID, Duration::from_millis(1500)).await;
 
@@ -124,16 +127,19 @@
     cell.store
         .write_row(&row.table, &row.part, &row.key, &encode_row(&spec));
 
-    assert!(ends_within(&cell, ID, SOON).await, "its tasks run on");
+    assert!(
+        ends_within(&cell, ID, END_TIME).await,
+        "tasks of the cancelled job are still running"
+    );
     cell.close().await;
 }
 
 /// Guards against tasks that start, or keep running, until the feed brings the cancellation of
 /// their job.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_owner_that_cannot_read_the_feed_is_told_of_cancels() {
+async fn an_owner_that_cannot_read_the_feed_is_notified_of_cancellations() {
     const ID: JobId = 0xd3;
-    const AT_ONCE: Duration = Duration::from_secs(3);
+    const PROMPT_TIME: Duration = Duration::from_secs(3);
     let (cell, caller) = with_slow_feed(ID, Duration::from_secs(30)).await;
 
     let owner = cell.wait_owner(|_| true).await;
@@ -144,6 +150,9 @@
         .await;
 
     assert_eq!(status, 200);
-    assert!(ends_within(&cell, ID, AT_ONCE).await, "its tasks run on");
+    assert!(
+        ends_within(&cell, ID, PROMPT_TIME).await,
+        "tasks of the cancelled job are still running"
+    );
     cell.close().await;
 }
--- a/crates/cell/tests/stops.rs
+++ b/crates/cell/tests/stops.rs
@@ -11,7 +11,7 @@
 const GRACE: Duration = Duration::from_secs(6);
 
 /// Longer than the timeout of any call to the store.
-const HUNG: Duration = Duration::from_secs(30);
+const HANG_TIME: Duration = Duration::from_secs(30);
 
 /// Guards against a process that tries to read the pool it has taken for as long as the store
 /// does not answer, and is then killed together with its callers' requests.
@@ -23,7 +23,7 @@
     caller.submit(&cell.servers(), path, &job(1, "20000")).await;
     let owner = cell.wait_owner(|_| true).await;
     cell.store.set_faults(StoreFaults {
-        slow_rows: Some(("guard", HUNG)),
+        slow_rows: Some(("guard", HANG_TIME)),
         ..StoreFaults::default()
     });
 
@@ -32,6 +32,6 @@
     tokio::time::sleep(Duration::from_millis(500)).await;
     let stopped = cell.stop_within(next, GRACE).await;
 
-    assert!(stopped, "it does not stop");
+    assert!(stopped, "the process did not stop within its grace period");
     cell.close().await;
 }
