--- a/crates/cell/src/owner/handlers.rs
+++ b/crates/cell/src/owner/handlers.rs
@@ -151,8 +151,8 @@
     }
 
     pub(super) fn handle_event(&mut self, key: WorkerKey, event: WorkerEvent) {
-        // The incarnation has ended, so its events no longer count. Even a refused token says
-        // nothing of a newer owner: the next incarnation has received a higher token.
+        // The incarnation has ended, so its events no longer count. Not even a refused token means
+        // that there is a newer owner: the next incarnation has received a higher token.
         if self.planner.worker(key).is_none() {
             return;
         }
--- a/crates/cell/src/owner/helpers.rs
+++ b/crates/cell/src/owner/helpers.rs
@@ -69,8 +69,8 @@
     fn available(&self) -> FreeHelpers {
         let slow = self.by_node.values().filter(|helper| helper.slow).count();
         let quick = (self.by_node.len() / QUICK_DIVISOR).max(MIN_QUICK);
-        let most = self.by_node.len().saturating_sub(quick).max(1);
-        if slow >= most {
+        let max_slow = self.by_node.len().saturating_sub(quick).max(1);
+        if slow >= max_slow {
             FreeHelpers::Few
         } else if self.idle.len() * IDLE_DIVISOR > self.by_node.len() {
             FreeHelpers::Most
--- a/crates/cell/src/owner/liveness.rs
+++ b/crates/cell/src/owner/liveness.rs
@@ -86,7 +86,7 @@
 /// Silent workers that the list of machines does not show. Only workers that were silent before
 /// the list was made count: a younger worker is missing from it, and if it were taken for dead,
 /// it would get no work for its whole incarnation, or keep running tasks unnoticed. The list
-/// has only the ids of workers, so it speaks of the incarnations that were silent then.
+/// has only the ids of workers, so it applies to the incarnations that were silent then.
 fn unlisted(silent: Vec<(WorkerKey, WorkerId)>, listed: &HashSet<WorkerId>) -> Vec<WorkerKey> {
     // An empty list does not prove that any worker has ended.
     if listed.is_empty() {
--- a/crates/cell/src/owner/pool.rs
+++ b/crates/cell/src/owner/pool.rs
@@ -247,9 +247,9 @@
     fn publish_hold_wait(&self) {
         let settings = &self.context.settings;
         let wait = hold_wait(self.links.len(), settings.cores, settings.link_mbps);
-        self.wait_sender.send_if_modified(|known| {
-            let changed = *known != wait;
-            *known = wait;
+        self.wait_sender.send_if_modified(|current| {
+            let changed = *current != wait;
+            *current = wait;
             changed
         });
     }
@@ -332,7 +332,7 @@
     fn plan_cycle(&mut self, now: Duration) {
         let config = self.context.config.borrow().clone();
         if let Some(config) = config
-            && self.config.as_ref().map(|known| known.version) != Some(config.version)
+            && self.config.as_ref().map(|current| current.version) != Some(config.version)
         {
             self.planner.configure(&config);
             self.config = Some(config);
--- a/crates/cell/src/owner/retention.rs
+++ b/crates/cell/src/owner/retention.rs
@@ -117,13 +117,13 @@
 /// take the job for one that never started. Returns the version of the removal of the job's
 /// row.
 async fn remove_job(store: &Store, id: JobId, misplaced: bool) -> Result<Version, StoreError> {
-    let [usual, others @ ..] = crate::job_rows(id);
+    let [usual_row, other_rows @ ..] = crate::job_rows(id);
     // Rows that only some jobs have are removed first: if a successor found one without the
     // job's progress, it would take the job for one that never started.
-    for row in others.into_iter().filter(|_| misplaced) {
+    for row in other_rows.into_iter().filter(|_| misplaced) {
         remove_row(store, row).await?;
     }
-    let removed = remove_row(store, usual).await?;
+    let removed = remove_row(store, usual_row).await?;
     remove_row(store, progress_row(id)).await?;
     Ok(removed)
 }
--- a/crates/cell/src/owner/saver.rs
+++ b/crates/cell/src/owner/saver.rs
@@ -125,8 +125,8 @@
     /// has to stop: when it was held until everything was read, the pool stood idle for as
     /// long.
     pub(super) async fn renew_until(&mut self, mut reading: oneshot::Receiver<()>) -> bool {
-        let begin = self.context.now();
-        let end = begin + TAKE_OVER_LIMIT;
+        let start = self.context.now();
+        let end = start + TAKE_OVER_LIMIT;
         loop {
             tokio::select! {
                 _ = &mut reading => return true,
@@ -138,7 +138,7 @@
                 }
             }
             let now = self.context.now();
-            self.overloaded = now > begin + LONG_TAKE_OVER;
+            self.overloaded = now > start + LONG_TAKE_OVER;
             if now < end && !self.renew(now).await {
                 return false;
             }
--- a/crates/cell/tests/capacity.rs
+++ b/crates/cell/tests/capacity.rs
@@ -1,6 +1,6 @@
 //! Workers whose capacity shrinks and grows while tasks run there, with whole processes. The
-//! simulated workers check that a worker which has shrunk is filled beyond its new size for 4.5
-//! s at most.
+//! simulated workers check that a worker which has shrunk is filled beyond its new size for
+//! 4.5 s at most.
 
 use std::time::Duration;
 
--- a/crates/cell/tests/slow_links.rs
+++ b/crates/cell/tests/slow_links.rs
@@ -1,11 +1,11 @@
 //! Hosts with a slow link to the store: reads take seconds.
 //!
 //! The tests with a slow feed guard against tasks that were started for jobs cancelled 17 s
-//! before, and against tasks that ran again after they were done. A host on a slow link took the pool and
-//! read all jobs for 4 s. The changes made meanwhile took longer than 0.6 s to arrive; the
-//! owner abandoned that read and repeated it without end. The cause was a fixed timeout for the
-//! reply of the feed. Log line 339 ("jobs cannot be read") showed it, without a line 349 after
-//! it.
+//! before, and against tasks that ran again after they were done. A host on a slow link took
+//! the pool and read all jobs for 4 s. The changes made meanwhile took longer than 0.6 s to
+//! arrive; the owner abandoned that read and repeated it without end. The cause was a fixed
+//! timeout for the reply of the feed. Log line 339 ("jobs cannot be read") showed it, without a
+//! line 349 after it.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -101,12 +101,12 @@
 
 /// Waits until no task of a job is running; returns false if one still runs after `time`.
 async fn ends_within(cell: &SiteCell, id: JobId, time: Duration) -> bool {
-    let requested = Instant::now();
+    let started = Instant::now();
     let ended = || {
         let spans = cell.log.spans(&cell::hex(id));
         spans.iter().all(|span| span.end.is_some())
     };
-    while !ended() && requested.elapsed() < time {
+    while !ended() && started.elapsed() < time {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     ended()
