--- a/crates/bench/benches/days/bound.rs
+++ b/crates/bench/benches/days/bound.rs
@@ -6,7 +6,7 @@
 //! advice, memory, gang, fault or store stands in the way. The sets of work that
 //! can be done in time form a polymatroid, so serving in order of worth a
 //! core-second is optimal for it. A late answer earns a share that depends on
-//! its queue; here, what is not done in time earns [`LATE`] of the rest.
+//! its queue; here, what is not done in time earns [`LATE_REPLY`] of the rest.
 
 /// Part of the worth that a late answer earns.
 const LATE: f64 = 0.2;
--- a/crates/bench/benches/main/plan.rs
+++ b/crates/bench/benches/main/plan.rs
@@ -6,14 +6,14 @@
 use job::Advice;
 use job::FreeHelpers;
 use job::JobSpec;
-use job::Listing;
 use job::Planner;
 use job::Policy;
 use job::Queue;
-use job::Room;
+use job::Resources;
 use job::StepSpec;
 use job::Ticket;
 use job::WorkerInfo;
+use job::WorkerReport;
 
 use crate::figures::print;
 
@@ -49,7 +49,7 @@
     for at in 0..workers {
         let info = WorkerInfo {
             id: format!("worker-{at:04}"),
-            life: None,
+            incarnation: None,
             service: "desk".to_owned(),
             address: ([127, 0, 0, 1], 1).into(),
             capacity: room(16_000, 64_000),
@@ -57,18 +57,18 @@
             draining: false,
             remaining: None,
         };
-        let key = planner.take_worker(info).expect("new worker");
-        planner.take_listing(key, Duration::ZERO, &Listing::default());
+        let key = planner.register_worker(info).expect("new worker");
+        planner.apply_report(key, Duration::ZERO, &WorkerReport::default());
     }
     let filling = u32::try_from(workers).unwrap_or(u32::MAX) * 5;
     let mut plain = queue("filling", 0);
     plain.advice = None;
-    planner.take_job(0, spec(plain, filling, 3_000, false), None, false);
+    planner.add_job(0, spec(plain, filling, 3_000, false), None, false);
     planner.plan();
     for id in 1..=waiting {
         let gang = id.is_multiple_of(5);
         let queue = queue("waiting", if gang { 1 } else { 2 });
-        planner.take_job(id, spec(queue, 10, 1_500, gang), None, false);
+        planner.add_job(id, spec(queue, 10, 1_500, gang), None, false);
         let step = job::StepKey {
             job: id,
             round: 0,
@@ -85,14 +85,14 @@
             })
             .collect();
         let until = Duration::from_mins(10);
-        planner.take_advice(step, &asked, &tickets, until);
+        planner.handle_advice(step, &asked, &tickets, until);
     }
-    planner.take_orders();
+    planner.take_commands();
     planner
 }
 
-fn room(cpu: u64, memory: u64) -> Room {
-    Room {
+fn room(cpu: u64, memory: u64) -> Resources {
+    Resources {
         cpu,
         memory,
         gpu: 0,
@@ -131,7 +131,7 @@
         let round = begin.elapsed() / ROUNDS;
         let begin = Instant::now();
         for _ in 0..ROUNDS {
-            planner.next_ask(FreeHelpers::Some);
+            planner.next_advice_request(FreeHelpers::Some);
         }
         let ask = begin.elapsed() / ROUNDS;
         let name = format!("plan.{workers}x{waiting}");
--- a/crates/cell/src/acceptor.rs
+++ b/crates/cell/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! Acceptance of jobs: a job is accepted once its row is committed.
+//! Acceptance of jobs: a job is accepted once its row is committed to the store.
 
 use std::time::Duration;
 
@@ -20,43 +20,43 @@
 use crate::metrics::count;
 use crate::metrics::observe;
 
-/// Time without an answer after which a commit is tried once more. A slow store
-/// takes up to 1.2 s for one.
-const SECOND_TRY: Duration = Duration::from_millis(1300);
+/// Time without a reply after which a second, identical commit is sent. A slow store takes up to
+/// 1.2 s for one commit.
+const HEDGE_DELAY: Duration = Duration::from_millis(1300);
 
-/// What became of a job that was to be accepted.
+/// Result of an attempt to accept a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Acceptance {
-    /// Its row is committed.
+    /// The job's row is committed.
     Accepted {
-        /// It was not there before.
+        /// Whether this call created the row; false if the row already existed.
         first: bool,
     },
-    /// Certainly not accepted; why.
+    /// The job is certainly not accepted; holds the reason for the caller.
     Refused(String),
-    /// It may have been accepted; why that is not known.
+    /// The job may or may not have been accepted; holds the reason for the caller.
     Unknown(String),
 }
 
-/// Commits the rows of jobs.
+/// Commits the rows of accepted jobs.
 #[derive(Clone, Debug)]
 pub struct Acceptor {
     context: Context,
 }
 
 impl Acceptor {
-    /// An acceptor.
+    /// Creates an acceptor that writes to the store of `context`.
     #[must_use]
     pub fn new(context: Context) -> Acceptor {
         Acceptor { context }
     }
 
-    /// Commits the job by the monotonic time `end`. The row must not exist, so a
-    /// try that is done late, or by another process, makes no second job. Once an
-    /// answer was lost, "not accepted" may not be said any more: the write may
-    /// still be done.
-    pub(crate) async fn accept(&self, job: &AcceptedJob, end: Duration) -> Acceptance {
-        let acceptance = self.try_places(job, end).await;
+    /// Commits the job's row by the monotonic time `deadline`. The transaction requires that the
+    /// row does not exist, so an attempt that the store carries out late, or one from another
+    /// process, creates no second job. Once a reply has been lost, the result may no longer be
+    /// "refused", because the store may still carry out that write.
+    pub(crate) async fn accept(&self, job: &AcceptedJob, deadline: Duration) -> Acceptance {
+        let acceptance = self.commit_any_row(job, deadline).await;
         let label = match &acceptance {
             Acceptance::Accepted { first: true } => "accepted",
             Acceptance::Accepted { first: false } => "repeated",
@@ -67,93 +67,93 @@
         acceptance
     }
 
-    async fn try_places(&self, job: &AcceptedJob, end: Duration) -> Acceptance {
+    async fn commit_any_row(&self, job: &AcceptedJob, deadline: Duration) -> Acceptance {
         let id = hex(job.id);
-        let begin = self.context.now();
-        let mut unsure = false;
-        if self.context.store_silent() {
-            log::warn!(code = 402, job = id.as_str(), reason = "store silent"; "job refused");
+        let started = self.context.now();
+        let mut ambiguous = false;
+        if self.context.store_unreachable() {
+            log::warn!(code = 402, job = id.as_str(), reason = "store unreachable"; "job refused");
             return Acceptance::Refused("the store cannot be reached from this host".to_owned());
         }
-        let mut places = job_rows(job.id).to_vec();
+        let mut rows = job_rows(job.id).to_vec();
         if !self.context.settings.has(Mechanism::JobPlaces) {
-            places.truncate(1);
+            rows.truncate(1);
         }
-        let mut place = 0;
+        let mut index = 0;
         loop {
-            let left = end.saturating_sub(self.context.now());
-            let transaction = transaction(&places[place], job);
+            let remaining = deadline.saturating_sub(self.context.now());
+            let transaction = transaction(&rows[index], job);
             let result = tokio::select! {
-                result = self.commit(&transaction, left) => result,
-                () = self.context.wait_silent() => {
-                    log::warn!(code = 403, job = id.as_str(), reason = "store silent"; "acceptance unknown");
+                result = self.commit(&transaction, remaining) => result,
+                () = self.context.wait_unreachable() => {
+                    log::warn!(code = 403, job = id.as_str(), reason = "store unreachable"; "acceptance unknown");
                     return Acceptance::Unknown("the store cannot be reached from this host".to_owned());
                 }
             };
-            let took = self.context.now().saturating_sub(begin);
+            let elapsed = self.context.now().saturating_sub(started);
             match result {
                 Ok(committed) => {
                     let first = committed != Committed::Conflict;
-                    self.accepted(job, first, took);
+                    self.record_accepted(job, first, elapsed);
                     return Acceptance::Accepted { first };
                 }
-                // This part of the store refuses; others may serve.
-                Err(error) if error.certainly_not_done() && place + 1 < places.len() => {
-                    log::info!(code = 405, job = id.as_str(), place = place, error:% = error; "another part is tried");
-                    place += 1;
+                // Only this part of the store refuses the write; another part may accept it.
+                Err(error) if error.certainly_not_done() && index + 1 < rows.len() => {
+                    log::info!(code = 405, job = id.as_str(), place = index, error:% = error; "part of the store refused the job; trying another part");
+                    index += 1;
                     continue;
                 }
-                Err(error) if error.certainly_not_done() && !unsure => {
-                    log::warn!(code = 402, job = id.as_str(), error:% = error, ms = millis(took); "job refused");
+                Err(error) if error.certainly_not_done() && !ambiguous => {
+                    log::warn!(code = 402, job = id.as_str(), error:% = error, ms = millis(elapsed); "job refused");
                     return Acceptance::Refused("the store does not take the job".to_owned());
                 }
                 Err(error) => {
-                    unsure |= !error.certainly_not_done();
-                    log::warn!(code = 403, job = id.as_str(), error:% = error, ms = millis(took); "acceptance unknown");
+                    ambiguous |= !error.certainly_not_done();
+                    log::warn!(code = 403, job = id.as_str(), error:% = error, ms = millis(elapsed); "acceptance unknown");
                 }
             }
-            if self.context.now() + RETRY_PAUSE >= end {
+            if self.context.now() + RETRY_PAUSE >= deadline {
                 return Acceptance::Unknown("the store does not answer".to_owned());
             }
             tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 
-    fn accepted(&self, job: &AcceptedJob, first: bool, took: Duration) {
-        observe(&self.context.metrics.accept, took);
+    fn record_accepted(&self, job: &AcceptedJob, first: bool, elapsed: Duration) {
+        observe(&self.context.metrics.accept, elapsed);
         log::info!(
             code = 401, job = hex(job.id), queue = job.spec.queue.name.as_str(), first = first,
-            ms = millis(took); "job accepted"
+            ms = millis(elapsed); "job accepted"
         );
     }
 
-    /// Commits within `left`. After [`SECOND_TRY`] without an answer, the same
-    /// is tried once more, and the first answer counts: a lost one does not
-    /// cost the caller's whole time, a slow one is not given up.
+    /// Commits the transaction within `remaining`. After [`HEDGE_DELAY`] without a reply, the
+    /// same transaction is sent a second time and the first clear reply counts. A lost reply then
+    /// does not use up the caller's whole time, and a slow reply still counts.
     async fn commit(
         &self,
         transaction: &Transaction,
-        left: Duration,
+        remaining: Duration,
     ) -> Result<Committed, StoreError> {
         let store = &self.context.store;
-        let first = store.commit(transaction, left);
+        let first = store.commit(transaction, remaining);
         tokio::pin!(first);
         tokio::select! {
             result = &mut first => return result,
-            () = tokio::time::sleep(SECOND_TRY) => {}
+            () = tokio::time::sleep(HEDGE_DELAY) => {}
         }
-        let second = store.commit(transaction, left.saturating_sub(SECOND_TRY));
+        let second = store.commit(transaction, remaining.saturating_sub(HEDGE_DELAY));
         tokio::pin!(second);
-        // A refusal of one try says nothing of the other.
+        // A refusal of one attempt says nothing about the other one.
         tokio::select! {
             result = &mut first => match result {
                 Ok(committed) => Ok(committed),
-                Err(_) => second.await.map_err(into_lost),
+                Err(_) => second.await.map_err(into_ambiguous),
             },
             result = &mut second => match result {
                 Ok(committed) => Ok(committed),
                 Err(error) if error.certainly_not_done() => first.await,
-                Err(_) => first.await.map_err(into_lost),
+                Err(_) => first.await.map_err(into_ambiguous),
             },
         }
     }
@@ -167,12 +167,13 @@
     }
 }
 
-/// One of two tries got no clear answer, so a refusal of the other does not mean
-/// that nothing was done: callers were told "not accepted" of jobs that ran.
-fn into_lost(error: StoreError) -> StoreError {
+/// Turns a refusal into an undecided result. It is used when the other of two attempts got no
+/// clear reply and may still be committed: otherwise callers were told "not accepted" about jobs
+/// that then ran.
+fn into_ambiguous(error: StoreError) -> StoreError {
     match error {
-        StoreError::Refused { status, .. } => StoreError::Undecided { status },
-        StoreError::Unreachable { source } => StoreError::Lost { source },
+        StoreError::Refused { status, .. } => StoreError::Undetermined { status },
+        StoreError::Unreachable { source } => StoreError::NoReply { source },
         error => error,
     }
 }
--- /dev/null
+++ b/crates/cell/src/advice_helper.rs
@@ -0,0 +1,81 @@
+//! Helper of the pool's owner: makes advice calls on its behalf.
+//!
+//! The advice service answers one call at a time for each host, so the calls are spread over all
+//! hosts. An idle helper polls the owner for a query.
+
+use std::time::Duration;
+
+use job::StepKey;
+use job::WorkerId;
+use platform::AdviceClient;
+use platform::AdviceReply;
+
+use crate::AdviceQuery;
+use crate::AdviceResult;
+use crate::Context;
+use crate::HelperPoll;
+use crate::OwnerClient;
+
+/// Pause before the next poll when the owner did not answer.
+const NO_OWNER_PAUSE: Duration = Duration::from_millis(100);
+
+/// Time allowed for an advice call beyond twice the expected time of the service.
+const ADVICE_SLACK: Duration = Duration::from_millis(400);
+
+/// Polls the owner for advice queries and carries them out until the process stops.
+pub async fn run_helper(context: Context, owner: OwnerClient) {
+    let Some(server) = context.settings.advice_address() else {
+        log::info!(code = 321; "no advice service configured");
+        return;
+    };
+    let advice = AdviceClient::new(context.client.clone(), server);
+    let mut result = None;
+    loop {
+        let request = HelperPoll {
+            node: context.settings.node.clone(),
+            result: result.take(),
+        };
+        match owner.help(request).await {
+            Ok(Some(query)) => result = Some(call(&advice, query).await),
+            Ok(None) => {}
+            Err(_) => tokio::time::sleep(NO_OWNER_PAUSE).await,
+        }
+    }
+}
+
+async fn call(advice: &AdviceClient, query: AdviceQuery) -> AdviceResult {
+    let timeout = query.cost * 2 + ADVICE_SLACK;
+    let reply = advice
+        .request_tickets(query.step, &query.workers, timeout)
+        .await;
+    match reply {
+        Ok(AdviceReply::Tickets(tickets, valid)) => {
+            let good = tickets.into_iter();
+            let good = good.map(|ticket| (ticket.worker, ticket.text)).collect();
+            result(query.step, query.workers, Some(good), valid)
+        }
+        Ok(AdviceReply::Refused(status)) => {
+            log::warn!(code = 322, step:% = query.step, status = status; "advice call refused");
+            result(query.step, query.workers, None, None)
+        }
+        Err(error) => {
+            log::warn!(code = 323, step:% = query.step, error:% = error; "advice service did not answer");
+            result(query.step, query.workers, None, None)
+        }
+    }
+}
+
+fn result(
+    step: StepKey,
+    workers: Vec<WorkerId>,
+    good: Option<Vec<(WorkerId, String)>>,
+    valid: Option<Duration>,
+) -> AdviceResult {
+    AdviceResult {
+        step,
+        workers,
+        good,
+        valid,
+        age: Duration::ZERO,
+    }
+}
--- a/crates/cell/src/cancel.rs
+++ b/crates/cell/src/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancels: a job is cancelled once its row says so.
+//! Cancellation: a job is cancelled once its row in the store says so.
 
 use hyper::StatusCode;
 use job::JobId;
@@ -11,41 +11,41 @@
 use web::Whole;
 
 use crate::CallerHandler;
-use crate::callers::Empty;
+use crate::callers::ATTEMPT_SHARE;
+use crate::callers::EmptyBody;
 use crate::callers::RETRY_PAUSE;
 use crate::callers::STORE_TIMEOUT;
-use crate::callers::TRY_SHARE;
-use crate::callers::longest;
-use crate::callers::no_answer;
-use crate::callers::unavailable;
+use crate::callers::caller_timeout;
+use crate::callers::outcome_unknown;
+use crate::callers::service_unavailable;
 use crate::encode_row;
 use crate::hex;
 use crate::metrics::count;
 use crate::stored::StoredError;
 use crate::stored::StoredJob;
 
-/// Why a try to cancel a job has no result.
+/// Why an attempt to cancel a job has no result.
 #[derive(Debug, Snafu)]
 enum CancelError {
-    /// Nothing was written: the job's row is not known.
+    /// The job's row could not be read or decoded, so nothing was written.
     #[snafu(display("{source}"))]
     Row {
-        /// Cause.
+        /// Error of the read.
         source: StoredError,
     },
-    /// Another write of the row came in between; nothing was written.
-    #[snafu(display("the row has changed"))]
+    /// The row was changed between the read and the write, so nothing was written.
+    #[snafu(display("the row was changed by another write"))]
     Changed,
-    /// The write has no result.
+    /// The store did not confirm the write.
     #[snafu(display("not written: {source}"))]
     Write {
-        /// Cause.
+        /// Error of the write.
         source: StoreError,
     },
 }
 
 impl CancelError {
-    /// Whether the cancel certainly was not stored and never will be.
+    /// Whether the cancel is certainly not stored and never will be.
     fn certainly_not_done(&self) -> bool {
         match self {
             CancelError::Row { .. } | CancelError::Changed => true,
@@ -55,41 +55,42 @@
 }
 
 impl CallerHandler {
-    /// Cancels a job. Once an answer was lost, "not stored" may not be said any
-    /// more: the write may still be done.
+    /// Cancels a job. Once a reply to a write has been lost, the response may no longer be "not
+    /// stored", because the store may still carry out that write.
     pub(crate) async fn cancel(&self, queue: &Queue, id: JobId) -> Whole {
-        let end = self.context.now() + longest(queue).mul_f64(TRY_SHARE);
-        let mut unsure = false;
-        let whole = loop {
+        let deadline = self.context.now() + caller_timeout(queue).mul_f64(ATTEMPT_SHARE);
+        let mut ambiguous = false;
+        let response = loop {
             match self.try_cancel(id).await {
                 Ok(status) => {
                     log::info!(code = 421, job:% = hex(id), status = status.as_u16(); "cancel");
                     if status == StatusCode::OK {
-                        // The caller need not wait for it; if it fails, the feed tells.
+                        // The caller does not wait for this message. If it is lost, the owner
+                        // reads the cancel from the change feed of the store.
                         let owner = self.owner.clone();
-                        tokio::spawn(async move { owner.canceled(id).await });
+                        tokio::spawn(async move { owner.notify_canceled(id).await });
                     }
-                    break web::json(status, &Empty {});
+                    break web::json(status, &EmptyBody {});
                 }
                 Err(error) => {
-                    unsure |= !error.certainly_not_done();
+                    ambiguous |= !error.certainly_not_done();
                     log::warn!(
-                        code = 422, job:% = hex(id), error:% = error, unsure = unsure;
-                        "try to cancel without success"
+                        code = 422, job:% = hex(id), error:% = error, unsure = ambiguous;
+                        "attempt to cancel failed"
                     );
                 }
             }
-            if self.context.now() + RETRY_PAUSE >= end {
-                break if unsure {
-                    no_answer("the store does not answer the cancel")
+            if self.context.now() + RETRY_PAUSE >= deadline {
+                break if ambiguous {
+                    outcome_unknown("the store does not answer the cancel")
                 } else {
-                    unavailable("the store does not take the cancel")
+                    service_unavailable("the store does not take the cancel")
                 };
             }
             tokio::time::sleep(RETRY_PAUSE).await;
         };
-        count(&self.context.metrics.cancels, whole.status().as_str());
-        whole
+        count(&self.context.metrics.cancels, response.status().as_str());
+        response
     }
 
     async fn try_cancel(&self, id: JobId) -> Result<StatusCode, CancelError> {
@@ -100,7 +101,7 @@
         if spec.canceled {
             return Ok(StatusCode::OK);
         }
-        // One row that says so is enough, also if the job has others.
+        // Marking one row is enough, even if the job has several.
         spec.canceled = true;
         let transaction = Transaction {
             expect: vec![(row.name.clone(), row.version)],
--- /dev/null
+++ b/crates/cell/src/owner/dispatch.rs
@@ -0,0 +1,71 @@
+//! Dispatches each message to the owner to its handler.
+
+use job::JobId;
+
+use super::Pool;
+use crate::JobView;
+use crate::OwnerMessage;
+
+impl Pool {
+    pub(super) fn dispatch(&mut self, message: OwnerMessage) {
+        match message {
+            // If the reply is dropped, the caller is told that no owner answers.
+            OwnerMessage::JobState(id, reply) => {
+                if self.owned() {
+                    // The caller may have closed its request; then it needs no reply.
+                    let _ = reply.send(self.job_view(id));
+                }
+            }
+            OwnerMessage::QueueLength(queue, reply) => {
+                if self.jobs_current() {
+                    let _ = reply.send(self.count_queue(&queue));
+                }
+            }
+            OwnerMessage::Help(request, reply) => self.handle_help(request, reply),
+            OwnerMessage::JobRows(change, started) => {
+                self.handle_jobs(change);
+                self.freshness.record_jobs_read(started);
+            }
+            OwnerMessage::JobAccepted(job, reply) => {
+                if !self.unreadable_jobs.contains(&job.id) {
+                    self.planner.add_job(job.id, job.spec, None, false);
+                }
+                // The handler of the request may have ended; then it needs no reply.
+                let _ = reply.send(());
+            }
+            OwnerMessage::JobCanceled(id, reply) => {
+                // If the job's row has not been read yet, the row will say that the job is
+                // cancelled.
+                self.planner.cancel(id);
+                // The handler of the request may have ended; then it needs no reply.
+                let _ = reply.send(());
+            }
+            OwnerMessage::Registrations(change) => self.handle_registrations(change),
+            OwnerMessage::Worker(key, event) => self.handle_event(key, event),
+            OwnerMessage::WorkersEnded(ended) => self.handle_ended(&ended),
+            OwnerMessage::RowsRemoved(ids) => self.handle_removed(&ids),
+            OwnerMessage::SaveFinished(save, result) => self.handle_saved(save, result),
+            OwnerMessage::GuardRead(result) => self.handle_guard(result),
+        }
+    }
+
+    /// Number of waiting jobs in a queue, as callers are shown it.
+    fn count_queue(&mut self, queue: &str) -> usize {
+        let now = self.context.now();
+        let count = self.queue_counts.lookup(queue, now, &self.planner);
+        log::info!(
+            code = 372, queue = queue, waiting = count.waiting, ordered = count.unconfirmed,
+            unfinished = count.unfinished, epoch = self.epoch; "waiting jobs of a queue counted"
+        );
+        count.waiting
+    }
+
+    /// State of a job, as callers are shown it.
+    fn job_view(&self, id: JobId) -> JobView {
+        if self.planner.status_undecided(id) {
+            return JobView::Undecided;
+        }
+        let status = self.planner.job_status(id);
+        status.map_or(JobView::Unknown, JobView::Job)
+    }
+}
--- /dev/null
+++ b/crates/cell/src/owner/handlers.rs
@@ -0,0 +1,252 @@
+//! Handles changes of jobs and registrations from the store, and events from the workers.
+
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use job::JobId;
+use job::JobSpec;
+use job::Progress;
+use job::ReportOrigin;
+use job::WorkerInfo;
+use job::WorkerKey;
+use job::WorkerReport;
+use platform::Row;
+
+use super::Link;
+use super::Pool;
+use crate::Change;
+use crate::JOB_TABLE;
+use crate::RegistrationChange;
+use crate::UsedWorker;
+use crate::WorkerEvent;
+use crate::decode_row;
+use crate::job_id_of;
+use crate::metrics::count;
+
+impl Pool {
+    pub(super) fn handle_jobs(&mut self, change: Change) {
+        let (Change::Snapshot(rows) | Change::Delta(rows)) = change;
+        for row in rows {
+            self.handle_job(&row, None);
+        }
+    }
+
+    /// Handles a job's row. At take-over, `inherited` is the progress that the former owner
+    /// left, by job.
+    pub(super) fn handle_job(&mut self, row: &Row, inherited: Option<&HashMap<JobId, Progress>>) {
+        if row.removed {
+            return;
+        }
+        let id = job_id_of(&row.name);
+        let spec = decode_row::<JobSpec>(&row.value);
+        if let Ok(id) = id {
+            self.retention.record_row(id, &row.name);
+        }
+        match (id, spec) {
+            (Ok(id), Ok(_)) if self.unreadable_jobs.contains(&id) => {}
+            (Ok(id), Ok(_)) if self.retention.predates_removal(id, row.version) => {}
+            (Ok(id), Ok(spec)) => {
+                let progress = inherited.and_then(|inherited| inherited.get(&id));
+                self.planner
+                    .add_job(id, spec, progress, inherited.is_some());
+            }
+            (_, Err(error)) => {
+                count(&self.context.metrics.unreadable, JOB_TABLE);
+                log::error!(code = 334, key = row.name.key.as_str(), error:% = error; "job row unreadable");
+            }
+            (Err(error), _) => {
+                count(&self.context.metrics.unreadable, JOB_TABLE);
+                log::error!(code = 334, key = row.name.key.as_str(), error:% = error; "job row unreadable");
+            }
+        }
+    }
+
+    pub(super) fn handle_registrations(&mut self, change: RegistrationChange) {
+        for info in change.updated {
+            self.handle_registration(info);
+        }
+        self.registrations_read = self.registrations_read.max(change.read_started);
+        for id in change.deleted {
+            log::info!(code = 341, worker = id.as_str(); "worker's registration is gone");
+            self.planner.deregister_worker(&id);
+        }
+    }
+
+    fn handle_registration(&mut self, info: WorkerInfo) {
+        let (id, incarnation, address) = (info.id.clone(), info.incarnation, info.address);
+        if info.draining {
+            log::info!(code = 342, worker = id.as_str(); "worker is leaving");
+        }
+        let before = self.planner.capacity(&id);
+        let new = self.planner.register_worker(info);
+        if let Some(key) = new {
+            log::info!(code = 340, worker = id.as_str(), life = incarnation, address:% = address; "worker registered");
+            self.queue_worker_row(key);
+            return;
+        }
+        let Some(key) = self.planner.worker_key(&id) else {
+            return;
+        };
+        let known = self
+            .planner
+            .worker_info(key)
+            .and_then(|info| info.incarnation);
+        if known != incarnation {
+            log::info!(
+                code = 387, worker = id.as_str(), life = incarnation, known = known, address:% = address;
+                "worker registered as another incarnation"
+            );
+            return;
+        }
+        self.move_link(key, address);
+        let (Some(before), Some(after)) = (before, self.planner.capacity(&id)) else {
+            return;
+        };
+        if before.current != after.current {
+            log::info!(
+                code = 382, worker = id.as_str(), cpu = after.current.cpu, memory = after.current.memory,
+                cpu_before = before.current.cpu, memory_before = before.current.memory; "worker's capacity has changed"
+            );
+        }
+        if after.largest != before.largest {
+            // A successor that first sees the worker while it is small must know that it can
+            // grow.
+            self.queue_worker_row(key);
+        }
+    }
+
+    /// Queues the row of a worker, after which the worker may be used. The row holds the
+    /// largest capacity that the worker has had.
+    pub(super) fn queue_worker_row(&mut self, key: WorkerKey) {
+        let Some(info) = self.planner.worker_info(key) else {
+            return;
+        };
+        let largest = self.planner.capacity(&info.id);
+        let used = UsedWorker {
+            service: info.service.clone(),
+            address: info.address,
+            capacity: largest.map_or(info.capacity, |size| size.largest),
+            labels: info.labels.clone(),
+            incarnation: info.incarnation,
+        };
+        self.saver.queue_row(info.id.clone(), used);
+    }
+
+    /// Moves the links of silent workers that have registered at another address to that
+    /// address.
+    pub(super) fn move_links(&mut self) {
+        for (key, address) in self.planner.reregistered() {
+            self.move_link(key, address);
+        }
+    }
+
+    fn move_link(&mut self, key: WorkerKey, address: SocketAddr) {
+        if self
+            .links
+            .get(&key)
+            .is_some_and(|link| link.address != address)
+            && let Some(link) = self.links.remove(&key)
+        {
+            link.close();
+            self.open_link_at(key, Some(address));
+        }
+    }
+
+    pub(super) fn handle_event(&mut self, key: WorkerKey, event: WorkerEvent) {
+        // The incarnation has ended, so its events no longer count. Not even a refused token means
+        // that there is a newer owner: the next incarnation has received a higher token.
+        if self.planner.worker_info(key).is_none() {
+            return;
+        }
+        match event {
+            WorkerEvent::LeaseSent => self.planner.extend_lease(key),
+            WorkerEvent::Silent => self.planner.mark_unresponsive(key),
+            WorkerEvent::Late(sent, until) => self.planner.await_reply(key, sent, until),
+            WorkerEvent::Reported(sent, report) => self.handle_report(key, sent, &report),
+            WorkerEvent::StartAnswered(task, run, reply) => {
+                count(&self.context.metrics.starts, &reply.to_string());
+                self.planner.start_reply(key, task, run, reply);
+            }
+            WorkerEvent::StopAnswered(task, run, reply) => {
+                self.planner.stop_reply(key, task, run, reply);
+            }
+            WorkerEvent::Fenced => {
+                log::warn!(code = 335, worker = self.worker_id(key), epoch = self.epoch; "worker obeys a newer owner");
+                self.deposed = true;
+            }
+            WorkerEvent::Ended => {
+                log::info!(code = 344, worker = self.worker_id(key); "worker's incarnation has ended");
+                self.planner.worker_ended(key);
+            }
+        }
+    }
+
+    fn handle_report(&mut self, key: WorkerKey, sent: Duration, report: &WorkerReport) {
+        let seen = self.planner.match_incarnation(key, sent, report);
+        if seen != ReportOrigin::Current {
+            self.log_other_incarnation(key, report, seen);
+            self.planner.apply_report(key, sent, report);
+            return;
+        }
+        if let Some(link) = self.links.get_mut(&key) {
+            link.set_clock(report.clock, self.context.now());
+            link.record_accepted(sent);
+        }
+        if !self.planner.claimed(key) {
+            log::info!(
+                code = 343, worker = self.worker_id(key), life = report.incarnation, epoch = self.epoch,
+                running = report.running.len(), ended = report.ended.len();
+                "worker claimed"
+            );
+        }
+        let handled_end = self.planner.newest_end(key);
+        self.log_ignored_ends(key, report);
+        for end in report.ended.iter().filter(|end| end.number > handled_end) {
+            count(&self.context.metrics.ends, &end.how.to_string());
+            log::info!(
+                code = 354, task:% = end.task, run = end.run, how:% = end.how,
+                number = end.number, worker = self.worker_id(key); "task ended"
+            );
+        }
+        let lacks_incarnation = self
+            .planner
+            .worker_info(key)
+            .is_some_and(|info| info.incarnation.is_none());
+        self.planner.apply_report(key, sent, report);
+        if lacks_incarnation && report.incarnation.is_some() {
+            // The row is of an earlier version: a successor must know which incarnation it is
+            // for.
+            self.queue_worker_row(key);
+        }
+    }
+
+    /// Logs that a report is of another incarnation than the known one, and up to which number
+    /// the ends of the known one were acknowledged.
+    fn log_other_incarnation(&self, key: WorkerKey, report: &WorkerReport, seen: ReportOrigin) {
+        let known = self
+            .planner
+            .worker_info(key)
+            .and_then(|info| info.incarnation);
+        let acknowledged = self.links.get(&key).map(Link::saved_end);
+        log::warn!(
+            code = 384, worker = self.worker_id(key), life = report.incarnation, known = known, seen:% = seen,
+            taken = self.planner.newest_end(key), acknowledged = acknowledged,
+            running = report.running.len(), ended = report.ended.len();
+            "worker report of another incarnation"
+        );
+    }
+
+    /// Logs reported ends that are ignored, since their numbers were already handled, although
+    /// their runs are still booked.
+    fn log_ignored_ends(&self, key: WorkerKey, report: &WorkerReport) {
+        let handled_end = self.planner.newest_end(key);
+        let ignored = report.ended.iter().filter(|end| end.number <= handled_end);
+        for end in ignored.filter(|end| self.planner.has_booked(key, end.task, end.run)) {
+            log::warn!(
+                code = 385, task:% = end.task, run = end.run, how:% = end.how, number = end.number,
+                taken = handled_end, worker = self.worker_id(key), life = report.incarnation; "reported end ignored"
+            );
+        }
+    }
+}
--- a/crates/cell/src/owner/link.rs
+++ b/crates/cell/src/owner/link.rs
@@ -1,4 +1,4 @@
-//! The owner's end of a link to one worker.
+//! The owner's side of the connection to one worker.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,43 +11,44 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-use super::AnswerTime;
-use super::clock_guess::ClockGuess;
-use super::gate::Gate;
-use super::holder::Holder;
+use super::ReplyLatency;
+use super::clock_estimate::ClockEstimate;
+use super::fencing::WorkerFencing;
+use super::hold_task::HoldTask;
 use crate::Context;
 use crate::OwnerMessage;
 
-/// Workers that are claimed at the same time. An owner that takes 3,000 workers over
-/// claimed all at once: its own renewals waited behind them for 1.2 s, and the pool was
-/// lost as soon as it was open, again and again.
-pub(crate) const CLAIMS: usize = 128;
+/// Workers that are claimed at the same time. When an owner that took over 3,000 workers
+/// claimed all of them at once, its own renewals were delayed by 1.2 s, and the pool was lost
+/// as soon as it was opened, again and again.
+pub(crate) const MAX_CLAIMS: usize = 128;
 
-/// What all links of an owner follow.
+/// State that all links of an owner share.
 #[derive(Clone, Debug)]
-pub(crate) struct LinkPace {
+pub(crate) struct LinkShared {
     /// Until when leases may be renewed.
     pub(crate) tenure: watch::Receiver<Duration>,
-    /// How long a worker is to wait for an end.
+    /// How long a worker may hold a call while it has no end to report.
     pub(crate) wait: watch::Receiver<Duration>,
-    /// Permits to claim a worker, [`CLAIMS`] of them.
-    pub(crate) claims: Arc<Semaphore>,
-    /// How long answers take.
-    pub(crate) answers: Arc<AnswerTime>,
+    /// Permits to claim a worker, [`MAX_CLAIMS`] of them.
+    pub(crate) claim_permits: Arc<Semaphore>,
+    /// Estimate of how long workers take to answer.
+    pub(crate) latency: Arc<ReplyLatency>,
 }
 
-/// The owner's end of a link.
+/// The owner's side of the connection to one worker.
 pub(crate) struct Link {
-    /// Where the worker takes orders.
+    /// Address at which the worker takes commands.
     pub(crate) address: SocketAddr,
-    /// The worker.
+    /// Id of the worker.
     pub(crate) id: String,
-    /// What orders to it carry.
-    pub(super) gate: Arc<Gate>,
-    clock: Option<ClockGuess>,
-    /// When the newest call was sent that the worker obeyed.
-    heard: Option<Duration>,
-    seen: watch::Sender<u64>,
+    /// Fencing token of the worker's commands, and starts in progress.
+    pub(super) fencing: Arc<WorkerFencing>,
+    clock: Option<ClockEstimate>,
+    /// When the newest call was sent that the worker accepted.
+    last_accepted: Option<Duration>,
+    /// Number of the newest end that is saved in the store.
+    saved_end: watch::Sender<u64>,
     task: JoinHandle<()>,
 }
 
@@ -57,57 +58,65 @@
         context: &Context,
         key: WorkerKey,
         info: &WorkerInfo,
-        gate: Arc<Gate>,
+        fencing: Arc<WorkerFencing>,
         sender: mpsc::Sender<OwnerMessage>,
-        pace: LinkPace,
+        shared: LinkShared,
     ) -> Link {
-        let (seen, seen_rx) = watch::channel(0);
-        let holder = Holder::new(context, key, info, gate.clone(), sender, (pace, seen_rx));
+        let (saved_end, saved_end_rx) = watch::channel(0);
+        let hold_task = HoldTask::new(
+            context,
+            key,
+            info,
+            fencing.clone(),
+            sender,
+            (shared, saved_end_rx),
+        );
         Link {
             address: info.address,
             id: info.id.clone(),
-            gate,
+            fencing,
             clock: None,
-            heard: None,
-            seen,
-            task: tokio::spawn(holder.run()),
+            last_accepted: None,
+            saved_end,
+            task: tokio::spawn(hold_task.run()),
         }
     }
 
-    pub(crate) fn set_clock(&mut self, worker: Duration, ours: Duration) {
-        self.clock = Some(ClockGuess { worker, ours });
+    pub(crate) fn set_clock(&mut self, reading: Duration, read_at: Duration) {
+        self.clock = Some(ClockEstimate { reading, read_at });
     }
 
-    /// Ends up to this number were acknowledged.
-    pub(crate) fn seen(&self) -> u64 {
-        *self.seen.borrow()
+    /// Number of the newest end that is saved in the store, up to which ends may be
+    /// acknowledged.
+    pub(crate) fn saved_end(&self) -> u64 {
+        *self.saved_end.borrow()
     }
 
-    /// The worker obeyed a call that was sent at this time.
-    pub(crate) fn hear(&mut self, sent: Duration) {
-        self.heard = self.heard.max(Some(sent));
+    /// Records that the worker accepted a call that was sent at this time.
+    pub(crate) fn record_accepted(&mut self, sent: Duration) {
+        self.last_accepted = self.last_accepted.max(Some(sent));
     }
 
-    /// When the newest call was sent that the worker obeyed.
-    pub(crate) fn heard(&self) -> Option<Duration> {
-        self.heard
+    /// When the newest call was sent that the worker accepted.
+    pub(crate) fn last_accepted(&self) -> Option<Duration> {
+        self.last_accepted
     }
 
     /// End of a lease that begins now, on the worker's clock.
     pub(crate) fn lease_end(&self, now: Duration, lease: Duration) -> Option<Duration> {
-        self.clock.map(|clock| clock.at(now) + lease)
+        self.clock.map(|clock| clock.worker_time(now) + lease)
     }
 
-    /// Ends up to `number` are recorded.
-    pub(crate) fn set_seen(&self, number: u64) {
-        self.seen.send_if_modified(|seen| {
-            let higher = number > *seen;
-            *seen = number.max(*seen);
+    /// Records that ends up to `number` are saved in the store.
+    pub(crate) fn set_saved_end(&self, number: u64) {
+        self.saved_end.send_if_modified(|saved_end| {
+            let higher = number > *saved_end;
+            *saved_end = number.max(*saved_end);
             higher
         });
     }
 
-    /// Ends the link.
+    /// Closes the link and stops its task.
     pub(crate) fn close(self) {
         self.task.abort();
     }
--- a/crates/cell/src/owner/load.rs
+++ b/crates/cell/src/owner/load.rs
@@ -1,4 +1,4 @@
-//! The pool's load and its losses, for logs and metrics.
+//! Log lines and metrics about the pool's load, lost runs and suspects.
 
 use std::time::Duration;
 
@@ -11,30 +11,30 @@
 use crate::metrics::count;
 
 /// Time between two log lines about the pool's load.
-const REPORT_EVERY: Duration = Duration::from_secs(1);
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Pool {
-    /// Logs the pool's load now and then.
-    pub(super) fn report_load(&mut self, now: Duration) {
-        if now < self.reported + REPORT_EVERY {
+    /// Logs the pool's load once in [`LOG_INTERVAL`].
+    pub(super) fn log_load(&mut self, now: Duration) {
+        if now < self.load_logged + LOG_INTERVAL {
             return;
         }
-        self.reported = now;
+        self.load_logged = now;
         let load = self.planner.load();
         self.publish_load(&load);
         log::info!(
             code = 370, epoch = self.epoch, usable = load.usable, cpu = load.capacity.cpu,
-            cpu_used = load.used.cpu, kept = load.kept, kept_idle = load.kept_idle, memory = load.capacity.memory, memory_used = load.used.memory,
-            placed = load.placed, running = load.running, waiting = load.waiting, steps = load.open,
+            cpu_used = load.booked.cpu, kept = load.reserved_workers, kept_idle = load.reserved_cpu, memory = load.capacity.memory, memory_used = load.booked.memory,
+            placed = load.placed, running = load.running, waiting = load.waiting, steps = load.pending_steps,
             unfinished = load.unfinished; "load of the pool"
         );
-        self.report_traffic();
+        self.log_traffic();
     }
 
-    /// Logs what went over the owner's link: it tells a full link from workers that do
-    /// not answer.
-    fn report_traffic(&self) {
-        let workers = self.context.orders.traffic().take();
+    /// Logs the traffic on the owner's link, which distinguishes a full link from workers that
+    /// do not answer.
+    fn log_traffic(&self) {
+        let workers = self.context.commands.traffic().take();
         let store = self.context.store.traffic().take();
         log::info!(
             code = 373, epoch = self.epoch, answered = workers.answered, lost = workers.lost,
@@ -45,19 +45,19 @@
     }
 
     /// Logs runs that were lost, and why their tasks wait again.
-    pub(super) fn report_losses(&mut self) {
+    pub(super) fn log_losses(&mut self) {
         for lost in self.planner.take_losses() {
-            count(&self.context.metrics.losses, &lost.cause.to_string());
+            count(&self.context.metrics.lost_runs, &lost.cause.to_string());
             log::info!(
                 code = 355, task:% = lost.task, run = lost.run, worker = lost.worker.as_str(),
-                cause:% = lost.cause, confirmed = lost.confirmed, age_ms = millis(lost.age), beside = lost.beside;
+                cause:% = lost.cause, confirmed = lost.confirmed, age_ms = millis(lost.age), beside = lost.other_runs;
                 "run lost"
             );
         }
     }
 
-    /// Logs what was found of tasks under which workers crashed.
-    pub(super) fn report_suspects(&mut self) {
+    /// Logs the findings about tasks under which workers crashed.
+    pub(super) fn log_suspects(&mut self) {
         for suspect in self.planner.take_findings() {
             let Suspect {
                 task, run, crashes, ..
@@ -92,8 +92,8 @@
         set("waiting", load.waiting as u64);
         set("unfinished", load.unfinished as u64);
         set("cpu", load.capacity.cpu);
-        set("cpu_used", load.used.cpu);
+        set("cpu_used", load.booked.cpu);
         set("memory", load.capacity.memory);
-        set("memory_used", load.used.memory);
+        set("memory_used", load.booked.memory);
     }
 }
--- a/crates/cell/src/owner/messages.rs
+++ b/crates/cell/src/owner/messages.rs
@@ -4,13 +4,13 @@
 
 use job::Batch;
 use job::JobId;
-use job::Listing;
 use job::RunId;
 use job::StartReply;
 use job::StopReply;
 use job::TaskKey;
 use job::WorkerInfo;
 use job::WorkerKey;
+use job::WorkerReport;
 use platform::Committed;
 use platform::StoreError;
 use platform::Version;
@@ -19,118 +19,119 @@
 use tokio::sync::watch;
 
 use crate::AcceptedJob;
+use crate::AdviceQuery;
 use crate::Change;
-use crate::HelpOrder;
-use crate::HelpRequest;
-use crate::OwnerView;
+use crate::HelperPoll;
+use crate::JobView;
 use crate::UsedWorker;
 
-/// Messages that may wait for the owner. Links, callers and helpers together
-/// send far fewer within one round of the owner's loop.
-pub(crate) const OWNER_QUEUE: usize = 4096;
+/// Messages that may wait for the owner. Links, callers and helpers together send far fewer
+/// within one planning cycle.
+pub(crate) const OWNER_QUEUE_CAPACITY: usize = 4096;
 
 /// A message to the owner's task.
 #[derive(Debug)]
 pub enum OwnerMessage {
     /// Asks for the state of a job.
-    State(JobId, oneshot::Sender<OwnerView>),
+    JobState(JobId, oneshot::Sender<JobView>),
     /// Asks how many jobs of a queue wait.
-    Waiting(String, oneshot::Sender<usize>),
-    /// A helper brings a result and asks for work.
-    Help(HelpRequest, oneshot::Sender<Option<HelpOrder>>),
-    /// Rows of jobs, from a read of the feed that began at this monotonic time.
-    Jobs(Change, Duration),
-    /// A job was accepted, by the process that did it.
-    Accepted(Box<AcceptedJob>, oneshot::Sender<()>),
-    /// A job was cancelled, by the process that did it.
-    Canceled(JobId, oneshot::Sender<()>),
+    QueueLength(String, oneshot::Sender<usize>),
+    /// A helper delivers a result and asks for a call.
+    Help(HelperPoll, oneshot::Sender<Option<AdviceQuery>>),
+    /// Rows of jobs, from a read of the feed that started at this monotonic time.
+    JobRows(Change, Duration),
+    /// A job was accepted; sent by the process that accepted it.
+    JobAccepted(Box<AcceptedJob>, oneshot::Sender<()>),
+    /// A job was cancelled; sent by the process that cancelled it.
+    JobCanceled(JobId, oneshot::Sender<()>),
     /// Registrations of workers have changed.
-    Workers(RosterChange),
-    /// News from a worker.
-    Worker(WorkerKey, WorkerNews),
-    /// Lives of workers that were silent and are over; none if that is not known.
-    Dead(Vec<WorkerKey>),
-    /// Rows of these expired jobs were removed, at these versions.
-    Removed(Vec<(JobId, Version)>),
-    /// A transaction has ended.
-    Saved(Save, Result<Committed, StoreError>),
-    /// The row that guards the owner's writes was read again.
-    Guard(Result<Option<Version>, StoreError>),
+    Registrations(RegistrationChange),
+    /// An event from the link to a worker.
+    Worker(WorkerKey, WorkerEvent),
+    /// Silent workers whose incarnation has ended by the list of machines; empty if the list
+    /// could not be read.
+    WorkersEnded(Vec<WorkerKey>),
+    /// The rows of these jobs were removed, at these versions.
+    RowsRemoved(Vec<(JobId, Version)>),
+    /// A transaction of the owner has finished.
+    SaveFinished(Save, Result<Committed, StoreError>),
+    /// The guard row, on which the owner's writes are conditional, was read again.
+    GuardRead(Result<Option<Version>, StoreError>),
 }
 
 /// Changes among the registered workers.
 #[derive(Debug, Default)]
-pub struct RosterChange {
-    /// Workers that are new or have changed.
-    pub present: Vec<WorkerInfo>,
-    /// Workers whose registration has vanished.
-    pub gone: Vec<String>,
-    /// When the read began that brought this.
-    pub read: Duration,
+pub struct RegistrationChange {
+    /// Workers whose registration is new or has changed.
+    pub updated: Vec<WorkerInfo>,
+    /// Workers whose registration was removed.
+    pub deleted: Vec<String>,
+    /// When the read that returned these changes started.
+    pub read_started: Duration,
 }
 
-/// News from a worker.
+/// An event from the link to a worker.
 #[derive(Debug)]
-pub enum WorkerNews {
-    /// A renewal of its lease is being sent.
+pub enum WorkerEvent {
+    /// A call that renews the worker's lease is being sent.
     LeaseSent,
-    /// It did not answer.
+    /// The worker did not answer a call in time.
     Silent,
-    /// The answer to a call that was sent at the first of these times may come until
-    /// the second.
+    /// The reply to a call is late: the call was sent at the first of these times, and the
+    /// reply may arrive until the second.
     Late(Duration, Duration),
-    /// What it runs; asked at this monotonic time.
-    Listed(Duration, Listing),
-    /// It answered a start.
+    /// The worker sent a report, in reply to a call that was sent at this monotonic time.
+    Reported(Duration, WorkerReport),
+    /// The worker answered a start.
     StartAnswered(TaskKey, RunId, StartReply),
-    /// It answered a stop.
+    /// The worker answered a stop.
     StopAnswered(TaskKey, RunId, StopReply),
-    /// It has taken orders of a newer owner.
+    /// The worker refused a command since it obeys a newer owner.
     Fenced,
-    /// This life of it is over.
-    Over,
+    /// The incarnation of the worker has ended.
+    Ended,
 }
 
-/// What a transaction of the owner holds.
+/// Contents of a transaction of the owner.
 #[derive(Clone, Debug, Default)]
 pub struct Save {
-    /// Progress and recorded ends.
+    /// Progress of jobs, and the numbers of the ends that it covers.
     pub batch: Batch,
-    /// Workers about to be used.
-    pub used: Vec<(String, UsedWorker)>,
-    /// Workers that cannot have anything running any more.
-    pub unused: Vec<String>,
-    /// It gives up the pool.
-    pub release: bool,
-    /// It renews the ownership.
+    /// Workers that are about to be used.
+    pub used_workers: Vec<(String, UsedWorker)>,
+    /// Workers on which no run can be left.
+    pub unused_workers: Vec<String>,
+    /// The transaction releases the pool.
+    pub releases: bool,
+    /// The transaction renews the ownership.
     pub renews: bool,
-    /// When it was sent.
-    pub begun: Duration,
+    /// When the transaction was sent.
+    pub started: Duration,
 }
 
-/// Reaches the owner in this process, while there is one.
+/// Handle to the owner in this process, if there is one.
 #[derive(Clone, Debug)]
-pub struct OwnerPort {
+pub struct OwnerHandle {
     sender: watch::Receiver<Option<mpsc::Sender<OwnerMessage>>>,
 }
 
-impl OwnerPort {
-    /// A port that follows `sender`.
+impl OwnerHandle {
+    /// Creates a handle that follows the sender in this slot.
     #[must_use]
-    pub fn new(sender: watch::Receiver<Option<mpsc::Sender<OwnerMessage>>>) -> OwnerPort {
-        OwnerPort { sender }
+    pub fn new(sender: watch::Receiver<Option<mpsc::Sender<OwnerMessage>>>) -> OwnerHandle {
+        OwnerHandle { sender }
     }
 
-    /// Sends a question and waits for its answer; nothing if there is no
-    /// owner here, or it does not answer in time.
+    /// Sends a question and waits for its answer. Returns `None` if there is no owner in this
+    /// process, or if it does not answer in time.
     pub async fn ask<T>(
         &self,
-        make: impl FnOnce(oneshot::Sender<T>) -> OwnerMessage,
+        make_message: impl FnOnce(oneshot::Sender<T>) -> OwnerMessage,
         timeout: Duration,
     ) -> Option<T> {
         let sender = self.sender.borrow().clone()?;
         let (reply, answer) = oneshot::channel();
-        sender.try_send(make(reply)).ok()?;
+        sender.try_send(make_message(reply)).ok()?;
         tokio::time::timeout(timeout, answer).await.ok()?.ok()
     }
 }
--- a/crates/cell/src/owner/start_call.rs
+++ b/crates/cell/src/owner/start_call.rs
@@ -1,4 +1,4 @@
-//! A start on its way to a worker.
+//! A call that sends a start to a worker.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,108 +6,112 @@
 use job::StartReply;
 use job::WorkerId;
 use job::WorkerKey;
-use platform::Ordered;
-use platform::Start;
+use platform::CommandReply;
+use platform::StartCommand;
 use tokio::sync::mpsc;
 
-use super::AnswerTime;
+use super::ReplyLatency;
 use super::StartWindow;
-use super::gate::Gate;
+use super::fencing::WorkerFencing;
 use crate::Context;
 use crate::OwnerMessage;
-use crate::WorkerNews;
+use crate::WorkerEvent;
 
-/// A start, and who hears of its answer.
+/// A start that is being sent, with the state that its call needs.
 pub(super) struct StartCall {
     pub(super) context: Context,
     pub(super) worker: WorkerKey,
     pub(super) id: WorkerId,
     pub(super) address: SocketAddr,
-    /// The worker names its lives.
-    pub(super) named: bool,
-    pub(super) start: Start,
-    pub(super) gate: Arc<Gate>,
-    pub(super) answers: Arc<AnswerTime>,
-    pub(super) window: StartWindow,
+    /// The worker names its incarnation in its reports.
+    pub(super) names_incarnation: bool,
+    pub(super) start: StartCommand,
+    pub(super) fencing: Arc<WorkerFencing>,
+    pub(super) latency: Arc<ReplyLatency>,
+    pub(super) start_window: StartWindow,
     pub(super) sender: mpsc::Sender<OwnerMessage>,
 }
 
 impl StartCall {
-    /// Sends the start and tells of its answer, also of one that is late.
+    /// Sends the start and notifies the owner of the reply, also if it is late.
     pub(super) async fn run(self) {
         let sent = self.context.now();
-        let limit = self.answers.limit();
+        let call_timeout = self.latency.call_timeout();
         let call = self
             .context
-            .orders
-            .start(self.address, &self.id, &self.start, limit);
+            .commands
+            .start(self.address, &self.id, &self.start, call_timeout);
         tokio::pin!(call);
-        let in_time = tokio::time::timeout(self.answers.patience(), &mut call).await;
-        self.window.settled();
+        let in_time = tokio::time::timeout(self.latency.late_after(), &mut call).await;
+        self.start_window.record_settled();
         let answer = if let Ok(answer) = in_time {
             answer
         } else {
-            self.log("late");
-            self.raise();
-            self.tell(self.answered(StartReply::Unknown)).await;
+            self.log_unconfirmed("late");
+            self.raise_token();
+            self.notify_owner(self.start_answered(StartReply::Unknown))
+                .await;
             call.await
         };
-        if let Ordered::Done(_) = answer {
-            self.answers.took(self.context.now().saturating_sub(sent));
+        if let CommandReply::Done(_) = answer {
+            self.latency.record(self.context.now().saturating_sub(sent));
         } else {
-            self.log(&format!("{answer:?}"));
+            self.log_unconfirmed(&format!("{answer:?}"));
         }
-        let news = self.news(&answer);
-        let lost = matches!(answer, Ordered::Unknown(_) | Ordered::Garbled(_));
+        let event = self.event_for(&answer);
+        let lost = matches!(answer, CommandReply::Unknown(_) | CommandReply::Garbled(_));
         if lost {
-            self.raise();
+            self.raise_token();
         }
-        self.tell(news).await;
-        if self.named && lost {
-            let end = sent + self.context.settings.policy().order_late;
+        self.notify_owner(event).await;
+        if self.names_incarnation && lost {
+            let end = sent + self.context.settings.policy().command_delay;
             tokio::time::sleep(end.saturating_sub(self.context.now())).await;
         }
-        self.gate.end_start();
+        self.fencing.end_start();
     }
 
-    /// What is sent from now on is to be refused where this start comes later.
-    fn raise(&self) {
-        if self.named {
-            self.gate.raise();
+    /// Raises the token of later commands, so that a worker which carries out one of them
+    /// refuses this start if it arrives afterwards.
+    fn raise_token(&self) {
+        if self.names_incarnation {
+            self.fencing.raise_token();
         }
     }
 
-    async fn tell(&self, news: WorkerNews) {
-        // The owner has gone: its successor asks the worker itself.
+    async fn notify_owner(&self, event: WorkerEvent) {
+        // Fails only if the owner has ended; its successor asks the worker for a report.
         let _ = self
             .sender
-            .send(OwnerMessage::Worker(self.worker, news))
+            .send(OwnerMessage::Worker(self.worker, event))
             .await;
     }
 
-    fn answered(&self, reply: StartReply) -> WorkerNews {
-        WorkerNews::StartAnswered(self.start.task, self.start.run, reply)
+    fn start_answered(&self, reply: StartReply) -> WorkerEvent {
+        WorkerEvent::StartAnswered(self.start.task, self.start.run, reply)
     }
 
-    fn log(&self, answer: &str) {
+    fn log_unconfirmed(&self, answer: &str) {
         let (task, run) = (self.start.task, self.start.run);
         log::warn!(code = 351, task:% = task, run = run, worker = self.id.as_str(), answer = answer; "start not confirmed");
     }
 
-    fn news<T>(&self, answer: &Ordered<T>) -> WorkerNews {
+    fn event_for<T>(&self, answer: &CommandReply<T>) -> WorkerEvent {
         let reply = match answer {
-            Ordered::Done(_) => StartReply::Started,
-            Ordered::Fenced if self.gate.overtaken(self.start.token) => StartReply::Refused,
-            Ordered::Fenced => return WorkerNews::Fenced,
-            Ordered::Replaced => return WorkerNews::Over,
-            Ordered::Ticket => StartReply::Ticket,
-            Ordered::Unknown(_) | Ordered::Garbled(_) => StartReply::Unknown,
-            Ordered::Old
-            | Ordered::Late
-            | Ordered::Full
-            | Ordered::Refused(..)
-            | Ordered::Unreachable(_) => StartReply::Refused,
+            CommandReply::Done(_) => StartReply::Started,
+            CommandReply::Fenced if self.fencing.superseded(self.start.token) => {
+                StartReply::Refused
+            }
+            CommandReply::Fenced => return WorkerEvent::Fenced,
+            CommandReply::Replaced => return WorkerEvent::Ended,
+            CommandReply::Ticket => StartReply::InvalidTicket,
+            CommandReply::Unknown(_) | CommandReply::Garbled(_) => StartReply::Unknown,
+            CommandReply::Old
+            | CommandReply::Late
+            | CommandReply::Full
+            | CommandReply::Refused(..)
+            | CommandReply::Unreachable(_) => StartReply::Refused,
         };
-        self.answered(reply)
+        self.start_answered(reply)
     }
 }
--- a/crates/cell/src/owner/supervise.rs
+++ b/crates/cell/src/owner/supervise.rs
@@ -1,33 +1,33 @@
-//! Runs the owner's task while the pool belongs to this process.
+//! Runs the owner's task while this process owns the pool.
 
 use job::Epoch;
 use tokio::sync::mpsc;
 use tokio::sync::watch;
 
 use super::Pool;
-use super::messages::OWNER_QUEUE;
+use super::messages::OWNER_QUEUE_CAPACITY;
 use crate::Context;
 use crate::OwnerMessage;
 
-/// Sender to the owner in this process, while there is one.
+/// Sender to the owner in this process; `None` while there is no owner here.
 pub type OwnerSlot = watch::Sender<Option<mpsc::Sender<OwnerMessage>>>;
 
-/// Opens the pool whenever it is ours, until the process stops. One that was taken
-/// just before is opened all the same, which gives it up at once: else it would be
-/// free only when the ownership has run out.
+/// Opens the pool whenever this process owns it, until the process stops. A pool that was taken
+/// just before the stop is opened too, and is released at once; otherwise it would be free only
+/// when the ownership expires.
 pub async fn supervise_owner(context: Context, slot: OwnerSlot) {
-    let mut seat = context.seat.clone();
-    let mut served: Epoch = 0;
+    let mut seat = context.ownership.clone();
+    let mut last_epoch: Epoch = 0;
     loop {
         let epoch = seat
             .borrow_and_update()
             .owner()
             .filter(|owner| owner.incarnation == context.incarnation)
             .map(|owner| owner.epoch)
-            .filter(|epoch| *epoch > served);
+            .filter(|epoch| *epoch > last_epoch);
         if let Some(epoch) = epoch {
-            served = epoch;
-            let (sender, receiver) = mpsc::channel(OWNER_QUEUE);
+            last_epoch = epoch;
+            let (sender, receiver) = mpsc::channel(OWNER_QUEUE_CAPACITY);
             let pool = Pool::open(context.clone(), epoch, sender.clone(), receiver).await;
             if let Some(pool) = pool {
                 let gauge = &context.metrics.epoch;
@@ -36,7 +36,7 @@
                 pool.run().await;
                 slot.send_replace(None);
                 gauge.set(0);
-                // A former owner knows nothing of the pool's load.
+                // After the ownership has ended, this process has no load figures for the pool.
                 context.metrics.pool.reset();
             }
             continue;
--- a/crates/cell/src/peers.rs
+++ b/crates/cell/src/peers.rs
@@ -1,5 +1,5 @@
-//! Talk between the processes: every process asks the owner, never the other
-//! way round, so that the owner needs no list of peers.
+//! Requests between the processes of a cell. Processes call the owner and the owner calls none of
+//! them, so it needs no list of peers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use job::Epoch;
 use job::JobId;
 use job::JobSpec;
-use job::Shown;
+use job::JobStatus;
 use job::StepKey;
 use job::WorkerId;
 use serde::Deserialize;
@@ -25,168 +25,174 @@
 use crate::Acceptance;
 use crate::Acceptor;
 use crate::Context;
+use crate::OwnerHandle;
 use crate::OwnerMessage;
-use crate::OwnerPort;
 
-/// Time for the owner's answer about a job; the caller falls back to the
-/// store, so it is short.
-const ASK_TIMEOUT: Duration = Duration::from_millis(400);
+/// Timeout of a request to the owner. It is short because the process falls back to the store.
+const OWNER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time for the acceptance of a job that another host has passed on: most of the
-/// three seconds that callers wait.
-const ACCEPT_TIME: Duration = Duration::from_millis(2400);
+/// Time for the owner to accept a job that another host has forwarded: most of the three seconds
+/// that callers wait.
+const FORWARD_TIMEOUT: Duration = Duration::from_millis(2400);
 
-/// Longest wait of a helper for work.
-pub const HELP_WAIT: Duration = Duration::from_secs(1);
+/// Longest time for which the owner holds a helper's poll open.
+pub const POLL_WAIT: Duration = Duration::from_secs(1);
 
-/// Time for the owner's answer beyond that wait.
-const HELP_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time for the reply to a poll beyond [`POLL_WAIT`].
+const POLL_SLACK: Duration = Duration::from_millis(500);
 
-/// An advice call that the owner hands to a helper.
+/// An advice call that the owner delegates to a helper.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct HelpOrder {
-    /// The step.
+pub struct AdviceQuery {
+    /// Step that the call is about.
     pub step: StepKey,
-    /// The workers to ask about.
+    /// Workers to ask about.
     pub workers: Vec<WorkerId>,
-    /// How long the service will take.
+    /// Time that the advice service is expected to take.
     pub cost: Duration,
 }
 
-/// What became of an advice call.
+/// Result of a delegated advice call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct HelpResult {
-    /// The step.
+pub struct AdviceResult {
+    /// Step that the call was about.
     pub step: StepKey,
-    /// The workers asked about.
+    /// Workers that the call asked about.
     pub workers: Vec<WorkerId>,
-    /// Worker and ticket of those that may run the step; none if the call
-    /// failed.
+    /// Worker and ticket of each worker that may run the step; `None` if the call failed.
     pub good: Option<Vec<(WorkerId, String)>>,
-    /// How long the tickets last from the answer on, if the service said so.
+    /// Validity of the tickets, counted from the reply of the advice service, if it gave one.
     pub valid: Option<Duration>,
-    /// Time since the answer.
+    /// Time since the reply of the advice service.
     pub age: Duration,
 }
 
-/// A helper asks for work and brings the result of the former.
+/// A helper's request for the next advice query, with the result of the previous one.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct HelpRequest {
-    /// The helper's host.
+pub struct HelperPoll {
+    /// Name of the helper's host.
     pub node: String,
-    /// Result of the last call.
-    pub result: Option<HelpResult>,
+    /// Result of the previous query, if there was one.
+    pub result: Option<AdviceResult>,
 }
 
 /// A job whose row was just committed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct AcceptedJob {
-    /// The job.
+    /// Id of the job.
     pub id: JobId,
-    /// What it is.
+    /// Specification of the job.
     pub spec: JobSpec,
 }
 
-/// What the owner says of a job.
+/// The owner's reply to a question about a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum OwnerView {
-    /// Its state.
-    Job(Shown),
-    /// Not known here, so nothing of it has started; the store knows more.
+pub enum JobView {
+    /// Status of the job.
+    Job(JobStatus),
+    /// The owner has no record of the job, so none of its tasks has started; the store may have
+    /// more.
     Unknown,
-    /// A predecessor may have started it.
+    /// The former owner may have started the job, which this owner has not yet found out.
     Undecided,
 }
 
-/// Why the owner did not answer.
+/// Why the owner gave no reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoOwner {
-    /// None is known.
+pub enum OwnerError {
+    /// No process is known to own the pool.
     None,
-    /// It does not answer, or does not own the pool any more.
+    /// The process did not answer, or no longer owns the pool.
     Silent,
 }
 
-/// Asks the owner, in this process or another.
+/// Sends requests to the owner of the pool, in this process or another one.
 #[derive(Clone, Debug)]
 pub struct OwnerClient {
     context: Context,
-    local: OwnerPort,
-    /// Epoch of the owner that did not answer last, and until when it is not
-    /// asked again.
-    quiet: watch::Sender<(Epoch, Duration)>,
+    local_owner: OwnerHandle,
+    /// Epoch of the last owner that did not answer, and the time until which it is not called
+    /// again.
+    backoff: watch::Sender<(Epoch, Duration)>,
 }
 
-/// Time for which an owner that did not answer is not asked again. Each caller
-/// would else wait for it in vain before the store is read.
-const QUIET: Duration = Duration::from_millis(700);
+/// Time for which an owner that did not answer is not called again. Otherwise each caller would
+/// first wait for the timeout before the store is read.
+const OWNER_BACKOFF: Duration = Duration::from_millis(700);
 
 impl OwnerClient {
-    /// A client; `local` reaches the owner in this process, if it is here.
+    /// Creates a client; `local_owner` reaches the owner if it is in this process.
     #[must_use]
-    pub fn new(context: Context, local: OwnerPort) -> OwnerClient {
-        let (quiet, _) = watch::channel((0, Duration::ZERO));
+    pub fn new(context: Context, local_owner: OwnerHandle) -> OwnerClient {
+        let (backoff, _) = watch::channel((0, Duration::ZERO));
         OwnerClient {
             context,
-            local,
-            quiet,
+            local_owner,
+            backoff,
         }
     }
 
-    /// State of a job.
+    /// Asks for the status of a job.
     ///
     /// # Errors
-    /// The owner did not answer.
-    pub async fn state(&self, id: JobId) -> Result<OwnerView, NoOwner> {
-        let make = |reply| OwnerMessage::State(id, reply);
+    /// Fails if the owner did not answer.
+    pub async fn state(&self, id: JobId) -> Result<JobView, OwnerError> {
+        let make_message = |reply| OwnerMessage::JobState(id, reply);
         self.ask(
-            make,
+            make_message,
             Method::GET,
             &format!("/state/{id:016x}"),
             &(),
-            ASK_TIMEOUT,
+            OWNER_TIMEOUT,
         )
         .await
     }
 
-    /// Number of jobs of a queue that wait.
+    /// Asks for the number of jobs that wait in a queue.
     ///
     /// # Errors
-    /// The owner did not answer.
-    pub async fn waiting(&self, queue: &str) -> Result<usize, NoOwner> {
-        let make = |reply| OwnerMessage::Waiting(queue.to_owned(), reply);
+    /// Fails if the owner did not answer.
+    pub async fn waiting(&self, queue: &str) -> Result<usize, OwnerError> {
+        let make_message = |reply| OwnerMessage::QueueLength(queue.to_owned(), reply);
         let path = format!("/waiting/{}", web::encode(queue));
-        self.ask(make, Method::GET, &path, &(), ASK_TIMEOUT).await
+        self.ask(make_message, Method::GET, &path, &(), OWNER_TIMEOUT)
+            .await
     }
 
-    /// Tells of a job that was accepted. The feed brings it too, but later: up
-    /// to a second when the store's watches hang.
+    /// Notifies the owner of an accepted job. The change feed also delivers the job, but later:
+    /// up to a second when the store's watches hang.
     ///
     /// # Errors
-    /// The owner did not answer.
-    pub async fn accepted(&self, job: AcceptedJob) -> Result<(), NoOwner> {
+    /// Fails if the owner did not answer.
+    pub async fn notify_accepted(&self, job: AcceptedJob) -> Result<(), OwnerError> {
         let body = job.clone();
-        let make = |reply| OwnerMessage::Accepted(Box::new(job), reply);
-        self.ask(make, Method::POST, "/accepted", &body, ASK_TIMEOUT)
-            .await
+        let make_message = |reply| OwnerMessage::JobAccepted(Box::new(job), reply);
+        self.ask(
+            make_message,
+            Method::POST,
+            "/accepted",
+            &body,
+            OWNER_TIMEOUT,
+        )
+        .await
     }
 
-    /// Tells of a job that was cancelled. The feed brings it too, but later, and tasks of
-    /// the job could start until then.
+    /// Notifies the owner of a cancelled job. The change feed also delivers the cancel, but
+    /// later, and tasks of the job could start in the meantime.
     ///
     /// # Errors
-    /// The owner did not answer.
-    pub async fn canceled(&self, id: JobId) -> Result<(), NoOwner> {
-        let make = |reply| OwnerMessage::Canceled(id, reply);
+    /// Fails if the owner did not answer.
+    pub async fn notify_canceled(&self, id: JobId) -> Result<(), OwnerError> {
+        let make_message = |reply| OwnerMessage::JobCanceled(id, reply);
         let path = format!("/canceled/{id:016x}");
-        self.ask(make, Method::POST, &path, &(), ASK_TIMEOUT).await
+        self.ask(make_message, Method::POST, &path, &(), OWNER_TIMEOUT)
+            .await
     }
 
-    /// Passes a job on to the owner, since the store turns this host away; the
-    /// job must certainly not have been accepted here. Nothing if it was not
-    /// passed on.
+    /// Forwards a job to the owner because the store refuses this host. The caller must be
+    /// certain that the job was not accepted here. Returns `None` if the job was not forwarded.
     pub(crate) async fn accept(&self, job: &AcceptedJob, timeout: Duration) -> Option<Acceptance> {
-        let owner = self.context.seat.borrow().owner().cloned()?;
+        let owner = self.context.ownership.borrow().owner().cloned()?;
         if owner.incarnation == self.context.incarnation {
             return None;
         }
@@ -205,37 +211,42 @@
         }
     }
 
-    /// Asks for an advice call to make, and delivers the last result.
+    /// Polls for an advice query and delivers the result of the previous one.
     ///
     /// # Errors
-    /// The owner did not answer; the result may be lost.
-    pub async fn help(&self, request: HelpRequest) -> Result<Option<HelpOrder>, NoOwner> {
+    /// Fails if the owner did not answer; the result may be lost.
+    pub async fn help(&self, request: HelperPoll) -> Result<Option<AdviceQuery>, OwnerError> {
         let body = request.clone();
-        let make = |reply| OwnerMessage::Help(request, reply);
-        let timeout = HELP_WAIT + HELP_TIMEOUT;
-        self.ask(make, Method::POST, "/help", &body, timeout).await
+        let make_message = |reply| OwnerMessage::Help(request, reply);
+        let timeout = POLL_WAIT + POLL_SLACK;
+        self.ask(make_message, Method::POST, "/help", &body, timeout)
+            .await
     }
 
     async fn ask<T, B>(
         &self,
-        make: impl FnOnce(oneshot::Sender<T>) -> OwnerMessage,
+        make_message: impl FnOnce(oneshot::Sender<T>) -> OwnerMessage,
         method: Method,
         path: &str,
         body: &B,
         timeout: Duration,
-    ) -> Result<T, NoOwner>
+    ) -> Result<T, OwnerError>
     where
         T: serde::de::DeserializeOwned,
         B: Serialize,
     {
-        let owner = self.context.seat.borrow().owner().cloned();
-        let owner = owner.ok_or(NoOwner::None)?;
+        let owner = self.context.ownership.borrow().owner().cloned();
+        let owner = owner.ok_or(OwnerError::None)?;
         if owner.incarnation == self.context.incarnation {
-            return self.local.ask(make, timeout).await.ok_or(NoOwner::Silent);
+            return self
+                .local_owner
+                .ask(make_message, timeout)
+                .await
+                .ok_or(OwnerError::Silent);
         }
-        let (epoch, until) = *self.quiet.borrow();
+        let (epoch, until) = *self.backoff.borrow();
         if epoch == owner.epoch && self.context.now() < until {
-            return Err(NoOwner::Silent);
+            return Err(OwnerError::Silent);
         }
         let call = Call::new(method, owner.address, path, timeout).json(body);
         let reply = match self.context.client.send(call).await {
@@ -243,31 +254,31 @@
             Err(error) => {
                 log::warn!(code = 416, owner = owner.node.as_str(), epoch = owner.epoch, error:% = error; "owner does not answer");
                 if error.broken() {
-                    self.context.suspect(owner.epoch);
+                    self.context.suspect_owner(owner.epoch);
                 }
-                let until = self.context.now() + QUIET;
-                self.quiet.send_replace((owner.epoch, until));
-                return Err(NoOwner::Silent);
+                let until = self.context.now() + OWNER_BACKOFF;
+                self.backoff.send_replace((owner.epoch, until));
+                return Err(OwnerError::Silent);
             }
         };
         if reply.status != StatusCode::OK {
-            return Err(NoOwner::Silent);
+            return Err(OwnerError::Silent);
         }
-        reply.json(owner.address).map_err(|_| NoOwner::Silent)
+        reply.json(owner.address).map_err(|_| OwnerError::Silent)
     }
 }
 
-/// Answers peers, from the owner in this process.
+/// Handles requests of peers with the help of the owner in this process.
 pub struct PeerHandler {
-    port: OwnerPort,
+    port: OwnerHandle,
     context: Context,
     acceptor: Acceptor,
 }
 
 impl PeerHandler {
-    /// A handler that asks `port`.
+    /// Creates a handler that passes requests to the owner behind `port`.
     #[must_use]
-    pub fn new(port: OwnerPort, context: Context) -> Arc<PeerHandler> {
+    pub fn new(port: OwnerHandle, context: Context) -> Arc<PeerHandler> {
         let acceptor = Acceptor::new(context.clone());
         Arc::new(PeerHandler {
             port,
@@ -276,24 +287,25 @@
         })
     }
 
-    /// Accepts a job for a host that the store turns away.
+    /// Accepts a job on behalf of a host that the store refuses.
     async fn accept(&self, job: AcceptedJob) -> Whole {
-        let end = self.context.now() + ACCEPT_TIME;
-        let acceptance = self.acceptor.accept(&job, end).await;
+        let deadline = self.context.now() + FORWARD_TIMEOUT;
+        let acceptance = self.acceptor.accept(&job, deadline).await;
         if acceptance == (Acceptance::Accepted { first: true }) {
-            // The feed brings it, if the pool is not owned here any more.
-            let make = |reply| OwnerMessage::Accepted(Box::new(job), reply);
-            let _ = self.port.ask(make, ASK_TIMEOUT).await;
+            // If this process no longer owns the pool, the change feed delivers the job to the
+            // new owner.
+            let make_message = |reply| OwnerMessage::JobAccepted(Box::new(job), reply);
+            let _ = self.port.ask(make_message, OWNER_TIMEOUT).await;
         }
         web::json(StatusCode::OK, &acceptance)
     }
 
     async fn relay<T: Serialize>(
         &self,
-        make: impl FnOnce(oneshot::Sender<T>) -> OwnerMessage,
+        make_message: impl FnOnce(oneshot::Sender<T>) -> OwnerMessage,
         timeout: Duration,
     ) -> Whole {
-        match self.port.ask(make, timeout).await {
+        match self.port.ask(make_message, timeout).await {
             Some(value) => web::json(StatusCode::OK, &value),
             None => web::error(StatusCode::CONFLICT, "not the owner of the pool"),
         }
@@ -301,50 +313,50 @@
 }
 
 impl Handler for PeerHandler {
-    async fn handle(&self, asked: Asked) -> Whole {
-        if let Some(id) = asked.path.strip_prefix("/state/") {
-            return match job::parse_job(id) {
+    async fn handle(&self, incoming: Asked) -> Whole {
+        if let Some(id) = incoming.path.strip_prefix("/state/") {
+            return match job::parse_job_id(id) {
                 Ok(id) => {
-                    self.relay(|reply| OwnerMessage::State(id, reply), ASK_TIMEOUT)
+                    self.relay(|reply| OwnerMessage::JobState(id, reply), OWNER_TIMEOUT)
                         .await
                 }
                 Err(error) => web::error(StatusCode::BAD_REQUEST, &error.to_string()),
             };
         }
-        if let Some(id) = asked.path.strip_prefix("/canceled/") {
-            return match job::parse_job(id) {
+        if let Some(id) = incoming.path.strip_prefix("/canceled/") {
+            return match job::parse_job_id(id) {
                 Ok(id) => {
-                    let make = |reply| OwnerMessage::Canceled(id, reply);
-                    self.relay(make, ASK_TIMEOUT).await
+                    let make_message = |reply| OwnerMessage::JobCanceled(id, reply);
+                    self.relay(make_message, OWNER_TIMEOUT).await
                 }
                 Err(error) => web::error(StatusCode::BAD_REQUEST, &error.to_string()),
             };
         }
-        if let Some(queue) = asked.path.strip_prefix("/waiting/") {
+        if let Some(queue) = incoming.path.strip_prefix("/waiting/") {
             let queue = queue.to_owned();
-            let make = |reply| OwnerMessage::Waiting(queue, reply);
-            return self.relay(make, ASK_TIMEOUT).await;
+            let make_message = |reply| OwnerMessage::QueueLength(queue, reply);
+            return self.relay(make_message, OWNER_TIMEOUT).await;
         }
-        if asked.path == "/help" {
-            return match serde_json::from_slice::<HelpRequest>(&asked.body) {
+        if incoming.path == "/help" {
+            return match serde_json::from_slice::<HelperPoll>(&incoming.body) {
                 Ok(request) => {
-                    let make = |reply| OwnerMessage::Help(request, reply);
-                    self.relay(make, HELP_WAIT + HELP_TIMEOUT).await
+                    let make_message = |reply| OwnerMessage::Help(request, reply);
+                    self.relay(make_message, POLL_WAIT + POLL_SLACK).await
                 }
                 Err(error) => web::error(StatusCode::BAD_REQUEST, &error.to_string()),
             };
         }
-        if asked.path == "/accept" {
-            return match serde_json::from_slice::<AcceptedJob>(&asked.body) {
+        if incoming.path == "/accept" {
+            return match serde_json::from_slice::<AcceptedJob>(&incoming.body) {
                 Ok(job) => self.accept(job).await,
                 Err(error) => web::error(StatusCode::BAD_REQUEST, &error.to_string()),
             };
         }
-        if asked.path == "/accepted" {
-            return match serde_json::from_slice::<AcceptedJob>(&asked.body) {
+        if incoming.path == "/accepted" {
+            return match serde_json::from_slice::<AcceptedJob>(&incoming.body) {
                 Ok(job) => {
-                    let make = |reply| OwnerMessage::Accepted(Box::new(job), reply);
-                    self.relay(make, ASK_TIMEOUT).await
+                    let make_message = |reply| OwnerMessage::JobAccepted(Box::new(job), reply);
+                    self.relay(make_message, OWNER_TIMEOUT).await
                 }
                 Err(error) => web::error(StatusCode::BAD_REQUEST, &error.to_string()),
             };
--- a/crates/cell/src/rows.rs
+++ b/crates/cell/src/rows.rs
@@ -1,126 +1,127 @@
-//! Rows that the project keeps in the store, and their encoding.
+//! Rows that a cell keeps in the store, and their encoding.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use job::Epoch;
 use job::IdError;
+use job::IncarnationId;
 use job::JobId;
-use job::LifeId;
 use job::Outcome;
 use job::Progress;
-use job::Room;
+use job::Resources;
 use job::StepProgress;
 use platform::RowName;
 use serde::Deserialize;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Accepted jobs, by id.
+/// Table of accepted jobs, by job id.
 pub const JOB_TABLE: &str = "jobs";
 
-/// Progress of jobs, by id; written by the owner alone.
+/// Table of the progress of jobs, by job id; only the owner writes it.
 pub const PROGRESS_TABLE: &str = "progress";
 
-/// The owner of the pool.
-pub const SEAT_TABLE: &str = "seat";
+/// Table with the row that says who owns the pool.
+pub const OWNERSHIP_TABLE: &str = "seat";
 
-/// Workers that the owner may have given work to, by worker id.
-pub const USED_TABLE: &str = "used";
+/// Table of workers that the owner may have sent work to, by worker id.
+pub const USED_WORKER_TABLE: &str = "used";
 
-/// Part that holds all that the owner writes, so that one transaction can
-/// write it and check the ownership.
+/// Part that holds all rows that the owner writes, so that one transaction can write them and
+/// check the ownership.
 pub const OWNER_PART: &str = "owner";
 
-/// Parts over which accepted jobs are spread. A part does one transaction after
-/// another. When the store is slow, one takes most of a second; with 8 parts,
-/// 430 of 2,500 jobs of such a day were turned away.
+/// Number of parts over which accepted jobs are spread. A part does one transaction after
+/// another, and one takes most of a second when the store is slow: with 8 parts, 430 of 2,500
+/// jobs of a day with a slow store were refused.
 const JOB_PARTS: u64 = 128;
 
-/// Places that a job's row may have. The store may refuse some of its parts and
-/// serve the others: with a fifth of them away, one place turned away a fifth of
-/// all jobs for as long; four places turn away one in five hundred.
-const JOB_PLACES: usize = 4;
+/// Number of rows, in different parts, in which a job may be stored. The store may refuse some
+/// parts and serve the others: with a fifth of the parts unavailable, one possible row meant that
+/// a fifth of all jobs were refused; with four it is one in five hundred.
+const JOB_ROWS: usize = 4;
 
-/// Name of the row of a job: the first of its places.
+/// Returns the name of a job's usual row, the first of [`job_rows`].
 #[must_use]
 pub fn job_row(id: JobId) -> RowName {
-    place_row(id, 0)
+    job_row_at(id, 0)
 }
 
-/// Names of all rows that a job may have, the usual one first. A job may have
-/// more than one: its first write got no answer and was done late. They say the
-/// same, but for the cancel, which counts if any of them has it.
+/// Returns the names of all rows that a job may have, the usual one first. A job has more than
+/// one row if its first write got no reply and was carried out late. The rows are equal except
+/// for the cancel, which counts if any of them has it.
 #[must_use]
-pub fn job_rows(id: JobId) -> [RowName; JOB_PLACES] {
-    std::array::from_fn(|place| place_row(id, place))
+pub fn job_rows(id: JobId) -> [RowName; JOB_ROWS] {
+    std::array::from_fn(|index| job_row_at(id, index))
 }
 
-/// The parts of a job's places depend on its whole id: a fixed distance apart,
-/// they were away together, since the store deals its parts in a pattern of its
-/// own (one job in twenty had three places away of three).
-fn place_row(id: JobId, place: usize) -> RowName {
+/// Returns the name of a job's row at `index`. The part of each row is derived from a hash of the
+/// whole id. With parts a fixed distance apart, a job's rows became unavailable together, because
+/// the store distributes its parts in a regular pattern: one job in twenty lost three rows of
+/// three.
+fn job_row_at(id: JobId, index: usize) -> RowName {
     let key = format!("{id:016x}");
-    if place == 0 {
+    if index == 0 {
         return RowName::new(JOB_TABLE, &format!("j{}", id % JOB_PARTS), &key);
     }
-    let key = format!("{key}.{place}");
+    let key = format!("{key}.{index}");
     let part = xxhash_rust::xxh3::xxh3_64(key.as_bytes()) % JOB_PARTS;
     RowName::new(JOB_TABLE, &format!("j{part}"), &key)
 }
 
-/// The job that a row of the table of jobs is of.
+/// Returns the id of the job that a row of the table of jobs belongs to.
 ///
 /// # Errors
-/// The key is none that a job's row has.
-pub fn job_of(row: &RowName) -> Result<JobId, IdError> {
+/// Fails if the row's key is not that of a job.
+pub fn job_id_of(row: &RowName) -> Result<JobId, IdError> {
     let id = row.key.split('.').next().unwrap_or_default();
-    job::parse_job(id)
+    job::parse_job_id(id)
 }
 
-/// Name of the row of a job's progress.
+/// Returns the name of the row with a job's progress.
 #[must_use]
 pub fn progress_row(id: JobId) -> RowName {
     RowName::new(PROGRESS_TABLE, OWNER_PART, &format!("{id:016x}"))
 }
 
-/// Name of the row that says who owns the pool.
+/// Returns the name of the row that says who owns the pool.
 #[must_use]
-pub fn seat_row() -> RowName {
-    RowName::new(SEAT_TABLE, OWNER_PART, "owner")
+pub fn ownership_row() -> RowName {
+    RowName::new(OWNERSHIP_TABLE, OWNER_PART, "owner")
 }
 
-/// Name of the row of a worker that the owner may have given work to.
+/// Returns the name of the row of a worker that the owner may have sent work to.
 #[must_use]
-pub fn used_row(id: &str) -> RowName {
-    RowName::new(USED_TABLE, OWNER_PART, id)
+pub fn used_worker_row(id: &str) -> RowName {
+    RowName::new(USED_WORKER_TABLE, OWNER_PART, id)
 }
 
-/// Who owns the pool.
+/// Ownership of the pool, as stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seat {
-    /// Number of the ownership, from 1.
+pub struct Ownership {
+    /// Number of the ownership, counted from 1; each take-over raises it.
     pub epoch: Epoch,
-    /// Host of the owner.
+    /// Name of the owner's host.
     pub node: String,
-    /// Run of the owner's process.
+    /// Id of the start of the owner's process.
     pub incarnation: u64,
-    /// Where peers reach the owner.
+    /// Address on which peers reach the owner.
     pub address: SocketAddr,
-    /// Rises with each renewal.
+    /// Counter that rises with each renewal.
     pub beat: u64,
-    /// The owner has given up the pool; anyone may take it at once.
+    /// Whether the owner has given up the pool; any process may then take it at once.
     pub released: bool,
-    /// Calls a second that the owner's host can make, by its processor and its link.
+    /// Calls a second that the owner's host can make, limited by its processor and its link.
     pub calls: u32,
-    /// The owner cannot keep up: its calls are answered late, or it has read for long
-    /// what a predecessor left.
+    /// Whether the owner cannot keep up: replies to its calls come late, or it has been reading
+    /// the state of a former owner for too long.
     pub strained: bool,
 }
 
-/// What earlier versions wrote of the ownership.
+/// The ownership as written by earlier versions, without `calls` and `strained`.
 #[derive(Deserialize)]
-struct EarlierSeat {
+struct LegacyOwnership {
     epoch: Epoch,
     node: String,
     incarnation: u64,
@@ -129,113 +130,114 @@
     released: bool,
 }
 
-/// A worker that the owner may have given work to.
+/// A worker that the owner may have sent work to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsedWorker {
-    /// Pool that it belongs to.
+    /// Service whose pool the worker belongs to.
     pub service: String,
-    /// Where it takes orders.
+    /// Address on which the worker takes commands.
     pub address: SocketAddr,
-    /// Processors, memory and accelerators in all; nothing if not known.
-    pub capacity: Room,
-    /// Kind and rack.
+    /// Capacity of the worker: processors, memory and accelerators; zero if not known.
+    pub capacity: Resources,
+    /// Kind and rack of the worker.
     pub labels: Vec<String>,
-    /// Its life; nothing if not known.
-    pub life: Option<LifeId>,
+    /// Incarnation of the worker; `None` if not known.
+    pub incarnation: Option<IncarnationId>,
 }
 
-/// Decodes the row of the ownership, also one of an earlier version.
+/// Decodes the row of the ownership, including one of an earlier version.
 ///
 /// # Errors
-/// The bytes are no such row.
-pub fn decode_seat(bytes: &[u8]) -> Result<Seat, postcard::Error> {
-    decode_row::<Seat>(bytes).or_else(|_| {
-        let earlier = decode_row::<EarlierSeat>(bytes)?;
-        Ok(Seat {
-            epoch: earlier.epoch,
-            node: earlier.node,
-            incarnation: earlier.incarnation,
-            address: earlier.address,
-            beat: earlier.beat,
-            released: earlier.released,
+/// Fails if the bytes are not such a row.
+pub fn decode_ownership(bytes: &[u8]) -> Result<Ownership, postcard::Error> {
+    decode_row::<Ownership>(bytes).or_else(|_| {
+        let legacy = decode_row::<LegacyOwnership>(bytes)?;
+        Ok(Ownership {
+            epoch: legacy.epoch,
+            node: legacy.node,
+            incarnation: legacy.incarnation,
+            address: legacy.address,
+            beat: legacy.beat,
+            released: legacy.released,
             calls: 0,
             strained: false,
         })
     })
 }
 
-/// What earlier versions wrote of such a worker: without its life, or without its size.
+/// A worker's row as written by an earlier version, without the incarnation. An even earlier
+/// version had no capacity and labels either, see [`LegacyWorkerAddress`].
 #[derive(Deserialize)]
-struct EarlierUsed {
+struct LegacyUsedWorker {
     service: String,
     address: SocketAddr,
-    capacity: Room,
+    capacity: Resources,
     labels: Vec<String>,
 }
 
 #[derive(Deserialize)]
-struct UsedAddress {
+struct LegacyWorkerAddress {
     service: String,
     address: SocketAddr,
 }
 
 /// Encodes a row's value.
 pub fn encode_row<T: Serialize>(value: &T) -> Vec<u8> {
-    // Encoding fails only for types that postcard does not support; ours are
-    // plain structs, which the tests of this module encode.
+    // Encoding fails only for types that postcard does not support. These rows are plain structs,
+    // which the tests in `tests/rows.rs` encode.
     postcard::to_allocvec(value).unwrap_or_default()
 }
 
 /// Decodes a row's value.
 ///
 /// # Errors
-/// The bytes are not such a value.
+/// Fails if the bytes are not such a value.
 pub fn decode_row<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, postcard::Error> {
     postcard::from_bytes(bytes)
 }
 
-/// Decodes a row of a worker in use, also one of an earlier version, which does
-/// not tell its life, or its size.
+/// Decodes a row of a used worker, including one of an earlier version, which has no incarnation
+/// and perhaps no capacity.
 ///
 /// # Errors
-/// The bytes are no such row.
-pub fn decode_used(bytes: &[u8]) -> Result<UsedWorker, postcard::Error> {
+/// Fails if the bytes are not such a row.
+pub fn decode_used_worker(bytes: &[u8]) -> Result<UsedWorker, postcard::Error> {
     if let Ok(worker) = decode_row::<UsedWorker>(bytes) {
         return Ok(worker);
     }
-    if let Ok(earlier) = decode_row::<EarlierUsed>(bytes) {
+    if let Ok(legacy) = decode_row::<LegacyUsedWorker>(bytes) {
         return Ok(UsedWorker {
-            service: earlier.service,
-            address: earlier.address,
-            capacity: earlier.capacity,
-            labels: earlier.labels,
-            life: None,
+            service: legacy.service,
+            address: legacy.address,
+            capacity: legacy.capacity,
+            labels: legacy.labels,
+            incarnation: None,
         });
     }
-    let UsedAddress { service, address } = decode_row(bytes)?;
+    let LegacyWorkerAddress { service, address } = decode_row(bytes)?;
     Ok(UsedWorker {
         service,
         address,
-        capacity: Room::default(),
+        capacity: Resources::default(),
         labels: Vec::new(),
-        life: None,
+        incarnation: None,
     })
 }
 
-/// What earlier versions wrote of a job's progress: without crashes.
+/// A job's progress as written by earlier versions, without crashes.
 #[derive(Deserialize)]
-struct EarlierProgress {
+struct LegacyProgress {
     outcome: Option<Outcome>,
     steps: BTreeMap<(u32, u32), StepProgress>,
 }
 
-/// Decodes a row of a job's progress, also one of an earlier version.
+/// Decodes a row of a job's progress, including one of an earlier version.
 ///
 /// # Errors
-/// The bytes are no such row.
+/// Fails if the bytes are not such a row.
 pub fn decode_progress(bytes: &[u8]) -> Result<Progress, postcard::Error> {
     decode_row::<Progress>(bytes).or_else(|_| {
-        let EarlierProgress { outcome, steps } = decode_row(bytes)?;
+        let LegacyProgress { outcome, steps } = decode_row(bytes)?;
         Ok(Progress {
             outcome,
             steps,
@@ -244,16 +246,17 @@
     })
 }
 
-/// Row that each write of the owner is conditional on, and changes.
+/// Value of the guard row: each transaction of the owner requires that this row is unchanged, and
+/// writes it again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Guard {
-    /// Number of the ownership.
+    /// Number of the ownership that the write belongs to.
     pub epoch: Epoch,
-    /// Run of the owner's process.
+    /// Id of the start of the owner's process.
     pub incarnation: u64,
 }
 
-/// Name of the row that guards the owner's writes.
+/// Returns the name of the row that guards the owner's writes.
 #[must_use]
 pub fn guard_row() -> RowName {
     RowName::new("guard", OWNER_PART, "owner")
--- a/crates/cell/src/stored.rs
+++ b/crates/cell/src/stored.rs
@@ -1,9 +1,9 @@
-//! What the store says of a job.
+//! Status of a job according to its rows in the store.
 
 use job::JobId;
 use job::JobSpec;
+use job::JobStatus;
 use job::Progress;
-use job::Shown;
 use platform::Row;
 use platform::StoreError;
 use snafu::ResultExt;
@@ -17,41 +17,42 @@
 use crate::job_rows;
 use crate::progress_row;
 
-/// Why the store's rows do not tell what is asked. None of these means that
-/// there is no row.
+/// Why the status of a job cannot be derived from its rows. None of these errors means that the
+/// row does not exist.
 #[derive(Debug, Snafu)]
 pub(crate) enum StoredError {
-    /// The store did not give the row.
-    #[snafu(display("not read: {source}"))]
+    /// The store did not return the row.
+    #[snafu(display("row not read: {source}"))]
     Read {
-        /// Cause.
+        /// Error of the read.
         source: StoreError,
     },
-    /// The store has only its acceptance; whether a task has started is known to
-    /// the owner alone.
-    #[snafu(display("nothing is recorded but its acceptance"))]
-    Open,
-    /// The row's value is not what this version writes.
-    #[snafu(display("not decoded: {source}"))]
+    /// Only the job's acceptance is stored; whether one of its tasks has started is known to the
+    /// owner alone.
+    #[snafu(display("only the acceptance of the job is stored"))]
+    Undecided,
+    /// The row's value cannot be decoded by this version.
+    #[snafu(display("row not decoded: {source}"))]
     Decode {
-        /// Cause.
+        /// Error of the decoder.
         source: postcard::Error,
     },
 }
 
 impl CallerHandler {
-    /// State of a job as the store knows it. `untouched` says that the owner
-    /// does not know of it, so nothing of it has started.
+    /// Returns the status of a job according to the store, or `None` if the job does not exist.
+    /// `start_refused` means that the owner has no record of the job, so none of its tasks has
+    /// started.
     ///
-    /// The store hears of a start a moment later than the worker. Without the
-    /// owner, a job that it had not heard of was shown as pending after it had
-    /// been active, and one whose cancel was stored as canceled, which may yet
-    /// prove completed.
-    pub(crate) async fn stored(
+    /// The store learns of a start a moment later than the worker. If the owner does not answer,
+    /// an accepted job may therefore be active already, and a cancelled one may still complete:
+    /// without this distinction, jobs were shown as pending after they had been active, or as
+    /// canceled before they completed.
+    pub(crate) async fn stored_status(
         &self,
         id: JobId,
-        untouched: bool,
-    ) -> Result<Option<Shown>, StoredError> {
+        not_started: bool,
+    ) -> Result<Option<JobStatus>, StoredError> {
         let progress = self.stored_progress(id).await?;
         if let Some(outcome) = progress.as_ref().and_then(|progress| progress.outcome) {
             return Ok(Some(outcome.into()));
@@ -60,77 +61,81 @@
             return Ok(None);
         };
         let spec = job.spec;
-        // The row that was not read may hold the cancel.
-        if let Some(error) = job.unread.filter(|_| !spec.canceled) {
+        // The row that could not be read may hold the cancel.
+        if let Some(error) = job.read_error.filter(|_| !spec.canceled) {
             return Err(error).context(ReadSnafu);
         }
-        let begun = progress.is_some_and(|progress| progress.begun());
-        match (begun, untouched) {
-            (true, _) => Ok(Some(Shown::Active)),
-            (false, true) if spec.canceled => Ok(Some(Shown::Canceled)),
-            (false, true) => Ok(Some(Shown::Pending)),
-            (false, false) => OpenSnafu.fail(),
+        let begun = progress.is_some_and(|progress| progress.has_started());
+        match (begun, not_started) {
+            (true, _) => Ok(Some(JobStatus::Active)),
+            (false, true) if spec.canceled => Ok(Some(JobStatus::Canceled)),
+            (false, true) => Ok(Some(JobStatus::Pending)),
+            (false, false) => UndecidedSnafu.fail(),
         }
     }
 
     async fn stored_progress(&self, id: JobId) -> Result<Option<Progress>, StoredError> {
         let store = &self.context.store;
-        let row = store.get(&progress_row(id), STORE_TIMEOUT).await;
+        let row = store.read_row(&progress_row(id), STORE_TIMEOUT).await;
         row.context(ReadSnafu)?
-            .map(|row| checked(id, &row, decode_progress(&row.value)))
+            .map(|row| log_undecodable(id, &row, decode_progress(&row.value)))
             .transpose()
     }
 
-    /// What the rows of a job say together; nothing if there is certainly none.
+    /// Combines the rows of a job; returns `None` if the job certainly has none.
     pub(crate) async fn stored_job(&self, id: JobId) -> Result<Option<StoredJob>, StoredError> {
         let store = &self.context.store;
         let mut found: Option<StoredJob> = None;
-        let mut unread = None;
+        let mut read_error = None;
         for name in &job_rows(id) {
-            let row = match store.get(name, STORE_TIMEOUT).await {
+            let row = match store.read_row(name, STORE_TIMEOUT).await {
                 Ok(Some(row)) => row,
                 Ok(None) => continue,
                 Err(error) => {
-                    unread.get_or_insert(error);
+                    read_error.get_or_insert(error);
                     continue;
                 }
             };
-            let spec: JobSpec = checked(id, &row, decode_row(&row.value))?;
+            let spec: JobSpec = log_undecodable(id, &row, decode_row(&row.value))?;
             match &mut found {
                 Some(job) => job.spec.canceled |= spec.canceled,
                 None => {
                     found = Some(StoredJob {
                         row,
                         spec,
-                        unread: None,
+                        read_error: None,
                     });
                 }
             }
         }
-        match (found, unread) {
-            (Some(job), unread) => Ok(Some(StoredJob { unread, ..job })),
+        match (found, read_error) {
+            (Some(job), read_error) => Ok(Some(StoredJob { read_error, ..job })),
             (None, Some(error)) => Err(error).context(ReadSnafu),
             (None, None) => Ok(None),
         }
     }
 }
 
-/// An accepted job as the store has it.
+/// An accepted job as stored.
 pub(crate) struct StoredJob {
-    /// The first of its rows.
+    /// First row found for the job.
     pub(crate) row: Row,
-    /// What its rows say together.
+    /// Specification combined from all rows that were found.
     pub(crate) spec: JobSpec,
-    /// A place that may hold another row could not be read.
-    pub(crate) unread: Option<StoreError>,
+    /// Error of a read that may have hidden another row of the job.
+    pub(crate) read_error: Option<StoreError>,
 }
 
-/// Logs it if a row of a job was not decoded.
-fn checked<T>(id: JobId, row: &Row, decoded: Result<T, postcard::Error>) -> Result<T, StoredError> {
+/// Logs a row of a job that cannot be decoded, and converts the error.
+fn log_undecodable<T>(
+    id: JobId,
+    row: &Row,
+    decoded: Result<T, postcard::Error>,
+) -> Result<T, StoredError> {
     if let Err(error) = &decoded {
         log::error!(
             code = 414, job:% = hex(id), table = row.name.table.as_str(), error:% = error;
-            "row of a job unreadable"
+            "row of a job cannot be decoded"
         );
     }
     decoded.context(DecodeSnafu)
--- a/crates/cell/src/submit.rs
+++ b/crates/cell/src/submit.rs
@@ -1,5 +1,5 @@
-//! Callers' jobs: accepted here, or by the owner of the pool if the store turns
-//! this host away.
+//! Submission of jobs: accepted by this process, or by the owner of the pool if the store refuses
+//! this host.
 
 use hyper::StatusCode;
 use job::Config;
@@ -13,59 +13,59 @@
 use crate::Acceptance;
 use crate::AcceptedJob;
 use crate::CallerHandler;
-use crate::callers::Empty;
-use crate::callers::TRY_SHARE;
-use crate::callers::longest;
-use crate::callers::no_answer;
-use crate::callers::unavailable;
+use crate::callers::ATTEMPT_SHARE;
+use crate::callers::EmptyBody;
+use crate::callers::caller_timeout;
+use crate::callers::outcome_unknown;
+use crate::callers::service_unavailable;
 use crate::hex;
 
 impl CallerHandler {
-    /// Takes a caller's job.
+    /// Accepts a caller's job and replies.
     pub(crate) async fn submit(
         &self,
         config: &Config,
         queue: &Queue,
         id: JobId,
-        asked: &Asked,
+        request: &Asked,
     ) -> Whole {
-        if asked.body.len() > config.body_bytes {
+        if request.body.len() > config.body_bytes {
             let reason = format!("body: allowed: at most {} bytes", config.body_bytes);
             return web::error(StatusCode::PAYLOAD_TOO_LARGE, &reason);
         }
-        let spec = match decode_job(&asked.body, queue, self.context.wall()) {
+        let spec = match decode_job(&request.body, queue, self.context.wall_time()) {
             Ok(spec) => spec,
             Err(error) => return web::error(StatusCode::BAD_REQUEST, &error.to_string()),
         };
         let job = AcceptedJob { id, spec };
-        let end = self.context.now() + longest(queue).mul_f64(TRY_SHARE);
-        let mut acceptance = self.acceptor.accept(&job, end).await;
-        let passes = self.context.settings.has(Mechanism::PassOn);
-        if passes && matches!(acceptance, Acceptance::Refused(_)) {
-            // The store may turn this host away alone.
-            let left = end.saturating_sub(self.context.now());
-            let reply = self.owner.accept(&job, left).await;
+        let deadline = self.context.now() + caller_timeout(queue).mul_f64(ATTEMPT_SHARE);
+        let mut acceptance = self.acceptor.accept(&job, deadline).await;
+        let forwards = self.context.settings.has(Mechanism::PassOn);
+        if forwards && matches!(acceptance, Acceptance::Refused(_)) {
+            // The store may refuse only this host.
+            let remaining = deadline.saturating_sub(self.context.now());
+            let reply = self.owner.accept(&job, remaining).await;
             acceptance = reply.unwrap_or(acceptance);
         }
         match acceptance {
             Acceptance::Accepted { first: true } => {
-                self.tell_owner(job);
-                web::json(StatusCode::OK, &Empty {})
+                self.notify_owner(job);
+                web::json(StatusCode::OK, &EmptyBody {})
             }
-            Acceptance::Accepted { first: false } => web::json(StatusCode::OK, &Empty {}),
-            Acceptance::Refused(reason) => unavailable(&reason),
-            Acceptance::Unknown(reason) => no_answer(&reason),
+            Acceptance::Accepted { first: false } => web::json(StatusCode::OK, &EmptyBody {}),
+            Acceptance::Refused(reason) => service_unavailable(&reason),
+            Acceptance::Unknown(reason) => outcome_unknown(&reason),
         }
     }
 
-    /// Tells the owner without making the caller wait; what it misses, the
-    /// feed brings.
-    fn tell_owner(&self, job: AcceptedJob) {
+    /// Notifies the owner without delaying the caller. If the message is lost, the owner reads
+    /// the job from the change feed.
+    fn notify_owner(&self, job: AcceptedJob) {
         let owner = self.owner.clone();
         tokio::spawn(async move {
             let id = job.id;
-            if owner.accepted(job).await.is_err() {
-                log::debug!(code = 404, job:% = hex(id); "owner not told of a job");
+            if owner.notify_accepted(job).await.is_err() {
+                log::debug!(code = 404, job:% = hex(id); "owner not notified of an accepted job");
             }
         });
     }
--- a/crates/cell/tests/context.rs
+++ b/crates/cell/tests/context.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a process share.
+//! Calls to the store that a process abandons after an outage.
 
 use std::future::pending;
 use std::net::Ipv4Addr;
@@ -9,12 +9,12 @@
 use cell::CellSettings;
 use cell::Context;
 use cell::Listen;
+use cell::OwnershipView;
 use cell::Peers;
-use cell::SeatView;
 use platform::StoreError;
 use tokio::sync::watch;
 
-/// Settings of a process that is not opened.
+/// Settings of a process that is never opened.
 fn settings() -> CellSettings {
     let ip = Ipv4Addr::LOCALHOST.into();
     let address = SocketAddr::new(ip, 1);
@@ -42,31 +42,30 @@
     }
 }
 
-fn silent() -> SeatView {
-    SeatView {
-        silent: Some(Duration::ZERO),
-        ..SeatView::default()
+fn unreachable() -> OwnershipView {
+    OwnershipView {
+        unreachable_since: Some(Duration::ZERO),
+        ..OwnershipView::default()
     }
 }
 
-/// Symptom: ends of tasks were shown to callers up to 1.6 s after the store was
-/// back. Sequence: the store falls silent with a write under way, and is back;
-/// the write is never answered. Cause: it was waited for until its timeout, and
-/// the next one behind it.
+/// Guards against task ends that reach callers up to 1.6 s after the store has recovered. The
+/// store stops answering while a write is under way and recovers, but never answers that write.
+/// The write, and the next one behind it, used to wait until its timeout.
 #[tokio::test]
-async fn a_write_to_a_silent_store_is_given_up_when_the_store_is_back() {
+async fn a_write_to_an_unreachable_store_is_abandoned_when_the_store_recovers() {
     let (_config, config) = watch::channel(None);
-    let (view, seat) = watch::channel(SeatView::default());
+    let (view, ownership) = watch::channel(OwnershipView::default());
     let (_stop, stop) = watch::channel(false);
-    let context = Context::new(settings(), config, seat, stop);
+    let context = Context::new(settings(), config, ownership, stop);
     let write = tokio::spawn(async move {
         let never = pending::<Result<(), StoreError>>();
-        context.until_regained(never).await
+        context.until_recovery(never).await
     });
     tokio::task::yield_now().await;
-    view.send_replace(silent());
+    view.send_replace(unreachable());
     tokio::task::yield_now().await;
-    view.send_replace(SeatView::default());
+    view.send_replace(OwnershipView::default());
 
     let result = write.await.expect("write");
 
@@ -74,13 +73,13 @@
 }
 
 #[tokio::test]
-async fn a_write_goes_on_while_the_store_answers() {
+async fn a_write_completes_while_the_store_answers() {
     let (_config, config) = watch::channel(None);
-    let (_view, seat) = watch::channel(SeatView::default());
+    let (_view, ownership) = watch::channel(OwnershipView::default());
     let (_stop, stop) = watch::channel(false);
-    let context = Context::new(settings(), config, seat, stop);
+    let context = Context::new(settings(), config, ownership, stop);
 
-    let result = context.until_regained(async { Ok(7) }).await;
+    let result = context.until_recovery(async { Ok(7) }).await;
 
     assert!(matches!(result, Ok(7)), "{result:?}");
 }
--- a/crates/daemon/tests/soak/main.rs
+++ b/crates/daemon/tests/soak/main.rs
@@ -1,7 +1,7 @@
 //! Randomized fault soak: real processes on loopback, with faults from outside
 //! them, judged by what callers and workers see.
 //!
-//! `SOAK_SEEDS=FIRST-LAST` plays other seeds than the few of CI. The log of each
+//! `SOAK_SEEDS=FIRST_START-LAST` plays other seeds than the few of CI. The log of each
 //! process of a seed that fails is kept, and its folder printed.
 
 mod blame;
--- a/crates/job/src/planner/adopt.rs
+++ b/crates/job/src/planner/adopt.rs
@@ -1,117 +1,119 @@
-//! Runs that a worker lists and this planner has not started: those of a
-//! predecessor.
+//! Adopts or stops runs that a worker reports and that this planner did not start, such as
+//! those of the former owner.
 
 use std::time::Duration;
 
-use super::Order;
+use super::Command;
 use super::Planner;
 use super::StopReason;
 use super::WorkerKey;
-use super::begin::Sighting;
+use super::begin::Observation;
 use super::job_state::Phase;
-use super::roster::Placed;
+use super::roster::PlacedRun;
 use super::roster::RunPhase;
+use crate::ActiveRun;
 use crate::JobId;
-use crate::Room;
-use crate::RunningTask;
+use crate::Resources;
 use crate::StepSpec;
 
 impl Planner {
-    /// Adopts a run whose task waits, or stops it; either way it holds its room.
-    pub(super) fn adopt(&mut self, key: WorkerKey, running: &RunningTask) {
+    /// Adopts a reported run if its task is waiting, and stops it otherwise. Either way the run
+    /// keeps its resources booked until it has ended.
+    pub(super) fn adopt_run(&mut self, key: WorkerKey, running: &ActiveRun) {
         let task = running.task;
         let now = self.now;
-        let sighting = Sighting::of_progress(running.percent);
+        let sighting = Observation::of_progress(running.percent);
         if self.workers[key].runs.contains_key(&task) {
-            // A booking of its own would replace that of the other run, whose
-            // room would never come back: the worker would get no more work.
-            self.orders.push(Order::Stop {
+            // Booking this run would replace the booking of the other run of the task. The
+            // resources of that one would never be freed, and the worker would get no more work.
+            self.commands.push(Command::Stop {
                 worker: key,
                 task,
                 run: running.run,
-                reason: StopReason::OtherRun,
+                reason: StopReason::DuplicateRun,
             });
-            self.sighted(task, running.run, sighting);
+            self.run_observed(task, running.run, sighting);
             return;
         }
-        let trusted = self.workers[key].trusted;
+        let trusted = self.workers[key].ends_trusted;
         let Some(job) = self.jobs.get_mut(&task.step.job) else {
-            self.take_stranger(key, running);
+            self.book_unknown(key, running);
             return;
         };
-        // An ended job's tasks hold their room until they have stopped.
-        let (booked, filler) = job
+        // Tasks of an ended job keep their resources booked until they have stopped.
+        let (booked, filler_cpu) = job
             .spec
             .steps
             .get(task.step.step as usize)
-            .map_or_else(Default::default, StepSpec::takes);
-        let mut wanted = false;
-        let trial = job.isolates(task);
+            .map_or_else(Default::default, StepSpec::booked_and_filler);
+        let mut adopted = false;
+        let trial = job.needs_trial(task);
         if job.outcome.is_none() {
-            // A round that only the predecessor had opened.
-            while job.opened <= task.step.round && job.opened < job.spec.rounds() {
+            // The former owner may have opened rounds that this planner has not.
+            while job.opened_rounds <= task.step.round && job.opened_rounds < job.spec.rounds() {
                 job.open_round();
             }
             let step = job.step_mut(task.step);
             let state = step.and_then(|(_, step)| step.tasks.get_mut(task.index as usize));
             if let Some(state) = state {
-                wanted = trusted && state.phase == Phase::Waiting && running.run > state.void;
-                if wanted {
+                adopted =
+                    trusted && state.phase == Phase::Waiting && running.run > state.last_closed;
+                if adopted {
                     state.phase = Phase::Active(key, running.run);
                     state.run = running.run;
                 }
             }
         }
-        let placed = Placed {
+        let placed = PlacedRun {
             run: running.run,
             booked,
-            filler,
-            unsized_run: false,
+            filler_cpu,
+            unknown_size: false,
             phase: RunPhase::Running,
-            since: now,
+            phase_since: now,
             percent: running.percent,
-            moved: now,
-            unsure: Duration::ZERO,
+            progressed_at: now,
+            late_expiry: Duration::ZERO,
             checkpoint: running.checkpoint.clone(),
-            whole: false,
+            from_start: false,
             trial,
         };
         self.workers[key].book(task, placed);
-        self.sighted(task, running.run, sighting);
-        if !wanted {
-            self.stop(key, task, running.run, StopReason::NotWanted);
+        self.run_observed(task, running.run, sighting);
+        if !adopted {
+            self.stop_run(key, task, running.run, StopReason::Superseded);
         }
     }
 
-    /// A run of a job that is not known: its size is not known either, so the
-    /// worker gets no work until it has stopped.
-    fn take_stranger(&mut self, key: WorkerKey, running: &RunningTask) {
-        let placed = Placed {
+    /// Books and stops a run of an unknown job. The resources that it needs are unknown, too, so
+    /// the worker gets no work until the run has stopped.
+    fn book_unknown(&mut self, key: WorkerKey, running: &ActiveRun) {
+        let placed = PlacedRun {
             run: running.run,
-            booked: Room::default(),
-            filler: 0,
-            unsized_run: true,
+            booked: Resources::default(),
+            filler_cpu: 0,
+            unknown_size: true,
             phase: RunPhase::Running,
-            since: self.now,
+            phase_since: self.now,
             percent: running.percent,
-            moved: self.now,
-            unsure: Duration::ZERO,
+            progressed_at: self.now,
+            late_expiry: Duration::ZERO,
             checkpoint: String::new(),
-            whole: false,
+            from_start: false,
             trial: false,
         };
         self.workers[key].book(running.task, placed);
-        self.stop(key, running.task, running.run, StopReason::JobUnknown);
+        self.stop_run(key, running.task, running.run, StopReason::JobUnknown);
     }
 
-    /// Runs that workers listed before their job was known: each keeps its task
-    /// from starting elsewhere until it has stopped.
-    pub(super) fn count_strangers(&mut self, id: JobId) {
+    /// Marks tasks of a newly read job as active if a worker reported a run of them before, so
+    /// that no task starts elsewhere before that run has stopped.
+    pub(super) fn bind_unknown_runs(&mut self, id: JobId) {
         let mut found = Vec::new();
         for (key, worker) in &self.workers {
             let runs = worker.runs.iter();
-            let ours = runs.filter(|(task, _)| task.step.job == id);
-            found.extend(ours.map(|(task, placed)| (*task, key, placed.run)));
+            let of_job = runs.filter(|(task, _)| task.step.job == id);
+            found.extend(of_job.map(|(task, placed)| (*task, key, placed.run)));
         }
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -125,7 +127,7 @@
             }
         }
         for (task, _, run) in found {
-            self.sighted(task, run, Sighting::There);
+            self.run_observed(task, run, Observation::Present);
         }
     }
 }
--- a/crates/job/src/planner/crash_count.rs
+++ b/crates/job/src/planner/crash_count.rs
@@ -1,4 +1,4 @@
-//! Counts crashes, and gives up the tasks that are to blame for them; see
+//! Counts worker crashes per task, and fails the jobs of tasks that cause them; see
 //! [`super::suspicion`].
 
 use std::time::Duration;
@@ -7,48 +7,51 @@
 use super::Planner;
 use super::Suspect;
 use super::job_state::Phase;
-use super::roster::Placed;
+use super::roster::PlacedRun;
 use super::roster::RunPhase;
 use super::suspicion::Suspicion;
 use crate::Outcome;
 use crate::RunId;
 use crate::TaskKey;
 
-/// Workers without suspects that went down before, within [`COMMON_CAUSE`], from which
-/// on a crash is held against none of the tasks: two bad tasks at a time are not rare.
-const MASS_CRASH: usize = 2;
+/// Number of crashes of workers without suspects within [`COMMON_CAUSE_WINDOW`] from which on
+/// a further crash counts as uncertain. One is not enough: two tasks that crash their workers
+/// at the same time are not rare.
+const MASS_CRASH_WORKERS: usize = 2;
 
-/// Pause before a trial. Workers that went down together are known to be dead by then:
-/// an idle one is missed within 0.65 s, and the list of machines is asked for each 0.5 s.
-const TRIAL_PAUSE: Duration = Duration::from_millis(1200);
+/// Delay between a crash and the trial that follows it. By then, all workers that crashed at
+/// the same time are known to be dead: an idle worker is missed within 0.65 s, and the list
+/// of machines is read every 0.5 s.
+const TRIAL_DELAY: Duration = Duration::from_millis(1200);
 
-/// Time between two crashes within which they speak for a common cause: the first of
-/// them is learnt of within 0.5 s, the last within 1.2 s, and some slack.
-const COMMON_CAUSE: Duration = Duration::from_millis(1500);
+/// Two crashes that are noticed within this time may have a common cause. Of workers that
+/// crash together, the first is noticed within 0.5 s and the last within 1.2 s; the rest is
+/// slack.
+const COMMON_CAUSE_WINDOW: Duration = Duration::from_millis(1500);
 
 impl Planner {
-    /// Findings since the last call.
+    /// Takes the findings on suspects since the last call.
     pub fn take_findings(&mut self) -> Vec<Suspect> {
         std::mem::take(&mut self.suspects.findings)
     }
 
-    /// Tasks that start only alone.
+    /// Number of tasks that may only start alone on a worker.
     #[must_use]
-    pub fn suspects(&self) -> usize {
-        let isolates = |task: &&TaskKey| {
+    pub fn suspect_count(&self) -> usize {
+        let needs_trial = |task: &&TaskKey| {
             let job = self.jobs.get(&task.step.job);
-            job.is_some_and(|job| job.isolates(**task))
+            job.is_some_and(|job| job.needs_trial(**task))
         };
-        self.suspects.tasks.iter().filter(isolates).count()
+        self.suspects.tasks.iter().filter(needs_trial).count()
     }
 
     pub(super) fn suspicion_of(&mut self, task: TaskKey) -> Option<&mut Suspicion> {
         self.jobs.get_mut(&task.step.job)?.suspicion_mut(task)
     }
 
-    pub(super) fn note(&mut self, task: TaskKey, run: RunId, finding: Finding) {
+    pub(super) fn record_finding(&mut self, task: TaskKey, run: RunId, finding: Finding) {
         let crashes = self.suspicion_of(task);
-        let crashes = crashes.map_or(0, |suspicion| suspicion.count());
+        let crashes = crashes.map_or(0, |suspicion| suspicion.crash_count());
         self.suspects.findings.push(Suspect {
             task,
             run,
@@ -57,29 +60,35 @@
         });
     }
 
-    /// A worker has crashed under these runs, which have been given up; `known` says
-    /// that they are all that it ran, but for `moved` ones that may have been there.
-    pub(super) fn count_crash(&mut self, runs: &[(TaskKey, Placed)], known: bool, moved: usize) {
-        let alone = known && runs.len() == 1 && moved == 0;
+    /// Counts the crash of a worker against the runs that were on it. `all_known` says that
+    /// `runs` are all of its runs, except for `moved` runs that may have been on it or on its
+    /// next incarnation.
+    pub(super) fn count_crash(
+        &mut self,
+        runs: &[(TaskKey, PlacedRun)],
+        all_known: bool,
+        moved: usize,
+    ) {
+        let alone = all_known && runs.len() == 1 && moved == 0;
         let now = self.now;
-        let recent = self.suspects.deaths.iter();
-        let recent = recent.filter(|death| now < **death + COMMON_CAUSE);
-        let common = recent.count() >= MASS_CRASH;
-        let mut guilty = false;
+        let recent = self.suspects.crash_times.iter();
+        let recent = recent.filter(|crash| now < **crash + COMMON_CAUSE_WINDOW);
+        let common_cause = recent.count() >= MASS_CRASH_WORKERS;
+        let mut any_suspect = false;
         for (task, placed) in runs {
-            // A start without an answer may have come too late for the crash.
-            let certain = placed.phase == RunPhase::Running && !common;
-            guilty |= self.suspect(*task, placed.run, certain, alone);
+            // An unanswered start may have reached the worker after the crash, or never.
+            let certain = placed.phase == RunPhase::Running && !common_cause;
+            any_suspect |= self.record_crash(*task, placed.run, certain, alone);
         }
-        if known && !guilty {
-            self.suspects.deaths.push_back(self.now);
+        if all_known && !any_suspect {
+            self.suspects.crash_times.push_back(self.now);
         }
-        // It may have had a run that its former owner has recorded ahead.
-        self.suspects.unseen |= !known && self.recovering;
+        // The worker may have had a run for which the former owner saved a start intent.
+        self.suspects.unreported_crash |= !all_known && self.recovering;
     }
 
-    /// Counts a crash; gives whether the task starts only alone now.
-    fn suspect(&mut self, task: TaskKey, run: RunId, certain: bool, alone: bool) -> bool {
+    /// Counts a crash against a task; returns whether the task now needs a trial.
+    fn record_crash(&mut self, task: TaskKey, run: RunId, certain: bool, alone: bool) -> bool {
         let now = self.now;
         let job = self.jobs.get_mut(&task.step.job);
         let Some(job) = job.filter(|job| job.outcome.is_none()) else {
@@ -93,26 +102,26 @@
             return false;
         };
         let suspicion = state.suspicion.get_or_insert_default();
-        suspicion.ahead = suspicion.ahead.filter(|ahead| ahead.run != run);
+        suspicion.intent = suspicion.intent.filter(|intent| intent.run != run);
         if certain {
             suspicion.crashes.insert(run);
         } else {
-            suspicion.unsure.insert(run);
+            suspicion.uncertain.insert(run);
         }
-        let isolates = suspicion.isolates();
-        if isolates {
-            suspicion.rest = now + TRIAL_PAUSE;
-            suspicion.alone = (alone && certain).then_some(now);
+        let needs_trial = suspicion.needs_trial();
+        if needs_trial {
+            suspicion.not_before = now + TRIAL_DELAY;
+            suspicion.alone_crash = (alone && certain).then_some(now);
         }
-        self.dirty.insert(task.step.job);
+        self.dirty_jobs.insert(task.step.job);
         self.suspects.tasks.insert(task);
-        if isolates {
-            self.note(task, run, Finding::Suspected);
+        if needs_trial {
+            self.record_finding(task, run, Finding::Suspected);
         }
-        isolates
+        needs_trial
     }
 
-    /// A run has ended in another way than with its worker.
+    /// Removes a run from the count, since it ended in another way than by a worker crash.
     pub(super) fn clear_run(&mut self, task: TaskKey, run: RunId) {
         let Some(suspicion) = self.suspicion_of(task) else {
             return;
@@ -120,21 +129,22 @@
         if !suspicion.clear_run(run) {
             return;
         }
-        let isolates = suspicion.isolates();
-        self.dirty.insert(task.step.job);
-        if isolates {
-            self.note(task, run, Finding::Cleared);
+        let needs_trial = suspicion.needs_trial();
+        self.dirty_jobs.insert(task.step.job);
+        if needs_trial {
+            self.record_finding(task, run, Finding::Cleared);
         }
     }
 
-    /// Gives up the suspects that are proven to be to blame.
-    pub(super) fn decide_suspects(&mut self) {
+    /// Fails the jobs of suspects that crashed a worker on which they were alone, once crashes
+    /// with a common cause would have been noticed.
+    pub(super) fn judge_suspects(&mut self) {
         let now = self.now;
         self.suspects
-            .deaths
-            .retain(|death| *death + COMMON_CAUSE + TRIAL_PAUSE >= now);
-        let mut proven = Vec::new();
-        self.suspects.deciding = false;
+            .crash_times
+            .retain(|crash| *crash + COMMON_CAUSE_WINDOW + TRIAL_DELAY >= now);
+        let mut culprits = Vec::new();
+        self.suspects.verdict_due = false;
         for task in std::mem::take(&mut self.suspects.tasks) {
             let job = self.jobs.get_mut(&task.step.job);
             let Some(job) = job.filter(|job| job.outcome.is_none()) else {
@@ -144,25 +154,27 @@
                 continue;
             };
             self.suspects.tasks.insert(task);
-            if now < suspicion.rest {
-                self.suspects.deciding |= suspicion.alone.is_some();
+            if now < suspicion.not_before {
+                self.suspects.verdict_due |= suspicion.alone_crash.is_some();
                 continue;
             }
-            let alone = suspicion.alone.take();
-            let near = |at: Duration| move |death: &Duration| death.abs_diff(at) < COMMON_CAUSE;
-            let proof = alone.is_some_and(|at| !self.suspects.deaths.iter().any(near(at)));
+            let alone = suspicion.alone_crash.take();
+            let nearby =
+                |at: Duration| move |crash: &Duration| crash.abs_diff(at) < COMMON_CAUSE_WINDOW;
+            let sole_crash =
+                alone.is_some_and(|at| !self.suspects.crash_times.iter().any(nearby(at)));
             let run = suspicion.crashes.last().copied();
-            if proof && suspicion.provable() {
-                proven.extend(run.map(|run| (task, run)));
+            if sole_crash && suspicion.trial_decides() {
+                culprits.extend(run.map(|run| (task, run)));
             }
         }
-        for (task, run) in proven {
-            self.give_up_suspect(task, run);
+        for (task, run) in culprits {
+            self.fail_suspect(task, run);
         }
     }
 
-    pub(super) fn give_up_suspect(&mut self, task: TaskKey, run: RunId) {
-        self.note(task, run, Finding::GivenUp);
-        self.finish(task.step.job, Outcome::Failed);
+    pub(super) fn fail_suspect(&mut self, task: TaskKey, run: RunId) {
+        self.record_finding(task, run, Finding::GivenUp);
+        self.finish_job(task.step.job, Outcome::Failed);
     }
 }
--- /dev/null
+++ b/crates/job/src/planner/incarnations.rs
@@ -0,0 +1,217 @@
+//! Incarnations of workers: one ends when another one answers under the same worker id.
+//!
+//! A worker process may start again under its id. It then has no runs and no state, and its
+//! clock and the numbers of its ends start from the beginning. So the planner keeps its
+//! state of a worker per incarnation, and drops it when the incarnation ends. An incarnation
+//! is replaced when a report of another one answers a call that was sent after the last
+//! report of the first. Nothing else shows which of the two is newer: registrations are
+//! read late, and the start times in them may go back with the worker's clock.
+
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use strum::Display;
+
+use super::Command;
+use super::LossCause;
+use super::Planner;
+use super::WorkerKey;
+use super::job_state::Phase;
+use super::roster::PlacedRun;
+use super::roster::RunPhase;
+use super::roster::WorkerState;
+use crate::IncarnationId;
+use crate::Resources;
+use crate::RunId;
+use crate::STORE_WINDOW;
+use crate::TaskKey;
+use crate::WorkerId;
+use crate::WorkerInfo;
+use crate::WorkerReport;
+
+/// Number of ended incarnations that are remembered per worker, the newest ones. Replies and
+/// registrations of older ones are not expected any more.
+const MAX_ENDED: usize = 16;
+
+/// Which incarnation of a worker has sent a report.
+#[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
+#[strum(serialize_all = "lowercase")]
+pub enum ReportOrigin {
+    /// The current one.
+    #[strum(to_string = "known")]
+    Current,
+    /// A newer one, so the current one has ended.
+    #[strum(to_string = "next")]
+    Newer,
+    /// One that has ended or may have ended; the report is ignored.
+    #[strum(to_string = "past")]
+    Ended,
+    /// The report names no incarnation, though the worker's registration does; it is ignored.
+    Unnamed,
+}
+
+/// Newest ended incarnations of each worker, oldest first.
+#[derive(Debug, Default)]
+pub(super) struct EndedIncarnations(HashMap<WorkerId, Vec<IncarnationId>>);
+
+impl EndedIncarnations {
+    fn add(&mut self, id: &str, old: Option<IncarnationId>) {
+        let Some(old) = old else { return };
+        let ids = self.0.entry(id.to_owned()).or_default();
+        if ids.len() == MAX_ENDED {
+            ids.remove(0);
+        }
+        ids.push(old);
+    }
+
+    pub(super) fn has_ended(&self, id: &str, incarnation: Option<IncarnationId>) -> bool {
+        let ids = self.0.get(id);
+        incarnation.is_some_and(|incarnation| ids.is_some_and(|ids| ids.contains(&incarnation)))
+    }
+}
+
+impl Planner {
+    /// Which incarnation of the worker has sent a report, in answer to a call sent at `sent`.
+    #[must_use]
+    pub fn match_incarnation(
+        &self,
+        key: WorkerKey,
+        sent: Duration,
+        listing: &WorkerReport,
+    ) -> ReportOrigin {
+        let Some(worker) = self.workers.get(key) else {
+            return ReportOrigin::Ended;
+        };
+        let current = worker.info.incarnation;
+        match listing.incarnation {
+            incarnation if incarnation == current => ReportOrigin::Current,
+            None => ReportOrigin::Unnamed,
+            // Rows of an earlier version do not name the incarnation.
+            Some(_) if current.is_none() && worker.last_report == Duration::ZERO => {
+                ReportOrigin::Current
+            }
+            // Replies may overtake each other, so this one may be older than the last report.
+            Some(_) if sent < worker.last_report => ReportOrigin::Ended,
+            incarnation
+                if self
+                    .past_incarnations
+                    .has_ended(&worker.info.id, incarnation) =>
+            {
+                ReportOrigin::Ended
+            }
+            Some(_) => ReportOrigin::Newer,
+        }
+    }
+
+    /// Replaces an incarnation of a worker by a newer one that has sent a report. The runs of the
+    /// former one are lost, except for starts that it has not confirmed: these may reach the new
+    /// one, or may have reached it already. They stay booked until the new one has refused them.
+    pub(super) fn replace_incarnation(
+        &mut self,
+        key: WorkerKey,
+        sent: Duration,
+        listing: &WorkerReport,
+    ) {
+        let now = self.now;
+        let longest_lease = self.policy.max_lease_expiry();
+        let worker = &mut self.workers[key];
+        let (id, incarnation) = (worker.info.id.clone(), worker.info.incarnation);
+        let inherited = worker.inherited && !worker.claimed;
+        let next_info = worker.reregistration.take().map(|(info, _)| info);
+        let registered = next_info.filter(|info| info.incarnation == listing.incarnation);
+        let unregistered = registered.is_none();
+        let info = registered.unwrap_or_else(|| placeholder_info(&worker.info, listing));
+        let transferable = transferable_runs(worker, sent, listing);
+        let moved: Vec<(TaskKey, PlacedRun)> = transferable
+            .into_iter()
+            .filter_map(|(task, run)| Some((task, worker.release(task, run)?)))
+            .collect();
+        let drained = worker.info.draining;
+        let cause = if drained {
+            LossCause::Left
+        } else {
+            LossCause::Crashed
+        };
+        self.end_incarnation(key, cause, moved.len());
+        self.past_incarnations.add(&id, incarnation);
+        let mut next = WorkerState::new(info, now + STORE_WINDOW + longest_lease);
+        next.inherited = inherited;
+        next.unregistered = unregistered;
+        let next = self.workers.insert(next);
+        self.by_id.insert(id, next);
+        for (task, placed) in moved {
+            self.rebook_run(next, task, placed);
+        }
+        self.commands.push(Command::NewIncarnation { worker: next });
+    }
+
+    /// Books a run that may have reached the new incarnation of its worker there.
+    fn rebook_run(&mut self, next: WorkerKey, task: TaskKey, mut placed: PlacedRun) {
+        placed.phase = RunPhase::Unanswered;
+        placed.phase_since = self.now;
+        placed.progressed_at = self.now;
+        placed.late_expiry = self.late_run_expiry(next);
+        let run = placed.run;
+        let job = self.jobs.get_mut(&task.step.job);
+        let step = job.and_then(|job| job.step_mut(task.step));
+        let state = step.and_then(|(_, step)| step.tasks.get_mut(task.index as usize));
+        if let Some(state) = state
+            && matches!(state.phase, Phase::Active(_, active) if active == run)
+        {
+            state.phase = Phase::Active(next, run);
+        }
+        self.workers[next].book(task, placed);
+    }
+
+    /// Unresponsive workers that have registered as another incarnation, with its address.
+    #[must_use]
+    pub fn reregistered(&self) -> Vec<(WorkerKey, SocketAddr)> {
+        let workers = self.workers.iter();
+        let unresponsive = workers.filter(|(_, worker)| worker.unresponsive);
+        unresponsive
+            .filter_map(|(key, worker)| Some((key, worker.reregistration.as_ref()?.0.address)))
+            .collect()
+    }
+
+    /// Whether a registration is of another incarnation than the current one. Only a report of
+    /// the other one will show whether the current one has ended.
+    pub(super) fn is_other_incarnation(&self, key: WorkerKey, info: &WorkerInfo) -> bool {
+        let worker = &self.workers[key];
+        let current = worker.info.incarnation;
+        current != info.incarnation && (current.is_some() || worker.last_report > Duration::ZERO)
+    }
+}
+
+/// Registration to use for an incarnation until its own is read. Its capacity is unknown, so
+/// the worker gets no work.
+fn placeholder_info(former: &WorkerInfo, listing: &WorkerReport) -> WorkerInfo {
+    WorkerInfo {
+        incarnation: listing.incarnation,
+        capacity: Resources::default(),
+        draining: false,
+        remaining: None,
+        ..former.clone()
+    }
+}
+
+/// Runs that are on the new incarnation of a worker or may still reach it: those in its
+/// report, and those that the former one had not confirmed when the report was asked for.
+fn transferable_runs(
+    worker: &WorkerState,
+    sent: Duration,
+    listing: &WorkerReport,
+) -> Vec<(TaskKey, RunId)> {
+    let running = listing.running.iter().map(|run| (run.task, run.run));
+    let ended = listing.ended.iter().map(|end| (end.task, end.run));
+    let listed: HashMap<TaskKey, RunId> = running.chain(ended).collect();
+    let runs = worker.runs.iter();
+    let transferable = runs.filter(|(task, placed)| {
+        let confirmed = matches!(placed.phase, RunPhase::Running | RunPhase::Stopped);
+        let confirmed_before = confirmed && placed.phase_since < sent;
+        listed.get(task) == Some(&placed.run) || !confirmed_before
+    });
+    transferable
+        .map(|(task, placed)| (*task, placed.run))
+        .collect()
+}
--- a/crates/job/src/planner/loss.rs
+++ b/crates/job/src/planner/loss.rs
@@ -1,57 +1,58 @@
-//! Runs that were lost without an end that counts, for logs and metrics.
+//! Lost runs, for logs and metrics: runs that count as ended without a report of their end.
 
 use std::time::Duration;
 
 use strum::Display;
 
 use super::Planner;
-use super::roster::Placed;
+use super::roster::PlacedRun;
 use super::roster::RunPhase;
 use crate::RunId;
 use crate::TaskKey;
 use crate::WorkerId;
 
-/// Why a run was lost.
+/// Why a run counts as lost.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Loss {
-    /// Its worker's life is over, unannounced.
+pub enum LossCause {
+    /// The incarnation of its worker has ended without having been drained.
     #[strum(to_string = "worker crashed")]
     Crashed,
-    /// Its worker has left, as it had announced.
+    /// The incarnation of its worker has ended while it was draining, as announced.
     #[strum(to_string = "worker left")]
     Left,
-    /// Its worker's lease is over; whether the worker lives is not known.
+    /// The lease of its worker has expired; whether the worker is alive is unknown.
     #[strum(to_string = "lease over")]
-    Lapsed,
-    /// Its worker does not list it.
+    LeaseExpired,
+    /// Its worker does not list it, though it had confirmed the run or its stop.
     #[strum(to_string = "not listed")]
     Unlisted,
 }
 
-/// A run that was lost; its task waits again, if its job has not ended.
+/// A lost run. Its task waits again unless its job has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LostRun {
-    /// The task.
+    /// Task that the run was an attempt at.
     pub task: TaskKey,
-    /// The run.
+    /// Number of the run.
     pub run: RunId,
-    /// Where it was.
+    /// Worker that the run was sent to, or that reported it.
     pub worker: WorkerId,
-    /// Why it was lost.
-    pub cause: Loss,
-    /// The worker had said that it runs.
+    /// Why the run counts as lost.
+    pub cause: LossCause,
+    /// The worker had confirmed that the run started.
     pub confirmed: bool,
-    /// Time since it was confirmed, or since its start was sent.
+    /// Time since the run entered its last phase: since its start was sent or confirmed, for
+    /// example.
     pub age: Duration,
-    /// Other runs on the worker.
-    pub beside: usize,
+    /// Number of other runs on the worker.
+    pub other_runs: usize,
 }
 
 impl LostRun {
     pub(super) fn new(
-        (task, placed): (TaskKey, &Placed),
+        (task, placed): (TaskKey, &PlacedRun),
         worker: WorkerId,
-        (cause, beside): (Loss, usize),
+        (cause, other_runs): (LossCause, usize),
         now: Duration,
     ) -> LostRun {
         LostRun {
@@ -59,16 +60,16 @@
             run: placed.run,
             worker,
             cause,
-            confirmed: !matches!(placed.phase, RunPhase::Sent | RunPhase::Unknown),
-            age: now.saturating_sub(placed.since),
-            beside,
+            confirmed: !matches!(placed.phase, RunPhase::Sent | RunPhase::Unanswered),
+            age: now.saturating_sub(placed.phase_since),
+            other_runs,
         }
     }
 }
 
 impl Planner {
-    /// Runs that were lost since the last call.
+    /// Takes the runs that were lost since the last call.
     pub fn take_losses(&mut self) -> Vec<LostRun> {
-        std::mem::take(&mut self.losses)
+        std::mem::take(&mut self.lost_runs)
     }
 }
--- a/crates/job/src/planner/place.rs
+++ b/crates/job/src/planner/place.rs
@@ -1,28 +1,28 @@
-//! Which waiting task starts where.
+//! Places waiting tasks on workers.
 
 use std::time::Duration;
 
-use super::Order;
+use super::Command;
 use super::Planner;
 use super::WorkerKey;
 use super::job_state::JobState;
 use super::job_state::Phase;
 use super::job_state::StepState;
-use super::keep::Kept;
 use super::rank::Rank;
-use super::roster::Placed;
+use super::reservations::Reservations;
+use super::roster::PlacedRun;
 use super::roster::RunPhase;
 use super::roster::WorkerState;
-use crate::Room;
+use crate::Resources;
 use crate::RunId;
 use crate::StepKey;
 use crate::StepSpec;
 use crate::TaskKey;
 
-impl Room {
-    /// How many times `need` fits.
+impl Resources {
+    /// Returns how many times `need` fits.
     #[must_use]
-    pub fn fits(&self, need: &Room) -> u64 {
+    pub fn fit_count(&self, need: &Resources) -> u64 {
         let times = |have: u64, want: u64| have.checked_div(want).unwrap_or(u64::MAX);
         times(self.cpu, need.cpu)
             .min(times(self.memory, need.memory))
@@ -30,73 +30,81 @@
     }
 }
 
-/// A worker that may take tasks of a step, during one pass.
+/// A worker that may take tasks of a step, during one planning pass.
 #[allow(clippy::struct_excessive_bools)] // independent facts
 pub(super) struct Candidate {
     pub(super) key: WorkerKey,
-    pub(super) free: Room,
-    /// Processors that nothing uses, fillers included.
-    spare: u64,
-    /// Nothing runs there.
+    pub(super) free: Resources,
+    /// Processors used by no run, fillers included, in thousandths of a core.
+    unused_cpu: u64,
+    /// Whether the worker has no runs.
     pub(super) idle: bool,
-    /// When it was last heard of.
-    pub(super) heard: Duration,
-    /// Tasks of the step there; counted only where they are bounded.
-    here: u32,
-    near: bool,
-    /// It is being kept free for another gang.
-    kept: bool,
+    /// When the newest worker report came.
+    pub(super) last_report: Duration,
+    /// Tasks of the step on the worker; counted only for steps with a limit per worker.
+    tasks_here: u32,
+    in_rack: bool,
+    /// Whether resources of the worker are reserved for another gang.
+    reserved: bool,
     strikes: u32,
     slow: bool,
 }
 
 impl Planner {
     pub(super) fn usable(&self, worker: &WorkerState) -> bool {
-        let there = worker.claimed && !worker.silent && !worker.gone && worker.heir.is_none();
-        let there = there && worker.unsized_runs == 0;
-        let open = there && worker.trials == 0;
-        open && !worker.info.draining && worker.rest <= self.now
+        let reachable = worker.claimed
+            && !worker.unresponsive
+            && !worker.unregistered
+            && worker.reregistration.is_none();
+        let reachable = reachable && worker.unknown_sizes == 0;
+        let accepting = reachable && worker.trials == 0;
+        accepting && !worker.info.draining && worker.paused_until <= self.now
     }
 
-    /// Places what can be placed, the most urgent first.
+    /// Starts the waiting tasks that fit, in order of rank.
     pub(super) fn place(&mut self) {
-        self.elder = None;
-        self.elder = self.find_elder();
+        self.overdue_gang = None;
+        self.overdue_gang = self.find_overdue_gang();
         let mut ranked: Vec<(Rank, StepKey)> = self
-            .open
+            .pending_steps
             .iter()
             .filter_map(|&key| Some((self.rank(key)?, key)))
             .collect();
         ranked.sort_unstable();
-        let mut kept = Kept::default();
+        let mut reservations = Reservations::default();
         self.pool_cpu = self.usable_cpu();
-        self.find_reaches();
-        self.place_trials(&ranked, &mut kept);
+        self.update_headrooms();
+        self.place_trials(&ranked, &mut reservations);
         for (rank, key) in ranked {
-            let Some(spec) = self.spec_of(key) else {
+            let Some(spec) = self.step_spec(key) else {
                 continue;
             };
             if !spec.gang {
-                self.place_tasks(key, &spec, &kept);
+                self.place_tasks(key, &spec, &reservations);
                 continue;
             }
             let in_time = rank.stage == 0;
-            let seated = self.start_room > 0
-                && (self.place_gang(rank, key, &spec, &mut kept)
-                    || in_time && self.make_room(rank, key, &spec, &mut kept));
-            if !seated {
-                self.keep_room(rank, key, &spec, &mut kept);
+            let handled = self.start_budget > 0
+                && (self.place_gang(rank, key, &spec, &mut reservations)
+                    || in_time && self.preempt_for_gang(rank, key, &spec, &mut reservations));
+            if !handled {
+                self.reserve_resources(rank, key, &spec, &mut reservations);
             }
         }
-        self.kept = kept;
+        self.reservations = reservations;
     }
 
-    pub(super) fn spec_of(&self, key: StepKey) -> Option<StepSpec> {
+    pub(super) fn step_spec(&self, key: StepKey) -> Option<StepSpec> {
         let job = self.jobs.get(&key.job)?;
         job.spec.steps.get(key.step as usize).cloned()
     }
 
-    pub(super) fn candidates(&self, key: StepKey, spec: &StepSpec, kept: &Kept) -> Vec<Candidate> {
+    pub(super) fn candidates(
+        &self,
+        key: StepKey,
+        spec: &StepSpec,
+        reservations: &Reservations,
+    ) -> Vec<Candidate> {
         let Some(job) = self.jobs.get(&key.job) else {
             return Vec::new();
         };
@@ -104,12 +112,12 @@
             return Vec::new();
         };
         let booked = spec.booked();
-        let soon = self.now + self.policy.ticket_margin;
+        let valid_beyond = self.now + self.policy.ticket_margin;
         let mut found = Vec::new();
-        for (worker_key, worker) in self.permitted(job, step, soon) {
+        for (worker_key, worker) in self.allowed_workers(job, step, valid_beyond) {
             let info = &worker.info;
-            let free = kept.rest(worker_key, worker.free());
-            if !free.holds(&booked) || !self.usable(worker) {
+            let free = reservations.remaining(worker_key, worker.free());
+            if !free.can_fit(&booked) || !self.usable(worker) {
                 continue;
             }
             if !may_run(worker, &job.spec.queue.service, spec) {
@@ -118,113 +126,130 @@
             found.push(Candidate {
                 key: worker_key,
                 free,
-                spare: free.cpu.saturating_sub(worker.fillers),
+                unused_cpu: free.cpu.saturating_sub(worker.total_filler),
                 idle: worker.runs.is_empty(),
-                heard: worker.heard,
-                here: members(worker, key, spec),
-                near: spec.rack.is_empty() || info.labels.contains(&spec.rack),
-                kept: self.kept.holds(worker_key, key),
-                strikes: worker.strikes,
+                last_report: worker.last_report,
+                tasks_here: tasks_on_worker(worker, key, spec),
+                in_rack: spec.rack.is_empty() || info.labels.contains(&spec.rack),
+                reserved: self.reservations.reserved_for_other(worker_key, key),
+                strikes: worker.failure_streak,
                 slow: self.slow(worker),
             });
         }
         found
     }
 
-    /// Workers that may run a step: all, or those with a ticket that lasts
-    /// beyond `soon`.
-    pub(super) fn permitted(
+    /// Returns the workers that may run a step: all workers, or under advice those with a
+    /// ticket that is valid beyond the time `valid_beyond`.
+    pub(super) fn allowed_workers(
         &self,
         job: &JobState,
         step: &StepState,
-        soon: Duration,
+        valid_beyond: Duration,
     ) -> Vec<(WorkerKey, &WorkerState)> {
         if job.spec.queue.advice.is_none() {
             return self.workers.iter().collect();
         }
-        let good = step.advised.good.iter();
-        good.filter(|(_, (_, until))| *until > soon)
+        let good = step.advised.permits.iter();
+        good.filter(|(_, (_, until))| *until > valid_beyond)
             .filter_map(|(&key, _)| Some((key, self.workers.get(key)?)))
             .collect()
     }
 
-    fn place_tasks(&mut self, key: StepKey, spec: &StepSpec, kept: &Kept) {
-        let mut candidates = self.candidates(key, spec, kept);
+    fn place_tasks(&mut self, key: StepKey, spec: &StepSpec, reservations: &Reservations) {
+        let mut candidates = self.candidates(key, spec, reservations);
         if candidates.is_empty() {
             return;
         }
         let mut waiting = self.waiting_tasks(key);
-        if self.suspected(key) {
-            waiting.retain(|task| self.starts_beside_others(*task));
+        if self.has_suspects(key) {
+            waiting.retain(|task| self.may_share_worker(*task));
         }
-        let tolerant = self.tolerant(key);
+        let prefers_slow = self.prefers_slow(key);
         for task in waiting {
-            if self.start_room == 0 {
+            if self.start_budget == 0 {
                 return;
             }
-            let Some(at) = self.choose(&candidates, task, spec, tolerant) else {
+            let Some(index) = self.choose_worker(&candidates, task, spec, prefers_slow) else {
                 return;
             };
             let run = self.next_run(task);
-            self.start((task, run), false, spec, &mut candidates[at]);
+            self.start_run((task, run), false, spec, &mut candidates[index]);
         }
         self.close_step(key);
     }
 
-    /// The best worker for one task: sound and near first, of the pace that it
-    /// needs (see [`Planner::tolerant`]), then the tightest fit, which leaves whole workers for large tasks and gangs. A filler
-    /// goes where the most processors are unused.
-    fn choose(
+    /// Chooses the best worker for one task: those without reservations for other gangs
+    /// first, then by preferred rack, fewest recent failures, preferred speed (see
+    /// [`Planner::prefers_slow`]) and tightest fit, which leaves whole workers for large
+    /// tasks and gangs. A filler goes where the most processors are unused.
+    fn choose_worker(
         &self,
         candidates: &[Candidate],
         task: TaskKey,
         spec: &StepSpec,
-        tolerant: bool,
+        prefers_slow: bool,
     ) -> Option<usize> {
         let booked = spec.booked();
         let fits = |candidate: &Candidate| {
-            let bounded = spec.spread > 0 && candidate.here >= spec.spread;
-            let again = self.workers[candidate.key].runs.contains_key(&task);
-            candidate.free.holds(&booked) && !bounded && !again
+            let at_limit = spec.worker_limit > 0 && candidate.tasks_here >= spec.worker_limit;
+            let already_here = self.workers[candidate.key].runs.contains_key(&task);
+            candidate.free.can_fit(&booked) && !at_limit && !already_here
         };
         let tightness = |candidate: &Candidate| {
             if spec.filler {
-                u64::MAX - candidate.spare
+                u64::MAX - candidate.unused_cpu
             } else {
                 candidate.free.cpu
             }
         };
-        let fitting = candidates.iter().enumerate().filter(|(_, one)| fits(one));
-        let best = fitting.min_by_key(|(_, one)| {
-            let pace = one.slow != tolerant;
-            (one.kept, !one.near, one.strikes, pace, tightness(one))
+        let fitting = candidates
+            .iter()
+            .enumerate()
+            .filter(|(_, candidate)| fits(candidate));
+        let best = fitting.min_by_key(|(_, candidate)| {
+            let wrong_speed = candidate.slow != prefers_slow;
+            (
+                candidate.reserved,
+                !candidate.in_rack,
+                candidate.strikes,
+                wrong_speed,
+                tightness(candidate),
+            )
         });
-        best.map(|(at, _)| at)
+        best.map(|(index, _)| index)
     }
 
-    /// Starts a gang whole, or not at all.
-    fn place_gang(&mut self, rank: Rank, key: StepKey, spec: &StepSpec, kept: &mut Kept) -> bool {
+    /// Starts all members of a gang, or none. Returns whether the gang needs no
+    /// reservation: it has started, or must wait for something else than resources.
+    fn place_gang(
+        &mut self,
+        rank: Rank,
+        key: StepKey,
+        spec: &StepSpec,
+        reservations: &mut Reservations,
+    ) -> bool {
         let tasks = self.waiting_tasks(key);
         if tasks.len() < spec.count as usize {
-            // Members of the last run are still ending.
+            // Members of the previous run have not ended yet.
             return true;
         }
-        let suspected = self.suspected(key);
+        let suspected = self.has_suspects(key);
         if suspected && !tasks.iter().all(|task| self.may_start(*task)) {
             return true;
         }
         let trials = self.waiting_trials(key);
         if !trials.is_empty() {
-            return self.place_suspected_gang(rank, key, spec, (trials, kept));
+            return self.place_suspected_gang(rank, key, spec, (trials, reservations));
         }
-        let mut candidates = self.candidates(key, spec, kept);
-        let Some(seats) = seats(&candidates, tasks.len(), spec) else {
+        let mut candidates = self.candidates(key, spec, reservations);
+        let Some(slots) = assign_slots(&candidates, tasks.len(), spec) else {
             return false;
         };
         let run = tasks.iter().map(|&task| self.next_run(task)).max();
         let run = run.unwrap_or(self.run_base + 1);
-        for (&task, at) in tasks.iter().zip(seats) {
-            self.start((task, run), false, spec, &mut candidates[at]);
+        for (&task, index) in tasks.iter().zip(slots) {
+            self.start_run((task, run), false, spec, &mut candidates[index]);
         }
         self.close_step(key);
         true
@@ -250,13 +275,13 @@
         last.max(self.run_base) + 1
     }
 
-    /// Starts a run on a seat; a trial alone.
-    pub(super) fn start(
+    /// Starts a run on a candidate worker. A trial runs there alone.
+    pub(super) fn start_run(
         &mut self,
         (task, run): (TaskKey, RunId),
         trial: bool,
         spec: &StepSpec,
-        seat: &mut Candidate,
+        candidate: &mut Candidate,
     ) {
         let Some(job) = self.jobs.get_mut(&task.step.job) else {
             return;
@@ -267,38 +292,38 @@
         };
         let checkpoint_of = if spec.gang { 0 } else { task.index as usize };
         let checkpoint = step.tasks[checkpoint_of].checkpoint.clone();
-        let ticket = step.advised.good.get(&seat.key);
+        let ticket = step.advised.permits.get(&candidate.key);
         let ticket = ticket.map(|(text, _)| text.clone());
         let state = &mut step.tasks[task.index as usize];
-        state.phase = Phase::Active(seat.key, run);
+        state.phase = Phase::Active(candidate.key, run);
         state.run = run;
-        let (booked, filler) = spec.takes();
-        seat.free = seat.free.less(&booked);
-        seat.spare = seat.spare.saturating_sub(spec.need.cpu);
-        seat.here += 1;
-        let placed = Placed {
+        let (booked, filler_cpu) = spec.booked_and_filler();
+        candidate.free = candidate.free.minus(&booked);
+        candidate.unused_cpu = candidate.unused_cpu.saturating_sub(spec.need.cpu);
+        candidate.tasks_here += 1;
+        let placed = PlacedRun {
             run,
             booked,
-            filler,
-            unsized_run: false,
+            filler_cpu,
+            unknown_size: false,
             phase: RunPhase::Sent,
-            since: self.now,
+            phase_since: self.now,
             percent: 0,
-            moved: self.now,
-            unsure: self.unsure(seat.key),
+            progressed_at: self.now,
+            late_expiry: self.late_run_expiry(candidate.key),
             checkpoint: String::new(),
-            whole: checkpoint.is_empty(),
+            from_start: checkpoint.is_empty(),
             trial,
         };
-        self.workers[seat.key].book(task, placed);
-        if let Some(reach) = self.reaches.get_mut(seat.key) {
-            reach.room = reach.room.less(&booked);
+        self.workers[candidate.key].book(task, placed);
+        if let Some(headroom) = self.headrooms.get_mut(candidate.key) {
+            headroom.free = headroom.free.minus(&booked);
         }
-        // A start renews the lease of its worker.
-        self.lease_sent(seat.key);
-        self.start_room = self.start_room.saturating_sub(1);
-        self.orders.push(Order::Start {
-            worker: seat.key,
+        // A start command renews the worker's lease.
+        self.extend_lease(candidate.key);
+        self.start_budget = self.start_budget.saturating_sub(1);
+        self.commands.push(Command::Start {
+            worker: candidate.key,
             task,
             run,
             payload,
@@ -307,55 +332,68 @@
         });
     }
 
-    /// Takes a step off the open ones once none of its tasks waits.
+    /// Removes a step from the pending ones if none of its tasks waits.
     pub(super) fn close_step(&mut self, key: StepKey) {
         let job = self.jobs.get(&key.job);
         let step = job.and_then(|job| job.step(key));
         if step.is_none_or(|(_, step)| step.waiting() == 0) {
-            self.open.remove(&key);
+            self.pending_steps.remove(&key);
         }
     }
 }
 
-/// Whether a worker's service and labels let it run a step.
+/// Whether a worker's service and labels allow it to run a step.
 pub(super) fn may_run(worker: &WorkerState, service: &str, spec: &StepSpec) -> bool {
     let labels = &worker.info.labels;
     worker.info.service == service && (spec.label.is_empty() || labels.contains(&spec.label))
 }
 
-/// Tasks of a step on a worker; counted only where they are bounded.
-pub(super) fn members(worker: &WorkerState, key: StepKey, spec: &StepSpec) -> u32 {
-    if spec.spread == 0 {
+/// Number of tasks of a step on a worker; counted only for steps with a limit per worker.
+pub(super) fn tasks_on_worker(worker: &WorkerState, key: StepKey, spec: &StepSpec) -> u32 {
+    if spec.worker_limit == 0 {
         return 0;
     }
-    let members = worker.runs.keys().filter(|task| task.step == key);
-    u32::try_from(members.count()).unwrap_or(u32::MAX)
+    let tasks_on_worker = worker.runs.keys().filter(|task| task.step == key);
+    u32::try_from(tasks_on_worker.count()).unwrap_or(u32::MAX)
 }
 
-/// Seats for `count` members, or nothing if they do not all fit. Fast workers
-/// first, and the emptiest of them, so that a gang touches few of them.
-pub(super) fn seats(candidates: &[Candidate], count: usize, spec: &StepSpec) -> Option<Vec<usize>> {
+/// Assigns candidates to `count` members, by index, or returns `None` if they do not all
+/// fit. Prefers fast workers, and of these the emptiest, so that a gang uses few workers.
+pub(super) fn assign_slots(
+    candidates: &[Candidate],
+    count: usize,
+    spec: &StepSpec,
+) -> Option<Vec<usize>> {
     let booked = spec.booked();
     let mut order: Vec<usize> = (0..candidates.len()).collect();
-    order.sort_by_key(|&at| {
-        let one = &candidates[at];
-        let room = std::cmp::Reverse(one.free.cpu);
-        (one.kept, !one.near, one.strikes, one.slow, room)
+    order.sort_by_key(|&index| {
+        let candidate = &candidates[index];
+        let most_free = std::cmp::Reverse(candidate.free.cpu);
+        (
+            candidate.reserved,
+            !candidate.in_rack,
+            candidate.strikes,
+            candidate.slow,
+            most_free,
+        )
     });
-    let mut seats = Vec::with_capacity(count);
-    for at in order {
-        let bound = if spec.spread > 0 {
-            u64::from(spec.spread.saturating_sub(candidates[at].here))
+    let mut slots = Vec::with_capacity(count);
+    for index in order {
+        let limit = if spec.worker_limit > 0 {
+            u64::from(
+                spec.worker_limit
+                    .saturating_sub(candidates[index].tasks_here),
+            )
         } else {
             u64::MAX
         };
-        let fits = candidates[at].free.fits(&booked).min(bound);
+        let fits = candidates[index].free.fit_count(&booked).min(limit);
         for _ in 0..fits {
-            if seats.len() == count {
-                return Some(seats);
+            if slots.len() == count {
+                return Some(slots);
             }
-            seats.push(at);
+            slots.push(index);
         }
     }
-    (seats.len() == count).then_some(seats)
+    (slots.len() == count).then_some(slots)
 }
--- a/crates/job/src/planner/preempt.rs
+++ b/crates/job/src/planner/preempt.rs
@@ -1,9 +1,8 @@
-//! Room for gangs by preemption: less urgent tasks that save their progress
-//! are stopped, and go on from there later.
+//! Preemption for gangs: less urgent tasks with checkpoints are stopped, and resume later.
 //!
-//! A gang needs all its seats at the same time, on workers of which the advice
-//! service allows a quarter. Kept free instead, these workers stand half empty
-//! for the seconds until their tasks have ended.
+//! A gang needs all its slots at the same time, on workers of which the advice service
+//! allows a quarter. If these are reserved instead, they stay half empty for seconds until
+//! their tasks have ended.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -12,45 +11,45 @@
 use super::Planner;
 use super::StopReason;
 use super::WorkerKey;
-use super::keep::Kept;
+use super::headroom::Victim;
 use super::place::may_run;
-use super::place::members;
+use super::place::tasks_on_worker;
 use super::rank::Rank;
-use super::reach::Victim;
-use crate::Room;
+use super::reservations::Reservations;
+use crate::Resources;
 use crate::StepKey;
 use crate::StepSpec;
 
-/// Least time that a ticket must last for tasks to be stopped for its holder:
-/// a stop takes up to 0.2 s, its end another 0.1 s to be listed.
+/// Minimum time left of a ticket for tasks to be preempted for its holder: a stop takes up
+/// to 0.2 s, and its end is reported up to 0.1 s later.
 const STOP_TIME: Duration = Duration::from_millis(400);
 
-/// A worker that could seat members of a gang.
-struct Seating {
+/// A worker that may run members of a gang.
+struct PreemptionCandidate {
     worker: WorkerKey,
-    /// Room that is free, or will be once what is ending has ended.
-    room: Room,
-    /// Most members that may run here.
-    bound: u64,
-    /// Runs that may be stopped for more room, the largest last.
+    /// Resources that are free now or once the runs that are being stopped have ended.
+    free: Resources,
+    /// Maximum number of members that may run here.
+    max_tasks: u64,
+    /// Runs that may be preempted, the largest last.
     victims: Vec<Victim>,
 }
 
-impl Seating {
-    fn seats(&self, need: &Room) -> u64 {
-        self.room.fits(need).min(self.bound)
+impl PreemptionCandidate {
+    fn slots(&self, need: &Resources) -> u64 {
+        self.free.fit_count(need).min(self.max_tasks)
     }
 
-    /// How many of the last victims have to go for one more seat, and the
-    /// processors that they use; nothing if that is not enough.
-    fn next_seat(&self, need: &Room) -> Option<(u64, usize)> {
-        let seats = self.seats(need);
-        let mut room = self.room;
+    /// Returns the processors and the number of the last victims that must be preempted for
+    /// one more slot, or `None` if all of them are not enough.
+    fn next_slot(&self, need: &Resources) -> Option<(u64, usize)> {
+        let slots = self.slots(need);
+        let mut free = self.free;
         let mut cpu = 0;
         for (count, victim) in (1..).zip(self.victims.iter().rev()) {
-            room = room.plus(&victim.booked);
+            free = free.plus(&victim.booked);
             cpu += victim.booked.cpu;
-            if room.fits(need).min(self.bound) > seats {
+            if free.fit_count(need).min(self.max_tasks) > slots {
                 return Some((cpu, count));
             }
         }
@@ -59,33 +58,38 @@
 }
 
 impl Planner {
-    /// Makes room for a gang that does not fit, and keeps it for the gang.
-    /// False if that is not possible: then nothing is stopped.
+    /// Preempts tasks for a gang that does not fit, and reserves their resources for it.
+    /// Returns false, and preempts nothing, if that is not enough.
     ///
-    /// On the site of 350 workers, restocks in time went from 0.82 to 0.90 of
-    /// their worth on a quiet day, the processors in use from 0.77 to 0.81.
-    pub(super) fn make_room(
+    /// On the site of 350 workers, the value of restocks in time went from 0.82 to 0.90 on
+    /// a quiet day, and the processors in use from 0.77 to 0.81.
+    pub(super) fn preempt_for_gang(
         &mut self,
         rank: Rank,
         key: StepKey,
         spec: &StepSpec,
-        kept: &mut Kept,
+        reservations: &mut Reservations,
     ) -> bool {
         let booked = spec.booked();
-        let mut seatings = self.seatings(key, spec, kept);
-        let Some(victims) = choose_victims(&mut seatings, &booked, u64::from(spec.count)) else {
+        let mut candidates = self.preemption_candidates(key, spec, reservations);
+        let Some(victims) = choose_victims(&mut candidates, &booked, u64::from(spec.count)) else {
             return false;
         };
         for (worker, victim) in victims {
             self.preempt(worker, victim, key);
         }
-        keep_seats(&mut seatings, rank, key, spec, kept);
+        reserve_slots(&mut candidates, rank, key, spec, reservations);
         true
     }
 
-    /// Workers that may run a step, with the room that it could have there;
-    /// nothing if that is too little.
-    fn seatings(&self, key: StepKey, spec: &StepSpec, kept: &Kept) -> Vec<Seating> {
+    /// Returns the workers that may run a step, with the resources available to it there,
+    /// or nothing if these are not enough.
+    fn preemption_candidates(
+        &self,
+        key: StepKey,
+        spec: &StepSpec,
+        reservations: &Reservations,
+    ) -> Vec<PreemptionCandidate> {
         let Some(job) = self.jobs.get(&key.job) else {
             return Vec::new();
         };
@@ -94,40 +98,43 @@
         };
         let queue = &job.spec.queue;
         let booked = spec.booked();
-        let mut able = Vec::new();
-        let mut most = 0_u64;
-        for (worker_key, worker) in self.permitted(job, step, self.now + STOP_TIME) {
-            let able_here = self.usable(worker) && may_run(worker, &queue.service, spec);
-            let reach = self.reaches.get(worker_key);
-            let Some(reach) = reach.filter(|_| able_here) else {
+        let mut eligible = Vec::new();
+        let mut total_slots = 0_u64;
+        for (worker_key, worker) in self.allowed_workers(job, step, self.now + STOP_TIME) {
+            let eligible_here = self.usable(worker) && may_run(worker, &queue.service, spec);
+            let headroom = self.headrooms.get(worker_key);
+            let Some(headroom) = headroom.filter(|_| eligible_here) else {
                 continue;
             };
-            let room = kept.rest(worker_key, reach.room);
-            let bound = match spec.spread {
+            let free = reservations.remaining(worker_key, headroom.free);
+            let max_tasks = match spec.worker_limit {
                 0 => u64::MAX,
-                most => u64::from(most.saturating_sub(members(worker, key, spec))),
+                limit => u64::from(limit.saturating_sub(tasks_on_worker(worker, key, spec))),
             };
-            let most_room = kept.rest(worker_key, reach.most(queue.priority));
-            let seats = most_room.fits(&booked).min(bound);
-            most = most.saturating_add(seats);
-            if seats > 0 {
-                able.push((worker_key, reach, room, bound));
+            let most_available =
+                reservations.remaining(worker_key, headroom.available_to(queue.priority));
+            let slots = most_available.fit_count(&booked).min(max_tasks);
+            total_slots = total_slots.saturating_add(slots);
+            if slots > 0 {
+                eligible.push((worker_key, headroom, free, max_tasks));
             }
         }
-        if most < u64::from(spec.count) {
+        if total_slots < u64::from(spec.count) {
             return Vec::new();
         }
-        let seatings = able.into_iter().map(|(worker, reach, room, bound)| {
-            let victims = reach.victims.iter();
-            let less = victims.filter(|victim| victim.priority > queue.priority);
-            Seating {
-                worker,
-                room,
-                bound,
-                victims: less.copied().collect(),
-            }
-        });
-        seatings.collect()
+        let candidates = eligible
+            .into_iter()
+            .map(|(worker, headroom, free, max_tasks)| {
+                let victims = headroom.victims.iter();
+                let less_urgent = victims.filter(|victim| victim.priority > queue.priority);
+                PreemptionCandidate {
+                    worker,
+                    free,
+                    max_tasks,
+                    victims: less_urgent.copied().collect(),
+                }
+            });
+        candidates.collect()
     }
 
     fn preempt(&mut self, worker: WorkerKey, victim: Victim, gang: StepKey) {
@@ -138,62 +145,65 @@
             task.preempted += 1;
         }
         let reason = StopReason::Preempted(gang);
-        self.stop(worker, victim.task, victim.run, reason);
+        self.stop_run(worker, victim.task, victim.run, reason);
         if let Some(state) = self.workers.get(worker) {
-            let reach = self.reach(state);
-            self.reaches.insert(worker, reach);
+            let headroom = self.headroom(state);
+            self.headrooms.insert(worker, headroom);
         }
     }
 }
 
-/// The runs that have to go for `count` members to fit, those first that use
-/// the fewest processors for a seat; nothing if all of them are not enough.
+/// Chooses the runs to preempt so that `count` members fit, those with the fewest
+/// processors per slot first. Returns `None` if all of them are not enough.
 fn choose_victims(
-    seatings: &mut [Seating],
-    need: &Room,
+    candidates: &mut [PreemptionCandidate],
+    need: &Resources,
     count: u64,
 ) -> Option<Vec<(WorkerKey, Victim)>> {
-    let mut seats: u64 = seatings.iter().map(|one| one.seats(need)).sum();
+    let mut slots: u64 = candidates
+        .iter()
+        .map(|candidate| candidate.slots(need))
+        .sum();
     let mut next: BinaryHeap<Reverse<(u64, usize, usize)>> = BinaryHeap::new();
-    for (at, seating) in seatings.iter().enumerate() {
-        let seat = seating.next_seat(need);
-        next.extend(seat.map(|(cpu, victims)| Reverse((cpu, at, victims))));
+    for (at, candidate) in candidates.iter().enumerate() {
+        let slot = candidate.next_slot(need);
+        next.extend(slot.map(|(cpu, victims)| Reverse((cpu, at, victims))));
     }
     let mut chosen = Vec::new();
-    while seats < count {
+    while slots < count {
         let Reverse((_, at, victims)) = next.pop()?;
-        let seating = &mut seatings[at];
-        let before = seating.seats(need);
-        let first = seating.victims.len() - victims;
-        for victim in seating.victims.drain(first..) {
-            seating.room = seating.room.plus(&victim.booked);
-            chosen.push((seating.worker, victim));
+        let candidate = &mut candidates[at];
+        let before = candidate.slots(need);
+        let first = candidate.victims.len() - victims;
+        for victim in candidate.victims.drain(first..) {
+            candidate.free = candidate.free.plus(&victim.booked);
+            chosen.push((candidate.worker, victim));
         }
-        seats += seating.seats(need) - before;
-        let seat = seating.next_seat(need);
-        next.extend(seat.map(|(cpu, victims)| Reverse((cpu, at, victims))));
+        slots += candidate.slots(need) - before;
+        let slot = candidate.next_slot(need);
+        next.extend(slot.map(|(cpu, victims)| Reverse((cpu, at, victims))));
     }
     Some(chosen)
 }
 
-/// Keeps enough seats for the gang, on the workers with the most first.
-fn keep_seats(
-    seatings: &mut [Seating],
+/// Reserves enough slots for the gang, on the workers with the most slots first.
+fn reserve_slots(
+    candidates: &mut [PreemptionCandidate],
     rank: Rank,
     key: StepKey,
     spec: &StepSpec,
-    kept: &mut Kept,
+    reservations: &mut Reservations,
 ) {
     let booked = spec.booked();
-    seatings.sort_by_key(|one| Reverse(one.seats(&booked)));
-    let mut seats = 0;
-    for seating in seatings {
-        if seats >= u64::from(spec.count) {
+    candidates.sort_by_key(|candidate| Reverse(candidate.slots(&booked)));
+    let mut slots = 0;
+    for candidate in candidates {
+        if slots >= u64::from(spec.count) {
             break;
         }
-        let missing = u64::from(spec.count) - seats;
-        let taken = seating.seats(&booked).min(missing);
-        seats += taken;
-        kept.keep(seating.worker, rank, key, booked.times(taken));
+        let missing = u64::from(spec.count) - slots;
+        let taken = candidate.slots(&booked).min(missing);
+        slots += taken;
+        reservations.reserve(candidate.worker, rank, key, booked.times(taken));
     }
 }
