--- a/crates/bench/benches/main/slopes.rs
+++ b/crates/bench/benches/main/slopes.rs
@@ -14,7 +14,7 @@
 use shard::Accepted;
 use shard::Ledger;
 use shard::Machine;
-use shard::MachineFacts;
+use shard::MachineParams;
 use shard::Record;
 use shard::Times;
 use shard::place_shards;
@@ -106,11 +106,11 @@
                 for record in &records {
                     ledger.replay(record, Times::default());
                 }
-                let facts = MachineFacts {
+                let facts = MachineParams {
                     shard: 0,
                     shards: 1,
                     epoch: 2,
-                    since_millis: 1,
+                    takeover_millis: 1,
                     retention: Duration::from_mins(10),
                     missing_at: Duration::from_secs(20),
                 };
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -22,18 +22,18 @@
 use event::wall_millis;
 use peer::KeyFiles;
 use peer::Node;
-use shard::CELL_FACTS;
-use shard::CellFacts;
+use shard::CELL_PARAMS;
 use shard::CellId;
+use shard::CellParams;
 use shard::CellService;
 use shard::Context;
 use shard::FORMAT;
-use shard::Gate;
-use shard::Keeper;
-use shard::KeeperOrder;
-use shard::KeeperPorts;
+use shard::LeaseGate;
 use shard::Pacer;
 use shard::Router;
+use shard::ShardManager;
+use shard::ShardManagerChannels;
+use shard::ShardManagerCommand;
 use shard::Timing;
 use shard::View;
 use shard::decode_row;
@@ -83,7 +83,7 @@
     pub(crate) context: Arc<HttpContext>,
     pub(crate) node: Node,
     address: SocketAddr,
-    pub(crate) keeper: mpsc::Sender<KeeperOrder>,
+    pub(crate) keeper: mpsc::Sender<ShardManagerCommand>,
     pub(crate) flight: Flight,
     pub(crate) leaving: watch::Sender<bool>,
     pub(crate) stop: watch::Sender<bool>,
@@ -129,17 +129,17 @@
         let address = listener.local_addr().unwrap_or(listen);
         let (host_sender, hosts) = watch::channel(None);
         let (view_sender, view) = watch::channel(Arc::new(View::default()));
-        let (keeper, orders) = mpsc::channel(64);
+        let (keeper, commands) = mpsc::channel(64);
         let (leaving, leaving_view) = watch::channel(false);
         let (stop, stop_view) = watch::channel(false);
         let (dismiss, dismiss_view) = watch::channel(false);
         let flight = Flight::new(settings.http.in_flight);
         let hints = Arc::new(Notify::new());
-        let ports = KeeperPorts {
+        let ports = ShardManagerChannels {
             hosts: hosts.clone(),
             view: view_sender,
             hints: hints.clone(),
-            orders,
+            commands,
         };
         let api = Api {
             router: Router::new(context.node.clone(), context.shards, view.clone()),
@@ -160,7 +160,7 @@
         let tasks = Tasks {
             hosts: tokio::spawn(watch_hosts(context.hosts.clone(), host_sender)),
             peers: tokio::spawn(async move { node.serve(service).await }),
-            keeper: tokio::spawn(Keeper::new(context.clone(), ports).run()),
+            keeper: tokio::spawn(ShardManager::new(context.clone(), ports).run()),
             upload: tokio::spawn(upload_events(
                 context.objects.clone(),
                 context.timeline.clone(),
@@ -204,7 +204,7 @@
             _ = &mut self.tasks.http => "http",
             _ = &mut self.tasks.upload => "upload",
         };
-        self.context.gate.shut();
+        self.context.gate.revoke();
         let event = Event::new(Kind::TaskCrashed).detail(task);
         self.context.timeline.record(event);
         DaemonError::Crashed { task }
@@ -245,7 +245,7 @@
         workers: WorkerClient::new(WORKER_TIMEOUT),
         node,
         timeline,
-        gate: Arc::new(Gate::new()),
+        gate: Arc::new(LeaseGate::new()),
         pacer: Pacer::new(f64::from(settings.cell.write_rate) / 8.0),
     })
 }
@@ -254,18 +254,18 @@
 /// process with another number would route requests to other shards, and the
 /// same id could run twice. Gives the cell, which the first process names.
 async fn join_cell(context: &HttpContext) -> Result<CellId, DaemonError> {
-    let facts = CellFacts {
+    let facts = CellParams {
         format: FORMAT,
         shards: context.shards,
         cell: RandomState::new().build_hasher().finish(),
     };
     let commit = Commit::default()
-        .check(CELL_FACTS, 0)
-        .put(CELL_FACTS, encode_row(&facts));
+        .check(CELL_PARAMS, 0)
+        .put(CELL_PARAMS, encode_row(&facts));
     loop {
-        match context.table.get(CELL_FACTS).await {
+        match context.table.get(CELL_PARAMS).await {
             Ok(Some(row)) => {
-                let made: CellFacts = decode_row(&row)?;
+                let made: CellParams = decode_row(&row)?;
                 if (made.format, made.shards) == (facts.format, facts.shards) {
                     return Ok(made.cell);
                 }
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -9,8 +9,8 @@
 
 use event::Event;
 use event::Kind;
-use shard::Handover;
-use shard::KeeperOrder;
+use shard::HandoverReport;
+use shard::ShardManagerCommand;
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
@@ -53,7 +53,10 @@
         let began = Instant::now();
         let order = async {
             let (done, left) = oneshot::channel();
-            self.keeper.send(KeeperOrder::Leave(done)).await.ok()?;
+            self.keeper
+                .send(ShardManagerCommand::Leave(done))
+                .await
+                .ok()?;
             left.await.ok()
         };
         let how = match timeout(HANDOVER, order).await {
@@ -89,12 +92,12 @@
     }
 }
 
-fn describe(handover: Handover) -> String {
-    let Handover {
-        handed,
-        unnamed,
-        gave_up,
+fn describe(handover: HandoverReport) -> String {
+    let HandoverReport {
+        confirmed,
+        unconfirmed,
+        lease_deleted,
     } = handover;
-    let lease = if gave_up { "gone" } else { "may stand" };
-    format!("hand-over: {handed} shards confirmed, {unnamed} not, lease {lease}")
+    let lease = if lease_deleted { "gone" } else { "may stand" };
+    format!("hand-over: {confirmed} shards confirmed, {unconfirmed} not, lease {lease}")
 }
--- a/crates/daemon/tests/link.rs
+++ b/crates/daemon/tests/link.rs
@@ -8,8 +8,8 @@
 use fake::FakeWorker;
 use fake::RunLog;
 use model::Resources;
-use shard::Gate;
 use shard::Input;
+use shard::LeaseGate;
 use shard::Link;
 use shard::LinkFacts;
 use shard::WorkerHost;
@@ -116,7 +116,7 @@
         rack: "r1".to_owned(),
         state: HostState::Live,
     };
-    let gate = Arc::new(Gate::new());
+    let gate = Arc::new(LeaseGate::new());
     gate.extend(Instant::now() + Duration::from_mins(1));
     let facts = LinkFacts {
         host: WorkerHost { host, assigned: 1 },
--- a/crates/daemon/tests/shown/answers.rs
+++ b/crates/daemon/tests/shown/answers.rs
@@ -8,10 +8,10 @@
 use model::Code;
 use model::Request;
 use model::Resources;
-use shard::OwnerMessage;
 use shard::Router;
 use shard::ShardAsk;
 use shard::ShardReply;
+use shard::ShardTaskMessage;
 use shard::Submission;
 use shard::View;
 use tokio::sync::mpsc;
@@ -89,10 +89,11 @@
 /// The next submission that an owner gets. It is answered, or its owner ends
 /// without a reply.
 async fn next_submission(
-    inbox: &mut mpsc::UnboundedReceiver<OwnerMessage>,
+    inbox: &mut mpsc::UnboundedReceiver<ShardTaskMessage>,
     answer: Option<Answer>,
 ) -> Submission {
-    let Some(OwnerMessage::Ask(ShardAsk::Submit(submission), reply)) = inbox.recv().await else {
+    let Some(ShardTaskMessage::Ask(ShardAsk::Submit(submission), reply)) = inbox.recv().await
+    else {
         panic!("no submission");
     };
     if let Some(answer) = answer {
--- a/crates/daemon/tests/shown/cell.rs
+++ b/crates/daemon/tests/shown/cell.rs
@@ -140,7 +140,7 @@
     let adopted = comes(&house, here).await;
 
     assert!(adopted, "{:?}", house.believes());
-    assert_eq!(house.believes().lowest_config(), 0);
+    assert_eq!(house.believes().lowest_config_version(), 0);
 }
 
 // A process said that the table answers (the gauge was 1) while it had waited
--- a/crates/daemon/tests/shown/house.rs
+++ b/crates/daemon/tests/shown/house.rs
@@ -17,15 +17,15 @@
 use peer::Node;
 use shard::Context;
 use shard::FORMAT;
-use shard::Gate;
-use shard::Keeper;
-use shard::KeeperOrder;
-use shard::KeeperPorts;
+use shard::LeaseGate;
 use shard::LeaseRow;
 use shard::LeaseState;
 use shard::MemberRow;
 use shard::Pacer;
 use shard::Router;
+use shard::ShardManager;
+use shard::ShardManagerChannels;
+use shard::ShardManagerCommand;
 use shard::Timing;
 use shard::View;
 use shard::encode_row;
@@ -53,7 +53,7 @@
     pub(crate) api: Api<StubTable, StubObjects>,
     keys: TempDir,
     publish: Option<watch::Sender<Arc<View>>>,
-    orders: Option<mpsc::Receiver<KeeperOrder>>,
+    orders: Option<mpsc::Receiver<ShardManagerCommand>>,
     context: Arc<Context<StubTable, StubObjects, StubHosts>>,
 }
 
@@ -67,7 +67,7 @@
         let node = open_node(&keys, ([127, 0, 0, 1], 0).into(), timeline.clone());
         let (publish, view) = watch::channel(Arc::new(View::default()));
         let (keeper, orders) = mpsc::channel(4);
-        let gate = Arc::new(Gate::new());
+        let gate = Arc::new(LeaseGate::new());
         let api = Api {
             router: Router::new(node.clone(), 1, view.clone()),
             table: table.clone(),
@@ -143,13 +143,13 @@
 
     /// Starts the keeper.
     pub(crate) fn keep(&mut self) {
-        let ports = KeeperPorts {
+        let ports = ShardManagerChannels {
             hosts: watch::channel(None).1,
             view: self.publish.take().expect("a keeper that does not run"),
             hints: Arc::default(),
-            orders: self.orders.take().expect("a keeper that does not run"),
+            commands: self.orders.take().expect("a keeper that does not run"),
         };
-        tokio::spawn(Keeper::new(self.context.clone(), ports).run());
+        tokio::spawn(ShardManager::new(self.context.clone(), ports).run());
     }
 
     /// What the process believes now.
--- a/crates/daemon/tests/shown/links.rs
+++ b/crates/daemon/tests/shown/links.rs
@@ -9,8 +9,8 @@
 use std::time::Instant;
 
 use model::Resources;
-use shard::Gate;
 use shard::Input;
+use shard::LeaseGate;
 use shard::Link;
 use shard::LinkFacts;
 use shard::LinkOrder;
@@ -170,7 +170,7 @@
 }
 
 fn facts(address: SocketAddr) -> LinkFacts {
-    let gate = Gate::new();
+    let gate = LeaseGate::new();
     gate.extend(Instant::now() + Duration::from_mins(1));
     let host = Host {
         id: "w0".to_owned(),
--- a/crates/entry/src/api.rs
+++ b/crates/entry/src/api.rs
@@ -13,12 +13,12 @@
 use model::request_key;
 use serde::de::DeserializeOwned;
 use shard::CancelFilter;
-use shard::Gate;
 use shard::Hosts;
-use shard::KeeperOrder;
+use shard::LeaseGate;
 use shard::Patch;
 use shard::PatchError;
 use shard::Router;
+use shard::ShardManagerCommand;
 use shard::Standing;
 use shard::Submission;
 use shard::apply_patch;
@@ -84,9 +84,9 @@
     /// The host list.
     pub hosts: watch::Receiver<Hosts>,
     /// Tells the keeper of a new configuration.
-    pub keeper: mpsc::Sender<KeeperOrder>,
+    pub keeper: mpsc::Sender<ShardManagerCommand>,
     /// Right to act.
-    pub gate: Arc<Gate>,
+    pub gate: Arc<LeaseGate>,
     /// Turns true when a planned stop begins.
     pub leaving: watch::Receiver<bool>,
     /// Turns true when callers that still wait are sent to other processes.
@@ -255,7 +255,7 @@
     fn config_body(&self, numbered: &Numbered) -> ConfigBody {
         ConfigBody {
             version: numbered.version,
-            everywhere: self.router.view().lowest_config(),
+            everywhere: self.router.view().lowest_config_version(),
             config: numbered.config.clone(),
         }
     }
@@ -268,7 +268,10 @@
                 let event = Event::new(Kind::PatchAccepted);
                 self.timeline
                     .record(event.detail(format!("{} as {}", patch.id, numbered.version)));
-                let _ = self.keeper.send(KeeperOrder::Adopt(numbered.clone())).await;
+                let _ = self
+                    .keeper
+                    .send(ShardManagerCommand::Adopt(numbered.clone()))
+                    .await;
                 Ok(web::json(StatusCode::OK, &self.config_body(&numbered)))
             }
             Err(error) => {
--- a/crates/entry/src/body.rs
+++ b/crates/entry/src/body.rs
@@ -105,7 +105,7 @@
         CellBody {
             members: view.members.clone(),
             shards,
-            reachable: view.reachable(),
+            reachable: view.table_reachable(),
             age_millis: view.age().map(|age| age.as_millis()),
         }
     }
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -115,7 +115,7 @@
             .set(i64::try_from(view.local.len()).unwrap_or(i64::MAX));
         self.members.set(i64::try_from(live).unwrap_or(i64::MAX));
         self.config.set(i64::try_from(version).unwrap_or(i64::MAX));
-        self.reachable.set(i64::from(view.reachable()));
+        self.reachable.set(i64::from(view.table_reachable()));
         self.lease.set(lease);
         let age = view.age().map_or(f64::INFINITY, |age| age.as_secs_f64());
         self.age.set(age);
--- a/crates/shard/src/assign.rs
+++ b/crates/shard/src/assign.rs
@@ -35,7 +35,7 @@
 impl WorkerHost {
     /// Whether a link to `self` serves `other` as well.
     #[must_use]
-    pub fn is_same_link(&self, other: &WorkerHost) -> bool {
+    pub fn shares_link_with(&self, other: &WorkerHost) -> bool {
         let address = |host: &WorkerHost| -> SocketAddr { host.host.address };
         self.assigned == other.assigned && address(self) == address(other)
     }
@@ -84,25 +84,28 @@
     /// Deals new workers to the shards that have the fewest of their rack, of
     /// their failure domain, and at all, in that order; takes gone ones out.
     /// Returns the shards whose lists changed.
-    pub fn deal(&mut self, hosts: &[Host]) -> Vec<ShardId> {
-        let places: HashMap<&WorkerId, &Host> = hosts.iter().map(|h| (&h.id, h)).collect();
+    pub fn assign_workers(&mut self, hosts: &[Host]) -> Vec<ShardId> {
+        let hosts_by_id: HashMap<&WorkerId, &Host> = hosts.iter().map(|h| (&h.id, h)).collect();
         let mut changed = Vec::new();
-        let mut dealt: HashSet<WorkerId> = HashSet::new();
+        let mut assigned_ids: HashSet<WorkerId> = HashSet::new();
         for (shard, (_, row)) in &mut self.rows {
             let before = row.workers.len();
             row.workers
-                .retain(|worker| places.contains_key(&worker.worker));
+                .retain(|worker| hosts_by_id.contains_key(&worker.worker));
             if row.workers.len() != before {
                 changed.push(*shard);
             }
             for worker in &row.workers {
-                dealt.insert(worker.worker.clone());
+                assigned_ids.insert(worker.worker.clone());
             }
         }
-        let mut fresh: Vec<&Host> = hosts.iter().filter(|h| !dealt.contains(&h.id)).collect();
-        fresh.sort_by(|a, b| (&a.domain, &a.rack, &a.id).cmp(&(&b.domain, &b.rack, &b.id)));
-        for host in fresh {
-            let shard = self.emptiest(host, &places);
+        let mut unassigned: Vec<&Host> = hosts
+            .iter()
+            .filter(|h| !assigned_ids.contains(&h.id))
+            .collect();
+        unassigned.sort_by(|a, b| (&a.domain, &a.rack, &a.id).cmp(&(&b.domain, &b.rack, &b.id)));
+        for host in unassigned {
+            let shard = self.least_loaded_shard(host, &hosts_by_id);
             self.add(shard, host);
             changed.push(shard);
         }
@@ -111,10 +114,13 @@
         changed
     }
 
-    fn emptiest(&self, host: &Host, places: &HashMap<&WorkerId, &Host>) -> ShardId {
+    fn least_loaded_shard(&self, host: &Host, hosts_by_id: &HashMap<&WorkerId, &Host>) -> ShardId {
         let count = |row: &AssignRow, same: fn(&Host, &Host) -> bool| {
-            let known = row.workers.iter().filter_map(|w| places.get(&w.worker));
-            known.filter(|other| same(other, host)).count()
+            let shard_hosts = row
+                .workers
+                .iter()
+                .filter_map(|w| hosts_by_id.get(&w.worker));
+            shard_hosts.filter(|other| same(other, host)).count()
         };
         let cost = |row: &AssignRow| {
             let rack = count(row, |other, host| other.rack == host.rack);
@@ -193,7 +199,7 @@
             assignment.rows.insert(shard, (0, AssignRow::default()));
         }
 
-        assignment.deal(&hosts(48));
+        assignment.assign_workers(&hosts(48));
 
         for (_, row) in assignment.rows.values() {
             assert_eq!(row.workers.len(), 3);
@@ -208,9 +214,9 @@
     fn an_unchanged_host_list_changes_nothing() {
         let mut assignment = Assignment::default();
         assignment.rows.insert(0, (0, AssignRow::default()));
-        assignment.deal(&hosts(8));
+        assignment.assign_workers(&hosts(8));
 
-        let changed = assignment.deal(&hosts(8));
+        let changed = assignment.assign_workers(&hosts(8));
 
         assert!(changed.is_empty());
     }
--- a/crates/shard/src/cancel.rs
+++ b/crates/shard/src/cancel.rs
@@ -13,8 +13,8 @@
 use crate::Stage;
 use crate::StopMode;
 use crate::WaiterKey;
-use crate::machine::Pending;
-use crate::machine::Withdrawn;
+use crate::machine::CancelCall;
+use crate::machine::PendingRecord;
 
 /// What a cancel call has found so far.
 #[derive(Debug, Default)]
@@ -49,12 +49,12 @@
             keys: found.waiting.clone(),
             at_millis: self.times.wall_millis,
         };
-        let withdrawn = Withdrawn {
+        let withdrawn = CancelCall {
             keys: found.waiting,
             count: found.count,
             waiter,
         };
-        self.append(record, Pending::Cancelled(withdrawn));
+        self.append(record, PendingRecord::Cancelled(withdrawn));
     }
 
     /// A request that an earlier call has cancelled counts again: a caller who
--- a/crates/shard/src/reading.rs
+++ b/crates/shard/src/cell_reads.rs
@@ -18,17 +18,17 @@
 
 use crate::CELL_PREFIX;
 use crate::CONFIG_HEAD;
-use crate::Keeper;
 use crate::LEASE_PREFIX;
-use crate::LeaseReading;
 use crate::LeaseRow;
+use crate::LeaseScan;
 use crate::MemberRow;
-use crate::OwnerMessage;
+use crate::ObservedLease;
 use crate::PatchError;
 use crate::SHARD_PREFIX;
-use crate::SeenLease;
 use crate::ShardError;
+use crate::ShardManager;
 use crate::ShardRow;
+use crate::ShardTaskMessage;
 use crate::decode_row;
 use crate::member_key;
 use crate::read_config;
@@ -37,36 +37,37 @@
 /// is for leases, claims and patches.
 const JOURNAL_PERCENT: u32 = 80;
 
-impl<T: Table, O: Objects, H: HostList> Keeper<T, O, H> {
+impl<T: Table, O: Objects, H: HostList> ShardManager<T, O, H> {
     pub(crate) async fn read_cell(&mut self) -> Result<(), ShardError> {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let rows = self.context.table.range(CELL_PREFIX).await?;
-        self.outage.on_answer();
+        self.outage.record_answer();
         let mut found = Vec::new();
         let mut head = None;
-        self.rows.clear();
+        self.shard_rows.clear();
         for row in rows {
             if let Some(process) = row.key.strip_prefix(LEASE_PREFIX) {
-                if let Some(lease) = self.readable::<LeaseRow>(&row) {
+                if let Some(lease) = self.decode_or_record::<LeaseRow>(&row) {
                     found.push((process.to_owned(), row.version, lease));
                 }
             } else if let Some(number) = row.key.strip_prefix(SHARD_PREFIX) {
                 let shard = number.parse::<ShardId>().ok();
-                if let (Some(shard), Some(owner)) = (shard, self.readable::<ShardRow>(&row)) {
-                    self.rows.insert(shard, (row.version, owner));
+                if let (Some(shard), Some(owner)) = (shard, self.decode_or_record::<ShardRow>(&row))
+                {
+                    self.shard_rows.insert(shard, (row.version, owner));
                 }
             } else if row.key == CONFIG_HEAD {
                 head = row.value.parse::<Version>().ok();
             }
         }
         let leases = self.join_members(found).await?;
-        let reading = LeaseReading {
-            began,
-            ended: Instant::now(),
+        let reading = LeaseScan {
+            started_at,
+            ended_at: Instant::now(),
             leases,
         };
         self.members.observe(reading, self.context.timing.ttl);
-        self.share_writes();
+        self.update_journal_rate();
         if head.is_some_and(|head| head > self.config.version) {
             self.fetch_config().await?;
         }
@@ -77,18 +78,18 @@
     pub(crate) async fn join_members(
         &self,
         found: Vec<(Incarnation, RowVersion, LeaseRow)>,
-    ) -> Result<Vec<SeenLease>, ShardError> {
+    ) -> Result<Vec<ObservedLease>, ShardError> {
         let mut leases = Vec::new();
         for (process, version, lease) in found {
-            let mut info = self.members.get(&process).map(|known| known.info.clone());
+            let mut info = self.members.get(&process).map(|member| member.info.clone());
             if info.is_none() {
                 let row = self.context.table.get(&member_key(&process)).await?;
-                info = row.and_then(|row| self.readable::<MemberRow>(&row));
+                info = row.and_then(|row| self.decode_or_record::<MemberRow>(&row));
             }
             let Some(info) = info else {
                 continue;
             };
-            leases.push(SeenLease {
+            leases.push(ObservedLease {
                 process,
                 version,
                 lease,
@@ -99,20 +100,20 @@
     }
 
     /// A row that cannot be read is left alone, and said so.
-    pub(crate) fn readable<R>(&self, row: &Row) -> Option<R>
+    pub(crate) fn decode_or_record<R>(&self, row: &Row) -> Option<R>
     where
         R: serde::de::DeserializeOwned + crate::Formatted,
     {
         match decode_row(row) {
             Ok(read) => Some(read),
             Err(error) => {
-                self.record(Event::new(Kind::RowDamaged).detail(error.to_string()));
+                self.record_event(Event::new(Kind::RowDamaged).detail(error.to_string()));
                 None
             }
         }
     }
 
-    pub(crate) fn share_writes(&self) {
+    pub(crate) fn update_journal_rate(&self) {
         let live = self.members.live(self.context.timing.ttl).count().max(1);
         let live = u32::try_from(live).unwrap_or(u32::MAX);
         let rate = self.context.write_rate * JOURNAL_PERCENT / 100;
@@ -124,11 +125,11 @@
     pub(crate) async fn fetch_config(&mut self) -> Result<(), ShardError> {
         match read_config(&self.context.table).await {
             Ok((numbered, _)) => {
-                self.adopt(&Arc::new(numbered));
+                self.adopt_config(&Arc::new(numbered));
                 Ok(())
             }
             Err(PatchError::Damaged { reason }) => {
-                self.record(Event::new(Kind::RowDamaged).detail(reason));
+                self.record_event(Event::new(Kind::RowDamaged).detail(reason));
                 Ok(())
             }
             // The row may be whole; the next tick reads it again.
@@ -140,17 +141,17 @@
     }
 
     /// Never goes back a version.
-    pub(crate) fn adopt(&mut self, config: &Arc<Numbered>) {
+    pub(crate) fn adopt_config(&mut self, config: &Arc<Numbered>) {
         if config.version <= self.config.version {
             return;
         }
         let event = Event::new(Kind::ConfigAdopted);
-        self.record(event.detail(format!("version {}", config.version)));
+        self.record_event(event.detail(format!("version {}", config.version)));
         self.config = config.clone();
         // Drained workers may have changed.
-        self.assigned_at = None;
+        self.lists_due_at = None;
         for running in self.running.values() {
-            let _ = running.owner.send(OwnerMessage::Config(config.clone()));
+            let _ = running.task.send(ShardTaskMessage::Config(config.clone()));
         }
         // Calls are routed by it before the lease says that it is in force.
         self.publish();
--- a/crates/shard/src/claiming.rs
+++ b/crates/shard/src/claiming.rs
@@ -17,54 +17,54 @@
 use store::Table;
 use tokio::sync::mpsc;
 
-use crate::Claim;
 use crate::FORMAT;
-use crate::Keeper;
 use crate::LeaseRow;
 use crate::LeaseState;
-use crate::Owner;
-use crate::OwnerEnd;
-use crate::OwnerMessage;
+use crate::ShardClaim;
 use crate::ShardError;
+use crate::ShardManager;
 use crate::ShardRow;
+use crate::ShardTask;
+use crate::ShardTaskEnd;
+use crate::ShardTaskMessage;
 use crate::Times;
 use crate::encode_row;
-use crate::keeper::Opened;
-use crate::keeper::Running;
 use crate::lease_key;
 use crate::place_shards;
 use crate::recover;
 use crate::shard_key;
+use crate::shard_manager::OpenResult;
+use crate::shard_manager::RunningShard;
 
 /// Time after which an expired lease that owns nothing is removed.
-const SWEEP_AFTER: Duration = Duration::from_secs(30);
+const EXPIRED_LEASE_RETENTION: Duration = Duration::from_secs(30);
 
 /// A lease that stood still for the TTL.
-struct Stale {
+struct StaleLease {
     process: Incarnation,
     version: RowVersion,
     lease: LeaseRow,
     name: String,
 }
 
-impl<T: Table, O: Objects, H: HostList> Keeper<T, O, H> {
+impl<T: Table, O: Objects, H: HostList> ShardManager<T, O, H> {
     /// The lease had been expired. That alone fences nothing: a shard whose
     /// row still is as this process left it was taken by nobody, and with the
     /// lease renewed nobody can take it on the strength of the expiry. Such
     /// shards go on with their state; the others are dropped. (Timed out is
     /// not fenced, after KIP-588.)
-    pub(crate) async fn sort_shards(&mut self) -> Result<(), ShardError> {
+    pub(crate) async fn recheck_shards(&mut self) -> Result<(), ShardError> {
         if !self.context.reclaim {
-            self.drop_all();
+            self.drop_all_shards();
             return Ok(());
         }
         self.read_cell().await?;
         let shards: Vec<ShardId> = self.running.keys().copied().collect();
         for shard in shards {
-            let row = self.rows.get(&shard).map(|(version, _)| *version);
+            let row = self.shard_rows.get(&shard).map(|(version, _)| *version);
             let fence = self.running.get(&shard).map(|running| running.fence);
             if row == fence {
-                self.record(Event::new(Kind::ShardReclaimed).shard(shard));
+                self.record_event(Event::new(Kind::ShardReclaimed).shard(shard));
             } else {
                 self.drop_shard(shard);
             }
@@ -72,7 +72,7 @@
         Ok(())
     }
 
-    pub(crate) fn own_row(&self, epoch: Epoch) -> ShardRow {
+    pub(crate) fn own_shard_row(&self, epoch: Epoch) -> ShardRow {
         ShardRow {
             format: FORMAT,
             owner: self.context.process.clone(),
@@ -80,7 +80,7 @@
         }
     }
 
-    pub(crate) fn drop_all(&mut self) {
+    pub(crate) fn drop_all_shards(&mut self) {
         let shards: Vec<ShardId> = self.running.keys().copied().collect();
         for shard in shards {
             self.drop_shard(shard);
@@ -89,14 +89,14 @@
 
     pub(crate) fn drop_shard(&mut self, shard: ShardId) {
         if let Some(running) = self.running.remove(&shard) {
-            let _ = running.owner.send(OwnerMessage::Drop);
-            self.record(Event::new(Kind::ShardFenced).shard(shard));
+            let _ = running.task.send(ShardTaskMessage::Drop);
+            self.record_event(Event::new(Kind::ShardFenced).shard(shard));
         }
     }
 
     pub(crate) async fn expire_stale(&mut self) -> Result<(), ShardError> {
         let ttl = self.context.timing.ttl;
-        let stale: Vec<Stale> = self
+        let stale: Vec<StaleLease> = self
             .members
             .iter()
             .filter(|(process, member)| {
@@ -104,7 +104,7 @@
                     && member.lease.state != LeaseState::Expired
                     && member.is_stale(ttl)
             })
-            .map(|(process, member)| Stale {
+            .map(|(process, member)| StaleLease {
                 process: process.clone(),
                 version: member.version,
                 lease: member.lease.clone(),
@@ -114,7 +114,7 @@
         if stale.is_empty() {
             return Ok(());
         }
-        for Stale {
+        for StaleLease {
             process,
             version,
             mut lease,
@@ -128,7 +128,7 @@
                 .put(key, encode_row(&lease));
             if let Committed::Done(_) = self.context.table.commit(&commit).await? {
                 let event = Event::new(Kind::PeerExpired);
-                self.record(event.detail(format!("{process} ({name})")));
+                self.record_event(event.detail(format!("{process} ({name})")));
             }
         }
         self.read_cell().await
@@ -138,13 +138,16 @@
     pub(crate) async fn reconcile(&mut self) -> Result<(), ShardError> {
         let shards: Vec<ShardId> = self.running.keys().copied().collect();
         for shard in shards {
-            let named = self.rows.get(&shard).map(|(_, row)| row.owner.clone());
-            if named.as_ref() != Some(&self.context.process) {
+            let row_owner = self
+                .shard_rows
+                .get(&shard)
+                .map(|(_, row)| row.owner.clone());
+            if row_owner.as_ref() != Some(&self.context.process) {
                 self.drop_shard(shard);
             }
         }
-        let mine: Vec<Claim> = self
-            .rows
+        let owned: Vec<ShardClaim> = self
+            .shard_rows
             .iter()
             .filter(|(shard, (_, row))| {
                 row.owner == self.context.process
@@ -154,14 +157,14 @@
             })
             .map(|(shard, (version, row))| self.claim(*shard, row.epoch, *version))
             .collect();
-        for claim in mine {
-            self.open(claim);
+        for claim in owned {
+            self.open_shard(claim);
         }
-        self.sweep().await
+        self.delete_expired_lease().await
     }
 
-    pub(crate) fn claim(&self, shard: ShardId, epoch: Epoch, fence: RowVersion) -> Claim {
-        Claim {
+    pub(crate) fn claim(&self, shard: ShardId, epoch: Epoch, fence: RowVersion) -> ShardClaim {
+        ShardClaim {
             shard,
             process: self.context.process.clone(),
             epoch,
@@ -170,11 +173,14 @@
     }
 
     /// Removes leases that expired long ago and own nothing.
-    pub(crate) async fn sweep(&mut self) -> Result<(), ShardError> {
+    pub(crate) async fn delete_expired_lease(&mut self) -> Result<(), ShardError> {
         let old = self.members.iter().find(|(process, member)| {
             member.lease.state == LeaseState::Expired
-                && member.is_stale(SWEEP_AFTER)
-                && !self.rows.values().any(|(_, row)| row.owner == **process)
+                && member.is_stale(EXPIRED_LEASE_RETENTION)
+                && !self
+                    .shard_rows
+                    .values()
+                    .any(|(_, row)| row.owner == **process)
         });
         if let Some((process, member)) = old {
             let key = lease_key(process);
@@ -187,7 +193,7 @@
     }
 
     /// Process that should own each shard, by this process's view.
-    pub(crate) fn wanted_owners(&self) -> Vec<String> {
+    pub(crate) fn desired_owners(&self) -> Vec<String> {
         let ttl = self.context.timing.ttl;
         let mut live: Vec<(String, String)> = self
             .members
@@ -203,11 +209,11 @@
             .collect()
     }
 
-    pub(crate) async fn claim_free(&mut self) -> Result<(), ShardError> {
+    pub(crate) async fn claim_unowned_shards(&mut self) -> Result<(), ShardError> {
         if self.lease.is_leaving() {
             return Ok(());
         }
-        let wanted = self.wanted_owners();
+        let wanted = self.desired_owners();
         for (shard, owner) in (0..self.context.shards).zip(wanted) {
             if owner != self.context.process || self.running.contains_key(&shard) {
                 continue;
@@ -218,7 +224,7 @@
     }
 
     pub(crate) async fn claim_shard(&mut self, shard: ShardId) -> Result<(), ShardError> {
-        let (version, row) = match self.rows.get(&shard) {
+        let (version, row) = match self.shard_rows.get(&shard) {
             Some((version, row)) => (*version, Some(row.clone())),
             None => (0, None),
         };
@@ -227,7 +233,7 @@
             .check(lease_key(&self.context.process), self.lease.version());
         let mut epoch = 1;
         if let Some(row) = row {
-            if row.owner == self.context.process || !self.members.is_gone(&row.owner) {
+            if row.owner == self.context.process || !self.members.is_gone_or_expired(&row.owner) {
                 return Ok(());
             }
             // The owner may come back at this very moment; then its lease
@@ -239,20 +245,21 @@
             commit = commit.check(lease_key(&row.owner), lease);
             epoch = row.epoch + 1;
         }
-        commit = commit.put(shard_key(shard), encode_row(&self.own_row(epoch)));
+        commit = commit.put(shard_key(shard), encode_row(&self.own_shard_row(epoch)));
         let committed = self.context.table.commit(&commit).await?;
-        self.outage.on_answer();
+        self.outage.record_answer();
         if let Committed::Done(versions) = committed {
             let fence = versions.first().copied().unwrap_or_default();
             let event = Event::new(Kind::ShardClaimed).shard(shard);
-            self.record(event.detail(format!("epoch {epoch}")));
-            self.rows.insert(shard, (fence, self.own_row(epoch)));
-            self.open(self.claim(shard, epoch, fence));
+            self.record_event(event.detail(format!("epoch {epoch}")));
+            self.shard_rows
+                .insert(shard, (fence, self.own_shard_row(epoch)));
+            self.open_shard(self.claim(shard, epoch, fence));
         }
         Ok(())
     }
 
-    pub(crate) fn open(&mut self, claim: Claim) {
+    pub(crate) fn open_shard(&mut self, claim: ShardClaim) {
         self.opening.insert(claim.shard);
         let context = self.context.clone();
         self.opened.spawn(async move {
@@ -265,14 +272,14 @@
         });
     }
 
-    pub(crate) async fn on_opened(&mut self, (claim, recovered): Opened) {
+    pub(crate) async fn on_shard_opened(&mut self, (claim, recovered): OpenResult) {
         self.opening.remove(&claim.shard);
         let recovered = match recovered {
             Ok(recovered) => recovered,
             // The next tick finds the row and tries again.
             Err(error @ ShardError::Damaged { .. }) => {
                 let event = Event::new(Kind::RowDamaged).shard(claim.shard);
-                self.record(event.detail(error.to_string()));
+                self.record_event(event.detail(error.to_string()));
                 return;
             }
             Err(error) => {
@@ -280,34 +287,37 @@
                 return;
             }
         };
-        let current = self.rows.get(&claim.shard).map(|(version, _)| *version);
+        let current = self
+            .shard_rows
+            .get(&claim.shard)
+            .map(|(version, _)| *version);
         if current != Some(claim.fence) {
             return;
         }
         let (sender, inbox) = mpsc::unbounded_channel();
         let view = self.view.subscribe();
         let (context, config) = (self.context.clone(), self.config.clone());
-        let owner = Owner::new(context, recovered, config, view, inbox);
+        let owner = ShardTask::new(context, recovered, config, view, inbox);
         let shard = claim.shard;
         self.ended.spawn(async move { (shard, owner.run().await) });
-        let running = Running {
+        let running = RunningShard {
             epoch: claim.epoch,
             fence: claim.fence,
-            owner: sender,
+            task: sender,
             workers: Vec::new(),
             releasing: false,
         };
         self.running.insert(shard, running);
-        self.assigned_at = None;
+        self.lists_due_at = None;
         self.publish();
-        if let Err(error) = self.read_workers().await {
+        if let Err(error) = self.read_worker_lists().await {
             log::debug!("workers: {error}");
         }
     }
 
-    pub(crate) fn on_ended(&mut self, (shard, end): (ShardId, OwnerEnd)) {
-        let ended = |running: &Running| running.owner.is_closed();
-        if end == OwnerEnd::Fenced && self.running.get(&shard).is_some_and(ended) {
+    pub(crate) fn on_task_ended(&mut self, (shard, end): (ShardId, ShardTaskEnd)) {
+        let ended = |running: &RunningShard| running.task.is_closed();
+        if end == ShardTaskEnd::Fenced && self.running.get(&shard).is_some_and(ended) {
             self.drop_shard(shard);
         }
     }
--- a/crates/shard/src/context.rs
+++ b/crates/shard/src/context.rs
@@ -10,7 +10,7 @@
 use worker::WorkerClient;
 
 use crate::CellId;
-use crate::Gate;
+use crate::LeaseGate;
 use crate::Pacer;
 
 /// Time limits of ownership.
@@ -77,7 +77,7 @@
     /// Events.
     pub timeline: Arc<Timeline>,
     /// Right to act.
-    pub gate: Arc<Gate>,
+    pub gate: Arc<LeaseGate>,
     /// Share of the table's write rate.
     pub pacer: Pacer,
 }
--- a/crates/shard/src/fleet.rs
+++ b/crates/shard/src/fleet.rs
@@ -31,7 +31,9 @@
         let mut known = std::mem::take(&mut self.workers);
         for host in workers {
             let earlier = known.remove(&host.host.id);
-            let same = earlier.as_ref().is_some_and(|old| old.is_same_link(&host));
+            let same = earlier
+                .as_ref()
+                .is_some_and(|old| old.shares_link_with(&host));
             if !same {
                 if earlier.is_some() || self.retiring.contains(&host.host.id) {
                     self.outputs.push(Output::Unlink(host.host.id.clone()));
@@ -142,7 +144,8 @@
         let worker = self.core.add_worker(id, &host.host.rack, claimed.capacity);
         self.core.set_state(worker, core_state(host.host.state));
         self.count_known();
-        self.runs.insert(id.to_owned(), claimed.incarnation.clone());
+        self.incarnations
+            .insert(id.to_owned(), claimed.incarnation.clone());
         self.event(Event::new(Kind::WorkerClaimed).worker(id));
         let mut listed: HashMap<String, Task> = HashMap::new();
         for task in claimed.tasks {
@@ -206,11 +209,11 @@
     /// in force tells.
     pub(crate) fn is_home(&self, key: &str) -> bool {
         if let Some(shard) = model::lent_to(key) {
-            return shard == self.facts.shard;
+            return shard == self.params.shard;
         }
         let team = key.split_once('/').map_or(key, |(team, _)| team);
-        let shards = self.config().team_shards(team, self.facts.shards);
-        shards.is_none_or(|shards| shards.home(key) == self.facts.shard)
+        let shards = self.config().team_shards(team, self.params.shards);
+        shards.is_none_or(|shards| shards.home(key) == self.params.shard)
     }
 
     /// A task of another shard, which had the worker before.
@@ -270,7 +273,7 @@
         };
         let spec = Self::job_spec(entry);
         let job = self.core.adopt(self.times.now, spec, worker);
-        self.keys.insert(job, key.to_owned());
+        self.request_keys.insert(job, key.to_owned());
         if let Some(entry) = self.ledger.get_mut(key) {
             entry.touch(Past::Seen);
             entry.stage = Stage::Running(Some(job));
@@ -283,7 +286,7 @@
         entry.members = vec![crate::Member {
             attempt: task.attempt.clone(),
             worker: id.to_owned(),
-            run: self.runs.get(id).cloned().unwrap_or_default(),
+            run: self.incarnations.get(id).cloned().unwrap_or_default(),
             state: MemberState::Unknown,
         }];
         self.ledger.insert(&task.request, entry);
@@ -299,17 +302,18 @@
         let ready = |slot: &sched::WorkerSlot| slot.state == WorkerState::Ready;
         if self.core.worker_slot(worker).is_some_and(ready) {
             self.core.set_state(worker, WorkerState::Held);
-            self.held.push((self.times.now + HOLD, id.to_owned()));
+            self.paused_workers
+                .push((self.times.now + HOLD, id.to_owned()));
         }
     }
 
     pub(crate) fn release_held(&mut self) {
         while self
-            .held
+            .paused_workers
             .first()
             .is_some_and(|(until, _)| *until <= self.times.now)
         {
-            let (_, id) = self.held.remove(0);
+            let (_, id) = self.paused_workers.remove(0);
             let Some(worker) = self.core.worker(&id) else {
                 continue;
             };
@@ -379,7 +383,7 @@
     }
 
     fn settle_unknown(&mut self, id: &WorkerId) {
-        let claimed = self.runs.contains_key(id);
+        let claimed = self.incarnations.contains_key(id);
         if !claimed {
             self.settle_all(id, &MemberState::Missing);
         }
--- a/crates/shard/src/gate.rs
+++ b/crates/shard/src/gate.rs
@@ -13,16 +13,16 @@
 /// the last good renewal. What is sent in spite of that, in the moment after
 /// the check, is refused by the epoch fences of the table and of the workers.
 #[derive(Debug)]
-pub struct Gate {
+pub struct LeaseGate {
     origin: Instant,
     until_millis: AtomicU64,
 }
 
-impl Gate {
+impl LeaseGate {
     /// A shut gate.
     #[must_use]
-    pub fn new() -> Gate {
-        Gate {
+    pub fn new() -> LeaseGate {
+        LeaseGate {
             origin: Instant::now(),
             until_millis: AtomicU64::new(0),
         }
@@ -41,7 +41,7 @@
     }
 
     /// Forbids to act from now on.
-    pub fn shut(&self) {
+    pub fn revoke(&self) {
         self.until_millis.store(0, Ordering::Release);
     }
 
@@ -59,8 +59,8 @@
     }
 }
 
-impl Default for Gate {
+impl Default for LeaseGate {
     fn default() -> Self {
-        Gate::new()
+        LeaseGate::new()
     }
 }
--- a/crates/shard/src/moving.rs
+++ b/crates/shard/src/handover.rs
@@ -16,43 +16,43 @@
 
 use crate::Ask;
 use crate::FORMAT;
-use crate::Keeper;
-use crate::OwnerMessage;
 use crate::Reply;
+use crate::ShardManager;
 use crate::ShardRow;
+use crate::ShardTaskMessage;
 use crate::encode_row;
 use crate::shard_key;
 
 /// Shortest time between two voluntary hand-overs of a process, so that
 /// views that differ for a moment cannot pass a shard to and fro.
-const SETTLE: Duration = Duration::from_secs(3);
+const HANDOVER_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Longest wait for a shard to finish its journal before it is handed over.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(5);
 
-impl<T: Table, O: Objects, H: HostList> Keeper<T, O, H> {
+impl<T: Table, O: Objects, H: HostList> ShardManager<T, O, H> {
     /// Passes shards on to the processes that should own them: all at once
     /// when leaving, otherwise one at a time.
-    pub(crate) fn pass_on(&mut self) {
+    pub(crate) fn start_handovers(&mut self) {
         let leaving = self.lease.is_leaving();
-        if !leaving && self.moved_at.elapsed() < SETTLE {
+        if !leaving && self.last_handover_at.elapsed() < HANDOVER_INTERVAL {
             return;
         }
-        let wanted = self.wanted_owners();
+        let wanted = self.desired_owners();
         for shard in 0..self.context.shards {
             // Without another process the shards are left to whoever comes.
             let owner = wanted.get(usize::from(shard));
-            let stays = !leaving && owner.is_none_or(|owner| *owner == self.context.process);
+            let keeps = !leaving && owner.is_none_or(|owner| *owner == self.context.process);
             let Some(running) = self.running.get_mut(&shard) else {
                 continue;
             };
-            if stays || running.releasing {
+            if keeps || running.releasing {
                 continue;
             }
             running.releasing = true;
-            self.moved_at = Instant::now();
+            self.last_handover_at = Instant::now();
             let (sender, done) = oneshot::channel();
-            let _ = running.owner.send(OwnerMessage::Release(sender));
+            let _ = running.task.send(ShardTaskMessage::Release(sender));
             self.released.spawn(async move {
                 let _ = tokio::time::timeout(RELEASE_TIMEOUT, done).await;
                 shard
@@ -68,9 +68,9 @@
         let Some(running) = self.running.remove(&shard) else {
             return;
         };
-        let wanted = self.wanted_owners();
+        let wanted = self.desired_owners();
         let Some(next) = wanted.get(usize::from(shard)).cloned() else {
-            self.handover.unnamed += 1;
+            self.handover.unconfirmed += 1;
             return;
         };
         let row = ShardRow {
@@ -86,32 +86,32 @@
             Ok(Committed::Done(versions)) => {
                 let version = versions.first().copied().unwrap_or_default();
                 let event = Event::new(Kind::ShardReleased).shard(shard);
-                self.record(event.detail(format!("to {next} at epoch {}", row.epoch)));
-                self.rows.insert(shard, (version, row));
-                self.handover.handed += 1;
+                self.record_event(event.detail(format!("to {next} at epoch {}", row.epoch)));
+                self.shard_rows.insert(shard, (version, row));
+                self.handover.confirmed += 1;
                 self.publish();
-                self.hint(&next);
+                self.hint_peer(&next);
             }
             Ok(Committed::Conflict(_)) => {}
             // The row names this process or the next one; the next tick
             // reads which, and opens the shard here again if need be.
             Err(error) => {
-                self.handover.unnamed += 1;
+                self.handover.unconfirmed += 1;
                 log::debug!("hand-over of {shard}: {error}");
             }
         }
     }
 
     /// A new version is read at once, not at the next tick.
-    pub(crate) fn hint_all(&self) {
+    pub(crate) fn hint_peers(&self) {
         for (process, _) in self.members.live(self.context.timing.ttl) {
             if *process != self.context.process {
-                self.hint(process);
+                self.hint_peer(process);
             }
         }
     }
 
-    pub(crate) fn hint(&self, process: &str) {
+    pub(crate) fn hint_peer(&self, process: &str) {
         let Some(member) = self.members.get(process) else {
             return;
         };
--- a/crates/shard/src/intake.rs
+++ b/crates/shard/src/intake.rs
@@ -22,7 +22,7 @@
 use crate::Stage;
 use crate::Submission;
 use crate::WaiterKey;
-use crate::machine::Pending;
+use crate::machine::PendingRecord;
 use crate::outcome::refusal_of;
 
 /// When a refused caller may come back, in milliseconds.
@@ -99,7 +99,7 @@
     /// Why a new request cannot be taken, if so.
     fn refusal(&self, request: &Request) -> Option<Answer> {
         let id = &request.id;
-        let retention = millis(self.facts.retention);
+        let retention = millis(self.params.retention);
         let oldest = self.times.wall_millis.saturating_sub(retention);
         if request.sent_millis != 0 && request.sent_millis < oldest {
             let reason =
@@ -130,7 +130,7 @@
             }
         };
         entry.stage = Stage::Waiting(job);
-        self.keys.insert(job, key.to_owned());
+        self.request_keys.insert(job, key.to_owned());
         let durable = entry.request.is_durable();
         if wait {
             entry.waiters.push(waiter);
@@ -146,7 +146,7 @@
             if !wait {
                 entry.acceptance = Acceptance::Recording(vec![waiter]);
             }
-            self.append(record, Pending::Accepted(key.to_owned()));
+            self.append(record, PendingRecord::Accepted(key.to_owned()));
         } else if !wait {
             let answer = pending_answer(&entry.request.id, "accepted");
             self.reply(waiter, ShardReply::Answer(answer));
@@ -194,7 +194,7 @@
             return;
         };
         let members = std::mem::take(&mut entry.members);
-        self.keys.remove(&job);
+        self.request_keys.remove(&job);
         if self.core.withdraw(job) {
             return;
         }
--- a/crates/shard/src/journal.rs
+++ b/crates/shard/src/journal.rs
@@ -38,7 +38,7 @@
 
 /// Orders to the writer.
 #[derive(Debug)]
-pub enum JournalOrder {
+pub enum JournalCommand {
     /// Commit records.
     Append(Ticket, Vec<Record>),
     /// Name new segments; the rows that they cover may be reused.
@@ -49,7 +49,7 @@
 
 /// News from the writer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum JournalNews {
+pub enum JournalEvent {
     /// All records up to a ticket are in the table; the last batch's number.
     Written(Ticket, Seq),
     /// The table takes no records for now.
@@ -60,7 +60,7 @@
 
 /// Where the journal goes on.
 #[derive(Clone, Debug)]
-pub struct JournalStart {
+pub struct JournalPosition {
     /// Shard.
     pub shard: ShardId,
     /// Process run that writes.
@@ -70,9 +70,9 @@
     /// Version of the shard's row, on which every commit is conditional.
     pub fence: RowVersion,
     /// Number of the next batch.
-    pub next: Seq,
+    pub next_seq: Seq,
     /// Versions of the journal rows.
-    pub rows: Vec<RowVersion>,
+    pub row_versions: Vec<RowVersion>,
     /// Segments so far.
     pub segments: SegmentList,
     /// Version of the row that lists them.
@@ -80,9 +80,9 @@
 }
 
 /// What became of one try.
-enum Tried {
+enum WriteOutcome {
     Done,
-    Again,
+    Retry,
     Fenced,
 }
 
@@ -91,10 +91,10 @@
 pub struct Journal<T> {
     table: T,
     pacer: Pacer,
-    start: JournalStart,
-    orders: mpsc::UnboundedReceiver<JournalOrder>,
-    news: mpsc::UnboundedSender<JournalNews>,
-    listed: SegmentList,
+    position: JournalPosition,
+    commands: mpsc::UnboundedReceiver<JournalCommand>,
+    events: mpsc::UnboundedSender<JournalEvent>,
+    latest_segments: SegmentList,
     closing: bool,
 }
 
@@ -104,17 +104,17 @@
     pub fn new(
         table: T,
         pacer: Pacer,
-        start: JournalStart,
-        orders: mpsc::UnboundedReceiver<JournalOrder>,
-        news: mpsc::UnboundedSender<JournalNews>,
+        position: JournalPosition,
+        commands: mpsc::UnboundedReceiver<JournalCommand>,
+        events: mpsc::UnboundedSender<JournalEvent>,
     ) -> Journal<T> {
         Journal {
             table,
             pacer,
-            listed: start.segments.clone(),
-            start,
-            orders,
-            news,
+            latest_segments: position.segments.clone(),
+            position,
+            commands,
+            events,
             closing: false,
         }
     }
@@ -125,42 +125,42 @@
         let mut last = 0;
         loop {
             if records.is_empty() && !self.closing {
-                let Some(order) = self.orders.recv().await else {
+                let Some(command) = self.commands.recv().await else {
                     return;
                 };
-                self.take(order, &mut records, &mut last);
+                self.apply(command, &mut records, &mut last);
             }
             while records.len() < BATCH_RECORDS {
-                let Ok(order) = self.orders.try_recv() else {
+                let Ok(command) = self.commands.try_recv() else {
                     break;
                 };
-                self.take(order, &mut records, &mut last);
+                self.apply(command, &mut records, &mut last);
             }
             if records.is_empty() && self.closing {
                 return;
             }
-            if records.is_empty() && self.listed == self.start.segments {
+            if records.is_empty() && self.latest_segments == self.position.segments {
                 continue;
             }
             if !self.write(std::mem::take(&mut records)).await {
-                let _ = self.news.send(JournalNews::Fenced);
+                let _ = self.events.send(JournalEvent::Fenced);
                 return;
             }
-            let written = JournalNews::Written(last, self.start.next - 1);
-            if self.news.send(written).is_err() {
+            let written = JournalEvent::Written(last, self.position.next_seq - 1);
+            if self.events.send(written).is_err() {
                 return;
             }
         }
     }
 
-    fn take(&mut self, order: JournalOrder, records: &mut Vec<Record>, last: &mut Ticket) {
-        match order {
-            JournalOrder::Append(ticket, mut more) => {
-                records.append(&mut more);
+    fn apply(&mut self, command: JournalCommand, records: &mut Vec<Record>, last: &mut Ticket) {
+        match command {
+            JournalCommand::Append(ticket, mut added) => {
+                records.append(&mut added);
                 *last = ticket;
             }
-            JournalOrder::Segments(newer) => self.listed = newer,
-            JournalOrder::Close => self.closing = true,
+            JournalCommand::Segments(newer) => self.latest_segments = newer,
+            JournalCommand::Close => self.closing = true,
         }
     }
 
@@ -168,23 +168,23 @@
     async fn write(&mut self, records: Vec<Record>) -> bool {
         let batch = Batch {
             format: FORMAT,
-            seq: self.start.next,
-            epoch: self.start.epoch,
+            seq: self.position.next_seq,
+            epoch: self.position.epoch,
             records,
         };
         let mut pause = RETRY_FIRST;
         loop {
             self.pacer.take(1).await;
-            match self.attempt(&batch).await {
-                Ok(Tried::Done) => {
-                    self.start.next += 1;
+            match self.try_write(&batch).await {
+                Ok(WriteOutcome::Done) => {
+                    self.position.next_seq += 1;
                     return true;
                 }
-                Ok(Tried::Fenced) => return false,
-                Ok(Tried::Again) => {}
+                Ok(WriteOutcome::Fenced) => return false,
+                Ok(WriteOutcome::Retry) => {}
                 Err(error) => {
-                    log::debug!("journal of shard {}: {error}", self.start.shard);
-                    if self.news.send(JournalNews::Stalled).is_err() {
+                    log::debug!("journal of shard {}: {error}", self.position.shard);
+                    if self.events.send(JournalEvent::Stalled).is_err() {
                         return false;
                     }
                 }
@@ -200,101 +200,105 @@
     /// One try. A try whose answer was lost is repeated as it is: it can take
     /// effect only once, since it names the version of the row that it
     /// replaces, and the row itself tells whether it did.
-    async fn attempt(&mut self, batch: &Batch) -> Result<Tried, StoreError> {
-        if batch.seq > self.start.segments.covered() + JOURNAL_ROWS {
-            return self.attempt_segments().await;
+    async fn try_write(&mut self, batch: &Batch) -> Result<WriteOutcome, StoreError> {
+        if batch.seq > self.position.segments.covered() + JOURNAL_ROWS {
+            return self.try_write_segments().await;
         }
-        let key = journal_key(self.start.shard, batch.seq);
-        let slot = slot_of(batch.seq);
+        let key = journal_key(self.position.shard, batch.seq);
+        let slot = slot_index(batch.seq);
         let mut commit = Commit::default()
-            .check(shard_key(self.start.shard), self.start.fence)
-            .check(key.clone(), self.start.rows[slot])
+            .check(shard_key(self.position.shard), self.position.fence)
+            .check(key.clone(), self.position.row_versions[slot])
             .put(key.clone(), encode_row(batch));
-        let lists = self.listed != self.start.segments;
-        if lists {
-            commit = self.with_segments(commit);
+        let list_changed = self.latest_segments != self.position.segments;
+        if list_changed {
+            commit = self.add_segment_list(commit);
         }
         match self.table.commit(&commit).await? {
             Committed::Done(versions) => {
-                self.start.rows[slot] = versions.first().copied().unwrap_or_default();
-                if lists {
-                    self.start.list_version = versions.get(1).copied().unwrap_or_default();
-                    self.start.segments = self.listed.clone();
+                self.position.row_versions[slot] = versions.first().copied().unwrap_or_default();
+                if list_changed {
+                    self.position.list_version = versions.get(1).copied().unwrap_or_default();
+                    self.position.segments = self.latest_segments.clone();
                 }
-                Ok(Tried::Done)
+                Ok(WriteOutcome::Done)
             }
-            Committed::Conflict(_) => self.resolve(batch, lists).await,
+            Committed::Conflict(_) => self.resolve_conflict(batch, list_changed).await,
         }
     }
 
-    fn with_segments(&self, commit: Commit) -> Commit {
-        let key = segments_key(self.start.shard);
+    fn add_segment_list(&self, commit: Commit) -> Commit {
+        let key = segments_key(self.position.shard);
         commit
-            .check(key.clone(), self.start.list_version)
-            .put(key, encode_row(&self.listed))
+            .check(key.clone(), self.position.list_version)
+            .put(key, encode_row(&self.latest_segments))
     }
 
     /// Every row holds a batch that no segment covers yet: the list of
     /// segments has to move first.
-    async fn attempt_segments(&mut self) -> Result<Tried, StoreError> {
-        if self.listed == self.start.segments {
-            while let Ok(order) = self.orders.try_recv() {
-                if let JournalOrder::Segments(newer) = order {
-                    self.listed = newer;
+    async fn try_write_segments(&mut self) -> Result<WriteOutcome, StoreError> {
+        if self.latest_segments == self.position.segments {
+            while let Ok(command) = self.commands.try_recv() {
+                if let JournalCommand::Segments(newer) = command {
+                    self.latest_segments = newer;
                 }
             }
-            return Ok(Tried::Again);
+            return Ok(WriteOutcome::Retry);
         }
-        let fence = Commit::default().check(shard_key(self.start.shard), self.start.fence);
-        match self.table.commit(&self.with_segments(fence)).await? {
+        let fence = Commit::default().check(shard_key(self.position.shard), self.position.fence);
+        match self.table.commit(&self.add_segment_list(fence)).await? {
             Committed::Done(versions) => {
-                self.start.list_version = versions.first().copied().unwrap_or_default();
-                self.start.segments = self.listed.clone();
-                Ok(Tried::Again)
+                self.position.list_version = versions.first().copied().unwrap_or_default();
+                self.position.segments = self.latest_segments.clone();
+                Ok(WriteOutcome::Retry)
             }
-            Committed::Conflict(_) => self.refresh().await,
+            Committed::Conflict(_) => self.refresh_versions().await,
         }
     }
 
     /// A condition did not hold: either an earlier try has taken effect, or
     /// the shard has another owner.
-    async fn resolve(&mut self, batch: &Batch, lists: bool) -> Result<Tried, StoreError> {
-        let key = journal_key(self.start.shard, batch.seq);
+    async fn resolve_conflict(
+        &mut self,
+        batch: &Batch,
+        list_changed: bool,
+    ) -> Result<WriteOutcome, StoreError> {
+        let key = journal_key(self.position.shard, batch.seq);
         let row = self.table.get(&key).await?;
         let version = row.as_ref().map_or(0, |row| row.version);
         let found = row.and_then(|row| decode_row::<Batch>(&row).ok());
         if found.as_ref() == Some(batch) {
-            self.start.rows[slot_of(batch.seq)] = version;
-            if lists {
-                self.start.segments = self.listed.clone();
-                self.refresh().await?;
+            self.position.row_versions[slot_index(batch.seq)] = version;
+            if list_changed {
+                self.position.segments = self.latest_segments.clone();
+                self.refresh_versions().await?;
             }
-            return Ok(Tried::Done);
+            return Ok(WriteOutcome::Done);
         }
-        self.refresh().await
+        self.refresh_versions().await
     }
 
     /// Reads the versions of the shard's row and of the list again.
-    async fn refresh(&mut self) -> Result<Tried, StoreError> {
-        let Some(row) = self.table.get(&shard_key(self.start.shard)).await? else {
-            return Ok(Tried::Fenced);
+    async fn refresh_versions(&mut self) -> Result<WriteOutcome, StoreError> {
+        let Some(row) = self.table.get(&shard_key(self.position.shard)).await? else {
+            return Ok(WriteOutcome::Fenced);
         };
         let Ok(shard) = decode_row::<ShardRow>(&row) else {
-            return Ok(Tried::Fenced);
+            return Ok(WriteOutcome::Fenced);
         };
         // The same process at another epoch is another writer: the shard went
         // away and came back while this one was still busy, and what it has
         // left would overwrite the rows of its successor.
-        if shard.owner != self.start.process || shard.epoch != self.start.epoch {
-            return Ok(Tried::Fenced);
+        if shard.owner != self.position.process || shard.epoch != self.position.epoch {
+            return Ok(WriteOutcome::Fenced);
         }
-        self.start.fence = row.version;
-        let list = self.table.get(&segments_key(self.start.shard)).await?;
-        self.start.list_version = list.map_or(0, |row| row.version);
-        Ok(Tried::Again)
+        self.position.fence = row.version;
+        let list = self.table.get(&segments_key(self.position.shard)).await?;
+        self.position.list_version = list.map_or(0, |row| row.version);
+        Ok(WriteOutcome::Retry)
     }
 }
 
-fn slot_of(seq: Seq) -> usize {
+fn slot_index(seq: Seq) -> usize {
     usize::try_from(seq % JOURNAL_ROWS).unwrap_or_default()
 }
--- a/crates/shard/src/launch.rs
+++ b/crates/shard/src/launch.rs
@@ -13,7 +13,7 @@
 use crate::Member;
 use crate::MemberState;
 use crate::Output;
-use crate::Placed;
+use crate::Placement;
 use crate::Record;
 use crate::ShardReply;
 use crate::Stage;
@@ -21,12 +21,12 @@
 use crate::Ticket;
 use crate::attempt_id;
 use crate::intake::pending_answer;
-use crate::machine::Pending;
+use crate::machine::PendingRecord;
 use crate::outcome::stands_unrecorded;
 
 impl Machine {
     pub(crate) fn start(&mut self, job: JobKey, workers: &[WorkerKey]) {
-        let Some(key) = self.keys.get(&job).cloned() else {
+        let Some(key) = self.request_keys.get(&job).cloned() else {
             return;
         };
         let names: Vec<String> = workers
@@ -38,9 +38,9 @@
             return;
         };
         entry.attempt += 1;
-        entry.epoch = self.facts.epoch;
+        entry.epoch = self.params.epoch;
         let (epoch, attempt) = (entry.epoch, entry.attempt);
-        let runs = &self.runs;
+        let runs = &self.incarnations;
         let member = |(index, worker): (usize, &String)| Member {
             attempt: attempt_id(&key, epoch, attempt, index),
             worker: worker.clone(),
@@ -63,7 +63,7 @@
         let Some(entry) = self.ledger.get(key) else {
             return;
         };
-        let place = |member: &Member| Placed {
+        let place = |member: &Member| Placement {
             worker: member.worker.clone(),
             run: member.run.clone(),
         };
@@ -73,7 +73,7 @@
             attempt,
             placed: entry.members.iter().map(place).collect(),
         };
-        self.append(record, Pending::Intent(key.to_owned(), attempt));
+        self.append(record, PendingRecord::Intent(key.to_owned(), attempt));
     }
 
     fn send_starts(&mut self, key: &str) {
@@ -99,12 +99,12 @@
         }
     }
 
-    fn on_record(&mut self, pending: Pending) {
+    fn on_record(&mut self, pending: PendingRecord) {
         match pending {
-            Pending::Intent(key, attempt) => self.on_intent(&key, attempt),
-            Pending::End(key) => self.close(&key),
-            Pending::Accepted(key) => self.on_accepted(&key),
-            Pending::Cancelled(withdrawn) => {
+            PendingRecord::Intent(key, attempt) => self.on_intent(&key, attempt),
+            PendingRecord::End(key) => self.close(&key),
+            PendingRecord::Accepted(key) => self.on_accepted(&key),
+            PendingRecord::Cancelled(withdrawn) => {
                 for key in withdrawn.keys {
                     self.close(&key);
                 }
@@ -130,7 +130,7 @@
         }
         if entry.deadline < self.times.now {
             self.withdraw(key);
-            self.finish_too_late(key);
+            self.finish_past_deadline(key);
             return;
         }
         entry.stage = Stage::Running(Some(job));
--- a/crates/shard/src/lease.rs
+++ b/crates/shard/src/lease.rs
@@ -10,8 +10,8 @@
 use store::StoreError;
 use store::Table;
 
-use crate::CELL_FACTS;
-use crate::CellFacts;
+use crate::CELL_PARAMS;
+use crate::CellParams;
 use crate::Context;
 use crate::FORMAT;
 use crate::LeaseRow;
@@ -60,7 +60,7 @@
     }
 
     /// The other processes give it no more shards, from the next renewal on.
-    pub fn leave(&mut self) {
+    pub fn mark_leaving(&mut self) {
         self.state = LeaseState::Leaving;
     }
 
@@ -76,10 +76,10 @@
     /// # Errors
     /// The table fails; the renewal may have taken effect.
     pub async fn renew(&mut self, config: Version) -> Result<(Renewal, Instant), StoreError> {
-        let began = Instant::now();
+        let sent_at = Instant::now();
         self.counter += 1;
-        if self.write(config).await? {
-            return Ok((Renewal::Held, began));
+        if self.try_write(config).await? {
+            return Ok((Renewal::Held, sent_at));
         }
         let key = lease_key(&self.context.process);
         let row = self.context.table.get(&key).await?;
@@ -92,27 +92,27 @@
         self.version = row.map_or(0, |row| row.version);
         // An earlier renewal whose answer was lost stands there as written:
         // nobody has expired the lease.
-        let own = found.is_some_and(|lease| lease.state != LeaseState::Expired);
-        let began = Instant::now();
+        let still_held = found.is_some_and(|lease| lease.state != LeaseState::Expired);
+        let sent_at = Instant::now();
         self.counter += 1;
-        if !self.write(config).await? {
+        if !self.try_write(config).await? {
             let reason = "the lease row changed twice in a moment".to_owned();
             return Err(StoreError::Unavailable { reason });
         }
-        let renewal = if own {
+        let renewal = if still_held {
             Renewal::Held
         } else {
             Renewal::Regained
         };
-        Ok((renewal, began))
+        Ok((renewal, sent_at))
     }
 
     /// Refuses a table that another cell has made at the same address. With its row there,
     /// this process would claim shards of that cell, whose processes cannot reach it.
     async fn check_cell(&self) -> Result<(), StoreError> {
-        let row = self.context.table.get(CELL_FACTS).await?;
-        let facts = row.and_then(|row| decode_row::<CellFacts>(&row).ok());
-        let found = facts.map_or(0, |facts| facts.cell);
+        let row = self.context.table.get(CELL_PARAMS).await?;
+        let params = row.and_then(|row| decode_row::<CellParams>(&row).ok());
+        let found = params.map_or(0, |params| params.cell);
         if found == self.context.cell {
             return Ok(());
         }
@@ -124,14 +124,14 @@
         Err(StoreError::Unavailable { reason })
     }
 
-    async fn write(&mut self, config: Version) -> Result<bool, StoreError> {
+    async fn try_write(&mut self, config: Version) -> Result<bool, StoreError> {
         let key = lease_key(&self.context.process);
         let mut commit = Commit::default()
             .check(key.clone(), self.version)
-            .put(key, encode_row(&self.row(config)));
+            .put(key, encode_row(&self.lease_row(config)));
         if self.version == 0 {
             let member = member_key(&self.context.process);
-            commit = commit.put(member, encode_row(&self.member()));
+            commit = commit.put(member, encode_row(&self.member_row()));
         }
         match self.context.table.commit(&commit).await? {
             Committed::Done(versions) => {
@@ -142,7 +142,7 @@
         }
     }
 
-    fn row(&self, config: Version) -> LeaseRow {
+    fn lease_row(&self, config: Version) -> LeaseRow {
         LeaseRow {
             format: FORMAT,
             state: self.state,
@@ -151,7 +151,7 @@
         }
     }
 
-    fn member(&self) -> MemberRow {
+    fn member_row(&self) -> MemberRow {
         MemberRow {
             format: FORMAT,
             name: self.context.name.clone(),
@@ -163,7 +163,7 @@
 
     /// Gives the lease up; the others need not wait for the TTL. Whether the
     /// table has confirmed that it is gone.
-    pub async fn give_up(&self) -> bool {
+    pub async fn remove(&self) -> bool {
         let key = lease_key(&self.context.process);
         let commit = Commit::default()
             .check(key.clone(), self.version)
--- a/crates/shard/src/ledger.rs
+++ b/crates/shard/src/ledger.rs
@@ -13,7 +13,7 @@
 use crate::Entry;
 use crate::MemberState;
 use crate::Past;
-use crate::Placed;
+use crate::Placement;
 use crate::Record;
 use crate::Stage;
 use crate::attempt_id;
@@ -139,7 +139,7 @@
         self.entries.insert(key, entry);
     }
 
-    fn replay_intent(&mut self, key: &str, epoch: Epoch, attempt: u32, placed: &[Placed]) {
+    fn replay_intent(&mut self, key: &str, epoch: Epoch, attempt: u32, placed: &[Placement]) {
         let Some(entry) = self.entries.get_mut(key) else {
             return;
         };
@@ -151,7 +151,7 @@
         if attempt > 1 || placed.is_empty() {
             entry.past = Past::Unseen;
         }
-        let member = |(index, place): (usize, &Placed)| crate::Member {
+        let member = |(index, place): (usize, &Placement)| crate::Member {
             attempt: attempt_id(key, epoch, attempt, index),
             worker: place.worker.clone(),
             run: place.run.clone(),
--- a/crates/shard/src/lend.rs
+++ b/crates/shard/src/lend.rs
@@ -29,7 +29,7 @@
 impl Machine {
     /// Notes an unrecorded request that may be lent if it has to wait.
     pub(crate) fn note_lendable(&mut self, key: &str) {
-        if self.facts.shards > 1 {
+        if self.params.shards > 1 {
             self.lendable.push_back(key.to_owned());
         }
     }
@@ -71,7 +71,7 @@
         if !self.core.lend(job) {
             return false;
         }
-        self.keys.remove(&job);
+        self.request_keys.remove(&job);
         entry.stage = Stage::Lent;
         let here = millis(now.saturating_sub(entry.since));
         let submission = Submission {
@@ -126,7 +126,7 @@
     /// A request of another shard: it starts now or not at all.
     pub(crate) fn on_run(&mut self, submission: &Submission, waiter: WaiterKey) {
         let request = &submission.request;
-        let key = lent_key(&request_key(&request.team, &request.id), self.facts.shard);
+        let key = lent_key(&request_key(&request.team, &request.id), self.params.shard);
         if self.ledger.get(&key).is_some() {
             self.attach(&key, submission, waiter);
             return;
@@ -144,7 +144,7 @@
         };
         entry.stage = Stage::Waiting(job);
         entry.waiters.push(waiter);
-        self.keys.insert(job, key.clone());
+        self.request_keys.insert(job, key.clone());
         self.ledger.insert(&key, entry);
         self.start(job, &[worker]);
     }
--- a/crates/shard/src/link.rs
+++ b/crates/shard/src/link.rs
@@ -25,8 +25,8 @@
 use worker::WorkerClient;
 use worker::WorkerError;
 
-use crate::Gate;
 use crate::Input;
+use crate::LeaseGate;
 use crate::NotStarted;
 use crate::StartOrder;
 use crate::StopMode;
@@ -73,7 +73,7 @@
     /// Client of all workers.
     pub client: WorkerClient,
     /// Right to act.
-    pub gate: Arc<Gate>,
+    pub gate: Arc<LeaseGate>,
 }
 
 /// Link of a shard to one worker.
@@ -371,7 +371,7 @@
 async fn send_start(
     client: &WorkerClient,
     address: std::net::SocketAddr,
-    gate: &Gate,
+    gate: &LeaseGate,
     start: Start,
 ) -> Option<Input> {
     let mut maybe = false;
--- a/crates/shard/src/machine.rs
+++ b/crates/shard/src/machine.rs
@@ -37,7 +37,7 @@
 
 /// Fixed facts of a shard's machine.
 #[derive(Clone, Copy, Debug)]
-pub struct MachineFacts {
+pub struct MachineParams {
     /// Number of the shard.
     pub shard: ShardId,
     /// Number of shards of the cell.
@@ -47,7 +47,7 @@
     /// When this owner took the shard over, in milliseconds since 1970; 0 if
     /// there was no owner before. Of what earlier owners ran without a record
     /// it knows only what the workers still report.
-    pub since_millis: u64,
+    pub takeover_millis: u64,
     /// Longest time for which answers are remembered.
     pub retention: Duration,
     /// When the tasks of workers that could not be claimed count as missing.
@@ -56,7 +56,7 @@
 
 /// What waits for a commit.
 #[derive(Clone, Debug)]
-pub(crate) enum Pending {
+pub(crate) enum PendingRecord {
     /// Starts of an attempt.
     Intent(String, u32),
     /// The end of a request.
@@ -64,12 +64,12 @@
     /// The acceptance of a request.
     Accepted(String),
     /// The ends of a cancel call.
-    Cancelled(Withdrawn),
+    Cancelled(CancelCall),
 }
 
 /// Requests withdrawn by one cancel call.
 #[derive(Clone, Debug)]
-pub(crate) struct Withdrawn {
+pub(crate) struct CancelCall {
     /// Their keys.
     pub(crate) keys: Vec<String>,
     /// All that the call cancelled or asked to stop, and those that an
@@ -82,22 +82,22 @@
 /// State machine of one shard.
 #[derive(Debug)]
 pub struct Machine {
-    pub(crate) facts: MachineFacts,
+    pub(crate) params: MachineParams,
     pub(crate) times: Times,
     pub(crate) core: Core<Weighted>,
     pub(crate) ledger: Ledger,
     pub(crate) config: Arc<Numbered>,
-    pub(crate) keys: HashMap<JobKey, String>,
+    pub(crate) request_keys: HashMap<JobKey, String>,
     pub(crate) workers: HashMap<WorkerId, WorkerHost>,
     /// Workers that left the host list, but may still run tasks.
     pub(crate) retiring: Vec<WorkerId>,
     /// Workers that have refused a start, and until when they are left alone.
-    pub(crate) held: Vec<(Now, WorkerId)>,
+    pub(crate) paused_workers: Vec<(Now, WorkerId)>,
     /// New requests that may be lent, and those that nobody had room for.
     pub(crate) lendable: VecDeque<String>,
     pub(crate) unlent: VecDeque<String>,
-    pub(crate) runs: HashMap<WorkerId, model::Incarnation>,
-    pub(crate) pending: BTreeMap<Ticket, Vec<Pending>>,
+    pub(crate) incarnations: HashMap<WorkerId, model::Incarnation>,
+    pub(crate) pending: BTreeMap<Ticket, Vec<PendingRecord>>,
     pub(crate) outputs: Vec<Output>,
     /// Records that go into the next commit.
     pub(crate) records: Vec<Record>,
@@ -115,24 +115,24 @@
     /// A machine that goes on from what an earlier owner had recorded.
     #[must_use]
     pub fn new(
-        facts: MachineFacts,
+        params: MachineParams,
         ledger: Ledger,
         config: Arc<Numbered>,
         times: Times,
     ) -> Machine {
         let mut machine = Machine {
-            facts,
+            params,
             times,
             core: Core::new(Weighted::default()),
             ledger,
             config,
-            keys: HashMap::new(),
+            request_keys: HashMap::new(),
             workers: HashMap::new(),
             retiring: Vec::new(),
-            held: Vec::new(),
+            paused_workers: Vec::new(),
             lendable: VecDeque::new(),
             unlent: VecDeque::new(),
-            runs: HashMap::new(),
+            incarnations: HashMap::new(),
             pending: BTreeMap::new(),
             outputs: Vec::new(),
             records: Vec::new(),
@@ -210,7 +210,8 @@
     }
 
     fn apply_config(&mut self) {
-        let grants = crate::shard_grants(&self.config.config, self.facts.shard, self.facts.shards);
+        let grants =
+            crate::shard_grants(&self.config.config, self.params.shard, self.params.shards);
         self.core.grant(&grants);
         self.core.set_policy(Weighted {
             pack_percent: self.config.config.pack_percent,
@@ -218,7 +219,7 @@
     }
 
     fn on_tick(&mut self) {
-        self.ledger.forget(self.times.now, self.facts.retention);
+        self.ledger.forget(self.times.now, self.params.retention);
         if self.times.now >= self.next_probe {
             self.next_probe = self.times.now + PROBE_INTERVAL;
             self.core.allow_probes();
@@ -228,7 +229,7 @@
         if !self.released {
             self.lend_again();
         }
-        if self.times.now >= self.facts.missing_at {
+        if self.times.now >= self.params.missing_at {
             self.settle_missing();
         }
     }
@@ -259,16 +260,16 @@
     }
 
     fn expire(&mut self, job: JobKey) {
-        let Some(key) = self.keys.remove(&job) else {
+        let Some(key) = self.request_keys.remove(&job) else {
             return;
         };
-        self.finish_too_late(&key);
+        self.finish_past_deadline(&key);
     }
 
     /// Ends a request that can't start any more. An earlier attempt counts
     /// wherever this is noticed; left out, the caller of work that ran in part
     /// is told "not run" and does it again.
-    pub(crate) fn finish_too_late(&mut self, key: &str) {
+    pub(crate) fn finish_past_deadline(&mut self, key: &str) {
         if self.ledger.get(key).is_some_and(Entry::touched) {
             let reason = "interrupted, and no room before its deadline";
             self.finish_bare(key, Code::HostLost, reason);
@@ -277,7 +278,7 @@
         }
     }
 
-    pub(crate) fn append(&mut self, record: Record, pending: Pending) {
+    pub(crate) fn append(&mut self, record: Record, pending: PendingRecord) {
         self.records.push(record);
         self.pending
             .entry(self.next_ticket)
@@ -300,7 +301,7 @@
     }
 
     pub(crate) fn event(&mut self, event: Event) {
-        let event = event.shard(self.facts.shard);
+        let event = event.shard(self.params.shard);
         self.outputs.push(Output::Event(event));
     }
 }
--- a/crates/shard/src/members.rs
+++ b/crates/shard/src/members.rs
@@ -13,7 +13,7 @@
 
 /// Another process as seen by this one.
 #[derive(Clone, Debug)]
-pub struct PeerState {
+pub struct ObservedMember {
     /// What never changes about it.
     pub info: MemberRow,
     /// Its lease.
@@ -21,37 +21,37 @@
     /// Version of its lease row.
     pub version: RowVersion,
     /// When a read that first showed this version had ended.
-    since: Instant,
+    first_seen: Instant,
     /// When the newest read that showed this version began.
-    until: Instant,
+    last_seen: Instant,
 }
 
-impl PeerState {
+impl ObservedMember {
     /// Whether its lease stood still for `ttl` by this process's own
     /// monotonic clock; no clock of another host is looked at.
     #[must_use]
     pub fn is_stale(&self, ttl: Duration) -> bool {
-        self.until.saturating_duration_since(self.since) >= ttl
+        self.last_seen.saturating_duration_since(self.first_seen) >= ttl
     }
 
     /// Earliest moment at which it can count as stale.
     #[must_use]
     pub fn stale_at(&self, ttl: Duration) -> Instant {
-        self.since + ttl
+        self.first_seen + ttl
     }
 }
 
 /// All processes that have a lease row.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
-    known: HashMap<Incarnation, PeerState>,
+    observed: HashMap<Incarnation, ObservedMember>,
     /// When the newest read ended.
-    read: Option<Instant>,
+    last_read: Option<Instant>,
 }
 
 /// A lease as it was read.
 #[derive(Clone, Debug)]
-pub struct SeenLease {
+pub struct ObservedLease {
     /// Process run.
     pub process: Incarnation,
     /// Version of the row.
@@ -64,13 +64,13 @@
 
 /// One read of all lease rows.
 #[derive(Debug)]
-pub struct LeaseReading {
+pub struct LeaseScan {
     /// When the read began.
-    pub began: Instant,
+    pub started_at: Instant,
     /// When it ended.
-    pub ended: Instant,
+    pub ended_at: Instant,
     /// All leases.
-    pub leases: Vec<SeenLease>,
+    pub leases: Vec<ObservedLease>,
 }
 
 impl Members {
@@ -78,61 +78,63 @@
     /// table was unavailable, or this process paused) all ages begin anew:
     /// nobody could renew during an outage, and the first process to reach
     /// the table again must not expire all the others.
-    pub fn observe(&mut self, reading: LeaseReading, ttl: Duration) {
+    pub fn observe(&mut self, scan: LeaseScan, ttl: Duration) {
         let gap = self
-            .read
-            .is_some_and(|at| reading.began.duration_since(at) >= ttl);
-        self.read = Some(reading.ended);
+            .last_read
+            .is_some_and(|at| scan.started_at.duration_since(at) >= ttl);
+        self.last_read = Some(scan.ended_at);
         if gap {
-            self.known.clear();
+            self.observed.clear();
         }
-        let mut known = HashMap::new();
-        for seen in reading.leases {
-            let earlier = self.known.remove(&seen.process);
-            let since = match earlier {
-                Some(member) if member.version == seen.version => member.since,
-                _ => reading.ended,
+        let mut observed = HashMap::new();
+        for seen in scan.leases {
+            let earlier = self.observed.remove(&seen.process);
+            let first_seen = match earlier {
+                Some(member) if member.version == seen.version => member.first_seen,
+                _ => scan.ended_at,
             };
-            let member = PeerState {
+            let member = ObservedMember {
                 info: seen.info,
                 lease: seen.lease,
                 version: seen.version,
-                since,
-                until: reading.began,
+                first_seen,
+                last_seen: scan.started_at,
             };
-            known.insert(seen.process, member);
+            observed.insert(seen.process, member);
         }
-        self.known = known;
+        self.observed = observed;
     }
 
     /// When the newest read ended, if there was one.
     #[must_use]
     pub fn read_at(&self) -> Option<Instant> {
-        self.read
+        self.last_read
     }
 
     /// A process by its run.
     #[must_use]
-    pub fn get(&self, process: &str) -> Option<&PeerState> {
-        self.known.get(process)
+    pub fn get(&self, process: &str) -> Option<&ObservedMember> {
+        self.observed.get(process)
     }
 
     /// All processes.
-    pub fn iter(&self) -> impl Iterator<Item = (&Incarnation, &PeerState)> {
-        self.known.iter()
+    pub fn iter(&self) -> impl Iterator<Item = (&Incarnation, &ObservedMember)> {
+        self.observed.iter()
     }
 
     /// Processes that may take shards.
-    pub fn live(&self, ttl: Duration) -> impl Iterator<Item = (&Incarnation, &PeerState)> {
-        let lives = move |member: &PeerState| {
+    pub fn live(&self, ttl: Duration) -> impl Iterator<Item = (&Incarnation, &ObservedMember)> {
+        let is_live = move |member: &ObservedMember| {
             member.lease.state == LeaseState::Live && !member.is_stale(ttl)
         };
-        self.known.iter().filter(move |(_, member)| lives(member))
+        self.observed
+            .iter()
+            .filter(move |(_, member)| is_live(member))
     }
 
     /// Whether an owner's shards may be taken: its lease is gone or expired.
     #[must_use]
-    pub fn is_gone(&self, process: &str) -> bool {
+    pub fn is_gone_or_expired(&self, process: &str) -> bool {
         self.get(process)
             .is_none_or(|member| member.lease.state == LeaseState::Expired)
     }
@@ -140,8 +142,12 @@
     /// Earliest moment at which some lease can count as stale.
     #[must_use]
     pub fn next_stale(&self, ttl: Duration) -> Option<Instant> {
-        let waiting = |member: &&PeerState| member.lease.state != LeaseState::Expired;
-        let times = self.known.values().filter(waiting).map(|m| m.stale_at(ttl));
+        let not_expired = |member: &&ObservedMember| member.lease.state != LeaseState::Expired;
+        let times = self
+            .observed
+            .values()
+            .filter(not_expired)
+            .map(|m| m.stale_at(ttl));
         times.min()
     }
 }
@@ -151,9 +157,9 @@
     use std::time::Duration;
     use std::time::Instant;
 
-    use super::LeaseReading;
+    use super::LeaseScan;
     use super::Members;
-    use super::SeenLease;
+    use super::ObservedLease;
     use crate::FORMAT;
     use crate::LeaseRow;
     use crate::LeaseState;
@@ -161,7 +167,7 @@
 
     const TTL: Duration = Duration::from_secs(2);
 
-    fn reading(at: Instant, version: u64) -> LeaseReading {
+    fn scan(at: Instant, version: u64) -> LeaseScan {
         let address = ([127, 0, 0, 1], 1).into();
         let lease = LeaseRow {
             format: FORMAT,
@@ -176,15 +182,15 @@
             http: address,
             domain: "tacoma".to_owned(),
         };
-        let seen = SeenLease {
+        let seen = ObservedLease {
             process: "a-1".to_owned(),
             version,
             lease,
             info,
         };
-        LeaseReading {
-            began: at,
-            ended: at,
+        LeaseScan {
+            started_at: at,
+            ended_at: at,
             leases: vec![seen],
         }
     }
@@ -194,9 +200,9 @@
         let start = Instant::now();
         let mut members = Members::default();
 
-        members.observe(reading(start, 1), TTL);
-        members.observe(reading(start + TTL / 2, 1), TTL);
-        members.observe(reading(start + TTL, 1), TTL);
+        members.observe(scan(start, 1), TTL);
+        members.observe(scan(start + TTL / 2, 1), TTL);
+        members.observe(scan(start + TTL, 1), TTL);
 
         assert!(members.get("a-1").is_some_and(|m| m.is_stale(TTL)));
     }
@@ -210,8 +216,8 @@
         let start = Instant::now();
         let mut members = Members::default();
 
-        members.observe(reading(start, 1), TTL);
-        members.observe(reading(start + TTL * 5, 2), TTL);
+        members.observe(scan(start, 1), TTL);
+        members.observe(scan(start + TTL * 5, 2), TTL);
 
         assert!(members.get("a-1").is_some_and(|m| !m.is_stale(TTL)));
     }
@@ -224,8 +230,8 @@
         let start = Instant::now();
         let mut members = Members::default();
 
-        members.observe(reading(start, 1), TTL);
-        members.observe(reading(start + TTL * 15, 1), TTL);
+        members.observe(scan(start, 1), TTL);
+        members.observe(scan(start + TTL * 15, 1), TTL);
 
         assert!(members.get("a-1").is_some_and(|m| !m.is_stale(TTL)));
     }
--- a/crates/shard/src/outage.rs
+++ b/crates/shard/src/outage.rs
@@ -27,7 +27,7 @@
 
 /// What the peers say about the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OutageWord {
+pub enum OutageVerdict {
     /// Some peer confirms the outage, none denies it.
     Confirmed,
     /// Some peer reaches the table.
@@ -38,18 +38,18 @@
 
 /// Sums up what the peers said.
 #[must_use]
-pub fn weigh_words(words: &[Option<bool>]) -> OutageWord {
-    if words.contains(&Some(true)) {
-        return OutageWord::Denied;
+pub fn combine_reports(reports: &[Option<bool>]) -> OutageVerdict {
+    if reports.contains(&Some(true)) {
+        return OutageVerdict::Denied;
     }
-    if words.contains(&Some(false)) {
-        return OutageWord::Confirmed;
+    if reports.contains(&Some(false)) {
+        return OutageVerdict::Confirmed;
     }
-    OutageWord::Silence
+    OutageVerdict::Silence
 }
 
 /// Asks all peers whether the table answers them.
-pub async fn ask_peers(node: &Node, own: TableHealth, peers: Vec<SocketAddr>) -> OutageWord {
+pub async fn query_peers(node: &Node, own: TableHealth, peers: Vec<SocketAddr>) -> OutageVerdict {
     let own = Arc::new(own);
     let mut calls = tokio::task::JoinSet::new();
     for peer in peers {
@@ -62,7 +62,7 @@
             }
         });
     }
-    weigh_words(&calls.join_all().await)
+    combine_reports(&calls.join_all().await)
 }
 
 /// When the table last answered, as all tasks of a process see it at once.
@@ -74,7 +74,7 @@
 }
 
 impl LastAnswer {
-    fn note(&self) {
+    fn update(&self) {
         let millis = crate::intake::millis(self.origin.elapsed());
         self.millis.store(millis, Ordering::Release);
     }
@@ -99,74 +99,74 @@
 
 /// Keeps account of an outage.
 #[derive(Debug)]
-pub struct OutageWatch {
-    answered: Arc<LastAnswer>,
+pub struct OutageTracker {
+    last_answer: Arc<LastAnswer>,
     /// Whether the process goes on past its lease.
-    pub going_on: bool,
+    pub in_outage: bool,
 }
 
-impl OutageWatch {
+impl OutageTracker {
     /// Begins with the table taken to be reachable.
     #[must_use]
-    pub fn new() -> OutageWatch {
-        let answered = LastAnswer::default();
-        answered.note();
-        OutageWatch {
-            answered: Arc::new(answered),
-            going_on: false,
+    pub fn new() -> OutageTracker {
+        let last_answer = LastAnswer::default();
+        last_answer.update();
+        OutageTracker {
+            last_answer: Arc::new(last_answer),
+            in_outage: false,
         }
     }
 
     /// The table has answered.
-    pub fn on_answer(&self) {
-        self.answered.note();
+    pub fn record_answer(&self) {
+        self.last_answer.update();
     }
 
     /// When the table last answered.
     #[must_use]
-    pub fn answered(&self) -> Arc<LastAnswer> {
-        self.answered.clone()
+    pub fn last_answer(&self) -> Arc<LastAnswer> {
+        self.last_answer.clone()
     }
 
-    fn silence(&self) -> Duration {
-        self.answered.age().unwrap_or(Duration::MAX)
+    fn since_answer(&self) -> Duration {
+        self.last_answer.age().unwrap_or(Duration::MAX)
     }
 
     /// Whether the table has answered within `span`.
     #[must_use]
-    pub fn is_reachable(&self, span: Duration) -> bool {
-        self.silence() < span
+    pub fn is_reachable(&self, period: Duration) -> bool {
+        self.since_answer() < period
     }
 
     /// Whether the process has gone on for too long.
     #[must_use]
     pub fn is_over_limit(&self) -> bool {
-        self.silence() > OUTAGE_LIMIT
+        self.since_answer() > OUTAGE_LIMIT
     }
 }
 
-impl Default for OutageWatch {
+impl Default for OutageTracker {
     fn default() -> Self {
-        OutageWatch::new()
+        OutageTracker::new()
     }
 }
 
 #[cfg(test)]
 mod tests {
-    use super::OutageWord;
-    use super::weigh_words;
+    use super::OutageVerdict;
+    use super::combine_reports;
 
     #[test]
     fn one_peer_that_reaches_the_table_outweighs_all_others() {
-        let word = weigh_words(&[Some(false), None, Some(true)]);
+        let verdict = combine_reports(&[Some(false), None, Some(true)]);
 
-        assert_eq!(word, OutageWord::Denied);
+        assert_eq!(verdict, OutageVerdict::Denied);
     }
 
     #[test]
     fn silence_confirms_nothing() {
-        let word = weigh_words(&[None, None]);
+        let verdict = combine_reports(&[None, None]);
 
-        assert_eq!(word, OutageWord::Silence);
+        assert_eq!(verdict, OutageVerdict::Silence);
     }
 }
--- a/crates/shard/src/outcome.rs
+++ b/crates/shard/src/outcome.rs
@@ -25,7 +25,7 @@
 use crate::attempt_key;
 use crate::cancel::is_cancelled;
 use crate::judge;
-use crate::machine::Pending;
+use crate::machine::PendingRecord;
 
 /// Most by which the clocks of a caller and of a process may differ, where
 /// the time of a first call is compared with that of a take-over.
@@ -202,7 +202,7 @@
             return;
         }
         if let Some(job) = entry.job() {
-            self.keys.remove(&job);
+            self.request_keys.remove(&job);
         }
         let started = |member: &Member| member.state != MemberState::NotStarted;
         let unseen = |member: &Member| !matches!(member.state, MemberState::Ended(_));
@@ -244,7 +244,7 @@
         }
         match self.core.submit(self.times.now, spec) {
             Ok(job) => {
-                self.keys.insert(job, key.to_owned());
+                self.request_keys.insert(job, key.to_owned());
                 if let Some(entry) = self.ledger.get_mut(key) {
                     entry.stage = Stage::Waiting(job);
                 }
@@ -294,8 +294,9 @@
     pub(crate) fn make_true(&self, entry: &Entry, answer: Answer) -> Answer {
         let not_run = answer.code.family() == Family::NotRun;
         let sent = entry.request.sent_millis;
-        let margin = self.facts.since_millis + CLOCK_SKEW_MILLIS;
-        let known = entry.recorded || sent == 0 || sent > margin || self.facts.since_millis == 0;
+        let margin = self.params.takeover_millis + CLOCK_SKEW_MILLIS;
+        let known =
+            entry.recorded || sent == 0 || sent > margin || self.params.takeover_millis == 0;
         if !not_run || known {
             return answer;
         }
@@ -326,7 +327,7 @@
             answer,
             at_millis: self.times.wall_millis,
         };
-        self.append(record, Pending::End(key.to_owned()));
+        self.append(record, PendingRecord::End(key.to_owned()));
         if self.stalled && stands_unrecorded(code) {
             self.answer_waiters(key);
         }
--- a/crates/shard/src/ring.rs
+++ b/crates/shard/src/placement.rs
@@ -15,13 +15,13 @@
         return Vec::new();
     }
     let bound = usize::from(shards).div_ceil(names.len());
-    let mut held = vec![0usize; names.len()];
+    let mut shard_counts = vec![0usize; names.len()];
     let mut owners = Vec::with_capacity(usize::from(shards));
     for shard in 0..shards {
-        let open = (0..names.len()).filter(|index| held[*index] < bound);
-        let best = open.max_by_key(|index| weight(&names[*index], shard));
+        let eligible = (0..names.len()).filter(|index| shard_counts[*index] < bound);
+        let best = eligible.max_by_key(|index| weight(&names[*index], shard));
         let index = best.unwrap_or_default();
-        held[index] += 1;
+        shard_counts[index] += 1;
         owners.push(index);
     }
     owners
@@ -44,8 +44,8 @@
         let owners = place_shards(&names(7), 16);
 
         for index in 0..7 {
-            let held = owners.iter().filter(|owner| **owner == index).count();
-            assert!(held <= 3, "process {index} holds {held}");
+            let shard_counts = owners.iter().filter(|owner| **owner == index).count();
+            assert!(shard_counts <= 3, "process {index} holds {shard_counts}");
         }
     }
 
--- a/crates/shard/src/record.rs
+++ b/crates/shard/src/record.rs
@@ -19,7 +19,7 @@
 
 /// Where one member was to run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Placed {
+pub struct Placement {
     /// Worker.
     pub worker: WorkerId,
     /// Run of the worker: another run has forgotten its tasks.
@@ -50,7 +50,7 @@
         /// Number of the attempt.
         attempt: u32,
         /// Where its members run; empty when the attempt is over.
-        placed: Vec<Placed>,
+        placed: Vec<Placement>,
     },
     /// The final answer.
     End {
--- a/crates/shard/src/recovery.rs
+++ b/crates/shard/src/recovery.rs
@@ -11,11 +11,11 @@
 use crate::Batch;
 use crate::FORMAT;
 use crate::JOURNAL_ROWS;
-use crate::JournalStart;
+use crate::JournalPosition;
 use crate::Ledger;
 use crate::Segment;
 use crate::SegmentList;
-use crate::SegmentName;
+use crate::SegmentRef;
 use crate::ShardError;
 use crate::Times;
 use crate::decode_row;
@@ -24,7 +24,7 @@
 
 /// A claimed shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Claim {
+pub struct ShardClaim {
     /// Shard.
     pub shard: ShardId,
     /// Process run that owns it.
@@ -37,11 +37,11 @@
 
 /// What earlier owners left.
 #[derive(Debug)]
-pub struct Recovered {
+pub struct RecoveredShard {
     /// Requests.
     pub ledger: Ledger,
     /// Where the journal goes on.
-    pub start: JournalStart,
+    pub position: JournalPosition,
 }
 
 /// Reads what earlier owners of a shard left.
@@ -52,9 +52,9 @@
 pub async fn recover<T: Table, O: Objects>(
     table: &T,
     objects: &O,
-    claim: &Claim,
+    claim: &ShardClaim,
     times: Times,
-) -> Result<Recovered, ShardError> {
+) -> Result<RecoveredShard, ShardError> {
     let list_row = table.get(&segments_key(claim.shard)).await?;
     let list_version = list_row.as_ref().map_or(0, |row| row.version);
     let segments = match &list_row {
@@ -67,7 +67,7 @@
     let mut ledger = Ledger::default();
     read_segments(objects, &segments, &mut ledger, times).await?;
     let rows = table.range(&journal_prefix(claim.shard)).await?;
-    let (batches, versions) = read_rows(&rows)?;
+    let (batches, versions) = read_journal_rows(&rows)?;
     let covered = segments.covered();
     let mut last = covered;
     for batch in batches.iter().filter(|batch| batch.seq > covered) {
@@ -76,17 +76,17 @@
         }
         last = batch.seq;
     }
-    let start = JournalStart {
+    let position = JournalPosition {
         shard: claim.shard,
         process: claim.process.clone(),
         epoch: claim.epoch,
         fence: claim.fence,
-        next: last + 1,
-        rows: versions,
+        next_seq: last + 1,
+        row_versions: versions,
         segments,
         list_version,
     };
-    Ok(Recovered { ledger, start })
+    Ok(RecoveredShard { ledger, position })
 }
 
 /// Ended requests of all segments, open ones of the newest.
@@ -111,7 +111,7 @@
     Ok(())
 }
 
-async fn read_segment<O: Objects>(objects: &O, name: &SegmentName) -> Result<Segment, ShardError> {
+async fn read_segment<O: Objects>(objects: &O, name: &SegmentRef) -> Result<Segment, ShardError> {
     let damaged = |reason: &str| ShardError::Damaged {
         key: name.name.clone(),
         reason: reason.to_owned(),
@@ -127,7 +127,7 @@
     decode_row(&row)
 }
 
-fn read_rows(rows: &[Row]) -> Result<(Vec<Batch>, Vec<RowVersion>), ShardError> {
+fn read_journal_rows(rows: &[Row]) -> Result<(Vec<Batch>, Vec<RowVersion>), ShardError> {
     let count = usize::try_from(JOURNAL_ROWS).unwrap_or_default();
     let mut versions = vec![0; count];
     let mut batches = Vec::new();
--- a/crates/shard/src/router.rs
+++ b/crates/shard/src/router.rs
@@ -205,7 +205,7 @@
     async fn ask(&self, shard: ShardId, ask: ShardAsk, left: Duration) -> Tried {
         let route = self.view.borrow().route(shard);
         match route {
-            Route::Nowhere => Tried::Nothing,
+            Route::Unroutable => Tried::Nothing,
             Route::Local(owner) => {
                 let reply = tokio::time::timeout(left, ask_local(&owner, ask)).await;
                 reply.map_or(Tried::Lost, Tried::Reply)
--- a/crates/shard/src/rows.rs
+++ b/crates/shard/src/rows.rs
@@ -33,7 +33,7 @@
 pub const CONFIG_CURRENT: &str = "config/current";
 
 /// Row with the facts that all processes of a cell must share.
-pub const CELL_FACTS: &str = "cell/facts";
+pub const CELL_PARAMS: &str = "cell/facts";
 
 /// Key of a process's lease.
 #[must_use]
@@ -129,7 +129,7 @@
 
 /// Facts fixed when the cell was made.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CellFacts {
+pub struct CellParams {
     /// Format of the row.
     pub format: u16,
     /// Number of shards.
@@ -174,7 +174,7 @@
     };
 }
 
-formatted!(LeaseRow, MemberRow, ShardRow, CellFacts, AssignRow);
+formatted!(LeaseRow, MemberRow, ShardRow, CellParams, AssignRow);
 
 /// Text of a row.
 #[must_use]
--- a/crates/shard/src/segment.rs
+++ b/crates/shard/src/segment.rs
@@ -35,7 +35,7 @@
 
 /// One segment, as the list names it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SegmentName {
+pub struct SegmentRef {
     /// Name of the object.
     pub name: String,
     /// Last batch that it covers.
@@ -50,7 +50,7 @@
     /// Format of the row.
     pub format: u16,
     /// The segments within the retention.
-    pub segments: Vec<SegmentName>,
+    pub segments: Vec<SegmentRef>,
 }
 
 impl Formatted for SegmentList {
--- a/crates/shard/src/service.rs
+++ b/crates/shard/src/service.rs
@@ -8,11 +8,11 @@
 use tokio::sync::watch;
 
 use crate::Ask;
-use crate::OwnerMessage;
 use crate::Reply;
 use crate::Route;
 use crate::ShardAsk;
 use crate::ShardReply;
+use crate::ShardTaskMessage;
 use crate::TableHealth;
 use crate::View;
 
@@ -39,18 +39,18 @@
         let route = self.view.borrow().route(shard);
         match route {
             Route::Local(owner) => ask_local(&owner, ask).await,
-            Route::Remote(_) | Route::Nowhere => ShardReply::NotOwner,
+            Route::Remote(_) | Route::Unroutable => ShardReply::NotOwner,
         }
     }
 }
 
 /// Asks a shard of this process.
 pub(crate) async fn ask_local(
-    owner: &tokio::sync::mpsc::UnboundedSender<OwnerMessage>,
+    owner: &tokio::sync::mpsc::UnboundedSender<ShardTaskMessage>,
     ask: ShardAsk,
 ) -> ShardReply {
     let (sender, reply) = oneshot::channel();
-    if owner.send(OwnerMessage::Ask(ask, sender)).is_err() {
+    if owner.send(ShardTaskMessage::Ask(ask, sender)).is_err() {
         return ShardReply::NotOwner;
     }
     // A task that ended without a reply has given the shard up.
@@ -66,7 +66,7 @@
             Ask::Shard(shard, ask) => Reply::Shard(self.ask_shard(shard, ask).await),
             Ask::Ping(_) => Reply::Pong(TableHealth {
                 process: self.process.clone(),
-                reachable: self.view.borrow().reachable(),
+                reachable: self.view.borrow().table_reachable(),
             }),
             Ask::Hint(_) => {
                 self.hints.notify_one();
--- a/crates/shard/src/keeper.rs
+++ b/crates/shard/src/shard_manager.rs
@@ -22,38 +22,38 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-use crate::Claim;
 use crate::Context;
 use crate::Hosts;
 use crate::Lease;
 use crate::LeaseState;
 use crate::MemberView;
 use crate::Members;
-use crate::OutageWatch;
-use crate::OutageWord;
-use crate::OwnerEnd;
-use crate::OwnerMessage;
-use crate::Recovered;
+use crate::OutageTracker;
+use crate::OutageVerdict;
+use crate::RecoveredShard;
 use crate::Renewal;
+use crate::ShardClaim;
 use crate::ShardError;
 use crate::ShardOwner;
 use crate::ShardRow;
+use crate::ShardTaskEnd;
+use crate::ShardTaskMessage;
 use crate::TableHealth;
 use crate::View;
 use crate::WorkerHost;
-use crate::ask_peers;
 use crate::first_config;
+use crate::query_peers;
 /// Silence of the table after which it counts as unreachable.
-pub(crate) const UNREACHABLE: Duration = Duration::from_millis(1200);
+pub(crate) const UNREACHABLE_AFTER: Duration = Duration::from_millis(1200);
 
 /// How long a confirmed outage lets the process go on until asked again.
-const GO_ON: Duration = Duration::from_millis(1600);
+const OUTAGE_EXTENSION: Duration = Duration::from_millis(1600);
 
 /// Orders to the keeper.
 #[derive(Debug)]
-pub enum KeeperOrder {
+pub enum ShardManagerCommand {
     /// Hand all shards over, give the lease up, then tell how that went.
-    Leave(oneshot::Sender<Handover>),
+    Leave(oneshot::Sender<HandoverReport>),
     /// Adopt a configuration that this process has just made.
     Adopt(Arc<Numbered>),
 }
@@ -61,58 +61,58 @@
 /// What a leaving process knows of its shards and its lease: what the table
 /// has confirmed, not what was sent to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Handover {
+pub struct HandoverReport {
     /// Shards whose rows name their next owner.
-    pub handed: u32,
+    pub confirmed: u32,
     /// Shards that nobody could be named for, or whose rows may not have been
     /// written; they are claimed from the lease.
-    pub unnamed: u32,
+    pub unconfirmed: u32,
     /// Whether the lease is gone; if not, the others wait for its end.
-    pub gave_up: bool,
+    pub lease_deleted: bool,
 }
 
 /// A shard that this process runs.
 #[derive(Debug)]
-pub(crate) struct Running {
+pub(crate) struct RunningShard {
     pub(crate) epoch: Epoch,
     pub(crate) fence: RowVersion,
-    pub(crate) owner: mpsc::UnboundedSender<OwnerMessage>,
+    pub(crate) task: mpsc::UnboundedSender<ShardTaskMessage>,
     pub(crate) workers: Vec<WorkerHost>,
     pub(crate) releasing: bool,
 }
 
 /// Result of reading what earlier owners left.
-pub(crate) type Opened = (Claim, Result<Recovered, ShardError>);
+pub(crate) type OpenResult = (ShardClaim, Result<RecoveredShard, ShardError>);
 
 /// Task that keeps this process's place in the cell.
 #[derive(Debug)]
-pub struct Keeper<T, O, H> {
+pub struct ShardManager<T, O, H> {
     pub(crate) context: Arc<Context<T, O, H>>,
     pub(crate) lease: Lease<T, O, H>,
     pub(crate) members: Members,
-    pub(crate) rows: HashMap<ShardId, (RowVersion, ShardRow)>,
-    pub(crate) running: HashMap<ShardId, Running>,
+    pub(crate) shard_rows: HashMap<ShardId, (RowVersion, ShardRow)>,
+    pub(crate) running: HashMap<ShardId, RunningShard>,
     pub(crate) opening: HashSet<ShardId>,
-    pub(crate) opened: JoinSet<Opened>,
-    pub(crate) ended: JoinSet<(ShardId, OwnerEnd)>,
+    pub(crate) opened: JoinSet<OpenResult>,
+    pub(crate) ended: JoinSet<(ShardId, ShardTaskEnd)>,
     pub(crate) released: JoinSet<ShardId>,
     pub(crate) config: Arc<Numbered>,
     pub(crate) hosts: watch::Receiver<Hosts>,
     pub(crate) view: watch::Sender<Arc<View>>,
     pub(crate) hints: Arc<Notify>,
-    pub(crate) orders: mpsc::Receiver<KeeperOrder>,
-    pub(crate) outage: OutageWatch,
+    pub(crate) commands: mpsc::Receiver<ShardManagerCommand>,
+    pub(crate) outage: OutageTracker,
     /// When the lists of workers are read next, and the host list at the last.
-    pub(crate) assigned_at: Option<Instant>,
-    pub(crate) assigned_hosts: Hosts,
-    pub(crate) moved_at: Instant,
-    pub(crate) leaving: Option<oneshot::Sender<Handover>>,
-    pub(crate) handover: Handover,
+    pub(crate) lists_due_at: Option<Instant>,
+    pub(crate) last_hosts: Hosts,
+    pub(crate) last_handover_at: Instant,
+    pub(crate) leaving: Option<oneshot::Sender<HandoverReport>>,
+    pub(crate) handover: HandoverReport,
 }
 
 /// Channels of a keeper.
 #[derive(Debug)]
-pub struct KeeperPorts {
+pub struct ShardManagerChannels {
     /// The host list.
     pub hosts: watch::Receiver<Hosts>,
     /// Where it publishes what it believes.
@@ -120,18 +120,21 @@
     /// Wakes it before the next tick.
     pub hints: Arc<Notify>,
     /// Orders.
-    pub orders: mpsc::Receiver<KeeperOrder>,
+    pub commands: mpsc::Receiver<ShardManagerCommand>,
 }
 
-impl<T: Table, O: Objects, H: HostList> Keeper<T, O, H> {
+impl<T: Table, O: Objects, H: HostList> ShardManager<T, O, H> {
     /// A keeper that owns nothing yet.
     #[must_use]
-    pub fn new(context: Arc<Context<T, O, H>>, ports: KeeperPorts) -> Keeper<T, O, H> {
-        Keeper {
+    pub fn new(
+        context: Arc<Context<T, O, H>>,
+        ports: ShardManagerChannels,
+    ) -> ShardManager<T, O, H> {
+        ShardManager {
             lease: Lease::new(context.clone()),
             context,
             members: Members::default(),
-            rows: HashMap::new(),
+            shard_rows: HashMap::new(),
             running: HashMap::new(),
             opening: HashSet::new(),
             opened: JoinSet::new(),
@@ -141,13 +144,13 @@
             hosts: ports.hosts,
             view: ports.view,
             hints: ports.hints,
-            orders: ports.orders,
-            outage: OutageWatch::new(),
-            assigned_at: None,
-            assigned_hosts: None,
-            moved_at: Instant::now(),
+            commands: ports.commands,
+            outage: OutageTracker::new(),
+            lists_due_at: None,
+            last_hosts: None,
+            last_handover_at: Instant::now(),
             leaving: None,
-            handover: Handover::default(),
+            handover: HandoverReport::default(),
         }
     }
 
@@ -158,35 +161,35 @@
         loop {
             if Instant::now() >= due {
                 self.tick().await;
-                due = Instant::now() + self.wait();
+                due = Instant::now() + self.tick_delay();
             }
             self.publish();
-            if self.leaving.is_some() && self.is_empty() {
+            if self.leaving.is_some() && self.has_no_shards() {
                 break;
             }
             tokio::select! {
                 () = tokio::time::sleep_until(due.into()) => {}
                 () = self.hints.notified() => due = Instant::now(),
-                Some(order) = self.orders.recv() => {
-                    self.on_order(order);
+                Some(command) = self.commands.recv() => {
+                    self.on_command(command);
                     due = Instant::now();
                 }
-                Some(Ok(opened)) = self.opened.join_next() => self.on_opened(opened).await,
-                Some(Ok(ended)) = self.ended.join_next() => self.on_ended(ended),
+                Some(Ok(opened)) = self.opened.join_next() => self.on_shard_opened(opened).await,
+                Some(Ok(ended)) = self.ended.join_next() => self.on_task_ended(ended),
                 Some(Ok(shard)) = self.released.join_next() => self.hand_over(shard).await,
             }
         }
-        self.context.gate.shut();
-        self.handover.gave_up = self.lease.give_up().await;
+        self.context.gate.revoke();
+        self.handover.lease_deleted = self.lease.remove().await;
         if let Some(done) = self.leaving.take() {
             let _ = done.send(self.handover);
         }
-        self.follow().await;
+        self.follow_ownership().await;
     }
 
     /// Requests that are still under way in a leaving process have to find
     /// the owners of their shards, which may change again meanwhile.
-    async fn follow(mut self) {
+    async fn follow_ownership(mut self) {
         loop {
             if let Err(error) = self.read_cell().await {
                 log::debug!("follow: {error}");
@@ -196,11 +199,11 @@
         }
     }
 
-    pub(crate) fn is_empty(&self) -> bool {
+    pub(crate) fn has_no_shards(&self) -> bool {
         self.running.is_empty() && self.opening.is_empty()
     }
 
-    fn wait(&self) -> Duration {
+    fn tick_delay(&self) -> Duration {
         let renew = self.context.timing.renew;
         let stale = self.members.next_stale(self.context.timing.ttl);
         let until = stale.map(|at| at.saturating_duration_since(Instant::now()));
@@ -208,16 +211,16 @@
         wait.max(renew / 10)
     }
 
-    fn on_order(&mut self, order: KeeperOrder) {
-        match order {
-            KeeperOrder::Leave(done) => {
-                self.lease.leave();
-                self.handover = Handover::default();
+    fn on_command(&mut self, command: ShardManagerCommand) {
+        match command {
+            ShardManagerCommand::Leave(done) => {
+                self.lease.mark_leaving();
+                self.handover = HandoverReport::default();
                 self.leaving = Some(done);
             }
-            KeeperOrder::Adopt(config) => {
-                self.adopt(&config);
-                self.hint_all();
+            ShardManagerCommand::Adopt(config) => {
+                self.adopt_config(&config);
+                self.hint_peers();
             }
         }
     }
@@ -226,8 +229,8 @@
         if let Err(error) = self.try_tick().await {
             log::debug!("tick: {error}");
         }
-        if !self.outage.is_reachable(UNREACHABLE) {
-            self.weigh_outage().await;
+        if !self.outage.is_reachable(UNREACHABLE_AFTER) {
+            self.check_outage().await;
         }
     }
 
@@ -239,42 +242,42 @@
             // The others see at once that it is in force here.
             self.renew().await?;
         }
-        if self.outage.going_on {
-            self.outage.going_on = false;
-            self.record(Event::new(Kind::OutageLeft));
+        if self.outage.in_outage {
+            self.outage.in_outage = false;
+            self.record_event(Event::new(Kind::OutageLeft));
         }
         self.expire_stale().await?;
         self.reconcile().await?;
-        self.claim_free().await?;
-        self.pass_on();
-        self.read_workers().await
+        self.claim_unowned_shards().await?;
+        self.start_handovers();
+        self.read_worker_lists().await
     }
 
     pub(crate) async fn renew(&mut self) -> Result<(), ShardError> {
         let lapsed = !self.context.gate.is_open();
         let first = self.lease.version() == 0;
-        let (renewal, began) = self.lease.renew(self.config.version).await?;
-        self.outage.on_answer();
+        let (renewal, sent_at) = self.lease.renew(self.config.version).await?;
+        self.outage.record_answer();
         match renewal {
-            _ if first => self.record(Event::new(Kind::LeaseAcquired)),
+            _ if first => self.record_event(Event::new(Kind::LeaseAcquired)),
             Renewal::Held if lapsed => {
-                self.record(Event::new(Kind::LeaseLapsed));
+                self.record_event(Event::new(Kind::LeaseLapsed));
                 if !self.context.reclaim {
-                    self.drop_all();
+                    self.drop_all_shards();
                 }
             }
             Renewal::Held => {}
             Renewal::Regained => {
-                self.context.gate.shut();
-                self.record(Event::new(Kind::LeaseExpired));
-                self.sort_shards().await?;
+                self.context.gate.revoke();
+                self.record_event(Event::new(Kind::LeaseExpired));
+                self.recheck_shards().await?;
             }
         }
-        self.context.gate.extend(began + self.context.timing.hold);
+        self.context.gate.extend(sent_at + self.context.timing.hold);
         Ok(())
     }
 
-    async fn weigh_outage(&mut self) {
+    async fn check_outage(&mut self) {
         let own = TableHealth {
             process: self.context.process.clone(),
             reachable: false,
@@ -284,18 +287,18 @@
             **process != self.context.process && member.lease.state != LeaseState::Expired
         });
         let peers = others.map(|(_, member)| member.info.peer).collect();
-        let word = ask_peers(&self.context.node, own, peers).await;
-        if word == OutageWord::Confirmed && !self.outage.is_over_limit() {
-            self.context.gate.extend(Instant::now() + GO_ON);
-            if !self.outage.going_on {
-                self.outage.going_on = true;
-                self.record(Event::new(Kind::OutageEntered));
+        let verdict = query_peers(&self.context.node, own, peers).await;
+        if verdict == OutageVerdict::Confirmed && !self.outage.is_over_limit() {
+            self.context.gate.extend(Instant::now() + OUTAGE_EXTENSION);
+            if !self.outage.in_outage {
+                self.outage.in_outage = true;
+                self.record_event(Event::new(Kind::OutageEntered));
             }
-        } else if self.outage.going_on {
-            self.outage.going_on = false;
-            self.context.gate.shut();
+        } else if self.outage.in_outage {
+            self.outage.in_outage = false;
+            self.context.gate.revoke();
             let event = Event::new(Kind::OutageUnconfirmed);
-            self.record(event.detail(format!("{word:?}")));
+            self.record_event(event.detail(format!("{verdict:?}")));
         }
     }
 
@@ -322,23 +325,23 @@
         let view = View {
             members,
             owners: self
-                .rows
+                .shard_rows
                 .iter()
                 .map(|(shard, (_, row))| (*shard, owner(row)))
                 .collect(),
             local: self
                 .running
                 .iter()
-                .map(|(s, r)| (*s, r.owner.clone()))
+                .map(|(s, r)| (*s, r.task.clone()))
                 .collect(),
             config: Some(self.config.clone()),
-            answered: self.outage.answered(),
-            read: self.members.read_at(),
+            last_answer: self.outage.last_answer(),
+            last_read_at: self.members.read_at(),
         };
         self.view.send_replace(Arc::new(view));
     }
 
-    pub(crate) fn record(&self, event: Event) {
+    pub(crate) fn record_event(&self, event: Event) {
         self.context.timeline.record(event);
     }
 }
--- a/crates/shard/src/owner.rs
+++ b/crates/shard/src/shard_task.rs
@@ -26,20 +26,20 @@
 use crate::Input;
 use crate::JOURNAL_ROWS;
 use crate::Journal;
-use crate::JournalNews;
-use crate::JournalOrder;
+use crate::JournalCommand;
+use crate::JournalEvent;
 use crate::Lender;
 use crate::Link;
 use crate::LinkFacts;
 use crate::LinkOrder;
 use crate::Machine;
-use crate::MachineFacts;
+use crate::MachineParams;
 use crate::Output;
-use crate::Recovered;
+use crate::RecoveredShard;
 use crate::Router;
 use crate::Segment;
 use crate::SegmentList;
-use crate::SegmentName;
+use crate::SegmentRef;
 use crate::Seq;
 use crate::ShardAsk;
 use crate::ShardReply;
@@ -59,7 +59,7 @@
 
 /// Messages to the task of a shard.
 #[derive(Debug)]
-pub enum OwnerMessage {
+pub enum ShardTaskMessage {
     /// A call, and where its reply goes.
     Ask(ShardAsk, oneshot::Sender<ShardReply>),
     /// A configuration document is in force.
@@ -76,7 +76,7 @@
 
 /// Why the task of a shard has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OwnerEnd {
+pub enum ShardTaskEnd {
     /// It was released.
     Released,
     /// Another process owns the shard.
@@ -86,55 +86,55 @@
 }
 
 /// Result of storing a segment.
-type Stored = Result<(Segment, SegmentName), Segment>;
+type StoredSegment = Result<(Segment, SegmentRef), Segment>;
 
 /// Task that runs one shard.
 #[derive(Debug)]
-pub struct Owner<T, O, H> {
+pub struct ShardTask<T, O, H> {
     context: Arc<Context<T, O, H>>,
     shard: ShardId,
     epoch: Epoch,
-    origin: Instant,
+    started_at: Instant,
     machine: Machine,
-    inbox: mpsc::UnboundedReceiver<OwnerMessage>,
+    inbox: mpsc::UnboundedReceiver<ShardTaskMessage>,
     inputs: mpsc::UnboundedReceiver<Input>,
     input_sender: mpsc::UnboundedSender<Input>,
-    news: mpsc::UnboundedReceiver<JournalNews>,
-    journal: mpsc::UnboundedSender<JournalOrder>,
+    journal_events: mpsc::UnboundedReceiver<JournalEvent>,
+    journal: mpsc::UnboundedSender<JournalCommand>,
     links: HashMap<WorkerId, mpsc::UnboundedSender<LinkOrder>>,
     waiters: SlotMap<WaiterKey, oneshot::Sender<ShardReply>>,
     segments: SegmentList,
-    stored: mpsc::UnboundedReceiver<Stored>,
-    stored_sender: mpsc::UnboundedSender<Stored>,
-    storing: bool,
+    stored: mpsc::UnboundedReceiver<StoredSegment>,
+    stored_sender: mpsc::UnboundedSender<StoredSegment>,
+    storing_segment: bool,
     lender: Lender,
-    written: Seq,
+    written_seq: Seq,
     /// Who waits for the release, and the last ticket before it.
-    releasing: Option<oneshot::Sender<()>>,
+    release_done: Option<oneshot::Sender<()>>,
 }
 
-impl<T: Table, O: Objects, H: HostList> Owner<T, O, H> {
+impl<T: Table, O: Objects, H: HostList> ShardTask<T, O, H> {
     /// A task that goes on from what was recovered.
     #[must_use]
     pub fn new(
         context: Arc<Context<T, O, H>>,
-        recovered: Recovered,
+        recovered: RecoveredShard,
         config: Arc<Numbered>,
         view: watch::Receiver<Arc<View>>,
-        inbox: mpsc::UnboundedReceiver<OwnerMessage>,
-    ) -> Owner<T, O, H> {
-        let start = recovered.start;
-        let origin = Instant::now();
+        inbox: mpsc::UnboundedReceiver<ShardTaskMessage>,
+    ) -> ShardTask<T, O, H> {
+        let position = recovered.position;
+        let started_at = Instant::now();
         let times = Times {
             now: Duration::ZERO,
             wall_millis: wall_millis(),
         };
         let lease = context.timing.task_lease;
-        let facts = MachineFacts {
-            shard: start.shard,
+        let params = MachineParams {
+            shard: position.shard,
             shards: context.shards,
-            epoch: start.epoch,
-            since_millis: if start.epoch > 1 {
+            epoch: position.epoch,
+            takeover_millis: if position.epoch > 1 {
                 times.wall_millis
             } else {
                 0
@@ -142,163 +142,163 @@
             retention: context.timing.retention,
             missing_at: lease * 2,
         };
-        let machine = Machine::new(facts, recovered.ledger, config, times);
+        let machine = Machine::new(params, recovered.ledger, config, times);
         let (input_sender, inputs) = mpsc::unbounded_channel();
-        let (news_sender, news) = mpsc::unbounded_channel();
+        let (journal_event_sender, journal_events) = mpsc::unbounded_channel();
         let (journal, orders) = mpsc::unbounded_channel();
         let (stored_sender, stored) = mpsc::unbounded_channel();
         let router = Router::new(context.node.clone(), context.shards, view);
-        let lender = Lender::new(router, start.shard);
-        let owner = Owner {
-            shard: start.shard,
-            epoch: start.epoch,
-            origin,
+        let lender = Lender::new(router, position.shard);
+        let owner = ShardTask {
+            shard: position.shard,
+            epoch: position.epoch,
+            started_at,
             machine,
             inbox,
             inputs,
             input_sender,
-            news,
+            journal_events,
             journal,
             links: HashMap::new(),
             waiters: SlotMap::with_key(),
-            segments: start.segments.clone(),
+            segments: position.segments.clone(),
             stored,
             stored_sender,
-            storing: false,
-            written: start.next.saturating_sub(1),
-            releasing: None,
+            storing_segment: false,
+            written_seq: position.next_seq.saturating_sub(1),
+            release_done: None,
             lender,
             context,
         };
         let table = owner.context.table.clone();
         let pacer = owner.context.pacer.clone();
-        tokio::spawn(Journal::new(table, pacer, start, orders, news_sender).run());
+        tokio::spawn(Journal::new(table, pacer, position, orders, journal_event_sender).run());
         owner
     }
 
     /// Runs until released, fenced or closed.
-    pub async fn run(mut self) -> OwnerEnd {
-        self.record(Event::new(Kind::ShardServing));
+    pub async fn run(mut self) -> ShardTaskEnd {
+        self.record_event(Event::new(Kind::ShardServing));
         let mut tick = tokio::time::interval(TICK);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 biased;
-                news = self.news.recv() => match news {
-                    Some(JournalNews::Fenced) => return self.close(OwnerEnd::Fenced),
-                    Some(news) => self.on_news(&news),
-                    None if self.releasing.is_some() => return self.finish_release(),
-                    None => return self.close(OwnerEnd::Fenced),
+                journal_events = self.journal_events.recv() => match journal_events {
+                    Some(JournalEvent::Fenced) => return self.close(ShardTaskEnd::Fenced),
+                    Some(journal_events) => self.on_journal_event(&journal_events),
+                    None if self.release_done.is_some() => return self.finish_release(),
+                    None => return self.close(ShardTaskEnd::Fenced),
                 },
                 message = self.inbox.recv() => match message {
-                    Some(OwnerMessage::Drop) => return self.close(OwnerEnd::Fenced),
+                    Some(ShardTaskMessage::Drop) => return self.close(ShardTaskEnd::Fenced),
                     Some(message) => self.on_message(message),
-                    None => return self.close(OwnerEnd::Closed),
+                    None => return self.close(ShardTaskEnd::Closed),
                 },
                 Some(input) = self.inputs.recv() => self.on_input(input),
                 Some(stored) = self.stored.recv() => self.on_stored(stored),
-                _ = tick.tick() => self.step(Input::Tick),
+                _ = tick.tick() => self.handle_input(Input::Tick),
             }
         }
     }
 
     fn times(&self) -> Times {
         Times {
-            now: self.origin.elapsed(),
+            now: self.started_at.elapsed(),
             wall_millis: wall_millis(),
         }
     }
 
     fn on_input(&mut self, input: Input) {
-        self.step(input);
+        self.handle_input(input);
         for _ in 0..INPUTS_AT_ONCE {
             let Ok(input) = self.inputs.try_recv() else {
                 return;
             };
-            self.step(input);
+            self.handle_input(input);
         }
     }
 
     /// Nothing is decided, and no answer leaves, while the gate is shut: the
     /// process may have been paused, and the shard may have another owner.
-    fn step(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         let tick = matches!(input, Input::Tick);
         if tick && !self.context.gate.is_open() {
             return;
         }
         let outputs = self.machine.handle(self.times(), input);
         for output in outputs {
-            self.carry_out(output);
+            self.execute(output);
         }
     }
 
-    fn on_message(&mut self, message: OwnerMessage) {
+    fn on_message(&mut self, message: ShardTaskMessage) {
         match message {
-            OwnerMessage::Ask(ask, reply) => {
+            ShardTaskMessage::Ask(ask, reply) => {
                 if self.context.gate.is_open() {
                     let waiter = self.waiters.insert(reply);
-                    self.step(Input::Ask(ask, waiter));
+                    self.handle_input(Input::Ask(ask, waiter));
                 } else {
                     let _ = reply.send(ShardReply::TimedOut);
                 }
             }
-            OwnerMessage::Config(config) => self.step(Input::Config(config)),
-            OwnerMessage::Workers(workers) => self.step(Input::Workers(workers)),
-            OwnerMessage::Release(done) => self.on_release(done),
-            OwnerMessage::Drop => {}
+            ShardTaskMessage::Config(config) => self.handle_input(Input::Config(config)),
+            ShardTaskMessage::Workers(workers) => self.handle_input(Input::Workers(workers)),
+            ShardTaskMessage::Release(done) => self.on_release(done),
+            ShardTaskMessage::Drop => {}
         }
     }
 
     fn on_release(&mut self, done: oneshot::Sender<()>) {
-        self.step(Input::Release);
+        self.handle_input(Input::Release);
         self.links.clear();
-        let _ = self.journal.send(JournalOrder::Close);
-        self.releasing = Some(done);
+        let _ = self.journal.send(JournalCommand::Close);
+        self.release_done = Some(done);
     }
 
-    fn finish_release(mut self) -> OwnerEnd {
-        if let Some(done) = self.releasing.take() {
+    fn finish_release(mut self) -> ShardTaskEnd {
+        if let Some(done) = self.release_done.take() {
             let _ = done.send(());
         }
-        self.close(OwnerEnd::Released)
+        self.close(ShardTaskEnd::Released)
     }
 
     /// Turns everybody away; links and journal end with their channels. Who
     /// has a waiter was taken here and has to ask the next owner; who is still
     /// in the inbox was not.
-    fn close(mut self, end: OwnerEnd) -> OwnerEnd {
+    fn close(mut self, end: ShardTaskEnd) -> ShardTaskEnd {
         for (_, waiter) in self.waiters.drain() {
             let _ = waiter.send(ShardReply::Moved);
         }
         while let Ok(message) = self.inbox.try_recv() {
-            if let OwnerMessage::Ask(_, waiter) = message {
+            if let ShardTaskMessage::Ask(_, waiter) = message {
                 let _ = waiter.send(ShardReply::NotOwner);
             }
         }
         end
     }
 
-    fn on_news(&mut self, news: &JournalNews) {
-        match news {
-            JournalNews::Written(ticket, seq) => {
-                self.written = *seq;
-                self.step(Input::Written(*ticket));
+    fn on_journal_event(&mut self, journal_events: &JournalEvent) {
+        match journal_events {
+            JournalEvent::Written(ticket, seq) => {
+                self.written_seq = *seq;
+                self.handle_input(Input::Written(*ticket));
                 self.store_segment();
             }
-            JournalNews::Stalled => self.step(Input::Stalled),
-            JournalNews::Fenced => {}
+            JournalEvent::Stalled => self.handle_input(Input::Stalled),
+            JournalEvent::Fenced => {}
         }
     }
 
     /// Stores a segment whenever half of the journal's rows are in use.
     fn store_segment(&mut self) {
         let covered = self.segments.covered();
-        if self.storing || self.written < covered + JOURNAL_ROWS / 2 {
+        if self.storing_segment || self.written_seq < covered + JOURNAL_ROWS / 2 {
             return;
         }
-        self.storing = true;
-        let segment = self.machine.make_segment(self.written);
-        let name = SegmentName {
+        self.storing_segment = true;
+        let segment = self.machine.build_segment(self.written_seq);
+        let name = SegmentRef {
             name: segment_name(self.shard, segment.seq, &self.context.process),
             seq: segment.seq,
             at_millis: wall_millis(),
@@ -319,8 +319,8 @@
         });
     }
 
-    fn on_stored(&mut self, stored: Stored) {
-        self.storing = false;
+    fn on_stored(&mut self, stored: StoredSegment) {
+        self.storing_segment = false;
         match stored {
             Ok((_, name)) => {
                 let retention = crate::intake::millis(self.context.timing.retention);
@@ -328,33 +328,33 @@
                 self.segments.format = crate::FORMAT;
                 self.segments.segments.retain(|old| old.at_millis >= oldest);
                 self.segments.segments.push(name);
-                let list = JournalOrder::Segments(self.segments.clone());
+                let list = JournalCommand::Segments(self.segments.clone());
                 let _ = self.journal.send(list);
             }
             Err(segment) => {
-                self.machine.return_segment(segment);
+                self.machine.restore_ended(segment);
                 self.store_segment();
             }
         }
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn execute(&mut self, output: Output) {
         match output {
             Output::Append(ticket, records) => {
-                let _ = self.journal.send(JournalOrder::Append(ticket, records));
+                let _ = self.journal.send(JournalCommand::Append(ticket, records));
             }
             Output::Start(worker, order) => {
                 let attempt = order.attempt.clone();
-                if !self.order(&worker, LinkOrder::Start(order)) {
+                if !self.send_order(&worker, LinkOrder::Start(order)) {
                     let unsent = Input::NotStarted(attempt, crate::NotStarted::Unsent);
                     let _ = self.input_sender.send(unsent);
                 }
             }
             Output::Stop(worker, attempt, mode) => {
-                self.order(&worker, LinkOrder::Stop(attempt, mode));
+                self.send_order(&worker, LinkOrder::Stop(attempt, mode));
             }
             Output::Forget(worker, attempts) => {
-                self.order(&worker, LinkOrder::Forget(attempts));
+                self.send_order(&worker, LinkOrder::Forget(attempts));
             }
             Output::Reply(waiter, reply) => self.send_reply(waiter, reply),
             Output::Lend(key, submission) => self.lend(key, submission),
@@ -380,7 +380,7 @@
         let _ = sender.send(reply);
     }
 
-    fn order(&self, worker: &str, order: LinkOrder) -> bool {
+    fn send_order(&self, worker: &str, order: LinkOrder) -> bool {
         let link = self.links.get(worker);
         link.is_some_and(|link| link.send(order).is_ok())
     }
@@ -401,7 +401,7 @@
             epoch: self.epoch,
         };
         self.links.insert(host.host.id.clone(), orders);
-        let facts = LinkFacts {
+        let params = LinkFacts {
             host,
             shard: self.shard,
             lease: self.context.timing.task_lease,
@@ -409,10 +409,10 @@
             gate: self.context.gate.clone(),
         };
         let owner = self.input_sender.clone();
-        tokio::spawn(Link::new(facts, fence, receiver, owner).run());
+        tokio::spawn(Link::new(params, fence, receiver, owner).run());
     }
 
-    fn record(&self, event: Event) {
+    fn record_event(&self, event: Event) {
         self.context.timeline.record(event.shard(self.shard));
     }
 }
--- a/crates/shard/src/snapshot.rs
+++ b/crates/shard/src/snapshot.rs
@@ -6,7 +6,7 @@
 use crate::Entry;
 use crate::FORMAT;
 use crate::Machine;
-use crate::Placed;
+use crate::Placement;
 use crate::Record;
 use crate::Segment;
 use crate::Seq;
@@ -15,10 +15,10 @@
     /// A segment that covers all batches up to `seq`. The state may be newer
     /// than that batch; replaying the later rows on it changes nothing.
     #[must_use]
-    pub fn make_segment(&mut self, seq: Seq) -> Segment {
+    pub fn build_segment(&mut self, seq: Seq) -> Segment {
         let mut open = Vec::new();
-        let wanted = |entry: &Entry| entry.recorded && entry.answer().is_none();
-        for (key, entry) in self.ledger.iter().filter(|(_, entry)| wanted(entry)) {
+        let is_open = |entry: &Entry| entry.recorded && entry.answer().is_none();
+        for (key, entry) in self.ledger.iter().filter(|(_, entry)| is_open(entry)) {
             open.push(accept_record(&entry.request, entry.until_millis));
             // An attempt that is over has no members left. Without its intent
             // the next owner would say "not run" of what ran in part.
@@ -35,7 +35,7 @@
     }
 
     /// Puts the ends of a segment back that could not be stored.
-    pub fn return_segment(&mut self, segment: Segment) {
+    pub fn restore_ended(&mut self, segment: Segment) {
         let mut ended = segment.ended;
         ended.append(&mut self.ended);
         self.ended = ended;
@@ -50,7 +50,7 @@
 }
 
 fn intent_record(key: &str, entry: &Entry) -> Record {
-    let place = |member: &crate::Member| Placed {
+    let place = |member: &crate::Member| Placement {
         worker: member.worker.clone(),
         run: member.run.clone(),
     };
--- a/crates/shard/src/standing.rs
+++ b/crates/shard/src/status.rs
@@ -19,12 +19,12 @@
             answer.clone()
         } else {
             let id = entry.request.id.clone();
-            pending_answer(&id, &self.standing(key))
+            pending_answer(&id, &self.status_text(key))
         };
         self.reply(waiter, ShardReply::Answer(answer));
     }
 
-    fn standing(&mut self, key: &str) -> String {
+    fn status_text(&mut self, key: &str) -> String {
         let Some(entry) = self.ledger.get(key) else {
             return String::new();
         };
@@ -38,7 +38,7 @@
             },
             Stage::Lent => "no room in its shard; another was asked".to_owned(),
             Stage::Recording(_) => "placed; its intent is being recorded".to_owned(),
-            Stage::Running(_) => whereabouts(entry),
+            Stage::Running(_) => members_text(entry),
             Stage::Closing(_) | Stage::Done(_) => "its answer is being recorded".to_owned(),
         }
     }
@@ -47,17 +47,21 @@
 /// What is known of each member of an attempt. A start that was sent is not
 /// said to run: while its answer is on the way, or lost, the worker may never
 /// have heard of it, which shows as a request that "runs" where nothing does.
-fn whereabouts(entry: &Entry) -> String {
-    let on = |wanted: &MemberState| {
-        let here = entry.members.iter().filter(|m| m.state == *wanted);
-        here.map(|member| &*member.worker)
+fn members_text(entry: &Entry) -> String {
+    let workers_in = |wanted: &MemberState| {
+        let matching = entry.members.iter().filter(|m| m.state == *wanted);
+        matching
+            .map(|member| &*member.worker)
             .collect::<Vec<_>>()
             .join(", ")
     };
-    let (started, sent) = (on(&MemberState::Started), on(&MemberState::Sent));
-    let unknown = on(&MemberState::Unknown);
-    let over = entry.members.iter().filter(|m| m.state.is_settled());
-    let over = over.count();
+    let (started, sent) = (
+        workers_in(&MemberState::Started),
+        workers_in(&MemberState::Sent),
+    );
+    let unknown = workers_in(&MemberState::Unknown);
+    let ended = entry.members.iter().filter(|m| m.state.is_settled());
+    let ended = ended.count();
     let mut parts = Vec::new();
     if !started.is_empty() {
         parts.push(format!("running on {started}"));
@@ -70,8 +74,8 @@
             "placed by an earlier owner on {unknown}, which was not asked yet"
         ));
     }
-    if over > 0 {
-        parts.push(format!("{over} ended"));
+    if ended > 0 {
+        parts.push(format!("{ended} ended"));
     }
     parts.join("; ")
 }
--- a/crates/shard/src/view.rs
+++ b/crates/shard/src/view.rs
@@ -14,8 +14,8 @@
 use tokio::sync::mpsc;
 
 use crate::LastAnswer;
-use crate::OwnerMessage;
-use crate::keeper::UNREACHABLE;
+use crate::ShardTaskMessage;
+use crate::shard_manager::UNREACHABLE_AFTER;
 
 /// Another process, or this one.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
@@ -40,11 +40,11 @@
 #[derive(Clone, Debug)]
 pub enum Route {
     /// To a task of this process.
-    Local(mpsc::UnboundedSender<OwnerMessage>),
+    Local(mpsc::UnboundedSender<ShardTaskMessage>),
     /// To another process.
     Remote(SocketAddr),
     /// Nowhere for now.
-    Nowhere,
+    Unroutable,
 }
 
 /// What a process believes about the cell.
@@ -55,13 +55,13 @@
     /// Owner and epoch of each shard.
     pub owners: HashMap<ShardId, ShardOwner>,
     /// Shards that this process runs.
-    pub local: HashMap<ShardId, mpsc::UnboundedSender<OwnerMessage>>,
+    pub local: HashMap<ShardId, mpsc::UnboundedSender<ShardTaskMessage>>,
     /// Configuration in force here.
     pub config: Option<Arc<Numbered>>,
     /// When the table last answered.
-    pub answered: Arc<LastAnswer>,
+    pub last_answer: Arc<LastAnswer>,
     /// When members and owners were last read.
-    pub read: Option<Instant>,
+    pub last_read_at: Option<Instant>,
 }
 
 /// Owner of a shard.
@@ -81,32 +81,34 @@
             return Route::Local(local.clone());
         }
         let Some(owner) = self.owners.get(&shard) else {
-            return Route::Nowhere;
+            return Route::Unroutable;
         };
         let member = self.members.iter().find(|m| m.process == owner.process);
-        member.map_or(Route::Nowhere, |m| Route::Remote(m.peer))
+        member.map_or(Route::Unroutable, |m| Route::Remote(m.peer))
     }
 
     /// Whether the table answers. It is asked for when it is shown: the view is
     /// published between two calls of the table, so a "yes" in it would stand
     /// for as long as the table leaves a call unanswered.
     #[must_use]
-    pub fn reachable(&self) -> bool {
-        self.answered.age().is_some_and(|age| age < UNREACHABLE)
+    pub fn table_reachable(&self) -> bool {
+        self.last_answer
+            .age()
+            .is_some_and(|age| age < UNREACHABLE_AFTER)
     }
 
     /// Age of what is known of members and owners; none before the first read.
     #[must_use]
     pub fn age(&self) -> Option<Duration> {
-        self.read.map(|at| at.elapsed())
+        self.last_read_at.map(|at| at.elapsed())
     }
 
     /// Lowest configuration version in force on any process that may act.
     /// One that leaves decides for its shards until they are handed over; left
     /// out, it would act on an older version than is said to be in force.
     #[must_use]
-    pub fn lowest_config(&self) -> Version {
-        let acting = self.members.iter().filter(|member| !member.expired);
-        acting.map(|member| member.config).min().unwrap_or_default()
+    pub fn lowest_config_version(&self) -> Version {
+        let active = self.members.iter().filter(|member| !member.expired);
+        active.map(|member| member.config).min().unwrap_or_default()
     }
 }
--- a/crates/shard/src/staffing.rs
+++ b/crates/shard/src/worker_lists.rs
@@ -12,9 +12,9 @@
 
 use crate::AssignRow;
 use crate::Assignment;
-use crate::Keeper;
-use crate::OwnerMessage;
 use crate::ShardError;
+use crate::ShardManager;
+use crate::ShardTaskMessage;
 use crate::WorkerHost;
 use crate::assign_key;
 use crate::join_hosts;
@@ -24,34 +24,34 @@
 
 /// When the lists are read again after the host list has changed: by then the
 /// owner of shard 0 has dealt new workers.
-const ASSIGN_AGAIN: Duration = Duration::from_secs(1);
+const ASSIGN_RETRY: Duration = Duration::from_secs(1);
 
-impl<T: Table, O: Objects, H: HostList> Keeper<T, O, H> {
-    pub(crate) async fn read_workers(&mut self) -> Result<(), ShardError> {
+impl<T: Table, O: Objects, H: HostList> ShardManager<T, O, H> {
+    pub(crate) async fn read_worker_lists(&mut self) -> Result<(), ShardError> {
         let now = Instant::now();
         let hosts = self.hosts.borrow().clone();
-        let changed = hosts != self.assigned_hosts;
-        let due = self.assigned_at.is_none_or(|at| now >= at);
+        let changed = hosts != self.last_hosts;
+        let due = self.lists_due_at.is_none_or(|at| now >= at);
         let Some(hosts) = hosts.filter(|_| due || changed) else {
             return Ok(());
         };
         let wait = if changed {
-            ASSIGN_AGAIN
+            ASSIGN_RETRY
         } else {
             ASSIGN_INTERVAL
         };
-        self.assigned_at = Some(now + wait);
-        self.assigned_hosts = Some(hosts.clone());
+        self.lists_due_at = Some(now + wait);
+        self.last_hosts = Some(hosts.clone());
         if let Some(fence) = self.running.get(&0).map(|running| running.fence) {
-            self.deal(fence, &hosts).await?;
+            self.assign_workers(fence, &hosts).await?;
         }
         let shards: Vec<ShardId> = self.running.keys().copied().collect();
         for shard in shards {
             let row = self.context.table.get(&assign_key(shard)).await?;
-            self.outage.on_answer();
-            let Some(list) = row.and_then(|row| self.readable::<AssignRow>(&row)) else {
+            self.outage.record_answer();
+            let Some(list) = row.and_then(|row| self.decode_or_record::<AssignRow>(&row)) else {
                 // Nobody has dealt workers to this shard yet.
-                self.assigned_at = Some(now + ASSIGN_AGAIN / 4);
+                self.lists_due_at = Some(now + ASSIGN_RETRY / 4);
                 continue;
             };
             let mut workers = join_hosts(&list, &hosts);
@@ -76,18 +76,18 @@
         };
         if running.workers != workers {
             running.workers.clone_from(&workers);
-            let _ = running.owner.send(OwnerMessage::Workers(workers));
+            let _ = running.task.send(ShardTaskMessage::Workers(workers));
         }
     }
 
-    pub(crate) async fn deal(
+    pub(crate) async fn assign_workers(
         &mut self,
         fence: RowVersion,
         hosts: &[store::Host],
     ) -> Result<(), ShardError> {
         let table = &self.context.table;
         let mut assignment = Assignment::read(table, self.context.shards).await?;
-        let changed = assignment.deal(hosts);
+        let changed = assignment.assign_workers(hosts);
         if changed.is_empty() {
             return Ok(());
         }
--- a/crates/shard/tests/journal.rs
+++ b/crates/shard/tests/journal.rs
@@ -7,9 +7,9 @@
 use shard::FORMAT;
 use shard::JOURNAL_ROWS;
 use shard::Journal;
-use shard::JournalNews;
-use shard::JournalOrder;
-use shard::JournalStart;
+use shard::JournalCommand;
+use shard::JournalEvent;
+use shard::JournalPosition;
 use shard::Pacer;
 use shard::Record;
 use shard::SegmentList;
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, Default)]
 struct MemoryTable {
     rows: Arc<Mutex<BTreeMap<String, Row>>>,
-    lost: Arc<Mutex<u32>>,
+    lost_answers: Arc<Mutex<u32>>,
 }
 
 impl MemoryTable {
@@ -74,9 +74,9 @@
         for write in &commit.writes {
             versions.push(self.put(&write.key, write.value.clone().unwrap_or_default()));
         }
-        let mut lost = self.lost.lock().expect("lost");
-        if *lost > 0 {
-            *lost -= 1;
+        let mut lost_answers = self.lost_answers.lock().expect("lost");
+        if *lost_answers > 0 {
+            *lost_answers -= 1;
             let reason = "lost".to_owned();
             return Err(StoreError::Unknown { reason });
         }
@@ -104,24 +104,24 @@
     table: &MemoryTable,
     fence: u64,
 ) -> (
-    mpsc::UnboundedSender<JournalOrder>,
-    mpsc::UnboundedReceiver<JournalNews>,
+    mpsc::UnboundedSender<JournalCommand>,
+    mpsc::UnboundedReceiver<JournalEvent>,
 ) {
-    let (orders, receiver) = mpsc::unbounded_channel();
-    let (sender, news) = mpsc::unbounded_channel();
-    let start = JournalStart {
+    let (commands, receiver) = mpsc::unbounded_channel();
+    let (sender, events) = mpsc::unbounded_channel();
+    let position = JournalPosition {
         shard: 0,
         process: "a-1".to_owned(),
         epoch: 1,
         fence,
-        next: 1,
-        rows: vec![0; usize::try_from(JOURNAL_ROWS).expect("small")],
+        next_seq: 1,
+        row_versions: vec![0; usize::try_from(JOURNAL_ROWS).expect("small")],
         segments: SegmentList::default(),
         list_version: 0,
     };
     let pacer = Pacer::new(1000.0);
-    tokio::spawn(Journal::new(table.clone(), pacer, start, receiver, sender).run());
-    (orders, news)
+    tokio::spawn(Journal::new(table.clone(), pacer, position, receiver, sender).run());
+    (commands, events)
 }
 
 // Symptom: a batch stood twice in the journal, or its owner took itself for
@@ -131,15 +131,15 @@
 async fn a_lost_answer_is_read_back() {
     let table = MemoryTable::default();
     let fence = table.put(&shard_key(0), shard_row(1));
-    let (orders, mut news) = open(&table, fence);
-    *table.lost.lock().expect("lost") = 1;
+    let (commands, mut events) = open(&table, fence);
+    *table.lost_answers.lock().expect("lost") = 1;
 
-    orders
-        .send(JournalOrder::Append(7, cancel("x")))
+    commands
+        .send(JournalCommand::Append(7, cancel("x")))
         .expect("open");
 
-    assert_eq!(news.recv().await, Some(JournalNews::Stalled));
-    assert_eq!(news.recv().await, Some(JournalNews::Written(7, 1)));
+    assert_eq!(events.recv().await, Some(JournalEvent::Stalled));
+    assert_eq!(events.recv().await, Some(JournalEvent::Written(7, 1)));
     let rows = table.range("journal/").await.expect("rows");
     assert_eq!(rows.len(), 1);
 }
@@ -152,14 +152,14 @@
 async fn a_writer_of_an_earlier_epoch_is_fenced_even_by_its_own_process() {
     let table = MemoryTable::default();
     let fence = table.put(&shard_key(0), shard_row(1));
-    let (orders, mut news) = open(&table, fence);
+    let (commands, mut events) = open(&table, fence);
     table.put(&shard_key(0), shard_row(3));
 
-    orders
-        .send(JournalOrder::Append(7, cancel("x")))
+    commands
+        .send(JournalCommand::Append(7, cancel("x")))
         .expect("open");
 
-    assert_eq!(news.recv().await, Some(JournalNews::Fenced));
+    assert_eq!(events.recv().await, Some(JournalEvent::Fenced));
     assert!(table.range("journal/").await.expect("rows").is_empty());
 }
 
@@ -169,21 +169,21 @@
 async fn rows_are_not_reused_before_a_segment_covers_them() {
     let table = MemoryTable::default();
     let fence = table.put(&shard_key(0), shard_row(1));
-    let (orders, mut news) = open(&table, fence);
+    let (commands, mut events) = open(&table, fence);
 
     for ticket in 1..=JOURNAL_ROWS {
-        orders
-            .send(JournalOrder::Append(ticket, cancel("x")))
+        commands
+            .send(JournalCommand::Append(ticket, cancel("x")))
             .expect("open");
         assert_eq!(
-            news.recv().await,
-            Some(JournalNews::Written(ticket, ticket))
+            events.recv().await,
+            Some(JournalEvent::Written(ticket, ticket))
         );
     }
-    orders
-        .send(JournalOrder::Append(99, cancel("y")))
+    commands
+        .send(JournalCommand::Append(99, cancel("y")))
         .expect("open");
-    let waited = tokio::time::timeout(std::time::Duration::from_secs(30), news.recv()).await;
+    let waited = tokio::time::timeout(std::time::Duration::from_secs(30), events.recv()).await;
 
     assert!(waited.is_err(), "{waited:?}");
     let rows = table.range("journal/").await.expect("rows");
--- a/crates/shard/tests/machine.rs
+++ b/crates/shard/tests/machine.rs
@@ -1,12 +1,12 @@
 //! Drives the state machine of a shard with arbitrary events: messages that
 //! are lost, repeated or out of order, workers that restart, owners that die.
 
-mod world;
+mod simulation;
 
 use bolero::check;
 
-use crate::world::Step;
-use crate::world::World;
+use crate::simulation::Simulation;
+use crate::simulation::Step;
 
 // Symptom: any of: a worker over its slots, a confirmation that ran twice,
 // "not run" said of something that ran, two answers to one call. Sequence:
@@ -18,13 +18,13 @@
         .with_iterations(4000)
         .with_max_len(2048)
         .for_each(|steps| {
-            let mut world = World::new();
+            let mut sim = Simulation::new();
             for step in steps {
-                world.apply(step);
-                world.check();
+                sim.apply(step);
+                sim.check_invariants();
             }
-            world.settle();
-            world.check();
+            sim.settle();
+            sim.check_invariants();
         });
 }
 
@@ -34,18 +34,18 @@
 // had claimed, instead of the one that the shard had decided on.
 #[test]
 fn a_start_for_an_old_run_is_not_taken_by_the_new_one() {
-    let mut world = World::new();
+    let mut sim = Simulation::new();
 
-    world.apply(&Step::Restart(0));
-    world.apply(&Step::Restart(1));
-    world.apply(&Step::Claim(0));
-    world.apply(&Step::Claim(1));
-    world.apply(&Step::Submit(1));
-    world.apply(&Step::Write);
-    world.apply(&Step::Arrive(0));
-    world.settle();
+    sim.apply(&Step::Restart(0));
+    sim.apply(&Step::Restart(1));
+    sim.apply(&Step::Claim(0));
+    sim.apply(&Step::Claim(1));
+    sim.apply(&Step::Submit(1));
+    sim.apply(&Step::Commit);
+    sim.apply(&Step::Arrive(0));
+    sim.settle();
 
-    world.check();
+    sim.check_invariants();
 }
 
 // The world itself must notice harm: with the guard of the workers taken out,
@@ -53,19 +53,19 @@
 #[test]
 #[should_panic(expected = "ran twice")]
 fn the_world_notices_a_second_run() {
-    let mut world = World::new();
-    world.unfenced = true;
+    let mut sim = Simulation::new();
+    sim.skip_fencing = true;
 
-    world.apply(&Step::Submit(1));
-    world.apply(&Step::Write);
-    world.apply(&Step::Die);
+    sim.apply(&Step::Submit(1));
+    sim.apply(&Step::Commit);
+    sim.apply(&Step::CrashOwner);
     for worker in [0, 1] {
-        world.apply(&Step::Claim(worker));
-        world.apply(&Step::Hear(worker));
+        sim.apply(&Step::Claim(worker));
+        sim.apply(&Step::DeliverReports(worker));
     }
-    world.apply(&Step::Write);
+    sim.apply(&Step::Commit);
     for _ in 0..4 {
-        world.apply(&Step::Arrive(0));
-        world.check();
+        sim.apply(&Step::Arrive(0));
+        sim.check_invariants();
     }
 }
--- a/crates/shard/tests/shown/desk.rs
+++ b/crates/shard/tests/shown/desk.rs
@@ -14,7 +14,7 @@
 use shard::Input;
 use shard::Ledger;
 use shard::Machine;
-use shard::MachineFacts;
+use shard::MachineParams;
 use shard::Output;
 use shard::ShardAsk;
 use shard::ShardReply;
@@ -137,7 +137,7 @@
     /// worker.
     pub(crate) fn succeeded(&mut self) -> Desk {
         let mut ledger = Ledger::default();
-        for record in self.machine.make_segment(1).open {
+        for record in self.machine.build_segment(1).open {
             ledger.replay(&record, self.times);
         }
         Desk {
@@ -282,11 +282,11 @@
         patch_id: "first".to_owned(),
         config,
     };
-    let facts = MachineFacts {
+    let facts = MachineParams {
         shard: 0,
         shards: 1,
         epoch: 1,
-        since_millis: 0,
+        takeover_millis: 0,
         retention: Duration::from_mins(10),
         missing_at: times.now + Duration::from_secs(20),
     };
--- a/crates/shard/tests/world/callers.rs
+++ b/crates/shard/tests/simulation/callers.rs
@@ -7,11 +7,11 @@
 use shard::Submission;
 use shard::WaiterKey;
 
-use super::World;
-use super::facts::TEAM;
-use super::facts::request;
+use super::Simulation;
+use super::fixtures::TEAM;
+use super::fixtures::request;
 
-impl World {
+impl Simulation {
     pub(super) fn submit(&mut self, number: u8) {
         let mut request = request(number);
         let sent = self
@@ -41,7 +41,7 @@
         self.feed(Input::Ask(ShardAsk::Cancel(filter), waiter));
     }
 
-    pub(super) fn replied(&mut self, waiter: WaiterKey, reply: &ShardReply) {
+    pub(super) fn on_reply(&mut self, waiter: WaiterKey, reply: &ShardReply) {
         let key = self.waiters.remove(waiter);
         let key = key.expect("a second reply to one call");
         if let ShardReply::Answer(answer) = reply
--- a/crates/shard/tests/world/facts.rs
+++ b/crates/shard/tests/simulation/fixtures.rs
@@ -11,7 +11,7 @@
 use model::Team;
 use shard::Ledger;
 use shard::Machine;
-use shard::MachineFacts;
+use shard::MachineParams;
 use shard::Times;
 use worker::End;
 use worker::EndResult;
@@ -46,18 +46,18 @@
     number.is_some_and(|number| number % 2 == 0)
 }
 
-pub(crate) fn run_number(run: &str) -> u32 {
+pub(crate) fn incarnation_number(run: &str) -> u32 {
     let number = run
         .strip_prefix("run-")
         .and_then(|number| number.parse().ok());
     number.expect("a run of this world")
 }
 
-pub(crate) fn name_of(worker: usize) -> String {
+pub(crate) fn worker_name(worker: usize) -> String {
     format!("w{worker}")
 }
 
-pub(crate) fn index_of(name: &str) -> usize {
+pub(crate) fn worker_index(name: &str) -> usize {
     name[1..].parse().expect("a worker of this world")
 }
 
@@ -77,7 +77,7 @@
 }
 
 pub(crate) fn machine(ledger: Ledger, times: Times, epoch: u64) -> Machine {
-    let most = Resources {
+    let limits = Resources {
         cpu_milli: 1000,
         memory_mib: 1000,
         accelerators: 100,
@@ -88,7 +88,7 @@
     config.teams.insert(
         TEAM.to_owned(),
         Team {
-            quota: most,
+            quota: limits,
             span: 1,
             queue: 100,
         },
@@ -98,13 +98,13 @@
         patch_id: "first".to_owned(),
         config,
     };
-    let facts = MachineFacts {
+    let params = MachineParams {
         shard: 0,
         shards: 1,
         epoch,
-        since_millis: if epoch > 1 { times.wall_millis } else { 0 },
+        takeover_millis: if epoch > 1 { times.wall_millis } else { 0 },
         retention: Duration::from_mins(10),
         missing_at: times.now + Duration::from_secs(20),
     };
-    Machine::new(facts, ledger, Arc::new(numbered), times)
+    Machine::new(params, ledger, Arc::new(numbered), times)
 }
--- a/crates/shard/tests/world/rules.rs
+++ b/crates/shard/tests/simulation/invariants.rs
@@ -1,12 +1,12 @@
 //! What must hold in the world after each step.
 
 use super::SLOTS;
-use super::World;
-use super::facts::is_idempotent;
+use super::Simulation;
+use super::fixtures::is_idempotent;
 
-impl World {
+impl Simulation {
     /// What must hold after each step.
-    pub fn check(&self) {
+    pub fn check_invariants(&self) {
         for (worker, state) in self.workers.iter().enumerate() {
             let running = state.running();
             assert!(running <= SLOTS as usize, "worker {worker} runs {running}");
@@ -15,23 +15,23 @@
             assert!(
                 *count <= 1 || is_idempotent(key),
                 "{key} ran twice: {}",
-                self.story(key)
+                self.trace(key)
             );
             assert!(
                 !self.not_run.contains(key),
                 "{key} ran, but was said not to: {}",
-                self.story(key)
+                self.trace(key)
             );
         }
     }
 
     /// Steps, and what concerns one request.
-    fn story(&self, key: &str) -> String {
-        let told = |line: &&String| !line.starts_with(' ') || line.contains(&key[7..]);
+    fn trace(&self, key: &str) -> String {
+        let is_relevant = |line: &&String| !line.starts_with(' ') || line.contains(&key[7..]);
         let lines: Vec<&str> = self
             .history
             .iter()
-            .filter(told)
+            .filter(is_relevant)
             .map(String::as_str)
             .collect();
         lines.join("\n")
--- a/crates/shard/tests/world/mod.rs
+++ b/crates/shard/tests/simulation/mod.rs
@@ -2,9 +2,9 @@
 //! are the world's state and its dispatch; each part has a file of its own.
 
 mod callers;
-mod facts;
+mod fixtures;
+mod invariants;
 mod owner;
-mod rules;
 mod starts;
 mod step;
 mod workers;
@@ -23,10 +23,10 @@
 use shard::WaiterKey;
 use slotmap::SlotMap;
 
-use self::facts::index_of;
-use self::facts::machine;
-use self::facts::run_number;
-use self::starts::Flying;
+use self::fixtures::incarnation_number;
+use self::fixtures::machine;
+use self::fixtures::worker_index;
+use self::starts::StartInFlight;
 use self::workers::FakeWorker;
 
 pub use self::step::Step;
@@ -39,14 +39,14 @@
 
 /// A shard's surroundings.
 #[derive(Debug)]
-pub struct World {
+pub struct Simulation {
     /// A guard taken out: workers accept starts of any epoch.
-    pub unfenced: bool,
+    pub skip_fencing: bool,
     machine: Machine,
     epoch: u64,
     times: Times,
     workers: Vec<FakeWorker>,
-    flying: Vec<Flying>,
+    in_flight: Vec<StartInFlight>,
     queued: Vec<(Ticket, Vec<Record>)>,
     committed: Vec<Record>,
     waiters: SlotMap<WaiterKey, String>,
@@ -57,20 +57,20 @@
     history: Vec<String>,
 }
 
-impl World {
+impl Simulation {
     /// A shard with idle workers that it has claimed.
-    pub fn new() -> World {
+    pub fn new() -> Simulation {
         let times = Times {
             now: Duration::ZERO,
             wall_millis: 1_000_000,
         };
-        let mut world = World {
-            unfenced: false,
+        let mut sim = Simulation {
+            skip_fencing: false,
             machine: machine(Ledger::default(), times, 1),
             epoch: 1,
             times,
             workers: (0..WORKERS).map(|_| FakeWorker::default()).collect(),
-            flying: Vec::new(),
+            in_flight: Vec::new(),
             queued: Vec::new(),
             committed: Vec::new(),
             waiters: SlotMap::with_key(),
@@ -79,12 +79,12 @@
             first_sent: BTreeMap::new(),
             history: Vec::new(),
         };
-        world.link_all();
+        sim.set_workers();
         for worker in 0..WORKERS {
-            world.claim(worker);
-            world.hear(worker);
+            sim.claim(worker);
+            sim.deliver_reports(worker);
         }
-        world
+        sim
     }
 
     /// Lets one thing happen.
@@ -92,34 +92,34 @@
         self.history.push(format!("{step:?}"));
         match step {
             Step::Submit(number) => self.submit(number % 6),
-            Step::Write => self.write(),
+            Step::Commit => self.commit_next(),
             Step::Arrive(index) => self.arrive(usize::from(*index)),
             Step::Refuse(index) => self.refuse(usize::from(*index)),
             Step::End(index) => self.end(usize::from(*index)),
-            Step::Repeat(index) => self.repeat(usize::from(*index) % WORKERS),
+            Step::RepeatEnds(index) => self.repeat_ends(usize::from(*index) % WORKERS),
             Step::Restart(index) => self.restart(usize::from(*index) % WORKERS),
             Step::Claim(index) => self.claim(usize::from(*index) % WORKERS),
-            Step::Hear(index) => self.hear(usize::from(*index) % WORKERS),
+            Step::DeliverReports(index) => self.deliver_reports(usize::from(*index) % WORKERS),
             Step::LeaseOver(index) => self.lease_over(usize::from(*index) % WORKERS),
             Step::Wait(tenths) => self.wait(u64::from(*tenths % 8) * 100),
             Step::Cancel(number) => self.cancel(number % 6),
-            Step::Die => self.die(),
+            Step::CrashOwner => self.crash_owner(),
         }
     }
 
     /// Lets everything that is under way come to its end.
     pub fn settle(&mut self) {
         for _ in 0..60 {
-            self.write();
-            while !self.flying.is_empty() {
+            self.commit_next();
+            while !self.in_flight.is_empty() {
                 self.arrive(0);
             }
             for worker in 0..WORKERS {
                 self.claim(worker);
-                self.hear(worker);
+                self.deliver_reports(worker);
                 self.end(worker);
                 self.end(worker + 1);
-                self.repeat(worker);
+                self.repeat_ends(worker);
             }
             self.wait(1000);
         }
@@ -138,27 +138,27 @@
         self.history.push(format!("  in {input:?}"));
         for output in self.machine.handle(self.times, input) {
             self.history.push(format!("  out {output:?}"));
-            self.carry_out(output);
+            self.execute(output);
         }
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn execute(&mut self, output: Output) {
         match output {
             Output::Append(ticket, records) => self.queued.push((ticket, records)),
             Output::Start(worker, order) => {
-                let worker = index_of(&worker);
-                self.flying.push(Flying {
+                let worker = worker_index(&worker);
+                self.in_flight.push(StartInFlight {
                     worker,
                     epoch: self.epoch,
-                    run: run_number(&order.run),
+                    run: incarnation_number(&order.run),
                     order,
                 });
             }
-            Output::Stop(worker, attempt, _) => self.stop(index_of(&worker), &attempt),
+            Output::Stop(worker, attempt, _) => self.stop(worker_index(&worker), &attempt),
             Output::Forget(worker, attempts) => {
-                self.workers[index_of(&worker)].forget(attempts);
+                self.workers[worker_index(&worker)].forget(attempts);
             }
-            Output::Reply(waiter, reply) => self.replied(waiter, &reply),
+            Output::Reply(waiter, reply) => self.on_reply(waiter, &reply),
             Output::Event(_) | Output::Link(_) | Output::Unlink(_) | Output::Lend(..) => {}
         }
     }
--- a/crates/shard/tests/world/owner.rs
+++ b/crates/shard/tests/simulation/owner.rs
@@ -8,13 +8,13 @@
 use store::Host;
 use store::HostState;
 
+use super::Simulation;
 use super::WORKERS;
-use super::World;
-use super::facts::machine;
-use super::facts::name_of;
+use super::fixtures::machine;
+use super::fixtures::worker_name;
 
-impl World {
-    pub(super) fn write(&mut self) {
+impl Simulation {
+    pub(super) fn commit_next(&mut self) {
         if self.queued.is_empty() {
             return;
         }
@@ -29,25 +29,25 @@
         self.feed(Input::Tick);
     }
 
-    pub(super) fn die(&mut self) {
+    pub(super) fn crash_owner(&mut self) {
         self.epoch += 1;
         self.queued.clear();
         self.waiters.clear();
         for worker in &mut self.workers {
-            worker.unread.clear();
+            worker.undelivered.clear();
         }
         let mut ledger = Ledger::default();
         for record in &self.committed {
             ledger.replay(record, self.times);
         }
         self.machine = machine(ledger, self.times, self.epoch);
-        self.link_all();
+        self.set_workers();
     }
 
-    pub(super) fn link_all(&mut self) {
+    pub(super) fn set_workers(&mut self) {
         let host = |worker: usize| WorkerHost {
             host: Host {
-                id: name_of(worker),
+                id: worker_name(worker),
                 address: ([127, 0, 0, 1], 1).into(),
                 domain: "tacoma".to_owned(),
                 rack: format!("rack-{worker}"),
--- a/crates/shard/tests/world/starts.rs
+++ b/crates/shard/tests/simulation/starts.rs
@@ -6,45 +6,45 @@
 use worker::Task;
 
 use super::SLOTS;
-use super::World;
+use super::Simulation;
 
 /// A start on its way: its epoch and the run that it names.
 #[derive(Debug)]
-pub(super) struct Flying {
+pub(super) struct StartInFlight {
     pub(super) worker: usize,
     pub(super) epoch: u64,
     pub(super) run: u32,
     pub(super) order: StartOrder,
 }
 
-impl World {
+impl Simulation {
     pub(super) fn arrive(&mut self, index: usize) {
-        if self.flying.is_empty() {
+        if self.in_flight.is_empty() {
             return;
         }
-        let flying = self.flying.remove(index % self.flying.len());
-        let own = flying.epoch == self.epoch;
-        let attempt = flying.order.attempt.clone();
-        let worker = &mut self.workers[flying.worker];
-        let fenced = flying.epoch != worker.epoch && !self.unfenced;
+        let in_flight = self.in_flight.remove(index % self.in_flight.len());
+        let own = in_flight.epoch == self.epoch;
+        let attempt = in_flight.order.attempt.clone();
+        let worker = &mut self.workers[in_flight.worker];
+        let fenced = in_flight.epoch != worker.epoch && !self.skip_fencing;
         let refused = fenced
-            || flying.run != worker.run
-            || worker.closed.contains(&attempt)
+            || in_flight.run != worker.run
+            || worker.refused_attempts.contains(&attempt)
             || worker.running() >= SLOTS as usize;
         if worker.tasks.contains_key(&attempt) {
             return;
         }
         if refused {
-            worker.closed.insert(attempt.clone());
+            worker.refused_attempts.insert(attempt.clone());
         } else {
             let task = Task {
                 attempt: attempt.clone(),
-                request: flying.order.request.clone(),
-                needs: flying.order.needs,
+                request: in_flight.order.request.clone(),
+                needs: in_flight.order.needs,
                 end: None,
             };
             worker.tasks.insert(attempt.clone(), task);
-            *self.starts.entry(flying.order.request).or_default() += 1;
+            *self.starts.entry(in_flight.order.request).or_default() += 1;
         }
         if own {
             let input = if refused {
@@ -52,19 +52,19 @@
             } else {
                 Input::Started(attempt)
             };
-            self.tell(flying.worker, input);
+            self.report(in_flight.worker, input);
         }
     }
 
     pub(super) fn refuse(&mut self, index: usize) {
-        if self.flying.is_empty() {
+        if self.in_flight.is_empty() {
             return;
         }
-        let flying = self.flying.remove(index % self.flying.len());
-        if flying.epoch == self.epoch {
-            let attempt = flying.order.attempt;
-            self.tell(
-                flying.worker,
+        let in_flight = self.in_flight.remove(index % self.in_flight.len());
+        if in_flight.epoch == self.epoch {
+            let attempt = in_flight.order.attempt;
+            self.report(
+                in_flight.worker,
                 Input::NotStarted(attempt, NotStarted::Unsent),
             );
         }
--- a/crates/shard/tests/world/step.rs
+++ b/crates/shard/tests/simulation/step.rs
@@ -8,7 +8,7 @@
     /// A caller submits, or submits again, one of a few requests.
     Submit(u8),
     /// The oldest batch of records is committed.
-    Write,
+    Commit,
     /// A start reaches its worker.
     Arrive(u8),
     /// A start is refused, or never sent.
@@ -16,13 +16,13 @@
     /// A task ends; its worker reports it.
     End(u8),
     /// A worker reports all its ends again.
-    Repeat(u8),
+    RepeatEnds(u8),
     /// A worker forgets everything.
     Restart(u8),
     /// A link claims its worker again.
     Claim(u8),
     /// The shard reads what the link of a worker has told it.
-    Hear(u8),
+    DeliverReports(u8),
     /// The lease of a worker's tasks runs out.
     LeaseOver(u8),
     /// Time passes, in tenths of a second.
@@ -30,5 +30,5 @@
     /// A caller withdraws a request.
     Cancel(u8),
     /// The owner dies; another takes over from what was committed.
-    Die,
+    CrashOwner,
 }
--- a/crates/shard/tests/world/workers.rs
+++ b/crates/shard/tests/simulation/workers.rs
@@ -10,12 +10,12 @@
 use worker::EndResult;
 use worker::Task;
 
+use super::Simulation;
 use super::WORKERS;
-use super::World;
-use super::facts::capacity;
-use super::facts::ended;
-use super::facts::name_of;
-use super::starts::Flying;
+use super::fixtures::capacity;
+use super::fixtures::ended;
+use super::fixtures::worker_name;
+use super::starts::StartInFlight;
 
 /// A worker: what it runs, and what it refuses.
 #[derive(Debug, Default)]
@@ -24,9 +24,9 @@
     pub(super) epoch: u64,
     pub(super) tasks: BTreeMap<String, Task>,
     /// Attempts that it refuses for good.
-    pub(super) closed: BTreeSet<String>,
+    pub(super) refused_attempts: BTreeSet<String>,
     /// What its link has told the shard, which has not read it yet.
-    pub(super) unread: VecDeque<Input>,
+    pub(super) undelivered: VecDeque<Input>,
 }
 
 impl FakeWorker {
@@ -40,19 +40,19 @@
     pub(super) fn forget(&mut self, attempts: Vec<String>) {
         for attempt in attempts {
             self.tasks.remove(&attempt);
-            self.closed.insert(attempt);
+            self.refused_attempts.insert(attempt);
         }
     }
 }
 
-impl World {
+impl Simulation {
     pub(super) fn stop(&mut self, worker: usize, attempt: &str) {
         let state = &mut self.workers[worker];
         match state.tasks.get_mut(attempt) {
             Some(task) if task.end.is_none() => task.end = Some(ended(EndResult::Stopped)),
             Some(_) => {}
             None => {
-                state.closed.insert(attempt.to_owned());
+                state.refused_attempts.insert(attempt.to_owned());
             }
         }
     }
@@ -67,11 +67,11 @@
         task.end = Some(ended(EndResult::Succeeded));
         let task = task.clone();
         if state.epoch == self.epoch {
-            self.tell(worker, Input::Ended(name_of(worker), vec![task]));
+            self.report(worker, Input::Ended(worker_name(worker), vec![task]));
         }
     }
 
-    pub(super) fn repeat(&mut self, worker: usize) {
+    pub(super) fn repeat_ends(&mut self, worker: usize) {
         let state = &self.workers[worker];
         if state.epoch != self.epoch {
             return;
@@ -82,7 +82,7 @@
             .filter(|task| task.end.is_some())
             .cloned()
             .collect();
-        self.tell(worker, Input::Ended(name_of(worker), ended));
+        self.report(worker, Input::Ended(worker_name(worker), ended));
     }
 
     pub(super) fn restart(&mut self, worker: usize) {
@@ -90,22 +90,22 @@
         state.run += 1;
         state.epoch = 0;
         state.tasks.clear();
-        state.closed.clear();
-        self.tell(worker, Input::WorkerLost(name_of(worker)));
+        state.refused_attempts.clear();
+        self.report(worker, Input::WorkerLost(worker_name(worker)));
     }
 
     /// A link's news keep their order: they wait behind what is unread.
-    pub(super) fn tell(&mut self, worker: usize, input: Input) {
-        let unread = &mut self.workers[worker].unread;
-        if unread.is_empty() {
+    pub(super) fn report(&mut self, worker: usize, input: Input) {
+        let undelivered = &mut self.workers[worker].undelivered;
+        if undelivered.is_empty() {
             self.feed(input);
         } else {
-            unread.push_back(input);
+            undelivered.push_back(input);
         }
     }
 
-    pub(super) fn hear(&mut self, worker: usize) {
-        while let Some(input) = self.workers[worker].unread.pop_front() {
+    pub(super) fn deliver_reports(&mut self, worker: usize) {
+        while let Some(input) = self.workers[worker].undelivered.pop_front() {
             self.feed(input);
         }
     }
@@ -121,19 +121,21 @@
             tasks: state.tasks.values().cloned().collect(),
         };
         let run = state.run;
-        let input = Input::Claimed(name_of(worker), claimed);
-        self.workers[worker].unread.push_back(input);
+        let input = Input::Claimed(worker_name(worker), claimed);
+        self.workers[worker].undelivered.push_back(input);
         // The link reports the starts that its claim has fenced off.
         let epoch = self.epoch;
-        let dead = |flying: &Flying| {
-            flying.worker == worker && flying.epoch == epoch && flying.run != run && !again
+        let fenced_off = |in_flight: &StartInFlight| {
+            in_flight.worker == worker && in_flight.epoch == epoch && in_flight.run != run && !again
         };
-        let (dead, alive) = std::mem::take(&mut self.flying).into_iter().partition(dead);
-        self.flying = alive;
-        let dead: Vec<Flying> = dead;
-        for flying in dead {
-            let input = Input::NotStarted(flying.order.attempt, NotStarted::Fenced);
-            self.workers[worker].unread.push_back(input);
+        let (fenced_off, remaining) = std::mem::take(&mut self.in_flight)
+            .into_iter()
+            .partition(fenced_off);
+        self.in_flight = remaining;
+        let fenced_off: Vec<StartInFlight> = fenced_off;
+        for in_flight in fenced_off {
+            let input = Input::NotStarted(in_flight.order.attempt, NotStarted::Fenced);
+            self.workers[worker].undelivered.push_back(input);
         }
     }
 
@@ -143,16 +145,16 @@
             task.end.get_or_insert_with(|| ended(EndResult::LeaseOver));
         }
         // Starts that are still under way name a reply that is too old.
-        for flying in &self.flying {
-            if flying.worker == worker {
+        for in_flight in &self.in_flight {
+            if in_flight.worker == worker {
                 self.workers[worker]
-                    .closed
-                    .insert(flying.order.attempt.clone());
+                    .refused_attempts
+                    .insert(in_flight.order.attempt.clone());
             }
         }
         if self.workers[worker].epoch == self.epoch {
-            self.tell(worker, Input::WorkerLost(name_of(worker)));
-            self.tell(worker, Input::LeaseOver(name_of(worker)));
+            self.report(worker, Input::WorkerLost(worker_name(worker)));
+            self.report(worker, Input::LeaseOver(worker_name(worker)));
         }
     }
 }
