--- a/crates/shard/src/assign.rs
+++ b/crates/shard/src/assign.rs
@@ -1,5 +1,6 @@
-//! Which shard a worker belongs to. The owner of shard 0 keeps the lists in
-//! the table; each owner reads those of its own shards.
+//! Assignment of workers to shards. The owner of shard 0 maintains the worker
+//! lists of all shards in the table; every owner reads the lists of its own
+//! shards.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -23,17 +24,19 @@
 use crate::encode_row;
 use crate::shard_key;
 
-/// A worker of a shard, joined from the assignment and the host list.
+/// A worker of a shard: its assignment joined with its entry in the host list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerHost {
-    /// What the host list says.
+    /// The worker's entry in the host list.
     pub host: Host,
-    /// How often it was assigned.
+    /// Assignment number, from the shard's worker list; a later assignment has
+    /// a higher number.
     pub assigned: u64,
 }
 
 impl WorkerHost {
-    /// Whether a link to `self` serves `other` as well.
+    /// Whether an open link to `self` can also serve `other`: both have the
+    /// same assignment number and address.
     #[must_use]
     pub fn shares_link_with(&self, other: &WorkerHost) -> bool {
         let address = |host: &WorkerHost| -> SocketAddr { host.host.address };
@@ -41,8 +44,8 @@
     }
 }
 
-/// Joins a shard's list with the host list; workers that the host list no
-/// longer names are left out.
+/// Joins a shard's worker list with the host list. Workers missing from the
+/// host list are left out.
 #[must_use]
 pub fn join_hosts(row: &AssignRow, hosts: &[Host]) -> Vec<WorkerHost> {
     let by_id: HashMap<&WorkerId, &Host> = hosts.iter().map(|host| (&host.id, host)).collect();
@@ -55,17 +58,18 @@
     joined.collect()
 }
 
-/// Lists of all shards, as read from the table.
+/// The worker lists of all shards, with the row versions at which they were
+/// read.
 #[derive(Clone, Debug, Default)]
 pub struct Assignment {
     rows: BTreeMap<ShardId, (RowVersion, AssignRow)>,
 }
 
 impl Assignment {
-    /// Reads all lists.
+    /// Reads the worker lists of all shards.
     ///
     /// # Errors
-    /// The table fails or a list cannot be read.
+    /// The table fails or a list cannot be decoded.
     pub async fn read<T: Table>(table: &T, shards: u16) -> Result<Assignment, ShardError> {
         let mut rows = BTreeMap::new();
         for shard in 0..shards {
@@ -81,9 +85,10 @@
         Ok(Assignment { rows })
     }
 
-    /// Deals new workers to the shards that have the fewest of their rack, of
-    /// their failure domain, and at all, in that order; takes gone ones out.
-    /// Returns the shards whose lists changed.
+    /// Removes workers that left the host list and assigns new ones, each to
+    /// the shard with the fewest workers; ties go to the shard with the fewest
+    /// workers of the same rack, then of the same failure domain. Returns the
+    /// shards whose lists changed.
     pub fn assign_workers(&mut self, hosts: &[Host]) -> Vec<ShardId> {
         let hosts_by_id: HashMap<&WorkerId, &Host> = hosts.iter().map(|h| (&h.id, h)).collect();
         let mut changed = Vec::new();
@@ -133,8 +138,9 @@
 
     fn add(&mut self, shard: ShardId, host: &Host) {
         if let Some((_, row)) = self.rows.get_mut(&shard) {
-            // A returning worker gets a higher number than any that it had:
-            // milliseconds since 1970 grow, and the worker refuses a lower.
+            // A worker that returns needs a higher assignment number than any
+            // it had before, since workers refuse lower ones. Milliseconds
+            // since 1970 always grow.
             row.workers.push(AssignedWorker {
                 worker: host.id.clone(),
                 assigned: event::wall_millis(),
@@ -143,8 +149,9 @@
         }
     }
 
-    /// Writes the lists of `changed`, if shard 0 still has the row version
-    /// `fence`. False when something else was written meanwhile.
+    /// Writes the lists of the `changed` shards if the row of shard 0 still has
+    /// version `fence`. Returns false if that row or one of the lists was
+    /// written by someone else meanwhile.
     ///
     /// # Errors
     /// The table fails.
--- a/crates/shard/src/cell_reads.rs
+++ b/crates/shard/src/cell_reads.rs
@@ -1,5 +1,5 @@
-//! The keeper's reads of the table: who lives, who owns what, which
-//! configuration is newest.
+//! The shard manager's reads of the table: live processes, owners of the
+//! shards, and the newest configuration.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -33,8 +33,8 @@
 use crate::member_key;
 use crate::read_config;
 
-/// Part of the cell's write rate that journals may use, in percent; the rest
-/// is for leases, claims and patches.
+/// Part of the cell's write rate available to journals, in percent; the rest is
+/// reserved for leases, claims and patches.
 const JOURNAL_PERCENT: u32 = 80;
 
 impl<T: Table, O: Objects, H: HostList> ShardManager<T, O, H> {
@@ -74,7 +74,7 @@
         Ok(())
     }
 
-    /// Adds what never changes about the processes, read once for each.
+    /// Adds the constant facts of each process, which are read only once.
     pub(crate) async fn join_members(
         &self,
         found: Vec<(Incarnation, RowVersion, LeaseRow)>,
@@ -99,7 +99,8 @@
         Ok(leases)
     }
 
-    /// A row that cannot be read is left alone, and said so.
+    /// Decodes a row. A row that cannot be decoded is left unchanged and
+    /// recorded as a timeline event.
     pub(crate) fn decode_or_record<R>(&self, row: &Row) -> Option<R>
     where
         R: serde::de::DeserializeOwned + crate::Formatted,
@@ -132,7 +133,7 @@
                 self.record_event(Event::new(Kind::RowDamaged).detail(reason));
                 Ok(())
             }
-            // The row may be whole; the next tick reads it again.
+            // The row itself may be intact; the next tick reads it again.
             Err(error) => {
                 log::debug!("configuration: {error}");
                 Ok(())
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Never goes back a version.
+    /// Adopts a newer configuration version; older ones are ignored.
     pub(crate) fn adopt_config(&mut self, config: &Arc<Numbered>) {
         if config.version <= self.config.version {
             return;
@@ -148,12 +149,14 @@
         let event = Event::new(Kind::ConfigAdopted);
         self.record_event(event.detail(format!("version {}", config.version)));
         self.config = config.clone();
-        // Drained workers may have changed.
+        // The set of drained workers may have changed: read the worker lists
+        // again.
         self.lists_due_at = None;
         for running in self.running.values() {
             let _ = running.task.send(ShardTaskMessage::Config(config.clone()));
         }
-        // Calls are routed by it before the lease says that it is in force.
+        // Calls must be routed by the new version before the lease row says
+        // that it is in force here.
         self.publish();
     }
 }
--- a/crates/shard/src/claiming.rs
+++ b/crates/shard/src/claiming.rs
@@ -1,5 +1,5 @@
-//! The keeper's part in ownership: expires leases, claims and opens shards,
-//! and drops those that it has lost.
+//! The shard manager's claims: expires stale leases, claims and opens shards,
+//! and drops shards that another process has taken.
 
 use std::time::Duration;
 
@@ -36,10 +36,10 @@
 use crate::shard_manager::OpenResult;
 use crate::shard_manager::RunningShard;
 
-/// Time after which an expired lease that owns nothing is removed.
+/// Age at which an expired lease whose process owns no shard is removed.
 const EXPIRED_LEASE_RETENTION: Duration = Duration::from_secs(30);
 
-/// A lease that stood still for the TTL.
+/// A lease that was not renewed for the TTL.
 struct StaleLease {
     process: Incarnation,
     version: RowVersion,
@@ -48,11 +48,12 @@
 }
 
 impl<T: Table, O: Objects, H: HostList> ShardManager<T, O, H> {
-    /// The lease had been expired. That alone fences nothing: a shard whose
-    /// row still is as this process left it was taken by nobody, and with the
-    /// lease renewed nobody can take it on the strength of the expiry. Such
-    /// shards go on with their state; the others are dropped. (Timed out is
-    /// not fenced, after KIP-588.)
+    /// Rechecks all running shards after another process had expired this
+    /// process's lease. The expiry alone fences nothing: if a shard's row is
+    /// unchanged, no process has taken the shard, and none can any more on the
+    /// basis of that expiry, since the lease is renewed. Such shards keep their
+    /// state; the others are dropped. (KIP-588 likewise treats a timeout apart
+    /// from fencing.)
     pub(crate) async fn recheck_shards(&mut self) -> Result<(), ShardError> {
         if !self.context.reclaim {
             self.drop_all_shards();
@@ -134,7 +135,8 @@
         self.read_cell().await
     }
 
-    /// Brings what runs in line with what the table says.
+    /// Drops running shards whose rows name another owner, and opens shards
+    /// whose rows name this process.
     pub(crate) async fn reconcile(&mut self) -> Result<(), ShardError> {
         let shards: Vec<ShardId> = self.running.keys().copied().collect();
         for shard in shards {
@@ -172,7 +174,7 @@
         }
     }
 
-    /// Removes leases that expired long ago and own nothing.
+    /// Removes one lease that expired long ago and whose process owns no shard.
     pub(crate) async fn delete_expired_lease(&mut self) -> Result<(), ShardError> {
         let old = self.members.iter().find(|(process, member)| {
             member.lease.state == LeaseState::Expired
@@ -192,7 +194,8 @@
         Ok(())
     }
 
-    /// Process that should own each shard, by this process's view.
+    /// The process that should own each shard, from this process's view of the
+    /// live members; empty if there are none.
     pub(crate) fn desired_owners(&self) -> Vec<String> {
         let ttl = self.context.timing.ttl;
         let mut live: Vec<(String, String)> = self
@@ -236,8 +239,8 @@
             if row.owner == self.context.process || !self.members.is_gone_or_expired(&row.owner) {
                 return Ok(());
             }
-            // The owner may come back at this very moment; then its lease
-            // row has changed, and the claim fails.
+            // If the former owner renews its lease at this moment, the version
+            // of its lease row changes and the claim fails.
             let lease = self
                 .members
                 .get(&row.owner)
@@ -276,7 +279,7 @@
         self.opening.remove(&claim.shard);
         let recovered = match recovered {
             Ok(recovered) => recovered,
-            // The next tick finds the row and tries again.
+            // The next tick finds the shard's row and tries again.
             Err(error @ ShardError::Damaged { .. }) => {
                 let event = Event::new(Kind::RowDamaged).shard(claim.shard);
                 self.record_event(event.detail(error.to_string()));
--- a/crates/shard/src/context.rs
+++ b/crates/shard/src/context.rs
@@ -1,4 +1,5 @@
-//! What a process knows at launch and shares with all its tasks.
+//! Settings and handles that a process sets up at launch and shares among its
+//! tasks.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,19 +14,21 @@
 use crate::LeaseGate;
 use crate::Pacer;
 
-/// Time limits of ownership.
+/// Time limits of leases and ownership.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// Standstill after which another process may take the shards.
+    /// Time without a renewal after which another process may expire the lease
+    /// and take the shards.
     pub ttl: Duration,
-    /// Interval of renewals.
+    /// Interval between renewals of the lease.
     pub renew: Duration,
-    /// How long after the start of a renewal the process acts on it; shorter
-    /// than `ttl`, so that it has stopped before another one begins.
+    /// Time after the start of a successful renewal during which the process
+    /// may act. Shorter than `ttl`, so that the process has stopped before a
+    /// successor starts.
     pub hold: Duration,
-    /// Lease of tasks on workers.
+    /// Duration of the lease of the tasks on workers.
     pub task_lease: Duration,
-    /// Longest time for which answers are remembered.
+    /// How long final answers are kept.
     pub retention: Duration,
 }
 
@@ -41,28 +44,29 @@
     }
 }
 
-/// Immutable facts and shared handles of one process.
+/// Immutable settings and shared handles of one process.
 #[derive(Debug)]
 pub struct Context<T, O, H> {
-    /// Name in the settings; the same after a restart.
+    /// Name of the process in its settings; stays the same across restarts.
     pub name: String,
-    /// This run of the process.
+    /// Incarnation of the process.
     pub process: Incarnation,
-    /// Failure domain that it stands in.
+    /// Failure domain of the process.
     pub domain: String,
-    /// Where the other processes reach it.
+    /// Address for calls from other processes.
     pub peer: SocketAddr,
-    /// Where callers reach it.
+    /// Address for HTTP requests of callers.
     pub http: SocketAddr,
-    /// Number of shards of the cell.
+    /// Number of shards in the cell.
     pub shards: u16,
-    /// The cell that the process joined when it started.
+    /// Id of the cell that the process joined when it started.
     pub cell: CellId,
-    /// Writes a second that the whole cell may make.
+    /// Limit on the table writes per second of the whole cell.
     pub write_rate: u32,
-    /// Whether a timed-out lease is claimed again with its state kept.
+    /// Whether shards keep their state when the process renews a lease that had
+    /// timed out, provided that no other process has claimed them.
     pub reclaim: bool,
-    /// Time limits.
+    /// Time limits of leases and ownership.
     pub timing: Timing,
     /// The platform's table.
     pub table: T,
@@ -70,14 +74,14 @@
     pub objects: O,
     /// The platform's host list.
     pub hosts: H,
-    /// Client of the workers.
+    /// Client for calls to workers.
     pub workers: WorkerClient,
-    /// Calls to other processes.
+    /// Client and server for calls between processes.
     pub node: Node,
-    /// Events.
+    /// Recorder of timeline events.
     pub timeline: Arc<Timeline>,
-    /// Right to act.
+    /// Whether the process may currently act for its shards.
     pub gate: Arc<LeaseGate>,
-    /// Share of the table's write rate.
+    /// Limits journal commits to this process's share of the write rate.
     pub pacer: Pacer,
 }
--- a/crates/shard/src/error.rs
+++ b/crates/shard/src/error.rs
@@ -1,23 +1,23 @@
-//! Errors of ownership and recovery.
+//! Errors of shard ownership and recovery.
 
 use snafu::Snafu;
 use store::StoreError;
 
-/// Why a shard cannot be served.
+/// Why a shard cannot be opened or served.
 #[derive(Debug, Snafu)]
 pub enum ShardError {
-    /// A row or object cannot be read; it was left as it is.
+    /// A row or object cannot be decoded; it was left unchanged.
     #[snafu(display("{key} cannot be read: {reason}"))]
     Damaged {
-        /// Key of the row or name of the object.
+        /// Key of the row, or name of the object.
         key: String,
-        /// What is wrong.
+        /// Why it cannot be decoded.
         reason: String,
     },
-    /// The platform's service failed.
+    /// A call to the platform's table or object store failed.
     #[snafu(display("{source}"), context(false))]
     Store {
-        /// Its error.
+        /// Error of the call.
         source: StoreError,
     },
     /// Another process owns the shard.
--- a/crates/shard/src/gate.rs
+++ b/crates/shard/src/gate.rs
@@ -1,17 +1,18 @@
-//! Whether this process may still act for its shards.
+//! Local check whether this process may still act for its shards.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 use std::time::Instant;
 
-/// Right to act, which ends by itself.
+/// Permission to act for the shards, valid until a deadline.
 ///
-/// A process that was paused past its lease still believes that it holds it.
-/// So each send of something decided earlier first asks the gate, which
-/// compares the monotonic clock (it runs on during a pause) with the end of
-/// the last good renewal. What is sent in spite of that, in the moment after
-/// the check, is refused by the epoch fences of the table and of the workers.
+/// A process that was paused past the end of its lease still believes that it
+/// holds it. So every send that carries out an earlier decision first checks
+/// the gate, which compares the monotonic clock (it keeps running during a
+/// pause) with the deadline set by the last successful renewal. A pause between
+/// the check and the send is still possible; what is sent then is refused by
+/// the epoch fences of the table and the workers.
 #[derive(Debug)]
 pub struct LeaseGate {
     origin: Instant,
@@ -19,7 +20,7 @@
 }
 
 impl LeaseGate {
-    /// A shut gate.
+    /// A gate that forbids acting until it is first extended.
     #[must_use]
     pub fn new() -> LeaseGate {
         LeaseGate {
@@ -34,18 +35,18 @@
         self.millis(Instant::now()) < self.until_millis.load(Ordering::Acquire)
     }
 
-    /// Lets the process act until `until`; never shortens.
+    /// Allows acting until `until`; never shortens the current deadline.
     pub fn extend(&self, until: Instant) {
         self.until_millis
             .fetch_max(self.millis(until), Ordering::AcqRel);
     }
 
-    /// Forbids to act from now on.
+    /// Forbids acting from now on, until the gate is extended again.
     pub fn revoke(&self) {
         self.until_millis.store(0, Ordering::Release);
     }
 
-    /// Time left.
+    /// Time left until the deadline.
     #[must_use]
     pub fn remaining(&self) -> Duration {
         let until = self.until_millis.load(Ordering::Acquire);
@@ -54,7 +55,8 @@
 
     fn millis(&self, at: Instant) -> u64 {
         let since = at.saturating_duration_since(self.origin).as_millis();
-        // One is added so that an instant at the origin is not "shut".
+        // 0 means that acting is forbidden, so an instant at the origin must
+        // map to at least 1.
         u64::try_from(since).unwrap_or(u64::MAX).saturating_add(1)
     }
 }
--- a/crates/shard/src/handover.rs
+++ b/crates/shard/src/handover.rs
@@ -1,5 +1,5 @@
-//! The keeper's hand-overs: passes shards on to the processes that should own
-//! them, and tells these at once.
+//! The shard manager's hand-overs: moves shards to the processes that should
+//! own them, and notifies these processes at once.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -24,15 +24,17 @@
 use crate::shard_key;
 
 /// Shortest time between two voluntary hand-overs of a process, so that
-/// views that differ for a moment cannot pass a shard to and fro.
+/// processes whose views differ for a moment cannot pass a shard back and
+/// forth.
 const HANDOVER_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Longest wait for a shard to finish its journal before it is handed over.
+/// Longest wait for a shard's task to finish its journal before the shard is
+/// handed over.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl<T: Table, O: Objects, H: HostList> ShardManager<T, O, H> {
-    /// Passes shards on to the processes that should own them: all at once
-    /// when leaving, otherwise one at a time.
+    /// Starts the hand-over of shards to the processes that should own them:
+    /// all at once when leaving, otherwise one at a time.
     pub(crate) fn start_handovers(&mut self) {
         let leaving = self.lease.is_leaving();
         if !leaving && self.last_handover_at.elapsed() < HANDOVER_INTERVAL {
@@ -40,7 +42,8 @@
         }
         let wanted = self.desired_owners();
         for shard in 0..self.context.shards {
-            // Without another process the shards are left to whoever comes.
+            // When leaving without another live process, the shards are
+            // released all the same; a process that joins later claims them.
             let owner = wanted.get(usize::from(shard));
             let keeps = !leaving && owner.is_none_or(|owner| *owner == self.context.process);
             let Some(running) = self.running.get_mut(&shard) else {
@@ -63,7 +66,7 @@
         }
     }
 
-    /// Names the next owner in the shard's row, and tells it so.
+    /// Writes the next owner to the shard's row and notifies it.
     pub(crate) async fn hand_over(&mut self, shard: ShardId) {
         let Some(running) = self.running.remove(&shard) else {
             return;
@@ -93,8 +96,8 @@
                 self.hint_peer(&next);
             }
             Ok(Committed::Conflict(_)) => {}
-            // The row names this process or the next one; the next tick
-            // reads which, and opens the shard here again if need be.
+            // The row names this process or the next owner; the next tick reads
+            // which one, and opens the shard here again if necessary.
             Err(error) => {
                 self.handover.unconfirmed += 1;
                 log::debug!("hand-over of {shard}: {error}");
@@ -102,7 +105,8 @@
         }
     }
 
-    /// A new version is read at once, not at the next tick.
+    /// Notifies all other live processes, so that they read a new configuration
+    /// version at once instead of at their next tick.
     pub(crate) fn hint_peers(&self) {
         for (process, _) in self.members.live(self.context.timing.ttl) {
             if *process != self.context.process {
--- a/crates/shard/src/journal.rs
+++ b/crates/shard/src/journal.rs
@@ -1,5 +1,6 @@
-//! Writer of one shard's journal: one commit in flight, with everything that
-//! queued behind the one before, within the process's share of the writes.
+//! Writer of one shard's journal. At most one commit is in flight; records that
+//! arrive meanwhile go into the next batch. Commits are limited to the
+//! process's share of the write rate.
 
 use std::time::Duration;
 
@@ -29,57 +30,60 @@
 use crate::segments_key;
 use crate::shard_key;
 
-/// Most records in one batch, so that a row stays small.
+/// Limit on the records in one batch, which keeps journal rows small.
 const BATCH_RECORDS: usize = 2000;
 
 /// First and longest pause between tries of a commit.
 const RETRY_FIRST: Duration = Duration::from_millis(50);
 const RETRY_LONGEST: Duration = Duration::from_secs(1);
 
-/// Orders to the writer.
+/// Commands to the journal writer.
 #[derive(Debug)]
 pub enum JournalCommand {
-    /// Commit records.
+    /// Commit records, identified by a ticket.
     Append(Ticket, Vec<Record>),
-    /// Name new segments; the rows that they cover may be reused.
+    /// Write the new segment list to the table with the next commit; the
+    /// journal rows that its segments cover may be reused after that.
     Segments(SegmentList),
-    /// Commit what is queued, then end.
+    /// Commit the queued records, then end.
     Close,
 }
 
-/// News from the writer.
+/// Events that the journal writer reports to the shard's task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JournalEvent {
-    /// All records up to a ticket are in the table; the last batch's number.
+    /// All records up to this ticket are in the table; the second value is the
+    /// number of the last batch.
     Written(Ticket, Seq),
-    /// The table takes no records for now.
+    /// A commit failed, as the table is unavailable; the writer keeps retrying.
     Stalled,
-    /// Another process owns the shard.
+    /// Another process owns the shard, or this process owns it at another
+    /// epoch. The writer has ended.
     Fenced,
 }
 
-/// Where the journal goes on.
+/// Position at which the writer continues the journal, as read by recovery.
 #[derive(Clone, Debug)]
 pub struct JournalPosition {
-    /// Shard.
+    /// The journal's shard.
     pub shard: ShardId,
-    /// Process run that writes.
+    /// Incarnation of the process that writes.
     pub process: Incarnation,
-    /// Epoch of the shard.
+    /// Epoch of this ownership of the shard.
     pub epoch: Epoch,
-    /// Version of the shard's row, on which every commit is conditional.
+    /// Version of the shard's row; every commit checks it.
     pub fence: RowVersion,
     /// Number of the next batch.
     pub next_seq: Seq,
-    /// Versions of the journal rows.
+    /// Versions of the journal rows; 0 for a row that was never written.
     pub row_versions: Vec<RowVersion>,
-    /// Segments so far.
+    /// The segment list as stored in the table.
     pub segments: SegmentList,
-    /// Version of the row that lists them.
+    /// Version of the row that holds the segment list.
     pub list_version: RowVersion,
 }
 
-/// What became of one try.
+/// Result of one try to commit.
 enum WriteOutcome {
     Done,
     Retry,
@@ -99,7 +103,7 @@
 }
 
 impl<T: Table> Journal<T> {
-    /// A writer that takes `orders` and reports to `news`.
+    /// A writer that receives `commands` and reports to `events`.
     #[must_use]
     pub fn new(
         table: T,
@@ -119,7 +123,7 @@
         }
     }
 
-    /// Runs until closed, fenced, or abandoned by its shard.
+    /// Runs until closed, fenced, or until the shard's task has ended.
     pub async fn run(mut self) {
         let mut records = Vec::new();
         let mut last = 0;
@@ -164,7 +168,8 @@
         }
     }
 
-    /// Writes one batch, however long it takes; false when fenced.
+    /// Commits one batch, retrying for as long as necessary. Returns false when
+    /// fenced, or when the shard's task has ended.
     async fn write(&mut self, records: Vec<Record>) -> bool {
         let batch = Batch {
             format: FORMAT,
@@ -189,17 +194,17 @@
                     }
                 }
             }
-            // Jitter keeps the processes from returning together after an
-            // outage.
+            // Jitter spreads the retries of the processes after an outage of
+            // the table.
             let jitter = rand::rng().random_range(0.5..1.5);
             tokio::time::sleep(pause.mul_f64(jitter)).await;
             pause = (pause * 2).min(RETRY_LONGEST);
         }
     }
 
-    /// One try. A try whose answer was lost is repeated as it is: it can take
-    /// effect only once, since it names the version of the row that it
-    /// replaces, and the row itself tells whether it did.
+    /// Tries once to commit the batch. If the reply is lost, the same commit is
+    /// sent again: it can take effect only once, since it checks the version of
+    /// the row that it replaces, and reading the row back shows whether it did.
     async fn try_write(&mut self, batch: &Batch) -> Result<WriteOutcome, StoreError> {
         if batch.seq > self.position.segments.covered() + JOURNAL_ROWS {
             return self.try_write_segments().await;
@@ -234,8 +239,8 @@
             .put(key, encode_row(&self.latest_segments))
     }
 
-    /// Every row holds a batch that no segment covers yet: the list of
-    /// segments has to move first.
+    /// Every journal row holds a batch that no stored segment covers yet. The
+    /// segment list must be updated before a row can be reused.
     async fn try_write_segments(&mut self) -> Result<WriteOutcome, StoreError> {
         if self.latest_segments == self.position.segments {
             while let Ok(command) = self.commands.try_recv() {
@@ -256,8 +261,8 @@
         }
     }
 
-    /// A condition did not hold: either an earlier try has taken effect, or
-    /// the shard has another owner.
+    /// A check failed: either an earlier try of the same batch has taken
+    /// effect, or the shard has another owner.
     async fn resolve_conflict(
         &mut self,
         batch: &Batch,
@@ -278,7 +283,7 @@
         self.refresh_versions().await
     }
 
-    /// Reads the versions of the shard's row and of the list again.
+    /// Reads the versions of the shard's row and of the segment list again.
     async fn refresh_versions(&mut self) -> Result<WriteOutcome, StoreError> {
         let Some(row) = self.table.get(&shard_key(self.position.shard)).await? else {
             return Ok(WriteOutcome::Fenced);
@@ -286,9 +291,10 @@
         let Ok(shard) = decode_row::<ShardRow>(&row) else {
             return Ok(WriteOutcome::Fenced);
         };
-        // The same process at another epoch is another writer: the shard went
-        // away and came back while this one was still busy, and what it has
-        // left would overwrite the rows of its successor.
+        // The same process at another epoch is a different writer: the shard
+        // was handed to another process and came back while this writer was
+        // still retrying. Its remaining commits would overwrite rows of its
+        // successor.
         if shard.owner != self.position.process || shard.epoch != self.position.epoch {
             return Ok(WriteOutcome::Fenced);
         }
--- a/crates/shard/src/lease.rs
+++ b/crates/shard/src/lease.rs
@@ -1,4 +1,4 @@
-//! This process's own lease row: one write renews it for all its shards.
+//! This process's lease row. One write renews the lease for all its shards.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -22,17 +22,17 @@
 use crate::lease_key;
 use crate::member_key;
 
-/// What came of a renewal.
+/// Result of a successful renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Renewal {
-    /// Renewed; nobody else has written the row since the last renewal.
+    /// Renewed; no other process has written the row since the last renewal.
     Held,
-    /// Another process had expired it, or removed it. It is held anew; the
-    /// shards may have been taken meanwhile.
+    /// Another process had expired the lease or removed its row. The lease is
+    /// held again, but other processes may have taken shards in between.
     Regained,
 }
 
-/// This process's own lease row.
+/// This process's lease row.
 #[derive(Debug)]
 pub struct Lease<T, O, H> {
     context: Arc<Context<T, O, H>>,
@@ -42,7 +42,7 @@
 }
 
 impl<T: Table, O, H> Lease<T, O, H> {
-    /// A lease that is not held yet.
+    /// A lease that is not yet in the table.
     #[must_use]
     pub fn new(context: Arc<Context<T, O, H>>) -> Lease<T, O, H> {
         Lease {
@@ -53,13 +53,14 @@
         }
     }
 
-    /// Version of the row as last written.
+    /// Version of the row as last written; 0 before the first renewal.
     #[must_use]
     pub fn version(&self) -> RowVersion {
         self.version
     }
 
-    /// The other processes give it no more shards, from the next renewal on.
+    /// Marks the process as leaving from the next renewal on; the other
+    /// processes then assign it no more shards.
     pub fn mark_leaving(&mut self) {
         self.state = LeaseState::Leaving;
     }
@@ -70,8 +71,9 @@
         self.state == LeaseState::Leaving
     }
 
-    /// Renews the lease. A renewal that took effect counts from `began`, the
-    /// moment before it was sent: the others count from later.
+    /// Renews the lease. Also returns the moment before the successful renewal
+    /// was sent: this process counts the lease from that moment, while the
+    /// other processes count from a later one.
     ///
     /// # Errors
     /// The table fails; the renewal may have taken effect.
@@ -90,8 +92,8 @@
             .as_ref()
             .and_then(|row| decode_row::<LeaseRow>(row).ok());
         self.version = row.map_or(0, |row| row.version);
-        // An earlier renewal whose answer was lost stands there as written:
-        // nobody has expired the lease.
+        // If the row is not expired, it was written by an earlier renewal whose
+        // reply was lost; no process has expired the lease.
         let still_held = found.is_some_and(|lease| lease.state != LeaseState::Expired);
         let sent_at = Instant::now();
         self.counter += 1;
@@ -107,8 +109,9 @@
         Ok((renewal, sent_at))
     }
 
-    /// Refuses a table that another cell has made at the same address. With its row there,
-    /// this process would claim shards of that cell, whose processes cannot reach it.
+    /// Refuses a table that another cell has created at the same address. With
+    /// its lease row there, this process would claim shards of that cell, whose
+    /// processes cannot reach it.
     async fn check_cell(&self) -> Result<(), StoreError> {
         let row = self.context.table.get(CELL_PARAMS).await?;
         let params = row.and_then(|row| decode_row::<CellParams>(&row).ok());
@@ -161,8 +164,8 @@
         }
     }
 
-    /// Gives the lease up; the others need not wait for the TTL. Whether the
-    /// table has confirmed that it is gone.
+    /// Deletes the lease row, so that the other processes need not wait for the
+    /// TTL. Returns whether the table has confirmed the deletion.
     pub async fn remove(&self) -> bool {
         let key = lease_key(&self.context.process);
         let commit = Commit::default()
--- a/crates/shard/src/ledger.rs
+++ b/crates/shard/src/ledger.rs
@@ -1,4 +1,5 @@
-//! All requests that a shard remembers.
+//! Requests of a shard: all that are open, and those answered within the
+//! retention period.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -18,20 +19,21 @@
 use crate::Stage;
 use crate::attempt_id;
 
-/// All requests that a shard remembers.
+/// Requests of a shard: all that are open, and those answered within the
+/// retention period.
 #[derive(Debug, Default)]
 pub struct Ledger {
     entries: HashMap<String, Entry>,
     ended: VecDeque<(Now, String)>,
 }
 
-/// Times of one input: the monotonic one decides, the wall clock is kept for
-/// later owners, who have another monotonic clock.
+/// Times at which one input is handled. Decisions use the monotonic time; the
+/// wall clock is recorded for later owners, whose monotonic clocks differ.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Times {
-    /// Time since the shard's task began.
+    /// Time since this owner's shard task started.
     pub now: Now,
-    /// Milliseconds since 1970.
+    /// Wall clock, in milliseconds since 1970.
     pub wall_millis: u64,
 }
 
@@ -47,12 +49,12 @@
         self.entries.get_mut(key)
     }
 
-    /// Adds a request.
+    /// Adds a request, replacing an entry with the same key.
     pub fn insert(&mut self, key: &str, entry: Entry) {
         self.entries.insert(key.to_owned(), entry);
     }
 
-    /// Whether it remembers nothing.
+    /// Whether it holds no requests.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
@@ -68,8 +70,9 @@
         self.entries.iter_mut()
     }
 
-    /// Takes in an answer that an earlier owner recorded; the request itself
-    /// may stand in an older segment that is no longer read.
+    /// Applies a recorded answer. The request itself may be missing: it may
+    /// have been recorded in an older segment, of which only the answers are
+    /// read.
     fn replay_end(&mut self, key: &str, answer: Answer, now: Now) {
         if !self.entries.contains_key(key) {
             let entry = Entry::orphan(key, model::Resources::default(), now);
@@ -81,7 +84,7 @@
         }
     }
 
-    /// Marks a request as answered.
+    /// Marks a request as answered and drops its members.
     pub fn finish(&mut self, key: &str, answer: Answer, now: Now) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.stage = Stage::Done(answer);
@@ -91,7 +94,8 @@
         }
     }
 
-    /// Forgets answers older than the retention.
+    /// Removes requests that were answered longer ago than the retention
+    /// period.
     pub fn forget(&mut self, now: Now, retention: Duration) {
         while let Some((at, _)) = self.ended.front() {
             if *at + retention > now {
@@ -103,7 +107,7 @@
         }
     }
 
-    /// Applies a record of an earlier owner.
+    /// Applies a record of a former owner.
     pub fn replay(&mut self, record: &Record, times: Times) {
         match record {
             Record::Accept(accepted) => self.replay_accept(accepted, times),
@@ -162,7 +166,7 @@
     }
 }
 
-/// Answer to a request that was withdrawn before it started.
+/// Answer to a request that was cancelled before it started.
 #[must_use]
 pub fn cancelled_answer(key: &str) -> Answer {
     let id = key.split_once('/').map_or(key, |(_, id)| id);
--- a/crates/shard/src/lib.rs
+++ b/crates/shard/src/lib.rs
@@ -1,6 +1,6 @@
 //! Ownership of shards: leases, epochs, the journal, recovery, and the task
-//! that runs one shard. What must be agreed goes through the platform's
-//! table; between processes there are only routing, hints and hand-overs.
+//! that runs one shard. Processes agree only through the platform's table; the
+//! messages between them are limited to routed requests, hints and hand-overs.
 
 mod answers;
 mod assign;
--- a/crates/shard/src/machine.rs
+++ b/crates/shard/src/machine.rs
@@ -1,6 +1,6 @@
-//! State machine of one shard: all its rules, no I/O. The task that runs it
-//! feeds it inputs and carries out its outputs, so tests can drive it with
-//! messages that are lost, repeated or out of order.
+//! State machine of one shard: it contains all scheduling rules and does no
+//! I/O. The shard's task feeds it inputs and carries out its outputs, so tests
+//! can drive it with messages that are lost, repeated or out of order.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -35,47 +35,48 @@
 /// Interval at which quarantined workers get a probe.
 const PROBE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Fixed facts of a shard's machine.
+/// Fixed parameters of a shard's state machine.
 #[derive(Clone, Copy, Debug)]
 pub struct MachineParams {
     /// Number of the shard.
     pub shard: ShardId,
-    /// Number of shards of the cell.
+    /// Number of shards in the cell.
     pub shards: u16,
-    /// Epoch of the owner.
+    /// Epoch of this owner.
     pub epoch: Epoch,
     /// When this owner took the shard over, in milliseconds since 1970; 0 if
-    /// there was no owner before. Of what earlier owners ran without a record
-    /// it knows only what the workers still report.
+    /// the shard had no former owner. Of unrecorded requests that former owners
+    /// ran, this owner learns only what the workers still report.
     pub takeover_millis: u64,
-    /// Longest time for which answers are remembered.
+    /// How long final answers are kept.
     pub retention: Duration,
-    /// When the tasks of workers that could not be claimed count as missing.
+    /// Time at which tasks of workers that could not be claimed count as
+    /// missing.
     pub missing_at: Now,
 }
 
-/// What waits for a commit.
+/// What is continued once a record has been committed.
 #[derive(Clone, Debug)]
 pub(crate) enum PendingRecord {
-    /// Starts of an attempt.
+    /// Sending the starts of an attempt: request key and attempt number.
     Intent(String, u32),
-    /// The end of a request.
+    /// Answering a request: its key.
     End(String),
-    /// The acceptance of a request.
+    /// Confirming the acceptance of a request: its key.
     Accepted(String),
-    /// The ends of a cancel call.
+    /// Answering the requests of a cancel call, and the call itself.
     Cancelled(CancelCall),
 }
 
-/// Requests withdrawn by one cancel call.
+/// A cancel call whose record is being committed.
 #[derive(Clone, Debug)]
 pub(crate) struct CancelCall {
-    /// Their keys.
+    /// Keys of the requests that this call cancelled.
     pub(crate) keys: Vec<String>,
-    /// All that the call cancelled or asked to stop, and those that an
-    /// earlier call had cancelled.
+    /// Number of requests that this call cancelled or asked to stop, or that an
+    /// earlier call had already cancelled.
     pub(crate) count: u32,
-    /// Who made the call.
+    /// Waiter of the call's reply.
     pub(crate) waiter: WaiterKey,
 }
 
@@ -89,30 +90,33 @@
     pub(crate) config: Arc<Numbered>,
     pub(crate) request_keys: HashMap<JobKey, String>,
     pub(crate) workers: HashMap<WorkerId, WorkerHost>,
-    /// Workers that left the host list, but may still run tasks.
+    /// Workers that left the host list but may still run tasks.
     pub(crate) retiring: Vec<WorkerId>,
-    /// Workers that have refused a start, and until when they are left alone.
+    /// Workers that have refused a start, and the time until which they get no
+    /// further starts.
     pub(crate) paused_workers: Vec<(Now, WorkerId)>,
-    /// New requests that may be lent, and those that nobody had room for.
+    /// New requests that may be lent to another shard, and requests for which
+    /// no other shard had room.
     pub(crate) lendable: VecDeque<String>,
     pub(crate) unlent: VecDeque<String>,
     pub(crate) incarnations: HashMap<WorkerId, model::Incarnation>,
     pub(crate) pending: BTreeMap<Ticket, Vec<PendingRecord>>,
     pub(crate) outputs: Vec<Output>,
-    /// Records that go into the next commit.
+    /// Records of the current input, appended to the journal when it has been
+    /// handled.
     pub(crate) records: Vec<Record>,
-    /// Ends since the last segment.
+    /// Records of the requests that have ended since the last segment.
     pub(crate) ended: Vec<Record>,
     next_ticket: Ticket,
     next_probe: Now,
-    /// Whether the table takes records for now.
+    /// Whether the table is currently unavailable for journal commits.
     pub(crate) stalled: bool,
-    /// Whether the shard moves away.
+    /// Whether the shard is being handed over to another process.
     pub(crate) released: bool,
 }
 
 impl Machine {
-    /// A machine that goes on from what an earlier owner had recorded.
+    /// A machine that continues from the state recorded by former owners.
     #[must_use]
     pub fn new(
         params: MachineParams,
@@ -147,7 +151,8 @@
         machine
     }
 
-    /// Takes in one input; the outputs stand in the order of their causes.
+    /// Handles one input and returns the outputs in the order in which they
+    /// arose.
     pub fn handle(&mut self, times: Times, input: Input) -> Vec<Output> {
         self.times = times;
         self.release_held();
@@ -183,7 +188,7 @@
         &self.config.config
     }
 
-    /// The decision core, for metrics and tests.
+    /// The scheduling core, for metrics and tests.
     #[must_use]
     pub fn core(&self) -> &Core<Weighted> {
         &self.core
@@ -195,7 +200,8 @@
         &self.ledger
     }
 
-    /// When the next tick is due at the latest.
+    /// Latest time of the next tick: when the first queued request reaches its
+    /// deadline.
     #[must_use]
     pub fn next_due(&self) -> Option<Now> {
         self.core.queues().next_deadline()
@@ -234,8 +240,8 @@
         }
     }
 
-    /// Callers are sent to the next owner. What runs goes on running; its
-    /// workers report to whoever claims them next.
+    /// Redirects the callers to the next owner. Running tasks go on; their
+    /// workers report to the owner that claims them next.
     fn on_release(&mut self) {
         self.released = true;
         let mut waiters = Vec::new();
@@ -266,9 +272,9 @@
         self.finish_past_deadline(&key);
     }
 
-    /// Ends a request that can't start any more. An earlier attempt counts
-    /// wherever this is noticed; left out, the caller of work that ran in part
-    /// is told "not run" and does it again.
+    /// Ends a request that can no longer start before its deadline. If an
+    /// earlier attempt may have started, the answer must say so: with "not
+    /// run", the caller would repeat work that had partly run.
     pub(crate) fn finish_past_deadline(&mut self, key: &str) {
         if self.ledger.get(key).is_some_and(Entry::touched) {
             let reason = "interrupted, and no room before its deadline";
@@ -286,7 +292,7 @@
             .push(pending);
     }
 
-    /// One ticket for all records of one input.
+    /// Appends all records of one input under one ticket.
     fn flush_records(&mut self) {
         if self.records.is_empty() {
             return;
--- a/crates/shard/src/members.rs
+++ b/crates/shard/src/members.rs
@@ -1,4 +1,4 @@
-//! What a process knows of the others from their lease rows.
+//! The processes of the cell, as read from their lease rows.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,30 +11,30 @@
 use crate::LeaseState;
 use crate::MemberRow;
 
-/// Another process as seen by this one.
+/// A process with a lease row, as last read.
 #[derive(Clone, Debug)]
 pub struct ObservedMember {
-    /// What never changes about it.
+    /// Constant facts of the process.
     pub info: MemberRow,
-    /// Its lease.
+    /// Its lease row.
     pub lease: LeaseRow,
     /// Version of its lease row.
     pub version: RowVersion,
-    /// When a read that first showed this version had ended.
+    /// End of the read that first returned this version.
     first_seen: Instant,
-    /// When the newest read that showed this version began.
+    /// Start of the newest read that returned this version.
     last_seen: Instant,
 }
 
 impl ObservedMember {
-    /// Whether its lease stood still for `ttl` by this process's own
-    /// monotonic clock; no clock of another host is looked at.
+    /// Whether its lease row has not changed for `ttl`, measured on this
+    /// process's monotonic clock only; clocks of other hosts are not compared.
     #[must_use]
     pub fn is_stale(&self, ttl: Duration) -> bool {
         self.last_seen.saturating_duration_since(self.first_seen) >= ttl
     }
 
-    /// Earliest moment at which it can count as stale.
+    /// Earliest moment at which the lease can be stale.
     #[must_use]
     pub fn stale_at(&self, ttl: Duration) -> Instant {
         self.first_seen + ttl
@@ -45,39 +45,40 @@
 #[derive(Clone, Debug, Default)]
 pub struct Members {
     observed: HashMap<Incarnation, ObservedMember>,
-    /// When the newest read ended.
+    /// End of the newest read.
     last_read: Option<Instant>,
 }
 
-/// A lease as it was read.
+/// A lease row with its process, as read from the table.
 #[derive(Clone, Debug)]
 pub struct ObservedLease {
-    /// Process run.
+    /// Incarnation of the process.
     pub process: Incarnation,
-    /// Version of the row.
+    /// Version of the lease row.
     pub version: RowVersion,
-    /// The lease.
+    /// The lease row.
     pub lease: LeaseRow,
-    /// What never changes about the process.
+    /// Constant facts of the process.
     pub info: MemberRow,
 }
 
 /// One read of all lease rows.
 #[derive(Debug)]
 pub struct LeaseScan {
-    /// When the read began.
+    /// When the read started.
     pub started_at: Instant,
-    /// When it ended.
+    /// When the read ended.
     pub ended_at: Instant,
-    /// All leases.
+    /// All leases that were read.
     pub leases: Vec<ObservedLease>,
 }
 
 impl Members {
-    /// Takes in a read of all lease rows. After a gap of a whole `ttl` (the
-    /// table was unavailable, or this process paused) all ages begin anew:
-    /// nobody could renew during an outage, and the first process to reach
-    /// the table again must not expire all the others.
+    /// Applies one read of all lease rows. After a gap of at least `ttl`
+    /// between two reads (the table was unavailable, or this process was
+    /// paused), the ages of all leases start at zero again: no process could
+    /// renew during an outage, and the first process to reach the table must
+    /// not expire all others.
     pub fn observe(&mut self, scan: LeaseScan, ttl: Duration) {
         let gap = self
             .last_read
@@ -111,7 +112,7 @@
         self.last_read
     }
 
-    /// A process by its run.
+    /// The process with this incarnation.
     #[must_use]
     pub fn get(&self, process: &str) -> Option<&ObservedMember> {
         self.observed.get(process)
@@ -122,7 +123,7 @@
         self.observed.iter()
     }
 
-    /// Processes that may take shards.
+    /// Processes that may take shards: their leases are live and not stale.
     pub fn live(&self, ttl: Duration) -> impl Iterator<Item = (&Incarnation, &ObservedMember)> {
         let is_live = move |member: &ObservedMember| {
             member.lease.state == LeaseState::Live && !member.is_stale(ttl)
@@ -132,14 +133,15 @@
             .filter(move |(_, member)| is_live(member))
     }
 
-    /// Whether an owner's shards may be taken: its lease is gone or expired.
+    /// Whether the shards of an owner may be claimed: its lease is removed or
+    /// expired.
     #[must_use]
     pub fn is_gone_or_expired(&self, process: &str) -> bool {
         self.get(process)
             .is_none_or(|member| member.lease.state == LeaseState::Expired)
     }
 
-    /// Earliest moment at which some lease can count as stale.
+    /// Earliest moment at which a lease that is not expired can be stale.
     #[must_use]
     pub fn next_stale(&self, ttl: Duration) -> Option<Instant> {
         let not_expired = |member: &&ObservedMember| member.lease.state != LeaseState::Expired;
@@ -207,10 +209,10 @@
         assert!(members.get("a-1").is_some_and(|m| m.is_stale(TTL)));
     }
 
-    // Symptom: a process that had itself been paused expired the lease of a
-    // healthy one. Sequence: it read the lease, stood still for longer than
-    // the TTL, read again. Cause: age counted from the clock alone. A renewed
-    // lease has another version, and its age begins anew with that read.
+    // Guards against a process that had itself been paused expiring the lease
+    // of a healthy one: it reads the lease, is paused for longer than the TTL,
+    // and reads again. Age must not count from the clock alone: a renewed lease
+    // has another version, and its age starts at zero with that read.
     #[test]
     fn an_observer_that_slept_does_not_expire_a_renewed_lease() {
         let start = Instant::now();
@@ -222,9 +224,9 @@
         assert!(members.get("a-1").is_some_and(|m| !m.is_stale(TTL)));
     }
 
-    // Symptom: after an outage of the table the first process that reached it
-    // took all shards. Sequence: nobody could renew for 30 s, one process
-    // read unchanged leases. Cause: the time of the outage counted as age.
+    // Guards against the first process that reaches the table after an outage
+    // taking all shards: no process could renew for 30 s, and the leases are
+    // read unchanged. The duration of the outage must not count as age.
     #[test]
     fn an_outage_ages_no_lease() {
         let start = Instant::now();
--- a/crates/shard/src/outage.rs
+++ b/crates/shard/src/outage.rs
@@ -1,10 +1,11 @@
-//! Whether a process may go on past its lease while the table is unavailable.
+//! Decides whether a process may keep acting after its lease while the table is
+//! unavailable.
 //!
-//! Rule: it goes on only while some peer confirms that the table is
-//! unreachable for it too, and no peer says otherwise. A process that the
-//! table does not answer, but answers another, is the one cut off; it stops,
-//! since the others will take its shards. One that hears neither table nor
-//! peer stops as well.
+//! Rule: it continues only while at least one peer confirms that it cannot
+//! reach the table either, and no peer can reach it. If a peer reaches the
+//! table and this process does not, this process is the one that is cut off: it
+//! stops, since the others will take its shards. It also stops if it reaches
+//! neither the table nor any peer.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -19,24 +20,25 @@
 use crate::Reply;
 use crate::TableHealth;
 
-/// Longest wait for a peer's word.
+/// Longest wait for a peer's reply.
 const PING_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Longest time that a process goes on without the table.
+/// Longest time that a process keeps acting without the table.
 pub const OUTAGE_LIMIT: Duration = Duration::from_mins(10);
 
-/// What the peers say about the table.
+/// The peers' combined reports on the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutageVerdict {
-    /// Some peer confirms the outage, none denies it.
+    /// At least one peer cannot reach the table either, and no peer can.
     Confirmed,
-    /// Some peer reaches the table.
+    /// At least one peer reaches the table.
     Denied,
-    /// No peer answers.
+    /// No peer has replied.
     Silence,
 }
 
-/// Sums up what the peers said.
+/// Combines the peers' reports: whether the peer reaches the table, or none if
+/// it did not reply.
 #[must_use]
 pub fn combine_reports(reports: &[Option<bool>]) -> OutageVerdict {
     if reports.contains(&Some(true)) {
@@ -48,7 +50,7 @@
     OutageVerdict::Silence
 }
 
-/// Asks all peers whether the table answers them.
+/// Asks all peers whether they reach the table.
 pub async fn query_peers(node: &Node, own: TableHealth, peers: Vec<SocketAddr>) -> OutageVerdict {
     let own = Arc::new(own);
     let mut calls = tokio::task::JoinSet::new();
@@ -65,11 +67,12 @@
     combine_reports(&calls.join_all().await)
 }
 
-/// When the table last answered, as all tasks of a process see it at once.
+/// Time of the table's last answer, shared by all tasks of a process.
 #[derive(Debug)]
 pub struct LastAnswer {
     origin: Instant,
-    /// Milliseconds from the origin; `u64::MAX` before the first answer.
+    /// Milliseconds from the origin to the last answer; `u64::MAX` before the
+    /// first one.
     millis: AtomicU64,
 }
 
@@ -79,7 +82,7 @@
         self.millis.store(millis, Ordering::Release);
     }
 
-    /// Time since the answer; none before the first.
+    /// Time since the last answer; none before the first one.
     #[must_use]
     pub fn age(&self) -> Option<Duration> {
         let millis = self.millis.load(Ordering::Acquire);
@@ -97,16 +100,17 @@
     }
 }
 
-/// Keeps account of an outage.
+/// Tracks outages of the table.
 #[derive(Debug)]
 pub struct OutageTracker {
     last_answer: Arc<LastAnswer>,
-    /// Whether the process goes on past its lease.
+    /// Whether the process currently acts without a valid lease, on its peers'
+    /// confirmation of an outage.
     pub in_outage: bool,
 }
 
 impl OutageTracker {
-    /// Begins with the table taken to be reachable.
+    /// Starts with the table taken to be reachable.
     #[must_use]
     pub fn new() -> OutageTracker {
         let last_answer = LastAnswer::default();
@@ -117,12 +121,12 @@
         }
     }
 
-    /// The table has answered.
+    /// Records that the table has answered.
     pub fn record_answer(&self) {
         self.last_answer.update();
     }
 
-    /// When the table last answered.
+    /// Shared handle to the time of the table's last answer.
     #[must_use]
     pub fn last_answer(&self) -> Arc<LastAnswer> {
         self.last_answer.clone()
@@ -132,13 +136,13 @@
         self.last_answer.age().unwrap_or(Duration::MAX)
     }
 
-    /// Whether the table has answered within `span`.
+    /// Whether the table has answered within `period`.
     #[must_use]
     pub fn is_reachable(&self, period: Duration) -> bool {
         self.since_answer() < period
     }
 
-    /// Whether the process has gone on for too long.
+    /// Whether the table has been silent for longer than `OUTAGE_LIMIT`.
     #[must_use]
     pub fn is_over_limit(&self) -> bool {
         self.since_answer() > OUTAGE_LIMIT
--- a/crates/shard/src/placement.rs
+++ b/crates/shard/src/placement.rs
@@ -1,14 +1,15 @@
-//! Which process should own which shard: rendezvous hashing (Thaler and
-//! Ravishankar, 1998) with a bound on the shards of one process.
+//! Placement of shards on processes: rendezvous hashing (Thaler and
+//! Ravishankar, 1998) with a limit on the shards per process.
 
 use model::ShardId;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Index of a process in the list that was given.
+/// Index of a process in the list passed to `place_shards`.
 pub type MemberIndex = usize;
 
-/// Member that should own each shard, in shard order; empty without members.
-/// The same names give the same result everywhere, whatever their order.
+/// Returns the process that should own each shard, in shard order; empty if
+/// there are no processes. The same names give the same owners in every
+/// process, whatever the order of the list.
 #[must_use]
 pub fn place_shards(names: &[String], shards: u16) -> Vec<MemberIndex> {
     if names.is_empty() {
--- a/crates/shard/src/record.rs
+++ b/crates/shard/src/record.rs
@@ -1,4 +1,4 @@
-//! Records of the journal: what a later owner of a shard must know.
+//! Records of a shard's journal, from which the next owner recovers the shard.
 
 use model::Answer;
 use model::Epoch;
@@ -10,23 +10,24 @@
 
 use crate::Formatted;
 
-/// Number of a batch within one shard, growing over all epochs.
+/// Number of a batch within one shard; grows across all epochs.
 pub type Seq = u64;
 
-/// Rows of a shard's journal; batches go round in them, so that nothing has
-/// to be deleted and a later owner reads a bounded number.
+/// Number of journal rows of a shard. Batches reuse them in turn, so that
+/// nothing has to be deleted and recovery reads a bounded number of rows.
 pub const JOURNAL_ROWS: u64 = 64;
 
-/// Where one member was to run.
+/// Where one member of an attempt was placed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placement {
-    /// Worker.
+    /// Id of the worker.
     pub worker: WorkerId,
-    /// Run of the worker: another run has forgotten its tasks.
+    /// Incarnation of the worker; a later incarnation knows nothing of the
+    /// task.
     pub run: Incarnation,
 }
 
-/// A request that was taken.
+/// A request that was accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accepted {
     /// The request.
@@ -35,37 +36,37 @@
     pub until_millis: u64,
 }
 
-/// One thing that a later owner must know.
+/// One record of the journal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Record {
-    /// A request was taken.
+    /// A request was accepted.
     Accept(Accepted),
-    /// A start is about to be sent; it may have been sent.
+    /// The starts of an attempt are about to be sent; they may have been sent.
     Intent {
         /// Key of the request.
         key: String,
-        /// Epoch of the owner.
+        /// Epoch of the owner that made the attempt.
         epoch: Epoch,
         /// Number of the attempt.
         attempt: u32,
-        /// Where its members run; empty when the attempt is over.
+        /// Workers of its members; empty when the attempt has ended.
         placed: Vec<Placement>,
     },
-    /// The final answer.
+    /// A request has ended with its final answer.
     End {
         /// Key of the request.
         key: String,
-        /// The answer.
+        /// Final answer.
         answer: Answer,
-        /// When, in milliseconds since 1970.
+        /// Time of the record, in milliseconds since 1970.
         at_millis: u64,
     },
-    /// Waiting requests that were cancelled in one call.
+    /// Waiting requests were cancelled by one call.
     Cancel {
         /// Keys of the requests.
         keys: Vec<String>,
-        /// When, in milliseconds since 1970.
+        /// Time of the record, in milliseconds since 1970.
         at_millis: u64,
     },
 }
@@ -77,9 +78,9 @@
     pub format: u16,
     /// Number of the batch.
     pub seq: Seq,
-    /// Epoch under which it was written.
+    /// Epoch of the owner that wrote it.
     pub epoch: Epoch,
-    /// The records, in order.
+    /// The records, in the order of their creation.
     pub records: Vec<Record>,
 }
 
--- a/crates/shard/src/recovery.rs
+++ b/crates/shard/src/recovery.rs
@@ -1,5 +1,6 @@
-//! What a new owner reads before it serves a shard. All of it is read after
-//! the claim, so that nothing older can be committed any more.
+//! Recovery: reads the state that former owners recorded, before a new owner
+//! serves a shard. Everything is read after the claim, so that no former owner
+//! can commit to it any more.
 
 use model::Incarnation;
 use model::ShardId;
@@ -22,12 +23,12 @@
 use crate::journal_prefix;
 use crate::segments_key;
 
-/// A claimed shard.
+/// A shard that this process has claimed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShardClaim {
-    /// Shard.
+    /// Number of the shard.
     pub shard: ShardId,
-    /// Process run that owns it.
+    /// Incarnation of the process that owns the shard.
     pub process: Incarnation,
     /// Epoch of the claim.
     pub epoch: model::Epoch,
@@ -35,20 +36,20 @@
     pub fence: RowVersion,
 }
 
-/// What earlier owners left.
+/// State of a shard recorded by its former owners.
 #[derive(Debug)]
 pub struct RecoveredShard {
-    /// Requests.
+    /// Requests of the shard.
     pub ledger: Ledger,
-    /// Where the journal goes on.
+    /// Position at which the journal continues.
     pub position: JournalPosition,
 }
 
-/// Reads what earlier owners of a shard left.
+/// Reads the state of a shard recorded by its former owners.
 ///
 /// # Errors
-/// The platform's service fails, or something stored cannot be read; then
-/// nothing is changed.
+/// The table or the object store fails, or a row or segment cannot be decoded;
+/// nothing is changed then.
 pub async fn recover<T: Table, O: Objects>(
     table: &T,
     objects: &O,
@@ -89,7 +90,8 @@
     Ok(RecoveredShard { ledger, position })
 }
 
-/// Ended requests of all segments, open ones of the newest.
+/// Reads the ended requests of all segments, and the open requests of the
+/// newest one.
 async fn read_segments<O: Objects>(
     objects: &O,
     list: &SegmentList,
--- a/crates/shard/src/rows.rs
+++ b/crates/shard/src/rows.rs
@@ -1,4 +1,5 @@
-//! Rows of the platform's table that say who owns what.
+//! Rows of the platform's table that record leases, members, shard owners and
+//! worker lists.
 
 use std::net::SocketAddr;
 
@@ -14,10 +15,10 @@
 
 use crate::ShardError;
 
-/// Version of the format of all rows; a process leaves other formats alone.
+/// Format version of all rows; a process does not touch rows of other formats.
 pub const FORMAT: u16 = 1;
 
-/// Prefix of the rows that every process reads again and again.
+/// Prefix of the rows that every process reads at each tick.
 pub const CELL_PREFIX: &str = "cell/";
 
 /// Prefix of the lease rows.
@@ -26,22 +27,22 @@
 /// Prefix of the shard rows.
 pub const SHARD_PREFIX: &str = "cell/shard/";
 
-/// Row with the number of the newest configuration document.
+/// Key of the row with the newest configuration version.
 pub const CONFIG_HEAD: &str = "cell/config";
 
-/// Row with the newest configuration document.
+/// Key of the row with the newest configuration document.
 pub const CONFIG_CURRENT: &str = "config/current";
 
-/// Row with the facts that all processes of a cell must share.
+/// Key of the row with the parameters that all processes of a cell share.
 pub const CELL_PARAMS: &str = "cell/facts";
 
-/// Key of a process's lease.
+/// Key of a process's lease row.
 #[must_use]
 pub fn lease_key(process: &str) -> String {
     format!("{LEASE_PREFIX}{process}")
 }
 
-/// Key of what never changes about a process run.
+/// Key of the row with a process incarnation's constant facts.
 #[must_use]
 pub fn member_key(process: &str) -> String {
     format!("member/{process}")
@@ -53,7 +54,7 @@
     format!("{SHARD_PREFIX}{shard:04}")
 }
 
-/// Key of the list of a shard's workers.
+/// Key of a shard's worker list.
 #[must_use]
 pub fn assign_key(shard: ShardId) -> String {
     format!("assign/{shard:04}")
@@ -65,76 +66,78 @@
     format!("config/history/{version:012}")
 }
 
-/// Key under which a patch id is remembered.
+/// Key of the row that records that a patch id was applied.
 #[must_use]
 pub fn patch_key(id: &str) -> String {
     format!("config/patch/{id}")
 }
 
-/// Whether a process takes part.
+/// State of a process's membership in the cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LeaseState {
-    /// Takes shards.
+    /// The process takes shards.
     Live,
-    /// Hands its shards over and stops.
+    /// The process hands its shards over and stops.
     Leaving,
-    /// Another process saw it stand still for the whole TTL. Its owner may
-    /// renew it again; what was not taken from it meanwhile it keeps.
+    /// Another process found the lease unchanged for the whole TTL and marked
+    /// it. The owner of the lease may renew it again; it keeps the shards that
+    /// nobody has claimed meanwhile.
     Expired,
 }
 
-/// A process's lease, renewed by the process, expired by any other.
+/// A process's lease; renewed by the process itself, expired by any other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRow {
-    /// Format of the row.
+    /// Format version of the row.
     pub format: u16,
-    /// Whether it takes part.
+    /// State of the process's membership.
     pub state: LeaseState,
     /// Grows with each renewal.
     pub counter: u64,
-    /// Configuration version in force there.
+    /// Configuration version in force in the process.
     pub config: Version,
 }
 
-/// What never changes about a process run. It is kept apart from the lease,
+/// Constant facts of a process incarnation. Kept apart from the lease row,
 /// which every process reads twice a second.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRow {
-    /// Format of the row.
+    /// Format version of the row.
     pub format: u16,
     /// Name of the process in its settings.
     pub name: String,
-    /// Where the other processes reach it.
+    /// Address for calls from other processes.
     pub peer: SocketAddr,
-    /// Where callers reach it.
+    /// Address for HTTP requests of callers.
     pub http: SocketAddr,
-    /// Failure domain that it stands in.
+    /// Failure domain of the process.
     pub domain: String,
 }
 
-/// Who owns a shard.
+/// The owner of a shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardRow {
-    /// Format of the row.
+    /// Format version of the row.
     pub format: u16,
-    /// Process run that owns it.
+    /// Incarnation of the process that owns the shard.
     pub owner: Incarnation,
-    /// Grows with each change of the row.
+    /// Grows with each change of owner.
     pub epoch: Epoch,
 }
 
-/// Drawn at random when a cell is made.
+/// Id of a cell, chosen at random when the cell is created.
 pub type CellId = u64;
 
-/// Facts fixed when the cell was made.
+/// Parameters fixed when the cell was created.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CellParams {
-    /// Format of the row.
+    /// Format version of the row.
     pub format: u16,
     /// Number of shards.
     pub shards: u16,
-    /// Tells the cell apart from all others; 0 if it was made by an earlier version.
+    /// Id of the cell; 0 if the cell was created by an earlier version of the
+    /// program.
     #[serde(default)]
     pub cell: CellId,
 }
@@ -142,25 +145,25 @@
 /// One worker of a shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AssignedWorker {
-    /// Name in the host list.
+    /// Id of the worker in the host list.
     pub worker: WorkerId,
-    /// How often it was assigned to a shard; the newest assignment fences
-    /// the earlier ones.
+    /// Assignment number; a later assignment has a higher one and fences the
+    /// earlier ones.
     pub assigned: u64,
 }
 
-/// Workers of a shard.
+/// Worker list of a shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AssignRow {
-    /// Format of the row.
+    /// Format version of the row.
     pub format: u16,
-    /// Its workers, sorted by name.
+    /// The shard's workers, sorted by id.
     pub workers: Vec<AssignedWorker>,
 }
 
-/// A row that carries the version of its format.
+/// A row or object that contains its format version.
 pub trait Formatted {
-    /// Version of the format.
+    /// Format version of the row.
     fn format(&self) -> u16;
 }
 
@@ -176,16 +179,17 @@
 
 formatted!(LeaseRow, MemberRow, ShardRow, CellParams, AssignRow);
 
-/// Text of a row.
+/// Encodes a row as JSON.
 #[must_use]
 pub fn encode_row<T: Serialize>(row: &T) -> String {
     serde_json::to_string(row).unwrap_or_default()
 }
 
-/// Reads a row.
+/// Decodes a row.
 ///
 /// # Errors
-/// The row is damaged or of a format that this version does not know.
+/// The row is damaged, or its format version is unknown to this version of the
+/// program.
 pub fn decode_row<T: DeserializeOwned + Formatted>(row: &Row) -> Result<T, ShardError> {
     let damaged = |reason: String| ShardError::Damaged {
         key: row.key.clone(),
--- a/crates/shard/src/segment.rs
+++ b/crates/shard/src/segment.rs
@@ -1,9 +1,10 @@
-//! Objects that take over from the journal rows before these are reused.
+//! Segments: objects that replace journal rows before these are reused.
 //!
-//! A segment holds every open request, and the answers that were given since
-//! the segment before. So a later owner reads the newest segment, the rows
-//! after it, and for the answers those older segments that are within the
-//! retention; and writing one costs no more than what has happened since.
+//! A segment holds every open request, and the answers given since the previous
+//! segment. Recovery therefore reads the newest segment and the journal rows
+//! after it, and for the answers also the older segments within the retention
+//! period. Writing a segment costs no more than the open requests and what has
+//! happened since the previous one.
 
 use model::Incarnation;
 use model::ShardId;
@@ -17,13 +18,13 @@
 /// Content of a segment.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Segment {
-    /// Format of the object.
+    /// Format version of the object.
     pub format: u16,
-    /// Last batch that it covers.
+    /// Number of the last batch that it covers.
     pub seq: Seq,
-    /// Answers given since the segment before.
+    /// Records of the answers given since the previous segment.
     pub ended: Vec<Record>,
-    /// Requests that are open.
+    /// Records of the open requests.
     pub open: Vec<Record>,
 }
 
@@ -33,23 +34,23 @@
     }
 }
 
-/// One segment, as the list names it.
+/// Reference to a segment in the segment list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SegmentRef {
-    /// Name of the object.
+    /// Name of the segment's object.
     pub name: String,
-    /// Last batch that it covers.
+    /// Number of the last batch that it covers.
     pub seq: Seq,
-    /// When it was made, in milliseconds since 1970.
+    /// Time of its creation, in milliseconds since 1970.
     pub at_millis: u64,
 }
 
 /// Row with the list of a shard's segments, oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SegmentList {
-    /// Format of the row.
+    /// Format version of the row.
     pub format: u16,
-    /// The segments within the retention.
+    /// Segments within the retention period.
     pub segments: Vec<SegmentRef>,
 }
 
@@ -60,14 +61,14 @@
 }
 
 impl SegmentList {
-    /// Last batch that some segment covers.
+    /// Number of the last batch covered by a segment; 0 if there is no segment.
     #[must_use]
     pub fn covered(&self) -> Seq {
         self.segments.last().map_or(0, |segment| segment.seq)
     }
 }
 
-/// Key of the list of a shard's segments.
+/// Key of the row with a shard's segment list.
 #[must_use]
 pub fn segments_key(shard: ShardId) -> String {
     format!("segments/{shard:04}")
@@ -85,8 +86,8 @@
     format!("journal/{shard:04}/")
 }
 
-/// Name of a segment's object; the process run is in it so that a fenced
-/// owner can never overwrite an object of its successor.
+/// Name of a segment's object. It contains the process incarnation, so that a
+/// fenced owner can never overwrite an object of its successor.
 #[must_use]
 pub fn segment_name(shard: ShardId, seq: Seq, process: &Incarnation) -> String {
     format!("segment/{shard:04}/{seq:012}-{process}")
--- a/crates/shard/src/shard_manager.rs
+++ b/crates/shard/src/shard_manager.rs
@@ -1,5 +1,6 @@
-//! Task that keeps this process's place in the cell: renews its lease, reads
-//! the others' leases, and claims, opens, hands over and drops shards.
+//! Task that manages this process's membership in the cell: renews its lease,
+//! reads the leases of the other processes, and claims, opens, hands over and
+//! drops shards.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -43,35 +44,38 @@
 use crate::WorkerHost;
 use crate::first_config;
 use crate::query_peers;
-/// Silence of the table after which it counts as unreachable.
+/// Time without an answer of the table after which it counts as unreachable.
 pub(crate) const UNREACHABLE_AFTER: Duration = Duration::from_millis(1200);
 
-/// How long a confirmed outage lets the process go on until asked again.
+/// How long a process may keep acting after its peers have confirmed an outage
+/// of the table, until it asks them again.
 const OUTAGE_EXTENSION: Duration = Duration::from_millis(1600);
 
-/// Orders to the keeper.
+/// Commands to the shard manager.
 #[derive(Debug)]
 pub enum ShardManagerCommand {
-    /// Hand all shards over, give the lease up, then tell how that went.
+    /// Hand over all shards, delete the lease, then report the result.
     Leave(oneshot::Sender<HandoverReport>),
-    /// Adopt a configuration that this process has just made.
+    /// Adopt a configuration version that this process has just committed.
     Adopt(Arc<Numbered>),
 }
 
-/// What a leaving process knows of its shards and its lease: what the table
-/// has confirmed, not what was sent to it.
+/// Result of a leaving process's hand-overs. Counts only what the table has
+/// confirmed, not what was sent to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HandoverReport {
     /// Shards whose rows name their next owner.
     pub confirmed: u32,
-    /// Shards that nobody could be named for, or whose rows may not have been
-    /// written; they are claimed from the lease.
+    /// Shards for which no next owner was available, or whose row may not have
+    /// been written. Other processes claim them once this process's lease is
+    /// deleted or expires.
     pub unconfirmed: u32,
-    /// Whether the lease is gone; if not, the others wait for its end.
+    /// Whether the table has confirmed that the lease is deleted; if not, the
+    /// other processes wait until it expires.
     pub lease_deleted: bool,
 }
 
-/// A shard that this process runs.
+/// A shard whose task runs in this process.
 #[derive(Debug)]
 pub(crate) struct RunningShard {
     pub(crate) epoch: Epoch,
@@ -81,10 +85,11 @@
     pub(crate) releasing: bool,
 }
 
-/// Result of reading what earlier owners left.
+/// A claimed shard, and the state that its former owners recorded or the error
+/// of reading it.
 pub(crate) type OpenResult = (ShardClaim, Result<RecoveredShard, ShardError>);
 
-/// Task that keeps this process's place in the cell.
+/// Task that manages this process's membership in the cell.
 #[derive(Debug)]
 pub struct ShardManager<T, O, H> {
     pub(crate) context: Arc<Context<T, O, H>>,
@@ -102,7 +107,7 @@
     pub(crate) hints: Arc<Notify>,
     pub(crate) commands: mpsc::Receiver<ShardManagerCommand>,
     pub(crate) outage: OutageTracker,
-    /// When the lists of workers are read next, and the host list at the last.
+    /// When the worker lists are read next, and the host list at the last read.
     pub(crate) lists_due_at: Option<Instant>,
     pub(crate) last_hosts: Hosts,
     pub(crate) last_handover_at: Instant,
@@ -110,21 +115,21 @@
     pub(crate) handover: HandoverReport,
 }
 
-/// Channels of a keeper.
+/// Channels of a shard manager.
 #[derive(Debug)]
 pub struct ShardManagerChannels {
-    /// The host list.
+    /// Current host list.
     pub hosts: watch::Receiver<Hosts>,
-    /// Where it publishes what it believes.
+    /// Publishes the process's view of the cell.
     pub view: watch::Sender<Arc<View>>,
-    /// Wakes it before the next tick.
+    /// Notified by a peer's hint; starts the next tick at once.
     pub hints: Arc<Notify>,
-    /// Orders.
+    /// Commands of the process's other tasks.
     pub commands: mpsc::Receiver<ShardManagerCommand>,
 }
 
 impl<T: Table, O: Objects, H: HostList> ShardManager<T, O, H> {
-    /// A keeper that owns nothing yet.
+    /// A shard manager that owns no shards yet.
     #[must_use]
     pub fn new(
         context: Arc<Context<T, O, H>>,
@@ -154,8 +159,8 @@
         }
     }
 
-    /// Runs until told to leave; then only follows who owns what, until the
-    /// process drops it.
+    /// Runs until told to leave; after that only keeps the view of the shards'
+    /// owners current, until the process drops the task.
     pub async fn run(mut self) {
         let mut due = Instant::now();
         loop {
@@ -187,8 +192,9 @@
         self.follow_ownership().await;
     }
 
-    /// Requests that are still under way in a leaving process have to find
-    /// the owners of their shards, which may change again meanwhile.
+    /// Keeps the view current in a leaving process: requests that are still
+    /// under way there must find the owners of their shards, which may change
+    /// again.
     async fn follow_ownership(mut self) {
         loop {
             if let Err(error) = self.read_cell().await {
@@ -239,7 +245,8 @@
         let before = self.config.version;
         self.read_cell().await?;
         if self.config.version != before {
-            // The others see at once that it is in force here.
+            // Renews once more, so that the other processes see at once which
+            // version is in force here.
             self.renew().await?;
         }
         if self.outage.in_outage {
--- a/crates/shard/src/shard_task.rs
+++ b/crates/shard/src/shard_task.rs
@@ -1,5 +1,6 @@
-//! Task that runs one shard: feeds its state machine and carries out what the
-//! machine wants done. It owns the journal, the links and the waiters.
+//! Task that runs one shard: feeds its state machine and carries out the
+//! outputs. It holds the journal's channels, the links to the workers and the
+//! waiting callers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -51,41 +52,42 @@
 use crate::encode_row;
 use crate::segment_name;
 
-/// Interval of ticks while nothing else happens.
+/// Interval of ticks.
 const TICK: Duration = Duration::from_millis(100);
 
-/// Inputs taken before the next look at the clock.
+/// Limit on further inputs handled in a row before other events get their turn.
 const INPUTS_AT_ONCE: usize = 64;
 
 /// Messages to the task of a shard.
 #[derive(Debug)]
 pub enum ShardTaskMessage {
-    /// A call, and where its reply goes.
+    /// A call, and the sender for its reply.
     Ask(ShardAsk, oneshot::Sender<ShardReply>),
-    /// A configuration document is in force.
+    /// A new configuration version is in force.
     Config(Arc<Numbered>),
-    /// The workers of the shard.
+    /// The shard's current workers.
     Workers(Vec<WorkerHost>),
-    /// Another process owns the shard: turn everybody away, then end. It is
-    /// said by a message, since callers that wait for a reply hold senders of
-    /// the inbox, which so does not close by itself.
+    /// Another process owns the shard: redirect all callers, then end. This
+    /// needs a message: callers that wait for a reply hold senders of the
+    /// inbox, so the inbox does not close when the shard manager drops its
+    /// sender.
     Drop,
-    /// Take nothing more, finish the journal, then end.
+    /// Accept no more calls, finish the journal, then end.
     Release(oneshot::Sender<()>),
 }
 
 /// Why the task of a shard has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShardTaskEnd {
-    /// It was released.
+    /// The shard was released for a hand-over.
     Released,
     /// Another process owns the shard.
     Fenced,
-    /// The process closes.
+    /// All senders of the inbox are gone, as the process is stopping.
     Closed,
 }
 
-/// Result of storing a segment.
+/// Result of storing a segment; a failed one is returned.
 type StoredSegment = Result<(Segment, SegmentRef), Segment>;
 
 /// Task that runs one shard.
@@ -109,12 +111,12 @@
     storing_segment: bool,
     lender: Lender,
     written_seq: Seq,
-    /// Who waits for the release, and the last ticket before it.
+    /// Notified when the journal is finished after a release.
     release_done: Option<oneshot::Sender<()>>,
 }
 
 impl<T: Table, O: Objects, H: HostList> ShardTask<T, O, H> {
-    /// A task that goes on from what was recovered.
+    /// Creates the task from the recovered state and starts its journal writer.
     #[must_use]
     pub fn new(
         context: Arc<Context<T, O, H>>,
@@ -219,8 +221,9 @@
         }
     }
 
-    /// Nothing is decided, and no answer leaves, while the gate is shut: the
-    /// process may have been paused, and the shard may have another owner.
+    /// Skips ticks while the gate is closed: the process may have been paused,
+    /// and the shard may have another owner. Other inputs are handled, but
+    /// replies and starts check the gate again before they leave.
     fn handle_input(&mut self, input: Input) {
         let tick = matches!(input, Input::Tick);
         if tick && !self.context.gate.is_open() {
@@ -263,9 +266,9 @@
         self.close(ShardTaskEnd::Released)
     }
 
-    /// Turns everybody away; links and journal end with their channels. Who
-    /// has a waiter was taken here and has to ask the next owner; who is still
-    /// in the inbox was not.
+    /// Redirects all callers; links and journal end when their channels close.
+    /// Callers with a waiter were accepted here and must ask the next owner
+    /// (`Moved`); calls still in the inbox were never accepted (`NotOwner`).
     fn close(mut self, end: ShardTaskEnd) -> ShardTaskEnd {
         for (_, waiter) in self.waiters.drain() {
             let _ = waiter.send(ShardReply::Moved);
@@ -290,7 +293,8 @@
         }
     }
 
-    /// Stores a segment whenever half of the journal's rows are in use.
+    /// Stores a segment once half of the journal's rows hold batches that no
+    /// segment covers.
     fn store_segment(&mut self) {
         let covered = self.segments.covered();
         if self.storing_segment || self.written_seq < covered + JOURNAL_ROWS / 2 {
@@ -366,8 +370,8 @@
         }
     }
 
-    /// Answers leave only through an open gate: after a pause the shard may
-    /// have another owner, whose answer to the same request differs.
+    /// Sends an answer only while the gate is open: after a pause the shard may
+    /// have another owner, whose answer to the same request may differ.
     fn send_reply(&mut self, waiter: WaiterKey, reply: ShardReply) {
         let Some(sender) = self.waiters.remove(waiter) else {
             return;
--- a/crates/shard/src/snapshot.rs
+++ b/crates/shard/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Content of the next segment, out of the machine's state.
+//! Builds the next segment from the state of the machine.
 
 use model::Request;
 
@@ -12,16 +12,18 @@
 use crate::Seq;
 
 impl Machine {
-    /// A segment that covers all batches up to `seq`. The state may be newer
-    /// than that batch; replaying the later rows on it changes nothing.
+    /// Builds a segment that covers all batches up to `seq`. The state may be
+    /// newer than that batch; replaying the later rows on top of it changes
+    /// nothing.
     #[must_use]
     pub fn build_segment(&mut self, seq: Seq) -> Segment {
         let mut open = Vec::new();
         let is_open = |entry: &Entry| entry.recorded && entry.answer().is_none();
         for (key, entry) in self.ledger.iter().filter(|(_, entry)| is_open(entry)) {
             open.push(accept_record(&entry.request, entry.until_millis));
-            // An attempt that is over has no members left. Without its intent
-            // the next owner would say "not run" of what ran in part.
+            // An attempt that has ended has no members left. Its intent is kept
+            // all the same: without it, the next owner would answer "not run"
+            // for a request that had partly run.
             if !entry.members.is_empty() || entry.touched() {
                 open.push(intent_record(key, entry));
             }
@@ -34,7 +36,7 @@
         }
     }
 
-    /// Puts the ends of a segment back that could not be stored.
+    /// Restores the end records of a segment that could not be stored.
     pub fn restore_ended(&mut self, segment: Segment) {
         let mut ended = segment.ended;
         ended.append(&mut self.ended);
--- a/crates/shard/src/status.rs
+++ b/crates/shard/src/status.rs
@@ -1,5 +1,5 @@
-//! How a request stands, as its caller is told: what is known of it, kept
-//! apart from what was only ordered.
+//! Status of a request as reported to its caller. It separates what the workers
+//! have confirmed from what was only ordered.
 
 use crate::Entry;
 use crate::Machine;
@@ -44,9 +44,10 @@
     }
 }
 
-/// What is known of each member of an attempt. A start that was sent is not
-/// said to run: while its answer is on the way, or lost, the worker may never
-/// have heard of it, which shows as a request that "runs" where nothing does.
+/// Describes the members of an attempt. A start that was sent is not reported
+/// as running: while the worker's reply is under way or lost, the worker may
+/// never have received the start, and the request would appear to run where
+/// nothing does.
 fn members_text(entry: &Entry) -> String {
     let workers_in = |wanted: &MemberState| {
         let matching = entry.members.iter().filter(|m| m.state == *wanted);
--- a/crates/shard/src/view.rs
+++ b/crates/shard/src/view.rs
@@ -1,5 +1,6 @@
-//! What a process believes about the cell, as its tasks share it. It may be
-//! out of date; whoever acts on it is corrected by the owner or the table.
+//! A process's view of the cell, shared by its tasks. It may be out of date; a
+//! call that is based on an outdated view is rejected by the owner or the
+//! table.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,64 +18,65 @@
 use crate::ShardTaskMessage;
 use crate::shard_manager::UNREACHABLE_AFTER;
 
-/// Another process, or this one.
+/// A process of the cell, possibly this one.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct MemberView {
-    /// Process run.
+    /// Incarnation of the process.
     pub process: Incarnation,
-    /// Name in its settings.
+    /// Name of the process in its settings.
     pub name: String,
-    /// Failure domain.
+    /// Failure domain of the process.
     pub domain: String,
-    /// Where the other processes reach it.
+    /// Address for calls from other processes.
     pub peer: SocketAddr,
-    /// Whether it takes shards.
+    /// Whether it takes shards: its lease is live and not stale.
     pub live: bool,
-    /// Whether its lease was expired; then it does nothing until it holds one.
+    /// Whether its lease was expired; the process does nothing until it has
+    /// renewed it.
     pub expired: bool,
-    /// Configuration version in force there.
+    /// Configuration version in force in the process.
     pub config: Version,
 }
 
-/// Where requests for a shard go.
+/// Where calls for a shard are sent.
 #[derive(Clone, Debug)]
 pub enum Route {
-    /// To a task of this process.
+    /// To the shard's task in this process.
     Local(mpsc::UnboundedSender<ShardTaskMessage>),
-    /// To another process.
+    /// To another process, at this address.
     Remote(SocketAddr),
-    /// Nowhere for now.
+    /// The shard has no known owner at the moment.
     Unroutable,
 }
 
-/// What a process believes about the cell.
+/// A process's view of the cell.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// Processes, sorted by name.
+    /// Processes of the cell, sorted by name.
     pub members: Vec<MemberView>,
     /// Owner and epoch of each shard.
     pub owners: HashMap<ShardId, ShardOwner>,
-    /// Shards that this process runs.
+    /// Inboxes of the shards whose tasks run in this process.
     pub local: HashMap<ShardId, mpsc::UnboundedSender<ShardTaskMessage>>,
-    /// Configuration in force here.
+    /// Configuration in force in this process.
     pub config: Option<Arc<Numbered>>,
-    /// When the table last answered.
+    /// Time of the table's last answer.
     pub last_answer: Arc<LastAnswer>,
-    /// When members and owners were last read.
+    /// When members and owners were last read from the table.
     pub last_read_at: Option<Instant>,
 }
 
 /// Owner of a shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShardOwner {
-    /// Process run.
+    /// Incarnation of the process.
     pub process: Incarnation,
-    /// Epoch.
+    /// Epoch of the ownership.
     pub epoch: model::Epoch,
 }
 
 impl View {
-    /// Where requests for a shard go.
+    /// Where calls for a shard are sent.
     #[must_use]
     pub fn route(&self, shard: ShardId) -> Route {
         if let Some(local) = self.local.get(&shard) {
@@ -87,9 +89,10 @@
         member.map_or(Route::Unroutable, |m| Route::Remote(m.peer))
     }
 
-    /// Whether the table answers. It is asked for when it is shown: the view is
-    /// published between two calls of the table, so a "yes" in it would stand
-    /// for as long as the table leaves a call unanswered.
+    /// Whether the table answers. Computed when it is shown, not when the view
+    /// is published: the view is published between two calls of the table, so a
+    /// stored "yes" would remain for as long as the table leaves a call
+    /// unanswered.
     #[must_use]
     pub fn table_reachable(&self) -> bool {
         self.last_answer
@@ -97,15 +100,16 @@
             .is_some_and(|age| age < UNREACHABLE_AFTER)
     }
 
-    /// Age of what is known of members and owners; none before the first read.
+    /// Age of the members and owners in this view; none before the first read.
     #[must_use]
     pub fn age(&self) -> Option<Duration> {
         self.last_read_at.map(|at| at.elapsed())
     }
 
-    /// Lowest configuration version in force on any process that may act.
-    /// One that leaves decides for its shards until they are handed over; left
-    /// out, it would act on an older version than is said to be in force.
+    /// Lowest configuration version in force in any process whose lease is not
+    /// expired. This includes leaving processes, which decide for their shards
+    /// until these are handed over; without them, a process could act on an
+    /// older version than the one reported as in force everywhere.
     #[must_use]
     pub fn lowest_config_version(&self) -> Version {
         let active = self.members.iter().filter(|member| !member.expired);
--- a/crates/shard/src/worker_lists.rs
+++ b/crates/shard/src/worker_lists.rs
@@ -1,4 +1,5 @@
-//! The keeper's lists of workers: which worker belongs to which shard.
+//! The shard manager's reads of the worker lists, which say which worker
+//! belongs to which shard.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -19,11 +20,11 @@
 use crate::assign_key;
 use crate::join_hosts;
 
-/// Interval of reads of the worker lists while the host list stays the same.
+/// Interval between reads of the worker lists while the host list is unchanged.
 const ASSIGN_INTERVAL: Duration = Duration::from_secs(5);
 
-/// When the lists are read again after the host list has changed: by then the
-/// owner of shard 0 has dealt new workers.
+/// Delay before the lists are read again after the host list has changed; by
+/// then the owner of shard 0 has assigned the new workers.
 const ASSIGN_RETRY: Duration = Duration::from_secs(1);
 
 impl<T: Table, O: Objects, H: HostList> ShardManager<T, O, H> {
@@ -50,7 +51,8 @@
             let row = self.context.table.get(&assign_key(shard)).await?;
             self.outage.record_answer();
             let Some(list) = row.and_then(|row| self.decode_or_record::<AssignRow>(&row)) else {
-                // Nobody has dealt workers to this shard yet.
+                // The owner of shard 0 has not yet assigned workers to this
+                // shard.
                 self.lists_due_at = Some(now + ASSIGN_RETRY / 4);
                 continue;
             };
@@ -61,7 +63,8 @@
         Ok(())
     }
 
-    /// What operators drain is treated like what the platform takes away.
+    /// Marks workers that operators have drained as leaving, like workers that
+    /// the platform takes away.
     pub(crate) fn mark_drained(&self, workers: &mut [WorkerHost]) {
         for worker in workers {
             if self.config.config.drained.contains(&worker.host.id) {
--- a/crates/shard/tests/journal.rs
+++ b/crates/shard/tests/journal.rs
@@ -1,4 +1,4 @@
-//! The journal's writer against a table in memory.
+//! Tests of the journal writer against an in-memory table.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 use store::Table;
 use tokio::sync::mpsc;
 
-/// A table in memory that can lose the answers of commits.
+/// An in-memory table that can lose the replies to commits.
 #[derive(Clone, Debug, Default)]
 struct MemoryTable {
     rows: Arc<Mutex<BTreeMap<String, Row>>>,
@@ -99,7 +99,8 @@
     }]
 }
 
-/// A writer of shard 0 at epoch 1, its orders and its news.
+/// Starts a writer for shard 0 at epoch 1; returns its command and event
+/// channels.
 fn open(
     table: &MemoryTable,
     fence: u64,
@@ -124,9 +125,10 @@
     (commands, events)
 }
 
-// Symptom: a batch stood twice in the journal, or its owner took itself for
-// fenced. Sequence: the commit takes effect, its answer is lost, it is sent
-// again. Cause: guessing what became of it instead of reading it back.
+// Guards against a batch being written twice, or an owner taking itself for
+// fenced, when a commit takes effect but its reply is lost and the commit is
+// sent again. The writer must read the row back instead of guessing the
+// outcome.
 #[tokio::test]
 async fn a_lost_answer_is_read_back() {
     let table = MemoryTable::default();
@@ -144,10 +146,10 @@
     assert_eq!(rows.len(), 1);
 }
 
-// Symptom: rows of the journal were overwritten by an earlier writer of the
-// same process. Sequence: the shard went to another process and came back
-// while the earlier writer was still trying. Cause: a fence that looked at the
-// owner's name and not at the epoch.
+// Guards against journal rows being overwritten by an earlier writer of the
+// same process: the shard is handed to another process and comes back while the
+// earlier writer is still retrying. The fence must compare the epoch, not only
+// the owner.
 #[tokio::test]
 async fn a_writer_of_an_earlier_epoch_is_fenced_even_by_its_own_process() {
     let table = MemoryTable::default();
@@ -163,8 +165,9 @@
     assert!(table.range("journal/").await.expect("rows").is_empty());
 }
 
-// Symptom: a batch that no segment covered was overwritten. Sequence: the
-// object store is down, the journal goes round. Cause: reusing rows by count.
+// Guards against overwriting a batch that no segment covers: the object store
+// is down while the journal has used all of its rows. Rows must not be reused
+// by count alone.
 #[tokio::test(start_paused = true)]
 async fn rows_are_not_reused_before_a_segment_covers_them() {
     let table = MemoryTable::default();
--- a/crates/shard/tests/machine.rs
+++ b/crates/shard/tests/machine.rs
@@ -1,5 +1,5 @@
-//! Drives the state machine of a shard with arbitrary events: messages that
-//! are lost, repeated or out of order, workers that restart, owners that die.
+//! Drives a shard's state machine with arbitrary events: messages that are
+//! lost, repeated or reordered, workers that restart, and owners that crash.
 
 mod simulation;
 
@@ -8,9 +8,10 @@
 use crate::simulation::Simulation;
 use crate::simulation::Step;
 
-// Symptom: any of: a worker over its slots, a confirmation that ran twice,
-// "not run" said of something that ran, two answers to one call. Sequence:
-// arbitrary. Cause: a rule of the machine that holds only in order.
+// Guards against rules of the machine that hold only if events arrive in order.
+// With arbitrary steps, no worker exceeds its slots, no confirmation runs
+// twice, no request that ran is answered "not run", and no call gets two
+// answers.
 #[test]
 fn arbitrary_events_break_no_rule() {
     check!()
@@ -28,10 +29,10 @@
         });
 }
 
-// Symptom: a restock ran in two places. Sequence: its worker restarts and is
-// claimed again; before the shard hears of it, it places a task there, whose
-// start the new run accepts. Cause: a start that named the run which the link
-// had claimed, instead of the one that the shard had decided on.
+// Guards against a restock running in two places: its worker restarts and is
+// claimed again, and before the shard learns of it, it places a task there,
+// whose start the new incarnation accepts. The start must name the incarnation
+// that the shard decided on, not the one that the link has claimed.
 #[test]
 fn a_start_for_an_old_run_is_not_taken_by_the_new_one() {
     let mut sim = Simulation::new();
@@ -48,8 +49,9 @@
     sim.check_invariants();
 }
 
-// The world itself must notice harm: with the guard of the workers taken out,
-// a take-over in between a start and its arrival runs a confirmation twice.
+// Checks that the simulation itself detects violations: with the workers' epoch
+// check disabled, a take-over between a start and its arrival runs a
+// confirmation twice.
 #[test]
 #[should_panic(expected = "ran twice")]
 fn the_world_notices_a_second_run() {
--- a/crates/shard/tests/simulation/callers.rs
+++ b/crates/shard/tests/simulation/callers.rs
@@ -1,4 +1,5 @@
-//! Callers: they submit, withdraw, and keep what they were told.
+//! Simulated callers: they submit and cancel requests, and remember the
+//! answers.
 
 use model::Family;
 use shard::Input;
@@ -21,8 +22,8 @@
         request.sent_millis = *sent;
         let key = model::request_key(&request.team, &request.id);
         if request.idempotent {
-            // Unrecorded work may be submitted anew after "not run": the
-            // answer speaks of the submissions before it.
+            // An unrecorded request may be submitted again after "not run":
+            // that answer covers only the earlier submissions.
             self.not_run.remove(&key);
         }
         let waiter = self.waiters.insert(key);
--- a/crates/shard/tests/simulation/fixtures.rs
+++ b/crates/shard/tests/simulation/fixtures.rs
@@ -1,4 +1,4 @@
-//! Fixed facts of the world: its requests, its workers and its limits.
+//! Fixtures of the simulation: its requests, workers and limits.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,7 +20,8 @@
 
 pub(crate) const TEAM: &str = "stores";
 
-/// Even requests may run twice; the others, and restocks, are recorded.
+/// Requests with even numbers are idempotent and may run twice; odd ones, and
+/// the batch request (number 4), are recorded.
 pub(crate) fn request(number: u8) -> Request {
     Request {
         id: format!("r{number}"),
--- a/crates/shard/tests/simulation/invariants.rs
+++ b/crates/shard/tests/simulation/invariants.rs
@@ -1,11 +1,11 @@
-//! What must hold in the world after each step.
+//! Invariants that are checked after each step.
 
 use super::SLOTS;
 use super::Simulation;
 use super::fixtures::is_idempotent;
 
 impl Simulation {
-    /// What must hold after each step.
+    /// Checks the invariants.
     pub fn check_invariants(&self) {
         for (worker, state) in self.workers.iter().enumerate() {
             let running = state.running();
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Steps, and what concerns one request.
+    /// All steps, with the inputs and outputs that mention one request.
     fn trace(&self, key: &str) -> String {
         let is_relevant = |line: &&String| !line.starts_with(' ') || line.contains(&key[7..]);
         let lines: Vec<&str> = self
--- a/crates/shard/tests/simulation/mod.rs
+++ b/crates/shard/tests/simulation/mod.rs
@@ -1,5 +1,6 @@
-//! A shard's surroundings in memory: table, workers, links and callers. Here
-//! are the world's state and its dispatch; each part has a file of its own.
+//! Simulates the surroundings of a shard in memory: table, workers, links and
+//! callers. This module holds the state and dispatches the steps; each part has
+//! a module of its own.
 
 mod callers;
 mod fixtures;
@@ -31,16 +32,16 @@
 
 pub use self::step::Step;
 
-/// Workers of the shard.
+/// Number of workers of the shard.
 const WORKERS: usize = 2;
 
 /// Slots of each worker.
 const SLOTS: u32 = 2;
 
-/// A shard's surroundings.
+/// A shard with its simulated surroundings.
 #[derive(Debug)]
 pub struct Simulation {
-    /// A guard taken out: workers accept starts of any epoch.
+    /// Disables the workers' epoch check: they accept starts of any epoch.
     pub skip_fencing: bool,
     machine: Machine,
     epoch: u64,
@@ -53,12 +54,12 @@
     starts: BTreeMap<String, u32>,
     not_run: BTreeSet<String>,
     first_sent: BTreeMap<u8, u64>,
-    /// What happened, for the message of a failure.
+    /// Log of steps, inputs and outputs for the message of a failed check.
     history: Vec<String>,
 }
 
 impl Simulation {
-    /// A shard with idle workers that it has claimed.
+    /// A shard that has claimed its workers, which are idle.
     pub fn new() -> Simulation {
         let times = Times {
             now: Duration::ZERO,
@@ -87,7 +88,7 @@
         sim
     }
 
-    /// Lets one thing happen.
+    /// Applies one step.
     pub fn apply(&mut self, step: &Step) {
         self.history.push(format!("{step:?}"));
         match step {
@@ -107,7 +108,8 @@
         }
     }
 
-    /// Lets everything that is under way come to its end.
+    /// Delivers everything that is under way and runs until all requests are
+    /// answered.
     pub fn settle(&mut self) {
         for _ in 0..60 {
             self.commit_next();
--- a/crates/shard/tests/simulation/owner.rs
+++ b/crates/shard/tests/simulation/owner.rs
@@ -1,4 +1,5 @@
-//! The owner of the shard: its records, its clock, its death and its successor.
+//! The owner of the shard: its commits, its clock, its crashes and its
+//! successors.
 
 use std::time::Duration;
 
--- a/crates/shard/tests/simulation/starts.rs
+++ b/crates/shard/tests/simulation/starts.rs
@@ -1,4 +1,4 @@
-//! Starts on their way to the workers.
+//! Starts that are in flight to the workers.
 
 use shard::Input;
 use shard::NotStarted;
@@ -8,7 +8,8 @@
 use super::SLOTS;
 use super::Simulation;
 
-/// A start on its way: its epoch and the run that it names.
+/// A start in flight, with the epoch of its sender and the worker incarnation
+/// that it names.
 #[derive(Debug)]
 pub(super) struct StartInFlight {
     pub(super) worker: usize,
--- a/crates/shard/tests/simulation/step.rs
+++ b/crates/shard/tests/simulation/step.rs
@@ -1,34 +1,34 @@
-//! What can happen in the world.
+//! Steps of the simulation.
 
 use bolero::TypeGenerator;
 
-/// One thing that happens.
+/// One step of the simulation.
 #[derive(Clone, Debug, TypeGenerator)]
 pub enum Step {
-    /// A caller submits, or submits again, one of a few requests.
+    /// A caller submits one of a few requests, possibly again.
     Submit(u8),
-    /// The oldest batch of records is committed.
+    /// The oldest uncommitted batch of records is committed.
     Commit,
-    /// A start reaches its worker.
+    /// A start arrives at its worker.
     Arrive(u8),
-    /// A start is refused, or never sent.
+    /// A start is refused or never sent.
     Refuse(u8),
-    /// A task ends; its worker reports it.
+    /// A task ends, and its worker reports it.
     End(u8),
-    /// A worker reports all its ends again.
+    /// A worker reports all ended tasks again.
     RepeatEnds(u8),
-    /// A worker forgets everything.
+    /// A worker restarts and loses its state.
     Restart(u8),
     /// A link claims its worker again.
     Claim(u8),
-    /// The shard reads what the link of a worker has told it.
+    /// The shard handles the inputs queued by a worker's link.
     DeliverReports(u8),
-    /// The lease of a worker's tasks runs out.
+    /// The lease of a worker's tasks expires.
     LeaseOver(u8),
     /// Time passes, in tenths of a second.
     Wait(u8),
-    /// A caller withdraws a request.
+    /// A caller cancels a request.
     Cancel(u8),
-    /// The owner dies; another takes over from what was committed.
+    /// The owner crashes; a successor recovers from the committed records.
     CrashOwner,
 }
--- a/crates/shard/tests/simulation/workers.rs
+++ b/crates/shard/tests/simulation/workers.rs
@@ -1,4 +1,5 @@
-//! Workers: their tasks, their restarts, and what their links tell the shard.
+//! Simulated workers: their tasks, their restarts, and the reports of their
+//! links to the shard.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -17,26 +18,26 @@
 use super::fixtures::worker_name;
 use super::starts::StartInFlight;
 
-/// A worker: what it runs, and what it refuses.
+/// A worker: its running tasks and the attempts that it refuses.
 #[derive(Debug, Default)]
 pub(super) struct FakeWorker {
     pub(super) run: u32,
     pub(super) epoch: u64,
     pub(super) tasks: BTreeMap<String, Task>,
-    /// Attempts that it refuses for good.
+    /// Attempts whose starts it will always refuse.
     pub(super) refused_attempts: BTreeSet<String>,
-    /// What its link has told the shard, which has not read it yet.
+    /// Inputs queued by its link that the shard has not handled yet.
     pub(super) undelivered: VecDeque<Input>,
 }
 
 impl FakeWorker {
-    /// Tasks that have not ended.
+    /// Number of tasks that have not ended.
     pub(super) fn running(&self) -> usize {
         let tasks = self.tasks.values();
         tasks.filter(|task| task.end.is_none()).count()
     }
 
-    /// Drops tasks, and refuses their attempts from now on.
+    /// Drops tasks and refuses their attempts from now on.
     pub(super) fn forget(&mut self, attempts: Vec<String>) {
         for attempt in attempts {
             self.tasks.remove(&attempt);
@@ -94,7 +95,8 @@
         self.report(worker, Input::WorkerLost(worker_name(worker)));
     }
 
-    /// A link's news keep their order: they wait behind what is unread.
+    /// Reports an input of a worker's link. The inputs of a link keep their
+    /// order: while some are queued, this one is queued behind them.
     pub(super) fn report(&mut self, worker: usize, input: Input) {
         let undelivered = &mut self.workers[worker].undelivered;
         if undelivered.is_empty() {
@@ -123,7 +125,7 @@
         let run = state.run;
         let input = Input::Claimed(worker_name(worker), claimed);
         self.workers[worker].undelivered.push_back(input);
-        // The link reports the starts that its claim has fenced off.
+        // The link reports that its claim has fenced off these starts.
         let epoch = self.epoch;
         let fenced_off = |in_flight: &StartInFlight| {
             in_flight.worker == worker && in_flight.epoch == epoch && in_flight.run != run && !again
@@ -139,12 +141,14 @@
         }
     }
 
-    /// The worker ends its tasks first; its owner hears of it later.
+    /// Expires the lease of a worker's tasks: the worker ends them first, and
+    /// the owner learns of it later.
     pub(super) fn lease_over(&mut self, worker: usize) {
         for task in self.workers[worker].tasks.values_mut() {
             task.end.get_or_insert_with(|| ended(EndResult::LeaseOver));
         }
-        // Starts that are still under way name a reply that is too old.
+        // Starts still in flight name a poll turn that is too old, so the
+        // worker refuses them.
         for in_flight in &self.in_flight {
             if in_flight.worker == worker {
                 self.workers[worker]
