--- a/crates/shard/src/assign.rs
+++ b/crates/shard/src/assign.rs
@@ -94,10 +94,10 @@
         let mut changed = Vec::new();
         let mut assigned_ids: HashSet<WorkerId> = HashSet::new();
         for (shard, (_, row)) in &mut self.rows {
-            let before = row.workers.len();
+            let old_len = row.workers.len();
             row.workers
                 .retain(|worker| hosts_by_id.contains_key(&worker.worker));
-            if row.workers.len() != before {
+            if row.workers.len() != old_len {
                 changed.push(*shard);
             }
             for worker in &row.workers {
@@ -111,7 +111,7 @@
         unassigned.sort_by(|a, b| (&a.domain, &a.rack, &a.id).cmp(&(&b.domain, &b.rack, &b.id)));
         for host in unassigned {
             let shard = self.least_loaded_shard(host, &hosts_by_id);
-            self.add(shard, host);
+            self.add_worker(shard, host);
             changed.push(shard);
         }
         changed.sort_unstable();
@@ -120,12 +120,12 @@
     }
 
     fn least_loaded_shard(&self, host: &Host, hosts_by_id: &HashMap<&WorkerId, &Host>) -> ShardId {
-        let count = |row: &AssignRow, same: fn(&Host, &Host) -> bool| {
+        let count = |row: &AssignRow, is_same: fn(&Host, &Host) -> bool| {
             let shard_hosts = row
                 .workers
                 .iter()
                 .filter_map(|w| hosts_by_id.get(&w.worker));
-            shard_hosts.filter(|other| same(other, host)).count()
+            shard_hosts.filter(|other| is_same(other, host)).count()
         };
         let cost = |row: &AssignRow| {
             let rack = count(row, |other, host| other.rack == host.rack);
@@ -136,7 +136,7 @@
         best.map(|(shard, _)| *shard).unwrap_or_default()
     }
 
-    fn add(&mut self, shard: ShardId, host: &Host) {
+    fn add_worker(&mut self, shard: ShardId, host: &Host) {
         if let Some((_, row)) = self.rows.get_mut(&shard) {
             // A worker that returns needs a higher assignment number than any
             // it had before, since workers refuse lower ones. Milliseconds
--- a/crates/shard/src/cell_reads.rs
+++ b/crates/shard/src/cell_reads.rs
@@ -38,12 +38,14 @@
 const JOURNAL_PERCENT: u32 = 80;
 
 impl<T: Table, O: Objects, H: HostList> ShardManager<T, O, H> {
+    /// Reads the leases, the shard rows and the newest configuration version,
+    /// and fetches the configuration if it is newer than the one in force.
     pub(crate) async fn read_cell(&mut self) -> Result<(), ShardError> {
         let started_at = Instant::now();
         let rows = self.context.table.range(CELL_PREFIX).await?;
         self.outage.record_answer();
         let mut found = Vec::new();
-        let mut head = None;
+        let mut newest_version = None;
         self.shard_rows.clear();
         for row in rows {
             if let Some(process) = row.key.strip_prefix(LEASE_PREFIX) {
@@ -57,18 +59,18 @@
                     self.shard_rows.insert(shard, (row.version, owner));
                 }
             } else if row.key == CONFIG_HEAD {
-                head = row.value.parse::<Version>().ok();
+                newest_version = row.value.parse::<Version>().ok();
             }
         }
         let leases = self.join_members(found).await?;
-        let reading = LeaseScan {
+        let scan = LeaseScan {
             started_at,
             ended_at: Instant::now(),
             leases,
         };
-        self.members.observe(reading, self.context.timing.ttl);
+        self.members.observe(scan, self.context.timing.ttl);
         self.update_journal_rate();
-        if head.is_some_and(|head| head > self.config.version) {
+        if newest_version.is_some_and(|newest_version| newest_version > self.config.version) {
             self.fetch_config().await?;
         }
         Ok(())
@@ -106,7 +108,7 @@
         R: serde::de::DeserializeOwned + crate::Formatted,
     {
         match decode_row(row) {
-            Ok(read) => Some(read),
+            Ok(decoded) => Some(decoded),
             Err(error) => {
                 self.record_event(Event::new(Kind::RowDamaged).detail(error.to_string()));
                 None
@@ -114,6 +116,7 @@
         }
     }
 
+    /// Divides the journals' part of the write rate among the live processes.
     pub(crate) fn update_journal_rate(&self) {
         let live = self.members.live(self.context.timing.ttl).count().max(1);
         let live = u32::try_from(live).unwrap_or(u32::MAX);
@@ -123,6 +126,7 @@
             .set_rate(f64::from(rate) / f64::from(live));
     }
 
+    /// Reads the newest configuration document and adopts it.
     pub(crate) async fn fetch_config(&mut self) -> Result<(), ShardError> {
         match read_config(&self.context.table).await {
             Ok((numbered, _)) => {
@@ -135,7 +139,7 @@
             }
             // The row itself may be intact; the next tick reads it again.
             Err(error) => {
-                log::debug!("configuration: {error}");
+                log::debug!("configuration not read: {error}");
                 Ok(())
             }
         }
--- a/crates/shard/src/claiming.rs
+++ b/crates/shard/src/claiming.rs
@@ -73,6 +73,7 @@
         Ok(())
     }
 
+    /// Row that names this process as the owner of a shard.
     pub(crate) fn own_shard_row(&self, epoch: Epoch) -> ShardRow {
         ShardRow {
             format: FORMAT,
@@ -88,6 +89,7 @@
         }
     }
 
+    /// Ends the task of a shard that another process owns or may own.
     pub(crate) fn drop_shard(&mut self, shard: ShardId) {
         if let Some(running) = self.running.remove(&shard) {
             let _ = running.task.send(ShardTaskMessage::Drop);
@@ -95,6 +97,8 @@
         }
     }
 
+    /// Marks the leases of other processes as expired that were not renewed for
+    /// the TTL.
     pub(crate) async fn expire_stale(&mut self) -> Result<(), ShardError> {
         let ttl = self.context.timing.ttl;
         let stale: Vec<StaleLease> = self
@@ -148,7 +152,7 @@
                 self.drop_shard(shard);
             }
         }
-        let owned: Vec<ShardClaim> = self
+        let unopened: Vec<ShardClaim> = self
             .shard_rows
             .iter()
             .filter(|(shard, (_, row))| {
@@ -159,12 +163,13 @@
             })
             .map(|(shard, (version, row))| self.claim(*shard, row.epoch, *version))
             .collect();
-        for claim in owned {
+        for claim in unopened {
             self.open_shard(claim);
         }
         self.delete_expired_lease().await
     }
 
+    /// A claim of this process, as already written to the table.
     pub(crate) fn claim(&self, shard: ShardId, epoch: Epoch, fence: RowVersion) -> ShardClaim {
         ShardClaim {
             shard,
@@ -176,7 +181,7 @@
 
     /// Removes one lease that expired long ago and whose process owns no shard.
     pub(crate) async fn delete_expired_lease(&mut self) -> Result<(), ShardError> {
-        let old = self.members.iter().find(|(process, member)| {
+        let removable = self.members.iter().find(|(process, member)| {
             member.lease.state == LeaseState::Expired
                 && member.is_stale(EXPIRED_LEASE_RETENTION)
                 && !self
@@ -184,7 +189,7 @@
                     .values()
                     .any(|(_, row)| row.owner == **process)
         });
-        if let Some((process, member)) = old {
+        if let Some((process, member)) = removable {
             let key = lease_key(process);
             let commit = Commit::default()
                 .check(key.clone(), member.version)
@@ -212,12 +217,14 @@
             .collect()
     }
 
+    /// Claims the shards that this process should own and that have no live
+    /// owner.
     pub(crate) async fn claim_unowned_shards(&mut self) -> Result<(), ShardError> {
         if self.lease.is_leaving() {
             return Ok(());
         }
-        let wanted = self.desired_owners();
-        for (shard, owner) in (0..self.context.shards).zip(wanted) {
+        let desired = self.desired_owners();
+        for (shard, owner) in (0..self.context.shards).zip(desired) {
             if owner != self.context.process || self.running.contains_key(&shard) {
                 continue;
             }
@@ -226,6 +233,8 @@
         Ok(())
     }
 
+    /// Claims one shard, unless its owner still holds a lease. The commit checks
+    /// the shard's row and the leases of this process and of the former owner.
     pub(crate) async fn claim_shard(&mut self, shard: ShardId) -> Result<(), ShardError> {
         let (version, row) = match self.shard_rows.get(&shard) {
             Some((version, row)) => (*version, Some(row.clone())),
@@ -241,11 +250,11 @@
             }
             // If the former owner renews its lease at this moment, the version
             // of its lease row changes and the claim fails.
-            let lease = self
+            let lease_version = self
                 .members
                 .get(&row.owner)
                 .map_or(0, |member| member.version);
-            commit = commit.check(lease_key(&row.owner), lease);
+            commit = commit.check(lease_key(&row.owner), lease_version);
             epoch = row.epoch + 1;
         }
         commit = commit.put(shard_key(shard), encode_row(&self.own_shard_row(epoch)));
@@ -262,19 +271,22 @@
         Ok(())
     }
 
+    /// Starts the recovery of a claimed shard.
     pub(crate) fn open_shard(&mut self, claim: ShardClaim) {
         self.opening.insert(claim.shard);
         let context = self.context.clone();
-        self.opened.spawn(async move {
+        self.open_results.spawn(async move {
             let times = Times {
                 now: Duration::ZERO,
                 wall_millis: wall_millis(),
             };
-            let read = recover(&context.table, &context.objects, &claim, times).await;
-            (claim, read)
+            let recovered = recover(&context.table, &context.objects, &claim, times).await;
+            (claim, recovered)
         });
     }
 
+    /// Starts the task of a recovered shard, if its row has not changed
+    /// meanwhile.
     pub(crate) async fn on_shard_opened(&mut self, (claim, recovered): OpenResult) {
         self.opening.remove(&claim.shard);
         let recovered = match recovered {
@@ -286,23 +298,24 @@
                 return;
             }
             Err(error) => {
-                log::debug!("shard {} is not open: {error}", claim.shard);
+                log::debug!("shard {} not opened: {error}", claim.shard);
                 return;
             }
         };
-        let current = self
+        let current_version = self
             .shard_rows
             .get(&claim.shard)
             .map(|(version, _)| *version);
-        if current != Some(claim.fence) {
+        if current_version != Some(claim.fence) {
             return;
         }
         let (sender, inbox) = mpsc::unbounded_channel();
         let view = self.view.subscribe();
         let (context, config) = (self.context.clone(), self.config.clone());
-        let owner = ShardTask::new(context, recovered, config, view, inbox);
+        let shard_task = ShardTask::new(context, recovered, config, view, inbox);
         let shard = claim.shard;
-        self.ended.spawn(async move { (shard, owner.run().await) });
+        self.task_ends
+            .spawn(async move { (shard, shard_task.run().await) });
         let running = RunningShard {
             epoch: claim.epoch,
             fence: claim.fence,
@@ -314,10 +327,12 @@
         self.lists_due_at = None;
         self.publish();
         if let Err(error) = self.read_worker_lists().await {
-            log::debug!("workers: {error}");
+            log::debug!("worker lists not read: {error}");
         }
     }
 
+    /// Drops a shard whose task has ended because it was fenced. If the shard
+    /// was opened again meanwhile, the new task is still running and stays.
     pub(crate) fn on_task_ended(&mut self, (shard, end): (ShardId, ShardTaskEnd)) {
         let ended = |running: &RunningShard| running.task.is_closed();
         if end == ShardTaskEnd::Fenced && self.running.get(&shard).is_some_and(ended) {
--- a/crates/shard/src/gate.rs
+++ b/crates/shard/src/gate.rs
@@ -16,7 +16,7 @@
 #[derive(Debug)]
 pub struct LeaseGate {
     origin: Instant,
-    until_millis: AtomicU64,
+    deadline_millis: AtomicU64,
 }
 
 impl LeaseGate {
@@ -25,32 +25,32 @@
     pub fn new() -> LeaseGate {
         LeaseGate {
             origin: Instant::now(),
-            until_millis: AtomicU64::new(0),
+            deadline_millis: AtomicU64::new(0),
         }
     }
 
     /// Whether the process may act now.
     #[must_use]
     pub fn is_open(&self) -> bool {
-        self.millis(Instant::now()) < self.until_millis.load(Ordering::Acquire)
+        self.millis(Instant::now()) < self.deadline_millis.load(Ordering::Acquire)
     }
 
     /// Allows acting until `until`; never shortens the current deadline.
-    pub fn extend(&self, until: Instant) {
-        self.until_millis
-            .fetch_max(self.millis(until), Ordering::AcqRel);
+    pub fn extend(&self, deadline: Instant) {
+        self.deadline_millis
+            .fetch_max(self.millis(deadline), Ordering::AcqRel);
     }
 
     /// Forbids acting from now on, until the gate is extended again.
     pub fn revoke(&self) {
-        self.until_millis.store(0, Ordering::Release);
+        self.deadline_millis.store(0, Ordering::Release);
     }
 
     /// Time left until the deadline.
     #[must_use]
     pub fn remaining(&self) -> Duration {
-        let until = self.until_millis.load(Ordering::Acquire);
-        Duration::from_millis(until.saturating_sub(self.millis(Instant::now())))
+        let deadline = self.deadline_millis.load(Ordering::Acquire);
+        Duration::from_millis(deadline.saturating_sub(self.millis(Instant::now())))
     }
 
     fn millis(&self, at: Instant) -> u64 {
--- a/crates/shard/src/handover.rs
+++ b/crates/shard/src/handover.rs
@@ -40,23 +40,23 @@
         if !leaving && self.last_handover_at.elapsed() < HANDOVER_INTERVAL {
             return;
         }
-        let wanted = self.desired_owners();
+        let desired = self.desired_owners();
         for shard in 0..self.context.shards {
             // When leaving without another live process, the shards are
             // released all the same; a process that joins later claims them.
-            let owner = wanted.get(usize::from(shard));
-            let keeps = !leaving && owner.is_none_or(|owner| *owner == self.context.process);
+            let owner = desired.get(usize::from(shard));
+            let keep = !leaving && owner.is_none_or(|owner| *owner == self.context.process);
             let Some(running) = self.running.get_mut(&shard) else {
                 continue;
             };
-            if keeps || running.releasing {
+            if keep || running.releasing {
                 continue;
             }
             running.releasing = true;
             self.last_handover_at = Instant::now();
             let (sender, done) = oneshot::channel();
             let _ = running.task.send(ShardTaskMessage::Release(sender));
-            self.released.spawn(async move {
+            self.released_shards.spawn(async move {
                 let _ = tokio::time::timeout(RELEASE_TIMEOUT, done).await;
                 shard
             });
@@ -71,8 +71,8 @@
         let Some(running) = self.running.remove(&shard) else {
             return;
         };
-        let wanted = self.desired_owners();
-        let Some(next) = wanted.get(usize::from(shard)).cloned() else {
+        let desired = self.desired_owners();
+        let Some(next) = desired.get(usize::from(shard)).cloned() else {
             self.handover.unconfirmed += 1;
             return;
         };
@@ -100,7 +100,7 @@
             // which one, and opens the shard here again if necessary.
             Err(error) => {
                 self.handover.unconfirmed += 1;
-                log::debug!("hand-over of {shard}: {error}");
+                log::debug!("hand-over of shard {shard} not confirmed: {error}");
             }
         }
     }
@@ -115,6 +115,7 @@
         }
     }
 
+    /// Asks a process to read the table at once.
     pub(crate) fn hint_peer(&self, process: &str) {
         let Some(member) = self.members.get(process) else {
             return;
--- a/crates/shard/src/journal.rs
+++ b/crates/shard/src/journal.rs
@@ -55,7 +55,7 @@
     /// All records up to this ticket are in the table; the second value is the
     /// number of the last batch.
     Written(Ticket, Seq),
-    /// A commit failed, as the table is unavailable; the writer keeps retrying.
+    /// The table has not confirmed a commit; the writer keeps retrying.
     Stalled,
     /// Another process owns the shard, or this process owns it at another
     /// epoch. The writer has ended.
@@ -85,8 +85,11 @@
 
 /// Result of one try to commit.
 enum WriteOutcome {
+    /// The batch is in the table.
     Done,
+    /// The batch is not in the table; try again.
     Retry,
+    /// The shard has another owner or epoch.
     Fenced,
 }
 
@@ -98,7 +101,10 @@
     position: JournalPosition,
     commands: mpsc::UnboundedReceiver<JournalCommand>,
     events: mpsc::UnboundedSender<JournalEvent>,
+    /// Newest segment list of the shard's task; differs from the stored one
+    /// until the next commit.
     latest_segments: SegmentList,
+    /// Whether to end once the queued records are committed.
     closing: bool,
 }
 
@@ -157,6 +163,8 @@
         }
     }
 
+    /// Handles one command: collects its records and their ticket, the new
+    /// segment list, or the request to end.
     fn apply(&mut self, command: JournalCommand, records: &mut Vec<Record>, last: &mut Ticket) {
         match command {
             JournalCommand::Append(ticket, mut added) => {
@@ -188,7 +196,10 @@
                 Ok(WriteOutcome::Fenced) => return false,
                 Ok(WriteOutcome::Retry) => {}
                 Err(error) => {
-                    log::debug!("journal of shard {}: {error}", self.position.shard);
+                    log::debug!(
+                        "journal commit of shard {} failed: {error}",
+                        self.position.shard
+                    );
                     if self.events.send(JournalEvent::Stalled).is_err() {
                         return false;
                     }
@@ -210,10 +221,10 @@
             return self.try_write_segments().await;
         }
         let key = journal_key(self.position.shard, batch.seq);
-        let slot = slot_index(batch.seq);
+        let index = row_index(batch.seq);
         let mut commit = Commit::default()
             .check(shard_key(self.position.shard), self.position.fence)
-            .check(key.clone(), self.position.row_versions[slot])
+            .check(key.clone(), self.position.row_versions[index])
             .put(key.clone(), encode_row(batch));
         let list_changed = self.latest_segments != self.position.segments;
         if list_changed {
@@ -221,7 +232,7 @@
         }
         match self.table.commit(&commit).await? {
             Committed::Done(versions) => {
-                self.position.row_versions[slot] = versions.first().copied().unwrap_or_default();
+                self.position.row_versions[index] = versions.first().copied().unwrap_or_default();
                 if list_changed {
                     self.position.list_version = versions.get(1).copied().unwrap_or_default();
                     self.position.segments = self.latest_segments.clone();
@@ -232,6 +243,7 @@
         }
     }
 
+    /// Adds the write of the newest segment list to a commit.
     fn add_segment_list(&self, commit: Commit) -> Commit {
         let key = segments_key(self.position.shard);
         commit
@@ -273,7 +285,7 @@
         let version = row.as_ref().map_or(0, |row| row.version);
         let found = row.and_then(|row| decode_row::<Batch>(&row).ok());
         if found.as_ref() == Some(batch) {
-            self.position.row_versions[slot_index(batch.seq)] = version;
+            self.position.row_versions[row_index(batch.seq)] = version;
             if list_changed {
                 self.position.segments = self.latest_segments.clone();
                 self.refresh_versions().await?;
@@ -305,6 +317,7 @@
     }
 }
 
-fn slot_index(seq: Seq) -> usize {
+/// Index of the journal row that holds a batch.
+fn row_index(seq: Seq) -> usize {
     usize::try_from(seq % JOURNAL_ROWS).unwrap_or_default()
 }
--- a/crates/shard/src/lease.rs
+++ b/crates/shard/src/lease.rs
@@ -88,17 +88,18 @@
         if row.is_none() {
             self.check_cell().await?;
         }
-        let found = row
+        let found_lease = row
             .as_ref()
             .and_then(|row| decode_row::<LeaseRow>(row).ok());
         self.version = row.map_or(0, |row| row.version);
         // If the row is not expired, it was written by an earlier renewal whose
         // reply was lost; no process has expired the lease.
-        let still_held = found.is_some_and(|lease| lease.state != LeaseState::Expired);
+        let still_held = found_lease.is_some_and(|lease| lease.state != LeaseState::Expired);
         let sent_at = Instant::now();
         self.counter += 1;
         if !self.try_write(config).await? {
-            let reason = "the lease row changed twice in a moment".to_owned();
+            let reason =
+                "another process changed the lease row twice during one renewal".to_owned();
             return Err(StoreError::Unavailable { reason });
         }
         let renewal = if still_held {
@@ -115,18 +116,20 @@
     async fn check_cell(&self) -> Result<(), StoreError> {
         let row = self.context.table.get(CELL_PARAMS).await?;
         let params = row.and_then(|row| decode_row::<CellParams>(&row).ok());
-        let found = params.map_or(0, |params| params.cell);
-        if found == self.context.cell {
+        let found_lease = params.map_or(0, |params| params.cell);
+        if found_lease == self.context.cell {
             return Ok(());
         }
         let reason = format!(
-            "the table belongs to another cell: found {found:016x}, allowed {:016x}",
+            "the table belongs to another cell: found {found_lease:016x}, allowed {:016x}",
             self.context.cell
         );
         log::error!("{reason}");
         Err(StoreError::Unavailable { reason })
     }
 
+    /// Writes the lease row; the first write also adds the row of the process's
+    /// constant facts. Returns false if the row has another version.
     async fn try_write(&mut self, config: Version) -> Result<bool, StoreError> {
         let key = lease_key(&self.context.process);
         let mut commit = Commit::default()
@@ -175,7 +178,7 @@
         match self.context.table.commit(&commit).await {
             Ok(committed) => matches!(committed, Committed::Done(_)),
             Err(error) => {
-                log::debug!("lease not given up: {error}");
+                log::debug!("lease row not deleted: {error}");
                 false
             }
         }
--- a/crates/shard/src/ledger.rs
+++ b/crates/shard/src/ledger.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Default)]
 pub struct Ledger {
     entries: HashMap<String, Entry>,
-    ended: VecDeque<(Now, String)>,
+    answered: VecDeque<(Now, String)>,
 }
 
 /// Times at which one input is handled. Decisions use the monotonic time; the
@@ -78,8 +78,8 @@
             let entry = Entry::orphan(key, model::Resources::default(), now);
             self.entries.insert(key.to_owned(), entry);
         }
-        let known = self.entries.get(key).is_some_and(Entry::is_over);
-        if !known {
+        let already_over = self.entries.get(key).is_some_and(Entry::is_over);
+        if !already_over {
             self.finish(key, answer, now);
         }
     }
@@ -90,18 +90,18 @@
             entry.stage = Stage::Done(answer);
             entry.members = Vec::new();
             entry.spent = Vec::new();
-            self.ended.push_back((now, key.to_owned()));
+            self.answered.push_back((now, key.to_owned()));
         }
     }
 
     /// Removes requests that were answered longer ago than the retention
     /// period.
-    pub fn forget(&mut self, now: Now, retention: Duration) {
-        while let Some((at, _)) = self.ended.front() {
+    pub fn remove_expired(&mut self, now: Now, retention: Duration) {
+        while let Some((at, _)) = self.answered.front() {
             if *at + retention > now {
                 return;
             }
-            if let Some((_, key)) = self.ended.pop_front() {
+            if let Some((_, key)) = self.answered.pop_front() {
                 self.entries.remove(&key);
             }
         }
@@ -135,8 +135,8 @@
         if self.entries.contains_key(&key) {
             return;
         }
-        let left = accepted.until_millis.saturating_sub(times.wall_millis);
-        let deadline = times.now + Duration::from_millis(left);
+        let remaining = accepted.until_millis.saturating_sub(times.wall_millis);
+        let deadline = times.now + Duration::from_millis(remaining);
         let mut entry = Entry::new(request, times.now, deadline, accepted.until_millis);
         entry.recorded = true;
         entry.acceptance = Acceptance::Safe;
--- a/crates/shard/src/machine.rs
+++ b/crates/shard/src/machine.rs
@@ -88,6 +88,7 @@
     pub(crate) core: Core<Weighted>,
     pub(crate) ledger: Ledger,
     pub(crate) config: Arc<Numbered>,
+    /// Request keys of the jobs in the scheduling core.
     pub(crate) request_keys: HashMap<JobKey, String>,
     pub(crate) workers: HashMap<WorkerId, WorkerHost>,
     /// Workers that left the host list but may still run tasks.
@@ -95,11 +96,13 @@
     /// Workers that have refused a start, and the time until which they get no
     /// further starts.
     pub(crate) paused_workers: Vec<(Now, WorkerId)>,
-    /// New requests that may be lent to another shard, and requests for which
-    /// no other shard had room.
+    /// New requests that may be lent to another shard.
     pub(crate) lendable: VecDeque<String>,
+    /// Requests for which no other shard had room.
     pub(crate) unlent: VecDeque<String>,
+    /// Incarnations of the workers that this owner has claimed.
     pub(crate) incarnations: HashMap<WorkerId, model::Incarnation>,
+    /// Actions that wait for the commit of their record, by ticket.
     pub(crate) pending: BTreeMap<Ticket, Vec<PendingRecord>>,
     pub(crate) outputs: Vec<Output>,
     /// Records of the current input, appended to the journal when it has been
@@ -225,7 +228,8 @@
     }
 
     fn on_tick(&mut self) {
-        self.ledger.forget(self.times.now, self.params.retention);
+        self.ledger
+            .remove_expired(self.times.now, self.params.retention);
         if self.times.now >= self.next_probe {
             self.next_probe = self.times.now + PROBE_INTERVAL;
             self.core.allow_probes();
--- a/crates/shard/src/members.rs
+++ b/crates/shard/src/members.rs
@@ -89,8 +89,8 @@
         }
         let mut observed = HashMap::new();
         for seen in scan.leases {
-            let earlier = self.observed.remove(&seen.process);
-            let first_seen = match earlier {
+            let previous = self.observed.remove(&seen.process);
+            let first_seen = match previous {
                 Some(member) if member.version == seen.version => member.first_seen,
                 _ => scan.ended_at,
             };
@@ -198,7 +198,7 @@
     }
 
     #[test]
-    fn a_lease_that_stands_still_for_the_ttl_is_stale() {
+    fn a_lease_unchanged_for_the_ttl_is_stale() {
         let start = Instant::now();
         let mut members = Members::default();
 
@@ -214,7 +214,7 @@
     // and reads again. Age must not count from the clock alone: a renewed lease
     // has another version, and its age starts at zero with that read.
     #[test]
-    fn an_observer_that_slept_does_not_expire_a_renewed_lease() {
+    fn a_paused_observer_does_not_expire_a_renewed_lease() {
         let start = Instant::now();
         let mut members = Members::default();
 
@@ -228,7 +228,7 @@
     // taking all shards: no process could renew for 30 s, and the leases are
     // read unchanged. The duration of the outage must not count as age.
     #[test]
-    fn an_outage_ages_no_lease() {
+    fn an_outage_does_not_count_as_lease_age() {
         let start = Instant::now();
         let mut members = Members::default();
 
--- a/crates/shard/src/outage.rs
+++ b/crates/shard/src/outage.rs
@@ -51,13 +51,17 @@
 }
 
 /// Asks all peers whether they reach the table.
-pub async fn query_peers(node: &Node, own: TableHealth, peers: Vec<SocketAddr>) -> OutageVerdict {
-    let own = Arc::new(own);
+pub async fn query_peers(
+    node: &Node,
+    own_health: TableHealth,
+    peers: Vec<SocketAddr>,
+) -> OutageVerdict {
+    let own_health = Arc::new(own_health);
     let mut calls = tokio::task::JoinSet::new();
     for peer in peers {
-        let (node, own) = (node.clone(), own.clone());
+        let (node, own_health) = (node.clone(), own_health.clone());
         calls.spawn(async move {
-            let ask = Ask::Ping(TableHealth::clone(&own));
+            let ask = Ask::Ping(TableHealth::clone(&own_health));
             match node.call::<Ask, Reply>(peer, &ask, PING_TIMEOUT).await {
                 Ok(Reply::Pong(health)) => Some(health.reachable),
                 _ => None,
@@ -168,7 +172,7 @@
     }
 
     #[test]
-    fn silence_confirms_nothing() {
+    fn no_reply_confirms_no_outage() {
         let verdict = combine_reports(&[None, None]);
 
         assert_eq!(verdict, OutageVerdict::Silence);
--- a/crates/shard/src/placement.rs
+++ b/crates/shard/src/placement.rs
@@ -45,8 +45,8 @@
         let owners = place_shards(&names(7), 16);
 
         for index in 0..7 {
-            let shard_counts = owners.iter().filter(|owner| **owner == index).count();
-            assert!(shard_counts <= 3, "process {index} holds {shard_counts}");
+            let owned = owners.iter().filter(|owner| **owner == index).count();
+            assert!(owned <= 3, "process {index} holds {owned}");
         }
     }
 
--- a/crates/shard/src/recovery.rs
+++ b/crates/shard/src/recovery.rs
@@ -70,19 +70,19 @@
     let rows = table.range(&journal_prefix(claim.shard)).await?;
     let (batches, versions) = read_journal_rows(&rows)?;
     let covered = segments.covered();
-    let mut last = covered;
+    let mut last_seq = covered;
     for batch in batches.iter().filter(|batch| batch.seq > covered) {
         for record in &batch.records {
             ledger.replay(record, times);
         }
-        last = batch.seq;
+        last_seq = batch.seq;
     }
     let position = JournalPosition {
         shard: claim.shard,
         process: claim.process.clone(),
         epoch: claim.epoch,
         fence: claim.fence,
-        next_seq: last + 1,
+        next_seq: last_seq + 1,
         row_versions: versions,
         segments,
         list_version,
@@ -120,7 +120,7 @@
     };
     let body = objects.fetch(&name.name).await?;
     let body = body.ok_or_else(|| damaged("the object is missing"))?;
-    let value = String::from_utf8(body).map_err(|_| damaged("it is not text"))?;
+    let value = String::from_utf8(body).map_err(|_| damaged("the object is not valid UTF-8"))?;
     let row = Row {
         key: name.name.clone(),
         version: 0,
@@ -130,13 +130,13 @@
 }
 
 fn read_journal_rows(rows: &[Row]) -> Result<(Vec<Batch>, Vec<RowVersion>), ShardError> {
-    let count = usize::try_from(JOURNAL_ROWS).unwrap_or_default();
-    let mut versions = vec![0; count];
+    let row_count = usize::try_from(JOURNAL_ROWS).unwrap_or_default();
+    let mut versions = vec![0; row_count];
     let mut batches = Vec::new();
     for row in rows {
         let batch: Batch = decode_row(row)?;
-        let slot = usize::try_from(batch.seq % JOURNAL_ROWS).unwrap_or_default();
-        versions[slot] = row.version;
+        let index = usize::try_from(batch.seq % JOURNAL_ROWS).unwrap_or_default();
+        versions[index] = row.version;
         batches.push(batch);
     }
     batches.sort_by_key(|batch| batch.seq);
--- a/crates/shard/src/rows.rs
+++ b/crates/shard/src/rows.rs
@@ -167,7 +167,7 @@
     fn format(&self) -> u16;
 }
 
-macro_rules! formatted {
+macro_rules! impl_formatted {
     ($($row:ty),*) => {
         $(impl Formatted for $row {
             fn format(&self) -> u16 {
@@ -177,7 +177,7 @@
     };
 }
 
-formatted!(LeaseRow, MemberRow, ShardRow, CellParams, AssignRow);
+impl_formatted!(LeaseRow, MemberRow, ShardRow, CellParams, AssignRow);
 
 /// Encodes a row as JSON.
 #[must_use]
@@ -199,7 +199,7 @@
     if parsed.format() != FORMAT {
         let found = parsed.format();
         return Err(damaged(format!(
-            "format {found}, this version knows {FORMAT}"
+            "format version {found}, expected {FORMAT}"
         )));
     }
     Ok(parsed)
--- a/crates/shard/src/shard_manager.rs
+++ b/crates/shard/src/shard_manager.rs
@@ -44,6 +44,7 @@
 use crate::WorkerHost;
 use crate::first_config;
 use crate::query_peers;
+
 /// Time without an answer of the table after which it counts as unreachable.
 pub(crate) const UNREACHABLE_AFTER: Duration = Duration::from_millis(1200);
 
@@ -79,9 +80,13 @@
 #[derive(Debug)]
 pub(crate) struct RunningShard {
     pub(crate) epoch: Epoch,
+    /// Version of the shard's row when it was claimed.
     pub(crate) fence: RowVersion,
+    /// Inbox of the task.
     pub(crate) task: mpsc::UnboundedSender<ShardTaskMessage>,
+    /// Workers last sent to the task.
     pub(crate) workers: Vec<WorkerHost>,
+    /// Whether a hand-over of the shard has started.
     pub(crate) releasing: bool,
 }
 
@@ -95,22 +100,28 @@
     pub(crate) context: Arc<Context<T, O, H>>,
     pub(crate) lease: Lease<T, O, H>,
     pub(crate) members: Members,
+    /// Shard rows as last read or written.
     pub(crate) shard_rows: HashMap<ShardId, (RowVersion, ShardRow)>,
     pub(crate) running: HashMap<ShardId, RunningShard>,
+    /// Shards whose recovery is under way.
     pub(crate) opening: HashSet<ShardId>,
-    pub(crate) opened: JoinSet<OpenResult>,
-    pub(crate) ended: JoinSet<(ShardId, ShardTaskEnd)>,
-    pub(crate) released: JoinSet<ShardId>,
+    pub(crate) open_results: JoinSet<OpenResult>,
+    pub(crate) task_ends: JoinSet<(ShardId, ShardTaskEnd)>,
+    /// Shards released for a hand-over: the journal is finished, or the wait for
+    /// it has timed out.
+    pub(crate) released_shards: JoinSet<ShardId>,
     pub(crate) config: Arc<Numbered>,
     pub(crate) hosts: watch::Receiver<Hosts>,
     pub(crate) view: watch::Sender<Arc<View>>,
     pub(crate) hints: Arc<Notify>,
     pub(crate) commands: mpsc::Receiver<ShardManagerCommand>,
     pub(crate) outage: OutageTracker,
-    /// When the worker lists are read next, and the host list at the last read.
+    /// When the worker lists are read next.
     pub(crate) lists_due_at: Option<Instant>,
+    /// Host list at the last read of the worker lists.
     pub(crate) last_hosts: Hosts,
     pub(crate) last_handover_at: Instant,
+    /// Set while the process leaves; receives the report at the end.
     pub(crate) leaving: Option<oneshot::Sender<HandoverReport>>,
     pub(crate) handover: HandoverReport,
 }
@@ -133,7 +144,7 @@
     #[must_use]
     pub fn new(
         context: Arc<Context<T, O, H>>,
-        ports: ShardManagerChannels,
+        channels: ShardManagerChannels,
     ) -> ShardManager<T, O, H> {
         ShardManager {
             lease: Lease::new(context.clone()),
@@ -142,14 +153,14 @@
             shard_rows: HashMap::new(),
             running: HashMap::new(),
             opening: HashSet::new(),
-            opened: JoinSet::new(),
-            ended: JoinSet::new(),
-            released: JoinSet::new(),
+            open_results: JoinSet::new(),
+            task_ends: JoinSet::new(),
+            released_shards: JoinSet::new(),
             config: Arc::new(first_config()),
-            hosts: ports.hosts,
-            view: ports.view,
-            hints: ports.hints,
-            commands: ports.commands,
+            hosts: channels.hosts,
+            view: channels.view,
+            hints: channels.hints,
+            commands: channels.commands,
             outage: OutageTracker::new(),
             lists_due_at: None,
             last_hosts: None,
@@ -162,26 +173,26 @@
     /// Runs until told to leave; after that only keeps the view of the shards'
     /// owners current, until the process drops the task.
     pub async fn run(mut self) {
-        let mut due = Instant::now();
+        let mut next_tick = Instant::now();
         loop {
-            if Instant::now() >= due {
+            if Instant::now() >= next_tick {
                 self.tick().await;
-                due = Instant::now() + self.tick_delay();
+                next_tick = Instant::now() + self.tick_delay();
             }
             self.publish();
             if self.leaving.is_some() && self.has_no_shards() {
                 break;
             }
             tokio::select! {
-                () = tokio::time::sleep_until(due.into()) => {}
-                () = self.hints.notified() => due = Instant::now(),
+                () = tokio::time::sleep_until(next_tick.into()) => {}
+                () = self.hints.notified() => next_tick = Instant::now(),
                 Some(command) = self.commands.recv() => {
                     self.on_command(command);
-                    due = Instant::now();
+                    next_tick = Instant::now();
                 }
-                Some(Ok(opened)) = self.opened.join_next() => self.on_shard_opened(opened).await,
-                Some(Ok(ended)) = self.ended.join_next() => self.on_task_ended(ended),
-                Some(Ok(shard)) = self.released.join_next() => self.hand_over(shard).await,
+                Some(Ok(opened)) = self.open_results.join_next() => self.on_shard_opened(opened).await,
+                Some(Ok(ended)) = self.task_ends.join_next() => self.on_task_ended(ended),
+                Some(Ok(shard)) = self.released_shards.join_next() => self.hand_over(shard).await,
             }
         }
         self.context.gate.revoke();
@@ -198,7 +209,7 @@
     async fn follow_ownership(mut self) {
         loop {
             if let Err(error) = self.read_cell().await {
-                log::debug!("follow: {error}");
+                log::debug!("cell rows not read while leaving: {error}");
             }
             self.publish();
             tokio::time::sleep(self.context.timing.renew / 2).await;
@@ -209,6 +220,8 @@
         self.running.is_empty() && self.opening.is_empty()
     }
 
+    /// Time until the next tick: when the next lease can be stale, at the latest
+    /// after the renewal interval.
     fn tick_delay(&self) -> Duration {
         let renew = self.context.timing.renew;
         let stale = self.members.next_stale(self.context.timing.ttl);
@@ -233,7 +246,7 @@
 
     async fn tick(&mut self) {
         if let Err(error) = self.try_tick().await {
-            log::debug!("tick: {error}");
+            log::debug!("tick failed: {error}");
         }
         if !self.outage.is_reachable(UNREACHABLE_AFTER) {
             self.check_outage().await;
@@ -242,9 +255,9 @@
 
     async fn try_tick(&mut self) -> Result<(), ShardError> {
         self.renew().await?;
-        let before = self.config.version;
+        let previous_version = self.config.version;
         self.read_cell().await?;
-        if self.config.version != before {
+        if self.config.version != previous_version {
             // Renews once more, so that the other processes see at once which
             // version is in force here.
             self.renew().await?;
@@ -260,13 +273,14 @@
         self.read_worker_lists().await
     }
 
+    /// Renews the lease and extends the gate.
     pub(crate) async fn renew(&mut self) -> Result<(), ShardError> {
         let lapsed = !self.context.gate.is_open();
-        let first = self.lease.version() == 0;
+        let is_first = self.lease.version() == 0;
         let (renewal, sent_at) = self.lease.renew(self.config.version).await?;
         self.outage.record_answer();
         match renewal {
-            _ if first => self.record_event(Event::new(Kind::LeaseAcquired)),
+            _ if is_first => self.record_event(Event::new(Kind::LeaseAcquired)),
             Renewal::Held if lapsed => {
                 self.record_event(Event::new(Kind::LeaseLapsed));
                 if !self.context.reclaim {
@@ -284,8 +298,10 @@
         Ok(())
     }
 
+    /// Asks the peers whether they reach the table, and enters, prolongs or ends
+    /// the outage mode accordingly.
     async fn check_outage(&mut self) {
-        let own = TableHealth {
+        let own_health = TableHealth {
             process: self.context.process.clone(),
             reachable: false,
         };
@@ -294,7 +310,7 @@
             **process != self.context.process && member.lease.state != LeaseState::Expired
         });
         let peers = others.map(|(_, member)| member.info.peer).collect();
-        let verdict = query_peers(&self.context.node, own, peers).await;
+        let verdict = query_peers(&self.context.node, own_health, peers).await;
         if verdict == OutageVerdict::Confirmed && !self.outage.is_over_limit() {
             self.context.gate.extend(Instant::now() + OUTAGE_EXTENSION);
             if !self.outage.in_outage {
@@ -309,6 +325,7 @@
         }
     }
 
+    /// Publishes the current view of the cell.
     pub(crate) fn publish(&self) {
         let ttl = self.context.timing.ttl;
         let mut members: Vec<MemberView> = self
--- a/crates/shard/src/shard_task.rs
+++ b/crates/shard/src/shard_task.rs
@@ -147,11 +147,11 @@
         let machine = Machine::new(params, recovered.ledger, config, times);
         let (input_sender, inputs) = mpsc::unbounded_channel();
         let (journal_event_sender, journal_events) = mpsc::unbounded_channel();
-        let (journal, orders) = mpsc::unbounded_channel();
+        let (journal, commands) = mpsc::unbounded_channel();
         let (stored_sender, stored) = mpsc::unbounded_channel();
         let router = Router::new(context.node.clone(), context.shards, view);
         let lender = Lender::new(router, position.shard);
-        let owner = ShardTask {
+        let task = ShardTask {
             shard: position.shard,
             epoch: position.epoch,
             started_at,
@@ -172,10 +172,10 @@
             lender,
             context,
         };
-        let table = owner.context.table.clone();
-        let pacer = owner.context.pacer.clone();
-        tokio::spawn(Journal::new(table, pacer, position, orders, journal_event_sender).run());
-        owner
+        let table = task.context.table.clone();
+        let pacer = task.context.pacer.clone();
+        tokio::spawn(Journal::new(table, pacer, position, commands, journal_event_sender).run());
+        task
     }
 
     /// Runs until released, fenced or closed.
@@ -186,9 +186,9 @@
         loop {
             tokio::select! {
                 biased;
-                journal_events = self.journal_events.recv() => match journal_events {
+                event = self.journal_events.recv() => match event {
                     Some(JournalEvent::Fenced) => return self.close(ShardTaskEnd::Fenced),
-                    Some(journal_events) => self.on_journal_event(&journal_events),
+                    Some(event) => self.on_journal_event(&event),
                     None if self.release_done.is_some() => return self.finish_release(),
                     None => return self.close(ShardTaskEnd::Fenced),
                 },
@@ -225,8 +225,8 @@
     /// and the shard may have another owner. Other inputs are handled, but
     /// replies and starts check the gate again before they leave.
     fn handle_input(&mut self, input: Input) {
-        let tick = matches!(input, Input::Tick);
-        if tick && !self.context.gate.is_open() {
+        let is_tick = matches!(input, Input::Tick);
+        if is_tick && !self.context.gate.is_open() {
             return;
         }
         let outputs = self.machine.handle(self.times(), input);
@@ -281,8 +281,8 @@
         end
     }
 
-    fn on_journal_event(&mut self, journal_events: &JournalEvent) {
-        match journal_events {
+    fn on_journal_event(&mut self, event: &JournalEvent) {
+        match event {
             JournalEvent::Written(ticket, seq) => {
                 self.written_seq = *seq;
                 self.handle_input(Input::Written(*ticket));
@@ -302,7 +302,7 @@
         }
         self.storing_segment = true;
         let segment = self.machine.build_segment(self.written_seq);
-        let name = SegmentRef {
+        let segment_ref = SegmentRef {
             name: segment_name(self.shard, segment.seq, &self.context.process),
             seq: segment.seq,
             at_millis: wall_millis(),
@@ -311,10 +311,10 @@
         let sender = self.stored_sender.clone();
         tokio::spawn(async move {
             let body = encode_row(&segment).into_bytes();
-            let result = match objects.put(&name.name, body).await {
-                Ok(()) => Ok((segment, name)),
+            let result = match objects.put(&segment_ref.name, body).await {
+                Ok(()) => Ok((segment, segment_ref)),
                 Err(error) => {
-                    log::debug!("segment {}: {error}", name.name);
+                    log::debug!("segment {} not stored: {error}", segment_ref.name);
                     tokio::time::sleep(TICK * 5).await;
                     Err(segment)
                 }
@@ -326,12 +326,12 @@
     fn on_stored(&mut self, stored: StoredSegment) {
         self.storing_segment = false;
         match stored {
-            Ok((_, name)) => {
+            Ok((_, segment_ref)) => {
                 let retention = crate::intake::millis(self.context.timing.retention);
                 let oldest = wall_millis().saturating_sub(retention);
                 self.segments.format = crate::FORMAT;
                 self.segments.segments.retain(|old| old.at_millis >= oldest);
-                self.segments.segments.push(name);
+                self.segments.segments.push(segment_ref);
                 let list = JournalCommand::Segments(self.segments.clone());
                 let _ = self.journal.send(list);
             }
@@ -412,8 +412,8 @@
             client: self.context.workers.clone(),
             gate: self.context.gate.clone(),
         };
-        let owner = self.input_sender.clone();
-        tokio::spawn(Link::new(params, fence, receiver, owner).run());
+        let inputs = self.input_sender.clone();
+        tokio::spawn(Link::new(params, fence, receiver, inputs).run());
     }
 
     fn record_event(&self, event: Event) {
--- a/crates/shard/src/worker_lists.rs
+++ b/crates/shard/src/worker_lists.rs
@@ -21,13 +21,15 @@
 use crate::join_hosts;
 
 /// Interval between reads of the worker lists while the host list is unchanged.
-const ASSIGN_INTERVAL: Duration = Duration::from_secs(5);
+const LIST_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Delay before the lists are read again after the host list has changed; by
 /// then the owner of shard 0 has assigned the new workers.
-const ASSIGN_RETRY: Duration = Duration::from_secs(1);
+const LIST_RETRY: Duration = Duration::from_secs(1);
 
 impl<T: Table, O: Objects, H: HostList> ShardManager<T, O, H> {
+    /// Reads the worker lists of the running shards and sends changes to their
+    /// tasks. The owner of shard 0 first assigns new workers.
     pub(crate) async fn read_worker_lists(&mut self) -> Result<(), ShardError> {
         let now = Instant::now();
         let hosts = self.hosts.borrow().clone();
@@ -36,12 +38,8 @@
         let Some(hosts) = hosts.filter(|_| due || changed) else {
             return Ok(());
         };
-        let wait = if changed {
-            ASSIGN_RETRY
-        } else {
-            ASSIGN_INTERVAL
-        };
-        self.lists_due_at = Some(now + wait);
+        let delay = if changed { LIST_RETRY } else { LIST_INTERVAL };
+        self.lists_due_at = Some(now + delay);
         self.last_hosts = Some(hosts.clone());
         if let Some(fence) = self.running.get(&0).map(|running| running.fence) {
             self.assign_workers(fence, &hosts).await?;
@@ -53,7 +51,7 @@
             let Some(list) = row.and_then(|row| self.decode_or_record::<AssignRow>(&row)) else {
                 // The owner of shard 0 has not yet assigned workers to this
                 // shard.
-                self.lists_due_at = Some(now + ASSIGN_RETRY / 4);
+                self.lists_due_at = Some(now + LIST_RETRY / 4);
                 continue;
             };
             let mut workers = join_hosts(&list, &hosts);
@@ -73,6 +71,7 @@
         }
     }
 
+    /// Sends a shard's workers to its task if they have changed.
     pub(crate) fn set_workers(&mut self, shard: ShardId, workers: Vec<WorkerHost>) {
         let Some(running) = self.running.get_mut(&shard) else {
             return;
@@ -83,6 +82,7 @@
         }
     }
 
+    /// Assigns new workers to the shards and writes the changed lists.
     pub(crate) async fn assign_workers(
         &mut self,
         fence: RowVersion,
--- a/crates/shard/tests/journal.rs
+++ b/crates/shard/tests/journal.rs
@@ -130,7 +130,7 @@
 // sent again. The writer must read the row back instead of guessing the
 // outcome.
 #[tokio::test]
-async fn a_lost_answer_is_read_back() {
+async fn a_batch_whose_reply_was_lost_is_read_back() {
     let table = MemoryTable::default();
     let fence = table.put(&shard_key(0), shard_row(1));
     let (commands, mut events) = open(&table, fence);
--- a/crates/shard/tests/machine.rs
+++ b/crates/shard/tests/machine.rs
@@ -13,7 +13,7 @@
 // twice, no request that ran is answered "not run", and no call gets two
 // answers.
 #[test]
-fn arbitrary_events_break_no_rule() {
+fn arbitrary_events_violate_no_invariant() {
     check!()
         .with_type::<Vec<Step>>()
         .with_iterations(4000)
@@ -34,7 +34,7 @@
 // whose start the new incarnation accepts. The start must name the incarnation
 // that the shard decided on, not the one that the link has claimed.
 #[test]
-fn a_start_for_an_old_run_is_not_taken_by_the_new_one() {
+fn a_start_for_an_old_incarnation_is_refused_by_the_new_one() {
     let mut sim = Simulation::new();
 
     sim.apply(&Step::Restart(0));
@@ -54,7 +54,7 @@
 // confirmation twice.
 #[test]
 #[should_panic(expected = "ran twice")]
-fn the_world_notices_a_second_run() {
+fn the_simulation_detects_a_second_run() {
     let mut sim = Simulation::new();
     sim.skip_fencing = true;
 
--- a/crates/shard/tests/simulation/invariants.rs
+++ b/crates/shard/tests/simulation/invariants.rs
@@ -19,7 +19,7 @@
             );
             assert!(
                 !self.not_run.contains(key),
-                "{key} ran, but was said not to: {}",
+                "{key} ran, but was answered \"not run\": {}",
                 self.trace(key)
             );
         }
--- a/crates/shard/tests/simulation/mod.rs
+++ b/crates/shard/tests/simulation/mod.rs
@@ -152,7 +152,7 @@
                 self.in_flight.push(StartInFlight {
                     worker,
                     epoch: self.epoch,
-                    run: incarnation_number(&order.run),
+                    incarnation: incarnation_number(&order.run),
                     order,
                 });
             }
--- a/crates/shard/tests/simulation/starts.rs
+++ b/crates/shard/tests/simulation/starts.rs
@@ -14,7 +14,7 @@
 pub(super) struct StartInFlight {
     pub(super) worker: usize,
     pub(super) epoch: u64,
-    pub(super) run: u32,
+    pub(super) incarnation: u32,
     pub(super) order: StartOrder,
 }
 
@@ -23,13 +23,13 @@
         if self.in_flight.is_empty() {
             return;
         }
-        let in_flight = self.in_flight.remove(index % self.in_flight.len());
-        let own = in_flight.epoch == self.epoch;
-        let attempt = in_flight.order.attempt.clone();
-        let worker = &mut self.workers[in_flight.worker];
-        let fenced = in_flight.epoch != worker.epoch && !self.skip_fencing;
+        let start = self.in_flight.remove(index % self.in_flight.len());
+        let from_current_owner = start.epoch == self.epoch;
+        let attempt = start.order.attempt.clone();
+        let worker = &mut self.workers[start.worker];
+        let fenced = start.epoch != worker.epoch && !self.skip_fencing;
         let refused = fenced
-            || in_flight.run != worker.run
+            || start.incarnation != worker.incarnation
             || worker.refused_attempts.contains(&attempt)
             || worker.running() >= SLOTS as usize;
         if worker.tasks.contains_key(&attempt) {
@@ -40,20 +40,20 @@
         } else {
             let task = Task {
                 attempt: attempt.clone(),
-                request: in_flight.order.request.clone(),
-                needs: in_flight.order.needs,
+                request: start.order.request.clone(),
+                needs: start.order.needs,
                 end: None,
             };
             worker.tasks.insert(attempt.clone(), task);
-            *self.starts.entry(in_flight.order.request).or_default() += 1;
+            *self.starts.entry(start.order.request).or_default() += 1;
         }
-        if own {
+        if from_current_owner {
             let input = if refused {
                 Input::NotStarted(attempt, NotStarted::Full)
             } else {
                 Input::Started(attempt)
             };
-            self.report(in_flight.worker, input);
+            self.report(start.worker, input);
         }
     }
 
@@ -61,13 +61,10 @@
         if self.in_flight.is_empty() {
             return;
         }
-        let in_flight = self.in_flight.remove(index % self.in_flight.len());
-        if in_flight.epoch == self.epoch {
-            let attempt = in_flight.order.attempt;
-            self.report(
-                in_flight.worker,
-                Input::NotStarted(attempt, NotStarted::Unsent),
-            );
+        let start = self.in_flight.remove(index % self.in_flight.len());
+        if start.epoch == self.epoch {
+            let attempt = start.order.attempt;
+            self.report(start.worker, Input::NotStarted(attempt, NotStarted::Unsent));
         }
     }
 }
--- a/crates/shard/tests/simulation/workers.rs
+++ b/crates/shard/tests/simulation/workers.rs
@@ -21,7 +21,7 @@
 /// A worker: its running tasks and the attempts that it refuses.
 #[derive(Debug, Default)]
 pub(super) struct FakeWorker {
-    pub(super) run: u32,
+    pub(super) incarnation: u32,
     pub(super) epoch: u64,
     pub(super) tasks: BTreeMap<String, Task>,
     /// Attempts whose starts it will always refuse.
@@ -88,7 +88,7 @@
 
     pub(super) fn restart(&mut self, worker: usize) {
         let state = &mut self.workers[worker];
-        state.run += 1;
+        state.incarnation += 1;
         state.epoch = 0;
         state.tasks.clear();
         state.refused_attempts.clear();
@@ -114,29 +114,32 @@
 
     pub(super) fn claim(&mut self, worker: usize) {
         let state = &mut self.workers[worker];
-        let again = state.epoch == self.epoch;
+        let reclaimed = state.epoch == self.epoch;
         state.epoch = self.epoch;
         let claimed = Claimed {
-            incarnation: format!("run-{}", state.run),
+            incarnation: format!("run-{}", state.incarnation),
             turn: 1,
             capacity: capacity(),
             tasks: state.tasks.values().cloned().collect(),
         };
-        let run = state.run;
+        let incarnation = state.incarnation;
         let input = Input::Claimed(worker_name(worker), claimed);
         self.workers[worker].undelivered.push_back(input);
         // The link reports that its claim has fenced off these starts.
         let epoch = self.epoch;
-        let fenced_off = |in_flight: &StartInFlight| {
-            in_flight.worker == worker && in_flight.epoch == epoch && in_flight.run != run && !again
+        let fenced_off = |start: &StartInFlight| {
+            start.worker == worker
+                && start.epoch == epoch
+                && start.incarnation != incarnation
+                && !reclaimed
         };
         let (fenced_off, remaining) = std::mem::take(&mut self.in_flight)
             .into_iter()
             .partition(fenced_off);
         self.in_flight = remaining;
         let fenced_off: Vec<StartInFlight> = fenced_off;
-        for in_flight in fenced_off {
-            let input = Input::NotStarted(in_flight.order.attempt, NotStarted::Fenced);
+        for start in fenced_off {
+            let input = Input::NotStarted(start.order.attempt, NotStarted::Fenced);
             self.workers[worker].undelivered.push_back(input);
         }
     }
@@ -149,11 +152,11 @@
         }
         // Starts still in flight name a poll turn that is too old, so the
         // worker refuses them.
-        for in_flight in &self.in_flight {
-            if in_flight.worker == worker {
+        for start in &self.in_flight {
+            if start.worker == worker {
                 self.workers[worker]
                     .refused_attempts
-                    .insert(in_flight.order.attempt.clone());
+                    .insert(start.order.attempt.clone());
             }
         }
         if self.workers[worker].epoch == self.epoch {
