--- a/crates/shard/src/assign.rs
+++ b/crates/shard/src/assign.rs
@@ -119,6 +119,7 @@
         changed
     }
 
+    /// Shard that a new worker is assigned to.
     fn least_loaded_shard(&self, host: &Host, hosts_by_id: &HashMap<&WorkerId, &Host>) -> ShardId {
         let count = |row: &AssignRow, is_same: fn(&Host, &Host) -> bool| {
             let shard_hosts = row
--- a/crates/shard/src/claiming.rs
+++ b/crates/shard/src/claiming.rs
@@ -52,7 +52,7 @@
     /// process's lease. The expiry alone fences nothing: if a shard's row is
     /// unchanged, no process has taken the shard, and none can any more on the
     /// basis of that expiry, since the lease is renewed. Such shards keep their
-    /// state; the others are dropped. (KIP-588 likewise treats a timeout apart
+    /// state; the others are dropped. (KIP-588 likewise separates timeouts
     /// from fencing.)
     pub(crate) async fn recheck_shards(&mut self) -> Result<(), ShardError> {
         if !self.context.reclaim {
--- a/crates/shard/src/gate.rs
+++ b/crates/shard/src/gate.rs
@@ -16,6 +16,8 @@
 #[derive(Debug)]
 pub struct LeaseGate {
     origin: Instant,
+    /// Milliseconds from the origin to the deadline, plus 1; 0 while acting is
+    /// forbidden.
     deadline_millis: AtomicU64,
 }
 
--- a/crates/shard/src/journal.rs
+++ b/crates/shard/src/journal.rs
@@ -251,8 +251,8 @@
             .put(key, encode_row(&self.latest_segments))
     }
 
-    /// Every journal row holds a batch that no stored segment covers yet. The
-    /// segment list must be updated before a row can be reused.
+    /// Every journal row holds a batch that the segment list in the table does
+    /// not cover yet. The list must be updated before a row can be reused.
     async fn try_write_segments(&mut self) -> Result<WriteOutcome, StoreError> {
         if self.latest_segments == self.position.segments {
             while let Ok(command) = self.commands.try_recv() {
--- a/crates/shard/src/lease.rs
+++ b/crates/shard/src/lease.rs
@@ -148,6 +148,7 @@
         }
     }
 
+    /// Content of the lease row for the next write.
     fn lease_row(&self, config: Version) -> LeaseRow {
         LeaseRow {
             format: FORMAT,
@@ -157,6 +158,7 @@
         }
     }
 
+    /// Row of the process's constant facts.
     fn member_row(&self) -> MemberRow {
         MemberRow {
             format: FORMAT,
--- a/crates/shard/src/ledger.rs
+++ b/crates/shard/src/ledger.rs
@@ -24,6 +24,7 @@
 #[derive(Debug, Default)]
 pub struct Ledger {
     entries: HashMap<String, Entry>,
+    /// Answered requests with the time of the answer, oldest first.
     answered: VecDeque<(Now, String)>,
 }
 
--- a/crates/shard/src/machine.rs
+++ b/crates/shard/src/machine.rs
@@ -55,7 +55,7 @@
     pub missing_at: Now,
 }
 
-/// What is continued once a record has been committed.
+/// Action that follows once its record has been committed.
 #[derive(Clone, Debug)]
 pub(crate) enum PendingRecord {
     /// Sending the starts of an attempt: request key and attempt number.
--- a/crates/shard/src/placement.rs
+++ b/crates/shard/src/placement.rs
@@ -15,11 +15,11 @@
     if names.is_empty() {
         return Vec::new();
     }
-    let bound = usize::from(shards).div_ceil(names.len());
+    let max_shards = usize::from(shards).div_ceil(names.len());
     let mut shard_counts = vec![0usize; names.len()];
     let mut owners = Vec::with_capacity(usize::from(shards));
     for shard in 0..shards {
-        let eligible = (0..names.len()).filter(|index| shard_counts[*index] < bound);
+        let eligible = (0..names.len()).filter(|index| shard_counts[*index] < max_shards);
         let best = eligible.max_by_key(|index| weight(&names[*index], shard));
         let index = best.unwrap_or_default();
         shard_counts[index] += 1;
--- a/crates/shard/tests/simulation/mod.rs
+++ b/crates/shard/tests/simulation/mod.rs
@@ -48,11 +48,15 @@
     times: Times,
     workers: Vec<FakeWorker>,
     in_flight: Vec<StartInFlight>,
+    /// Records that are not committed yet.
     queued: Vec<(Ticket, Vec<Record>)>,
     committed: Vec<Record>,
     waiters: SlotMap<WaiterKey, String>,
+    /// Number of accepted starts by request key.
     starts: BTreeMap<String, u32>,
+    /// Keys of the requests that were answered "not run".
     not_run: BTreeSet<String>,
+    /// Time of the first submission by request number.
     first_sent: BTreeMap<u8, u64>,
     /// Log of steps, inputs and outputs for the message of a failed check.
     history: Vec<String>,
