--- a/crates/shard/src/gate.rs
+++ b/crates/shard/src/gate.rs
@@ -37,7 +37,7 @@
         self.millis(Instant::now()) < self.deadline_millis.load(Ordering::Acquire)
     }
 
-    /// Allows acting until `until`; never shortens the current deadline.
+    /// Allows acting until `deadline`; never shortens the current deadline.
     pub fn extend(&self, deadline: Instant) {
         self.deadline_millis
             .fetch_max(self.millis(deadline), Ordering::AcqRel);
--- a/crates/shard/src/ledger.rs
+++ b/crates/shard/src/ledger.rs
@@ -130,6 +130,8 @@
         }
     }
 
+    /// Applies the record of an acceptance; the time until the latest start is
+    /// converted from the wall clock.
     fn replay_accept(&mut self, accepted: &Accepted, times: Times) {
         let request = accepted.request.clone();
         let key = model::request_key(&request.team, &request.id);
@@ -144,6 +146,8 @@
         self.entries.insert(key, entry);
     }
 
+    /// Applies the record of an intent. The states of its members are unknown
+    /// until their workers are asked.
     fn replay_intent(&mut self, key: &str, epoch: Epoch, attempt: u32, placed: &[Placement]) {
         let Some(entry) = self.entries.get_mut(key) else {
             return;
@@ -153,6 +157,7 @@
         }
         entry.attempt = attempt;
         entry.epoch = epoch;
+        // An earlier attempt, or this one if it has ended, may have started.
         if attempt > 1 || placed.is_empty() {
             entry.past = Past::Unseen;
         }
--- a/crates/shard/src/recovery.rs
+++ b/crates/shard/src/recovery.rs
@@ -99,8 +99,8 @@
     times: Times,
 ) -> Result<(), ShardError> {
     let newest = list.segments.len().saturating_sub(1);
-    for (index, name) in list.segments.iter().enumerate() {
-        let segment = read_segment(objects, name).await?;
+    for (index, segment_ref) in list.segments.iter().enumerate() {
+        let segment = read_segment(objects, segment_ref).await?;
         if index == newest {
             for record in &segment.open {
                 ledger.replay(record, times);
@@ -113,22 +113,27 @@
     Ok(())
 }
 
-async fn read_segment<O: Objects>(objects: &O, name: &SegmentRef) -> Result<Segment, ShardError> {
+/// Fetches and decodes one segment.
+async fn read_segment<O: Objects>(
+    objects: &O,
+    segment_ref: &SegmentRef,
+) -> Result<Segment, ShardError> {
     let damaged = |reason: &str| ShardError::Damaged {
-        key: name.name.clone(),
+        key: segment_ref.name.clone(),
         reason: reason.to_owned(),
     };
-    let body = objects.fetch(&name.name).await?;
+    let body = objects.fetch(&segment_ref.name).await?;
     let body = body.ok_or_else(|| damaged("the object is missing"))?;
     let value = String::from_utf8(body).map_err(|_| damaged("the object is not valid UTF-8"))?;
     let row = Row {
-        key: name.name.clone(),
+        key: segment_ref.name.clone(),
         version: 0,
         value,
     };
     decode_row(&row)
 }
 
+/// Decodes the journal rows: the batches in order, and the version of each row.
 fn read_journal_rows(rows: &[Row]) -> Result<(Vec<Batch>, Vec<RowVersion>), ShardError> {
     let row_count = usize::try_from(JOURNAL_ROWS).unwrap_or_default();
     let mut versions = vec![0; row_count];
--- a/crates/shard/tests/journal.rs
+++ b/crates/shard/tests/journal.rs
@@ -77,7 +77,7 @@
         let mut lost_answers = self.lost_answers.lock().expect("lost");
         if *lost_answers > 0 {
             *lost_answers -= 1;
-            let reason = "lost".to_owned();
+            let reason = "reply lost".to_owned();
             return Err(StoreError::Unknown { reason });
         }
         Ok(Committed::Done(versions))
@@ -101,7 +101,7 @@
 
 /// Starts a writer for shard 0 at epoch 1; returns its command and event
 /// channels.
-fn open(
+fn start_writer(
     table: &MemoryTable,
     fence: u64,
 ) -> (
@@ -116,7 +116,11 @@
         epoch: 1,
         fence,
         next_seq: 1,
-        row_versions: vec![0; usize::try_from(JOURNAL_ROWS).expect("small")],
+        row_versions: vec![
+            0;
+            usize::try_from(JOURNAL_ROWS)
+                .expect("the number of rows fits in a usize")
+        ],
         segments: SegmentList::default(),
         list_version: 0,
     };
@@ -133,12 +137,12 @@
 async fn a_batch_whose_reply_was_lost_is_read_back() {
     let table = MemoryTable::default();
     let fence = table.put(&shard_key(0), shard_row(1));
-    let (commands, mut events) = open(&table, fence);
+    let (commands, mut events) = start_writer(&table, fence);
     *table.lost_answers.lock().expect("lost") = 1;
 
     commands
         .send(JournalCommand::Append(7, cancel("x")))
-        .expect("open");
+        .expect("the journal writer has ended");
 
     assert_eq!(events.recv().await, Some(JournalEvent::Stalled));
     assert_eq!(events.recv().await, Some(JournalEvent::Written(7, 1)));
@@ -154,12 +158,12 @@
 async fn a_writer_of_an_earlier_epoch_is_fenced_even_by_its_own_process() {
     let table = MemoryTable::default();
     let fence = table.put(&shard_key(0), shard_row(1));
-    let (commands, mut events) = open(&table, fence);
+    let (commands, mut events) = start_writer(&table, fence);
     table.put(&shard_key(0), shard_row(3));
 
     commands
         .send(JournalCommand::Append(7, cancel("x")))
-        .expect("open");
+        .expect("the journal writer has ended");
 
     assert_eq!(events.recv().await, Some(JournalEvent::Fenced));
     assert!(table.range("journal/").await.expect("rows").is_empty());
@@ -172,12 +176,12 @@
 async fn rows_are_not_reused_before_a_segment_covers_them() {
     let table = MemoryTable::default();
     let fence = table.put(&shard_key(0), shard_row(1));
-    let (commands, mut events) = open(&table, fence);
+    let (commands, mut events) = start_writer(&table, fence);
 
     for ticket in 1..=JOURNAL_ROWS {
         commands
             .send(JournalCommand::Append(ticket, cancel("x")))
-            .expect("open");
+            .expect("the journal writer has ended");
         assert_eq!(
             events.recv().await,
             Some(JournalEvent::Written(ticket, ticket))
@@ -185,7 +189,7 @@
     }
     commands
         .send(JournalCommand::Append(99, cancel("y")))
-        .expect("open");
+        .expect("the journal writer has ended");
     let waited = tokio::time::timeout(std::time::Duration::from_secs(30), events.recv()).await;
 
     assert!(waited.is_err(), "{waited:?}");
--- a/crates/shard/tests/simulation/fixtures.rs
+++ b/crates/shard/tests/simulation/fixtures.rs
@@ -47,11 +47,12 @@
     number.is_some_and(|number| number % 2 == 0)
 }
 
-pub(crate) fn incarnation_number(run: &str) -> u32 {
-    let number = run
+/// Number in the incarnation of a simulated worker.
+pub(crate) fn incarnation_number(incarnation: &str) -> u32 {
+    let number = incarnation
         .strip_prefix("run-")
         .and_then(|number| number.parse().ok());
-    number.expect("a run of this world")
+    number.expect("an incarnation of the simulation")
 }
 
 pub(crate) fn worker_name(worker: usize) -> String {
@@ -59,7 +60,7 @@
 }
 
 pub(crate) fn worker_index(name: &str) -> usize {
-    name[1..].parse().expect("a worker of this world")
+    name[1..].parse().expect("a worker of the simulation")
 }
 
 pub(crate) fn capacity() -> Resources {
