--- a/crates/shard/src/lease.rs
+++ b/crates/shard/src/lease.rs
@@ -99,7 +99,7 @@
         self.counter += 1;
         if !self.try_write(config).await? {
             let reason =
-                "another process changed the lease row twice during one renewal".to_owned();
+                "the lease row was changed twice during one renewal".to_owned();
             return Err(StoreError::Unavailable { reason });
         }
         let renewal = if still_held {
