--- a/crates/shard/src/lease.rs
+++ b/crates/shard/src/lease.rs
@@ -98,8 +98,7 @@
         let sent_at = Instant::now();
         self.counter += 1;
         if !self.try_write(config).await? {
-            let reason =
-                "the lease row was changed twice during one renewal".to_owned();
+            let reason = "the lease row was changed twice during one renewal".to_owned();
             return Err(StoreError::Unavailable { reason });
         }
         let renewal = if still_held {
