--- a/crates/sched/src/core.rs
+++ b/crates/sched/src/core.rs
@@ -1,4 +1,4 @@
-//! State and decisions of one shard.
+//! Scheduling core: state and scheduling decisions of one shard.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -15,41 +15,42 @@
 use crate::JobKey;
 use crate::JobSpec;
 use crate::Limit;
-use crate::Now;
 use crate::Policy;
 use crate::Pool;
 use crate::Queues;
-use crate::Refused;
+use crate::SubmitError;
 use crate::TeamKey;
+use crate::Timestamp;
+use crate::WorkerEntry;
 use crate::WorkerKey;
-use crate::WorkerSlot;
 use crate::WorkerState;
-use crate::queue::QueuePlace;
+use crate::queue::QueuePosition;
 
-/// Jobs at the head of a team's queue that are tried when the first does not
-/// fit, so that one large job does not hold up the small ones behind it.
+/// Number of jobs at the head of a team's queue for which a placement is tried,
+/// so that a large job that does not fit does not block smaller ones behind it.
 const BACKFILL_DEPTH: usize = 8;
 
-/// Quarantined workers are at most one in this many; beyond that the cause is
-/// taken to be common to all (a rack, a bad release of jobs).
+/// At most one in this many workers is quarantined. If more of them fail, a
+/// common cause is assumed (a rack, a faulty release of the jobs).
 const QUARANTINE_SHARE: usize = 4;
 
-/// State and decisions of one shard.
+/// Scheduling core of one shard.
 #[derive(Debug)]
 pub struct Core<P> {
     pool: Pool<P>,
     jobs: SlotMap<JobKey, Job>,
     pub(crate) budgets: Budgets,
     pub(crate) queues: Queues,
-    /// Jobs lent to this core, whose quota is charged elsewhere.
-    pub(crate) exempt: HashSet<JobKey>,
+    /// Jobs that another shard lent to this one and whose quota is charged there.
+    pub(crate) quota_exempt: HashSet<JobKey>,
+    /// Number of jobs submitted so far, which ranks jobs by arrival.
     sequence: u64,
-    /// Whether the pool has all workers that there are.
-    complete: bool,
+    /// Whether the pool contains all workers of the shard.
+    all_known: bool,
 }
 
 impl<P: Policy> Core<P> {
-    /// A core without workers, grants or jobs.
+    /// Creates a core without workers, grants or jobs.
     #[must_use]
     pub fn new(policy: P) -> Core<P> {
         Core {
@@ -57,107 +58,109 @@
             jobs: SlotMap::with_key(),
             budgets: Budgets::default(),
             queues: Queues::default(),
-            exempt: HashSet::new(),
+            quota_exempt: HashSet::new(),
             sequence: 0,
-            complete: true,
+            all_known: true,
         }
     }
 
-    /// Replaces the policy; what runs stays where it is.
+    /// Replaces the policy; running jobs stay where they are.
     pub fn set_policy(&mut self, policy: P) {
         self.pool.set_policy(policy);
         self.queues.unblock();
     }
 
-    /// Puts new grants in force.
+    /// Applies new grants.
     pub fn grant(&mut self, grants: &Grants) {
         self.budgets.grant(grants);
         self.queues.unblock();
     }
 
-    /// Adds a worker, or replaces its capacity; its tasks are adopted next.
+    /// Adds a worker, or replaces its capacity. The caller adopts its tasks
+    /// afterwards.
     pub fn add_worker(&mut self, id: &str, rack: &str, capacity: Resources) -> WorkerKey {
         let rack = self.budgets.rack(rack);
         self.queues.unblock();
         self.pool.add(id, rack, capacity)
     }
 
-    /// Tells whether all workers that there are were added. Until then no job
-    /// is refused for being too large: right after a take-over the worker that
-    /// has room for it may be the one that was not heard of yet. True when
-    /// they are all known now and were not before.
-    pub fn set_complete(&mut self, complete: bool) -> bool {
-        let before = std::mem::replace(&mut self.complete, complete);
-        complete && !before
+    /// Sets whether all workers of the shard were added. Until then no job is
+    /// refused as too large: right after a take-over, the worker on which it
+    /// fits may not have been claimed yet. Returns true if the value changes
+    /// from false to true.
+    pub fn set_all_known(&mut self, all_known: bool) -> bool {
+        let was_known = std::mem::replace(&mut self.all_known, all_known);
+        all_known && !was_known
     }
 
-    /// Whether the workers could hold a job if nothing else ran, or are not
-    /// all known.
+    /// Whether a job would fit if nothing else ran. Also true while not all
+    /// workers are known.
     #[must_use]
     pub fn could_hold(&self, spec: &JobSpec) -> bool {
-        !self.complete || self.pool.is_empty() || self.pool.could_hold(&spec.needs, spec.members)
+        !self.all_known || self.pool.is_empty() || self.pool.could_hold(&spec.needs, spec.members)
     }
 
-    /// Changes whether a worker takes tasks.
+    /// Sets whether new tasks may be placed on a worker.
     pub fn set_state(&mut self, worker: WorkerKey, state: WorkerState) {
         self.pool.set_state(worker, state);
         self.queues.unblock();
     }
 
-    /// Forgets a worker that holds no tasks; another stays as lost.
+    /// Removes a worker without tasks; one that still has tasks is marked as
+    /// lost instead.
     pub fn remove_worker(&mut self, worker: WorkerKey) {
         self.pool.remove(worker);
     }
 
-    /// Key of a worker by its name.
+    /// Looks up the key of a worker by its id.
     #[must_use]
     pub fn worker(&self, id: &str) -> Option<WorkerKey> {
         self.pool.find(id)
     }
 
-    /// A worker's state.
+    /// State of a worker.
     #[must_use]
-    pub fn worker_slot(&self, worker: WorkerKey) -> Option<&WorkerSlot> {
+    pub fn worker_entry(&self, worker: WorkerKey) -> Option<&WorkerEntry> {
         self.pool.get(worker)
     }
 
-    /// All workers.
-    pub fn workers(&self) -> impl Iterator<Item = (WorkerKey, &WorkerSlot)> {
+    /// Iterates over all workers.
+    pub fn workers(&self) -> impl Iterator<Item = (WorkerKey, &WorkerEntry)> {
         self.pool.iter()
     }
 
-    /// A job's state.
+    /// State of a job.
     #[must_use]
     pub fn job(&self, job: JobKey) -> Option<&Job> {
         self.jobs.get(job)
     }
 
-    /// Jobs that wait.
+    /// The waiting jobs.
     #[must_use]
     pub fn queues(&self) -> &Queues {
         &self.queues
     }
 
-    /// Limits beside those of the workers.
+    /// The limits other than the capacity of the workers.
     #[must_use]
     pub fn budgets(&self) -> &Budgets {
         &self.budgets
     }
 
-    /// Takes a job into the queue.
+    /// Adds a job to the queue.
     ///
     /// # Errors
-    /// The job can never run here, or its team's queue is full.
-    pub fn submit(&mut self, now: Now, spec: JobSpec) -> Result<JobKey, Refused> {
+    /// The job can never fit on the workers, or its team's queue is full.
+    pub fn submit(&mut self, now: Timestamp, spec: JobSpec) -> Result<JobKey, SubmitError> {
         if !self.could_hold(&spec) {
-            return Err(Refused::NeverFits);
+            return Err(SubmitError::NeverFits);
         }
         let team = self.budgets.team(&spec.team);
-        let slot = self.budgets.team_slot_mut(team);
-        if slot.waiting >= slot.queue {
-            return Err(Refused::QueueFull);
+        let entry = self.budgets.team_entry_mut(team);
+        if entry.waiting >= entry.queue {
+            return Err(SubmitError::QueueFull);
         }
-        slot.waiting += 1;
+        entry.waiting += 1;
         self.sequence += 1;
         let rank = self.rank(&spec);
         let (class, deadline) = (spec.class, spec.deadline);
@@ -167,17 +170,17 @@
             placed: Vec::new(),
             rank,
         });
-        let place = QueuePlace {
+        let queue_position = QueuePosition {
             rank,
             deadline,
             job,
         };
-        self.queues.push(class, team, place);
-        self.queues.note_fresh(class, team, job, BACKFILL_DEPTH);
+        self.queues.push(class, team, queue_position);
+        self.queues.note_untried(class, team, job, BACKFILL_DEPTH);
         Ok(job)
     }
 
-    /// Batch goes by deadline, the other classes by arrival.
+    /// Batch jobs are ranked by deadline, jobs of the other classes by arrival.
     fn rank(&self, spec: &JobSpec) -> u64 {
         match spec.class {
             Class::Batch => u64::try_from(spec.deadline.as_millis()).unwrap_or(u64::MAX),
@@ -185,9 +188,9 @@
         }
     }
 
-    /// Takes in a task that runs already (after a change of owner), whether
-    /// or not the limits would admit it.
-    pub fn adopt(&mut self, now: Now, spec: JobSpec, worker: WorkerKey) -> JobKey {
+    /// Adds a job that is already running (after a take-over), whether or not
+    /// the limits admit it.
+    pub fn adopt(&mut self, now: Timestamp, spec: JobSpec, worker: WorkerKey) -> JobKey {
         let job = self.jobs.insert(Job {
             spec,
             since: now,
@@ -198,7 +201,7 @@
         job
     }
 
-    /// Takes in one more running member of an adopted job.
+    /// Adds one more running member to an adopted job.
     pub fn adopt_member(&mut self, job: JobKey, worker: WorkerKey) {
         let Some(state) = self.jobs.get_mut(job) else {
             return;
@@ -206,16 +209,16 @@
         state.placed.push(worker);
         let (needs, team) = (state.spec.needs, state.spec.team.clone());
         let team = self.budgets.team(&team);
-        self.take(worker, team, &needs);
+        self.book(worker, team, &needs);
     }
 
-    fn take(&mut self, worker: WorkerKey, team: TeamKey, needs: &Resources) {
-        let rack = self.pool.take(worker, needs);
-        self.budgets.take(team, rack, needs);
+    fn book(&mut self, worker: WorkerKey, team: TeamKey, needs: &Resources) {
+        let rack = self.pool.book(worker, needs);
+        self.budgets.book(team, rack, needs);
     }
 
-    /// A member of a job holds its worker no longer. Returns how many members
-    /// still run; the job is forgotten with the last.
+    /// Releases what a member of a job has booked on its worker. Returns the
+    /// number of members that still run; the job is removed with the last one.
     pub fn release(&mut self, job: JobKey, worker: WorkerKey) -> usize {
         let Some(state) = self.jobs.get_mut(job) else {
             return 0;
@@ -224,37 +227,38 @@
             return state.placed.len();
         };
         state.placed.swap_remove(index);
-        let left = state.placed.len();
+        let remaining = state.placed.len();
         let (needs, team) = (state.spec.needs, state.spec.team.clone());
-        if left == 0 {
+        if remaining == 0 {
             self.jobs.remove(job);
         }
         let team = self.budgets.team(&team);
-        if let Some(rack) = self.pool.put_back(worker, &needs) {
-            if self.exempt.contains(&job) {
-                self.budgets.take_quota(team, &needs);
+        if let Some(rack) = self.pool.unbook(worker, &needs) {
+            if self.quota_exempt.contains(&job) {
+                self.budgets.book_quota(team, &needs);
             }
-            self.budgets.put_back(team, rack, &needs);
+            self.budgets.unbook(team, rack, &needs);
         }
-        if left == 0 {
-            self.exempt.remove(&job);
+        if remaining == 0 {
+            self.quota_exempt.remove(&job);
         }
         self.queues.unblock();
-        left
+        remaining
     }
 
-    /// Takes in how a task ended on a worker.
+    /// Records whether a task succeeded on a worker.
     pub fn record_end(&mut self, worker: WorkerKey, succeeded: bool) -> HealthChange {
-        let bad = |(_, slot): &(WorkerKey, &WorkerSlot)| slot.health.is_quarantined();
-        let quarantined = self.pool.iter().filter(bad).count();
-        let allowed = (quarantined + 1) * QUARANTINE_SHARE <= self.pool.len();
+        let is_quarantined_worker =
+            |(_, entry): &(WorkerKey, &WorkerEntry)| entry.health.is_quarantined();
+        let quarantined = self.pool.iter().filter(is_quarantined_worker).count();
+        let may_quarantine = (quarantined + 1) * QUARANTINE_SHARE <= self.pool.len();
         let health = self.pool.health_mut(worker);
         health.map_or(HealthChange::None, |health| {
-            health.record(succeeded, allowed)
+            health.record(succeeded, may_quarantine)
         })
     }
 
-    /// Allows each quarantined worker one task.
+    /// Allows each quarantined worker to run one probe task.
     pub fn allow_probes(&mut self) {
         let workers: Vec<WorkerKey> = self.pool.iter().map(|(key, _)| key).collect();
         for worker in workers {
@@ -265,7 +269,7 @@
         self.queues.unblock();
     }
 
-    /// Takes a waiting job out of the queue; false if it does not wait.
+    /// Removes a waiting job; returns false if the job is not waiting.
     pub fn withdraw(&mut self, job: JobKey) -> bool {
         let Some(state) = self.jobs.get(job) else {
             return false;
@@ -280,46 +284,47 @@
 
     fn dequeue(&mut self, job: JobKey) {
         let state = &self.jobs[job];
-        let place = QueuePlace {
+        let queue_position = QueuePosition {
             rank: state.rank,
             deadline: state.spec.deadline,
             job,
         };
         let class = state.spec.class;
         let team = self.budgets.team(&state.spec.team);
-        self.queues.remove(class, team, &place);
-        let slot = self.budgets.team_slot_mut(team);
-        slot.waiting = slot.waiting.saturating_sub(1);
+        self.queues.remove(class, team, &queue_position);
+        let entry = self.budgets.team_entry_mut(team);
+        entry.waiting = entry.waiting.saturating_sub(1);
     }
 
-    /// Everything that can be decided at `now`.
-    pub fn decide(&mut self, now: Now) -> Vec<Decision> {
+    /// Makes all decisions that are possible at `now`.
+    pub fn decide(&mut self, now: Timestamp) -> Vec<Decision> {
         let mut decisions = Vec::new();
         for job in self.queues.overdue(now) {
             self.withdraw(job);
             decisions.push(Decision::Expire { job });
         }
-        for job in self.queues.take_fresh() {
-            self.decide_fresh(job, &mut decisions);
+        for job in self.queues.take_untried() {
+            self.decide_untried(job, &mut decisions);
         }
-        for class in self.queues.open_classes() {
+        for class in self.queues.unblocked_classes() {
             self.decide_class(class, &mut decisions);
         }
         decisions
     }
 
-    /// A new job of a class whose heads do not fit may fit by itself.
-    fn decide_fresh(&mut self, job: JobKey, decisions: &mut Vec<Decision>) {
+    /// Tries to place a new job of a blocked class: it may fit although the jobs
+    /// at the heads of the queues do not.
+    fn decide_untried(&mut self, job: JobKey, decisions: &mut Vec<Decision>) {
         let Some(state) = self.jobs.get(job).filter(|state| state.placed.is_empty()) else {
             return;
         };
         let team = self.budgets.team(&state.spec.team);
         if let Some(workers) = self.place(job, team) {
-            self.commit(job, workers, decisions);
+            self.start_job(job, workers, decisions);
         }
     }
 
-    fn commit(&mut self, job: JobKey, workers: Vec<WorkerKey>, decisions: &mut Vec<Decision>) {
+    fn start_job(&mut self, job: JobKey, workers: Vec<WorkerKey>, decisions: &mut Vec<Decision>) {
         self.dequeue(job);
         for worker in &workers {
             self.adopt_member(job, *worker);
@@ -329,17 +334,17 @@
 
     fn decide_class(&mut self, class: Class, decisions: &mut Vec<Decision>) {
         while let Some((job, workers)) = self.next_start(class) {
-            self.commit(job, workers, decisions);
+            self.start_job(job, workers, decisions);
         }
         self.queues.block(class);
     }
 
-    /// The next job of a class that has room, the team that holds the
-    /// smallest part of its quota first.
+    /// The next job of a class that can be placed. The team that has booked the
+    /// smallest share of its quota goes first.
     fn next_start(&mut self, class: Class) -> Option<(JobKey, Vec<WorkerKey>)> {
         let mut teams = self.queues.teams(class);
         if teams.len() > 1 {
-            teams.sort_by_key(|team| self.budgets.team_slot(*team).share());
+            teams.sort_by_key(|team| self.budgets.team_entry(*team).share());
         }
         for team in teams {
             for job in self.queues.heads(class, team, BACKFILL_DEPTH) {
@@ -351,11 +356,11 @@
         None
     }
 
-    /// Workers for all members of a job, or none.
+    /// Workers for all members of a job, or `None` if not all members fit.
     fn place(&self, job: JobKey, team: TeamKey) -> Option<Vec<WorkerKey>> {
         let spec = &self.jobs[job].spec;
-        let whole = spec.needs.times(spec.members);
-        if self.budgets.stopped_by(team, &whole).is_some() {
+        let total = spec.needs.times(spec.members);
+        if self.budgets.exceeded_limit(team, &total).is_some() {
             return None;
         }
         if spec.members == 1 {
@@ -365,28 +370,28 @@
     }
 
     pub(crate) fn best_worker(&self, spec: &JobSpec) -> Option<WorkerKey> {
-        let usable = |(key, slot): &(WorkerKey, &WorkerSlot)| {
-            slot.takes(&spec.needs)
-                && self.budgets.rack_admits(slot.rack, &spec.needs)
+        let usable = |(key, entry): &(WorkerKey, &WorkerEntry)| {
+            entry.accepts(&spec.needs)
+                && self.budgets.rack_admits(entry.rack, &spec.needs)
                 && !spec.avoid.contains(key)
         };
         self.pool.ranked().find(usable).map(|(key, _)| key)
     }
 
-    /// Fills worker after worker in the policy's order.
+    /// Places as many members as fit on each worker, in the policy's order.
     fn place_gang(&self, spec: &JobSpec) -> Option<Vec<WorkerKey>> {
-        let wanted = usize::try_from(spec.members).unwrap_or(usize::MAX);
-        let mut workers = Vec::with_capacity(wanted);
+        let member_count = usize::try_from(spec.members).unwrap_or(usize::MAX);
+        let mut workers = Vec::with_capacity(member_count);
         let mut racks: HashMap<crate::RackKey, Resources> = HashMap::new();
-        let usable = |(_, slot): &(WorkerKey, &WorkerSlot)| {
-            slot.takes(&spec.needs) && !slot.health.is_quarantined()
+        let usable = |(_, entry): &(WorkerKey, &WorkerEntry)| {
+            entry.accepts(&spec.needs) && !entry.health.is_quarantined()
         };
-        for (key, slot) in self.pool.ranked().filter(usable) {
-            let mut free = slot.free;
-            let planned = racks.entry(slot.rack).or_default();
-            while workers.len() < wanted && spec.needs.fits(&free) {
+        for (key, entry) in self.pool.ranked().filter(usable) {
+            let mut free = entry.free;
+            let planned = racks.entry(entry.rack).or_default();
+            while workers.len() < member_count && spec.needs.fits(&free) {
                 let power = planned.plus(&spec.needs);
-                if !self.budgets.rack_admits(slot.rack, &power) {
+                if !self.budgets.rack_admits(entry.rack, &power) {
                     break;
                 }
                 *planned = power;
@@ -394,17 +399,17 @@
                 workers.push(key);
             }
         }
-        (workers.len() == wanted).then_some(workers)
+        (workers.len() == member_count).then_some(workers)
     }
 
-    /// What keeps a waiting job from starting.
+    /// The limit that keeps a waiting job from starting.
     #[must_use]
-    pub fn waits_for(&mut self, job: JobKey) -> Option<Limit> {
+    pub fn blocking_limit(&mut self, job: JobKey) -> Option<Limit> {
         let spec = &self.jobs.get(job)?.spec;
-        let whole = spec.needs.times(spec.members);
+        let total = spec.needs.times(spec.members);
         let team = spec.team.clone();
         let team = self.budgets.team(&team);
-        let limit = self.budgets.stopped_by(team, &whole);
+        let limit = self.budgets.exceeded_limit(team, &total);
         Some(limit.unwrap_or(Limit::Workers))
     }
 }
--- a/crates/sched/src/health.rs
+++ b/crates/sched/src/health.rs
@@ -1,13 +1,14 @@
-//! Recognises workers that fail everything they start.
+//! Quarantines workers on which every task fails.
 //!
-//! A worker that fails at once is always free and so attracts all work (a
-//! "black hole"). One notices that distinct jobs fail on it with no success
-//! in between. Such a worker gets single probes until one succeeds.
+//! A worker whose tasks fail at once always has free capacity and so attracts
+//! all work (a "black hole"). It is recognised by distinct jobs that fail on it
+//! with no success in between, and then gets one probe task at a time until a
+//! probe succeeds.
 
-/// Failures of distinct jobs in a row that put a worker into quarantine.
+/// Consecutive failures of distinct jobs after which a worker is quarantined.
 pub const QUARANTINE_FAILURES: u32 = 4;
 
-/// What a worker's recent tasks say about it.
+/// Health of a worker, judged by the results of its recent tasks.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Health {
     failures: u32,
@@ -15,38 +16,38 @@
     probe: bool,
 }
 
-/// What a recorded end changed.
+/// Change of a worker's quarantine after the end of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthChange {
-    /// Nothing.
+    /// The worker stays in or out of quarantine.
     None,
-    /// The worker is now in quarantine.
+    /// The worker has just been quarantined.
     Quarantined,
     /// The worker has left quarantine.
     Restored,
 }
 
 impl Health {
-    /// Whether one more task may start beside `tasks` that run.
+    /// Whether another task may start while `tasks` are running.
     #[must_use]
     pub fn admits(&self, tasks: u32) -> bool {
         !self.quarantined || (self.probe && tasks == 0)
     }
 
-    /// Whether the worker is in quarantine.
+    /// Whether the worker is quarantined.
     #[must_use]
     pub fn is_quarantined(&self) -> bool {
         self.quarantined
     }
 
-    /// Allows a quarantined worker one task.
+    /// Allows a quarantined worker to run one probe task.
     pub fn allow_probe(&mut self) {
         self.probe = true;
     }
 
-    /// Takes in how a task ended. `may_quarantine` is false when too many
-    /// workers are in quarantine already: then the cause is more likely in
-    /// the jobs, and the cell must not empty itself.
+    /// Records the result of a task. `may_quarantine` is false when too many
+    /// workers are quarantined already: the jobs are then the more likely
+    /// cause, and the cell must not lose its remaining workers.
     pub fn record(&mut self, succeeded: bool, may_quarantine: bool) -> HealthChange {
         self.probe = false;
         if succeeded {
@@ -73,7 +74,7 @@
     use super::QUARANTINE_FAILURES;
 
     #[test]
-    fn a_success_between_failures_keeps_a_worker_in_use() {
+    fn a_success_between_failures_prevents_quarantine() {
         let mut health = Health::default();
 
         for _ in 0..QUARANTINE_FAILURES {
@@ -85,7 +86,7 @@
     }
 
     #[test]
-    fn a_successful_probe_restores_a_worker() {
+    fn a_successful_probe_ends_quarantine() {
         let mut health = Health::default();
         for _ in 0..QUARANTINE_FAILURES {
             health.record(false, true);
--- a/crates/sched/src/job.rs
+++ b/crates/sched/src/job.rs
@@ -1,4 +1,4 @@
-//! A job as the decision core sees it.
+//! Jobs and the decisions on them in the scheduling core.
 
 use std::time::Duration;
 
@@ -10,68 +10,68 @@
 use crate::WorkerKey;
 
 new_key_type! {
-    /// Key of a job within one core.
+    /// Key of a job within one scheduling core.
     pub struct JobKey;
 }
 
-/// Time since an origin that the caller chooses, the same for all calls.
-pub type Now = Duration;
+/// Time since an origin that the caller chooses and keeps for all calls.
+pub type Timestamp = Duration;
 
-/// What a job needs.
+/// Requirements of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobSpec {
-    /// Team whose quota it takes from.
+    /// Team whose quota is charged.
     pub team: TeamId,
-    /// Class, which selects the queue.
+    /// Class, which selects the queue of the job.
     pub class: Class,
-    /// Needs of each member, its slot included.
+    /// Resources that each member needs, its slot included.
     pub needs: Resources,
-    /// Members that start together.
+    /// Number of members, which start together.
     pub members: u32,
-    /// Latest start.
-    pub deadline: Now,
-    /// Expected run time.
+    /// Latest time at which the job may start.
+    pub deadline: Timestamp,
+    /// Expected run time of the job.
     pub run: Duration,
-    /// Workers on which it failed already.
+    /// Workers on which an earlier attempt failed; they are not chosen again.
     pub avoid: Vec<WorkerKey>,
 }
 
-/// State of a job within the core.
+/// State of a job within the scheduling core.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// What it needs.
+    /// Requirements of the job.
     pub spec: JobSpec,
-    /// When it was submitted.
-    pub since: Now,
-    /// Workers of the members that run; empty while it waits.
+    /// Time of submission.
+    pub since: Timestamp,
+    /// Workers of the running members; empty while the job is waiting.
     pub placed: Vec<WorkerKey>,
-    /// Its rank in the queue while it waits.
+    /// Rank in the queue while the job is waiting.
     pub(crate) rank: u64,
 }
 
-/// Why a job is not taken.
+/// Reason why a job was not accepted into the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
-    /// No set of workers of this core could ever hold it.
+pub enum SubmitError {
+    /// The job would not fit even if all workers of this core were empty.
     NeverFits,
-    /// The queue of its team is full.
+    /// The queue of the job's team is full.
     QueueFull,
 }
 
-/// What the core wants done.
+/// Action that the core asks its caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Start the members of a job, one on each worker named (a worker may be
-    /// named more than once).
+    /// Start the members of a job, one on each listed worker (a worker may be
+    /// listed more than once).
     Start {
-        /// The job.
+        /// Job to start.
         job: JobKey,
-        /// A worker for each member.
+        /// Worker of each member.
         workers: Vec<WorkerKey>,
     },
-    /// Its latest start has passed; the core has forgotten it.
+    /// The latest start time of a job has passed; the core has removed the job.
     Expire {
-        /// The job.
+        /// Job that was removed.
         job: JobKey,
     },
 }
--- a/crates/sched/src/lend.rs
+++ b/crates/sched/src/lend.rs
@@ -1,22 +1,24 @@
-//! Work that runs in another shard's workers, since its own have no room.
+//! Lending: a job whose own shard has no free capacity runs on the workers of
+//! another shard.
 //!
-//! The quota of its team is charged where it was submitted, workers and power
-//! where it runs; so no limit is exceeded, and no shard needs to know the
-//! other's state.
+//! The team's quota is charged in the shard where the job was submitted,
+//! workers and power in the shard where it runs. So no limit is exceeded, and
+//! neither shard needs to know the state of the other.
 
 use crate::Core;
 use crate::JobKey;
 use crate::JobSpec;
 use crate::Limit;
-use crate::Now;
 use crate::Policy;
+use crate::Timestamp;
 use crate::WorkerKey;
 
 impl<P: Policy> Core<P> {
-    /// Takes a waiting job out of the queue, to have it run elsewhere; its
-    /// team's quota is charged. False if it does not wait for workers here.
+    /// Removes a waiting job from the queue so that another shard can run it,
+    /// and charges its team's quota. Returns false, and changes nothing, if the
+    /// job is not waiting for workers of this shard.
     pub fn lend(&mut self, job: JobKey) -> bool {
-        if self.waits_for(job) != Some(Limit::Workers) {
+        if self.blocking_limit(job) != Some(Limit::Workers) {
             return false;
         }
         let Some(spec) = self.job(job).map(|state| state.spec.clone()) else {
@@ -26,20 +28,20 @@
             return false;
         }
         let team = self.budgets.team(&spec.team);
-        self.budgets.take_quota(team, &spec.needs);
+        self.budgets.book_quota(team, &spec.needs);
         true
     }
 
-    /// A lent job is over, or comes back: its quota is free again.
-    pub fn end_loan(&mut self, spec: &JobSpec) {
+    /// Releases the quota of a lent job that has ended or was returned.
+    pub fn release_lent(&mut self, spec: &JobSpec) {
         let team = self.budgets.team(&spec.team);
-        self.budgets.put_back_quota(team, &spec.needs);
+        self.budgets.unbook_quota(team, &spec.needs);
         self.queues.unblock();
     }
 
-    /// Places a job of another shard at once, or not at all: own work that
-    /// waits goes first. Its quota is charged there.
-    pub fn place_lent(&mut self, now: Now, spec: JobSpec) -> Option<(JobKey, WorkerKey)> {
+    /// Places a job of another shard at once, or not at all, since this shard's
+    /// own waiting jobs go first. The quota is charged in the other shard.
+    pub fn place_lent(&mut self, now: Timestamp, spec: JobSpec) -> Option<(JobKey, WorkerKey)> {
         if !self.queues.is_empty() || !self.budgets.site_admits(&spec.needs) {
             return None;
         }
@@ -47,8 +49,8 @@
         let team = self.budgets.team(&spec.team);
         let needs = spec.needs;
         let job = self.adopt(now, spec, worker);
-        self.budgets.put_back_quota(team, &needs);
-        self.exempt.insert(job);
+        self.budgets.unbook_quota(team, &needs);
+        self.quota_exempt.insert(job);
         Some((job, worker))
     }
 }
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -1,6 +1,6 @@
-//! Pure decision core of one shard: placement, queues and limits. It does no
-//! I/O and has no clock or randomness of its own; the same calls give the
-//! same decisions.
+//! Scheduling core of one shard: placement, queues and limits. It does no I/O
+//! and uses neither a clock nor randomness, so the same sequence of calls
+//! always gives the same decisions.
 
 mod budget;
 mod core;
@@ -10,7 +10,7 @@
 mod policy;
 mod pool;
 mod queue;
-mod slot;
+mod worker;
 
 pub use budget::*;
 pub use core::*;
@@ -19,4 +19,4 @@
 pub use policy::*;
 pub use pool::*;
 pub use queue::*;
-pub use slot::*;
+pub use worker::*;
--- a/crates/sched/src/policy.rs
+++ b/crates/sched/src/policy.rs
@@ -1,36 +1,38 @@
-//! Which of the workers that have room gets a task.
+//! Policies that choose among the workers on which a task fits.
 
-use crate::WorkerSlot;
+use crate::WorkerEntry;
 
-/// Ranks workers for a task; the highest rank wins, of equals the one used
-/// longest ago.
+/// Ranks workers for a task. The worker with the highest rank is chosen, and
+/// among equal ranks the least recently used one.
 pub trait Policy {
-    /// Rank of `worker`; it depends on nothing else, so that the workers can be
-    /// kept in order.
-    fn rank(&self, worker: &WorkerSlot) -> i64;
+    /// Rank of `worker`. It must depend on nothing else, so that the workers
+    /// can be kept sorted.
+    fn rank(&self, worker: &WorkerEntry) -> i64;
 }
 
-/// Weighs waiting against packing.
+/// Ranks by load, with a configurable choice between spreading and packing.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Weighted {
-    /// 0 spreads over idle workers, 100 fills the fullest that has room.
+    /// 0 prefers the least loaded worker, 100 the most loaded one on which the
+    /// task fits.
     pub pack_percent: u32,
 }
 
 impl Policy for Weighted {
-    fn rank(&self, worker: &WorkerSlot) -> i64 {
+    fn rank(&self, worker: &WorkerEntry) -> i64 {
         let load = i64::from(worker.load());
         let pack = i64::from(self.pack_percent);
         load * (2 * pack - 100)
     }
 }
 
-/// Baseline: the first worker that has room, in the order they were added.
+/// Baseline: the first worker on which the task fits, in the order in which
+/// workers were added.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FirstFit;
 
 impl Policy for FirstFit {
-    fn rank(&self, worker: &WorkerSlot) -> i64 {
+    fn rank(&self, worker: &WorkerEntry) -> i64 {
         -i64::from(worker.index)
     }
 }
@@ -40,7 +42,7 @@
 pub struct LeastLoaded;
 
 impl Policy for LeastLoaded {
-    fn rank(&self, worker: &WorkerSlot) -> i64 {
+    fn rank(&self, worker: &WorkerEntry) -> i64 {
         -i64::from(worker.tasks)
     }
 }
--- a/crates/sched/src/pool.rs
+++ b/crates/sched/src/pool.rs
@@ -1,5 +1,5 @@
-//! The workers of one core, kept in the policy's order, so that a placement
-//! looks at the few best ones instead of at all.
+//! The workers of one scheduling core. They are kept sorted by the policy's
+//! rank, so that a placement examines a few of the best workers, not all.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -12,25 +12,25 @@
 use crate::Health;
 use crate::Policy;
 use crate::RackKey;
+use crate::WorkerEntry;
 use crate::WorkerKey;
-use crate::WorkerSlot;
 use crate::WorkerState;
 
-/// Place in the order: the highest rank first, of equals the one used longest
-/// ago.
-type Place = (Reverse<i64>, u64, WorkerKey);
+/// Sort key of a worker: the highest rank first, and among workers of equal
+/// rank the least recently used one.
+type RankKey = (Reverse<i64>, u64, WorkerKey);
 
-/// The workers of one core.
+/// The workers of one scheduling core.
 #[derive(Debug)]
 pub struct Pool<P> {
     policy: P,
-    slots: SlotMap<WorkerKey, WorkerSlot>,
-    names: HashMap<WorkerId, WorkerKey>,
-    /// Workers that are ready and have a slot free.
-    order: BTreeSet<Place>,
-    places: HashMap<WorkerKey, Place>,
-    /// How many workers have each capacity; there are few kinds of worker.
-    kinds: Vec<(Resources, u32)>,
+    workers: SlotMap<WorkerKey, WorkerEntry>,
+    by_id: HashMap<WorkerId, WorkerKey>,
+    /// Workers that are ready and have a free slot.
+    ranking: BTreeSet<RankKey>,
+    rank_keys: HashMap<WorkerKey, RankKey>,
+    /// Number of workers of each capacity; there are few different capacities.
+    capacities: Vec<(Resources, u32)>,
     placements: u64,
 }
 
@@ -38,61 +38,61 @@
     pub(crate) fn new(policy: P) -> Pool<P> {
         Pool {
             policy,
-            slots: SlotMap::with_key(),
-            names: HashMap::new(),
-            order: BTreeSet::new(),
-            places: HashMap::new(),
-            kinds: Vec::new(),
+            workers: SlotMap::with_key(),
+            by_id: HashMap::new(),
+            ranking: BTreeSet::new(),
+            rank_keys: HashMap::new(),
+            capacities: Vec::new(),
             placements: 0,
         }
     }
 
     pub(crate) fn set_policy(&mut self, policy: P) {
         self.policy = policy;
-        let keys: Vec<WorkerKey> = self.slots.keys().collect();
+        let keys: Vec<WorkerKey> = self.workers.keys().collect();
         for key in keys {
-            self.reorder(key);
+            self.update_ranking(key);
         }
     }
 
-    /// Key of a worker by its name.
+    /// Looks up the key of a worker by its id.
     #[must_use]
     pub fn find(&self, id: &str) -> Option<WorkerKey> {
-        self.names.get(id).copied()
+        self.by_id.get(id).copied()
     }
 
-    /// A worker's state.
+    /// State of a worker.
     #[must_use]
-    pub fn get(&self, worker: WorkerKey) -> Option<&WorkerSlot> {
-        self.slots.get(worker)
+    pub fn get(&self, worker: WorkerKey) -> Option<&WorkerEntry> {
+        self.workers.get(worker)
     }
 
-    /// All workers.
-    pub fn iter(&self) -> impl Iterator<Item = (WorkerKey, &WorkerSlot)> {
-        self.slots.iter()
+    /// Iterates over all workers.
+    pub fn iter(&self) -> impl Iterator<Item = (WorkerKey, &WorkerEntry)> {
+        self.workers.iter()
     }
 
     /// Number of workers.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.slots.len()
+        self.workers.len()
     }
 
-    /// Whether there is no worker.
+    /// Whether there are no workers.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.slots.is_empty()
+        self.workers.is_empty()
     }
 
-    /// Workers with a slot free, the best first.
-    pub(crate) fn ranked(&self) -> impl Iterator<Item = (WorkerKey, &WorkerSlot)> {
-        self.order
+    /// Ready workers with a free slot, the best-ranked first.
+    pub(crate) fn ranked(&self) -> impl Iterator<Item = (WorkerKey, &WorkerEntry)> {
+        self.ranking
             .iter()
-            .map(|(_, _, key)| (*key, &self.slots[*key]))
+            .map(|(_, _, key)| (*key, &self.workers[*key]))
     }
 
     pub(crate) fn health_mut(&mut self, worker: WorkerKey) -> Option<&mut Health> {
-        self.slots.get_mut(worker).map(|slot| &mut slot.health)
+        self.workers.get_mut(worker).map(|entry| &mut entry.health)
     }
 
     pub(crate) fn add(&mut self, id: &str, rack: RackKey, capacity: Resources) -> WorkerKey {
@@ -100,111 +100,124 @@
             Some(key) => key,
             None => self.insert(id, rack),
         };
-        let slot = &mut self.slots[key];
-        let held = slot.capacity.minus(&slot.free);
-        let earlier = std::mem::replace(&mut slot.capacity, capacity);
-        slot.free = capacity.minus(&held);
-        slot.state = WorkerState::Ready;
-        self.count_kind(earlier, false);
-        self.count_kind(capacity, true);
-        self.reorder(key);
+        let entry = &mut self.workers[key];
+        let booked = entry.capacity.minus(&entry.free);
+        let former = std::mem::replace(&mut entry.capacity, capacity);
+        entry.free = capacity.minus(&booked);
+        entry.state = WorkerState::Ready;
+        self.count_capacity(former, false);
+        self.count_capacity(capacity, true);
+        self.update_ranking(key);
         key
     }
 
     fn insert(&mut self, id: &str, rack: RackKey) -> WorkerKey {
-        let index = self.names.len();
-        let key = self.slots.insert(WorkerSlot {
+        let index = self.by_id.len();
+        let key = self.workers.insert(WorkerEntry {
             id: id.to_owned(),
             index: u32::try_from(index).unwrap_or(u32::MAX),
             rack,
             capacity: Resources::default(),
             free: Resources::default(),
             tasks: 0,
-            used: 0,
+            last_placement: 0,
             state: WorkerState::Ready,
             health: Health::default(),
         });
-        self.names.insert(id.to_owned(), key);
+        self.by_id.insert(id.to_owned(), key);
         key
     }
 
-    fn count_kind(&mut self, capacity: Resources, more: bool) {
+    fn count_capacity(&mut self, capacity: Resources, added: bool) {
         if capacity == Resources::default() {
             return;
         }
-        let kind = self.kinds.iter_mut().find(|(kind, _)| *kind == capacity);
-        match (kind, more) {
+        let known = self
+            .capacities
+            .iter_mut()
+            .find(|(known, _)| *known == capacity);
+        match (known, added) {
             (Some((_, count)), true) => *count += 1,
             (Some((_, count)), false) => *count = count.saturating_sub(1),
-            (None, true) => self.kinds.push((capacity, 1)),
+            (None, true) => self.capacities.push((capacity, 1)),
             (None, false) => {}
         }
-        self.kinds.retain(|(_, count)| *count > 0);
+        self.capacities.retain(|(_, count)| *count > 0);
     }
 
     pub(crate) fn set_state(&mut self, worker: WorkerKey, state: WorkerState) {
-        if let Some(slot) = self.slots.get_mut(worker) {
-            slot.state = state;
-            self.reorder(worker);
+        if let Some(entry) = self.workers.get_mut(worker) {
+            entry.state = state;
+            self.update_ranking(worker);
         }
     }
 
-    /// Forgets a worker that holds no tasks; another stays as lost.
+    /// Removes a worker without tasks; one that still has tasks is marked as
+    /// lost instead.
     pub(crate) fn remove(&mut self, worker: WorkerKey) {
-        let Some(slot) = self.slots.get(worker) else {
+        let Some(entry) = self.workers.get(worker) else {
             return;
         };
-        if slot.tasks > 0 {
+        if entry.tasks > 0 {
             self.set_state(worker, WorkerState::Lost);
             return;
         }
-        let capacity = slot.capacity;
-        self.names.remove(&slot.id);
-        self.slots.remove(worker);
-        self.count_kind(capacity, false);
-        self.reorder(worker);
+        let capacity = entry.capacity;
+        self.by_id.remove(&entry.id);
+        self.workers.remove(worker);
+        self.count_capacity(capacity, false);
+        self.update_ranking(worker);
     }
 
-    /// Whether the workers, were they empty, could hold `members` tasks with
-    /// `needs` each. Lost workers count: they may come back.
+    /// Whether `members` tasks with these `needs` would fit if nothing else
+    /// ran. Lost workers count, since they may come back.
     #[must_use]
     pub fn could_hold(&self, needs: &Resources, members: u32) -> bool {
-        let room = |(kind, count): &(Resources, u32)| needs.fit_times(kind).saturating_mul(*count);
-        self.kinds.iter().map(room).fold(0, u32::saturating_add) >= members
+        let fitting_tasks =
+            |(known, count): &(Resources, u32)| needs.fit_times(known).saturating_mul(*count);
+        self.capacities
+            .iter()
+            .map(fitting_tasks)
+            .fold(0, u32::saturating_add)
+            >= members
     }
 
-    pub(crate) fn take(&mut self, worker: WorkerKey, needs: &Resources) -> RackKey {
+    pub(crate) fn book(&mut self, worker: WorkerKey, needs: &Resources) -> RackKey {
         self.placements += 1;
-        let slot = &mut self.slots[worker];
-        slot.free = slot.free.minus(needs);
-        slot.tasks += 1;
-        slot.used = self.placements;
-        let rack = slot.rack;
-        self.reorder(worker);
+        let entry = &mut self.workers[worker];
+        entry.free = entry.free.minus(needs);
+        entry.tasks += 1;
+        entry.last_placement = self.placements;
+        let rack = entry.rack;
+        self.update_ranking(worker);
         rack
     }
 
-    pub(crate) fn put_back(&mut self, worker: WorkerKey, needs: &Resources) -> Option<RackKey> {
-        let slot = self.slots.get_mut(worker)?;
-        slot.free = slot.free.plus(needs);
-        slot.tasks = slot.tasks.saturating_sub(1);
-        let rack = slot.rack;
-        self.reorder(worker);
+    pub(crate) fn unbook(&mut self, worker: WorkerKey, needs: &Resources) -> Option<RackKey> {
+        let entry = self.workers.get_mut(worker)?;
+        entry.free = entry.free.plus(needs);
+        entry.tasks = entry.tasks.saturating_sub(1);
+        let rack = entry.rack;
+        self.update_ranking(worker);
         Some(rack)
     }
 
-    fn reorder(&mut self, worker: WorkerKey) {
-        if let Some(place) = self.places.remove(&worker) {
-            self.order.remove(&place);
+    fn update_ranking(&mut self, worker: WorkerKey) {
+        if let Some(rank_key) = self.rank_keys.remove(&worker) {
+            self.ranking.remove(&rank_key);
         }
-        let Some(slot) = self.slots.get(worker) else {
+        let Some(entry) = self.workers.get(worker) else {
             return;
         };
-        if slot.state != WorkerState::Ready || slot.free.slots == 0 {
+        if entry.state != WorkerState::Ready || entry.free.slots == 0 {
             return;
         }
-        let place = (Reverse(self.policy.rank(slot)), slot.used, worker);
-        self.places.insert(worker, place);
-        self.order.insert(place);
+        let rank_key = (
+            Reverse(self.policy.rank(entry)),
+            entry.last_placement,
+            worker,
+        );
+        self.rank_keys.insert(worker, rank_key);
+        self.ranking.insert(rank_key);
     }
 }
--- a/crates/sched/src/queue.rs
+++ b/crates/sched/src/queue.rs
@@ -1,4 +1,4 @@
-//! Jobs that wait: by class, then by team, then by rank.
+//! Waiting jobs, ordered by class, then by team, then by rank.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -6,88 +6,89 @@
 use model::Class;
 
 use crate::JobKey;
-use crate::Now;
 use crate::TeamKey;
+use crate::Timestamp;
 
-/// Jobs of one class that wait, by team and rank.
+/// Waiting jobs of one class, by team and rank.
 #[derive(Debug, Default)]
 pub struct ClassQueue {
     teams: BTreeMap<TeamKey, BTreeSet<(u64, JobKey)>>,
-    /// Set when nothing at the heads could be placed; cleared as soon as
-    /// something is freed. Without it each new job of a full cell would scan
-    /// the whole cell again.
+    /// Set when none of the jobs at the heads of the queues could be placed,
+    /// cleared as soon as resources are freed. Without it every new job in a
+    /// full cell would scan all workers again.
     blocked: bool,
 }
 
-/// All jobs of one core that wait.
+/// All waiting jobs of one scheduling core.
 #[derive(Debug, Default)]
 pub struct Queues {
     classes: BTreeMap<Class, ClassQueue>,
-    deadlines: BTreeSet<(Now, JobKey)>,
-    /// New jobs of blocked classes that are to be tried once.
-    fresh: Vec<JobKey>,
+    deadlines: BTreeSet<(Timestamp, JobKey)>,
+    /// New jobs of blocked classes; one placement is attempted for each.
+    untried: Vec<JobKey>,
 }
 
 impl Queues {
-    pub(crate) fn push(&mut self, class: Class, team: TeamKey, place: QueuePlace) {
+    pub(crate) fn push(&mut self, class: Class, team: TeamKey, position: QueuePosition) {
         let queue = self.classes.entry(class).or_default();
         queue
             .teams
             .entry(team)
             .or_default()
-            .insert((place.rank, place.job));
-        self.deadlines.insert((place.deadline, place.job));
+            .insert((position.rank, position.job));
+        self.deadlines.insert((position.deadline, position.job));
     }
 
-    pub(crate) fn remove(&mut self, class: Class, team: TeamKey, place: &QueuePlace) {
-        self.deadlines.remove(&(place.deadline, place.job));
+    pub(crate) fn remove(&mut self, class: Class, team: TeamKey, position: &QueuePosition) {
+        self.deadlines.remove(&(position.deadline, position.job));
         let Some(queue) = self.classes.get_mut(&class) else {
             return;
         };
         let Some(jobs) = queue.teams.get_mut(&team) else {
             return;
         };
-        jobs.remove(&(place.rank, place.job));
+        jobs.remove(&(position.rank, position.job));
         if jobs.is_empty() {
             queue.teams.remove(&team);
         }
     }
 
-    /// Notes a new job of a blocked class for one try, if it stands among the
-    /// first `depth` of its team: those behind are tried when their turn comes.
-    pub(crate) fn note_fresh(&mut self, class: Class, team: TeamKey, job: JobKey, depth: usize) {
+    /// Schedules one placement attempt for a new job of a blocked class, if it
+    /// is among the first `depth` of its team. Later ones are tried when they
+    /// reach the head of the queue.
+    pub(crate) fn note_untried(&mut self, class: Class, team: TeamKey, job: JobKey, depth: usize) {
         let Some(queue) = self.classes.get(&class).filter(|queue| queue.blocked) else {
             return;
         };
         let waiting = queue.teams.get(&team).map_or(0, BTreeSet::len);
         if waiting <= depth {
-            self.fresh.push(job);
+            self.untried.push(job);
         }
     }
 
-    pub(crate) fn take_fresh(&mut self) -> Vec<JobKey> {
-        std::mem::take(&mut self.fresh)
+    pub(crate) fn take_untried(&mut self) -> Vec<JobKey> {
+        std::mem::take(&mut self.untried)
     }
 
-    /// Classes that have jobs and may have room, the most urgent first.
-    pub(crate) fn open_classes(&self) -> Vec<Class> {
-        let open = |queue: &ClassQueue| !queue.blocked && !queue.teams.is_empty();
+    /// Classes with waiting jobs that are not blocked, the most urgent first.
+    pub(crate) fn unblocked_classes(&self) -> Vec<Class> {
+        let is_unblocked = |queue: &ClassQueue| !queue.blocked && !queue.teams.is_empty();
         self.classes
             .iter()
-            .filter(|(_, queue)| open(queue))
+            .filter(|(_, queue)| is_unblocked(queue))
             .map(|(class, _)| *class)
             .collect()
     }
 
-    /// Teams with waiting jobs of a class.
+    /// Teams that have waiting jobs of a class.
     pub(crate) fn teams(&self, class: Class) -> Vec<TeamKey> {
         let queue = self.classes.get(&class);
         queue
-            .map(|q| q.teams.keys().copied().collect())
+            .map(|class_queue| class_queue.teams.keys().copied().collect())
             .unwrap_or_default()
     }
 
-    /// First `limit` jobs of a team in a class.
+    /// The first `limit` waiting jobs of a team in a class.
     pub(crate) fn heads(&self, class: Class, team: TeamKey, limit: usize) -> Vec<JobKey> {
         self.classes
             .get(&class)
@@ -108,8 +109,8 @@
         }
     }
 
-    /// Jobs whose latest start lies before `now`.
-    pub(crate) fn overdue(&self, now: Now) -> Vec<JobKey> {
+    /// Jobs whose latest start time is before `now`.
+    pub(crate) fn overdue(&self, now: Timestamp) -> Vec<JobKey> {
         self.deadlines
             .iter()
             .take_while(|(deadline, _)| *deadline < now)
@@ -117,29 +118,29 @@
             .collect()
     }
 
-    /// The earliest latest start of all waiting jobs.
+    /// The earliest deadline of all waiting jobs.
     #[must_use]
-    pub fn next_deadline(&self) -> Option<Now> {
+    pub fn next_deadline(&self) -> Option<Timestamp> {
         self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Number of jobs that wait.
+    /// Number of waiting jobs.
     #[must_use]
     pub fn len(&self) -> usize {
         self.deadlines.len()
     }
 
-    /// Whether no job waits.
+    /// Whether no job is waiting.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.deadlines.is_empty()
     }
 }
 
-/// Where a job stands in the queues.
+/// Position of a job in the queues.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct QueuePlace {
+pub(crate) struct QueuePosition {
     pub(crate) rank: u64,
-    pub(crate) deadline: Now,
+    pub(crate) deadline: Timestamp,
     pub(crate) job: JobKey,
 }
--- a/crates/shard/src/entry.rs
+++ b/crates/shard/src/entry.rs
@@ -8,7 +8,7 @@
 use model::Resources;
 use model::WorkerId;
 use sched::JobKey;
-use sched::Now;
+use sched::Timestamp;
 use worker::AttemptId;
 use worker::End;
 
@@ -111,9 +111,9 @@
     /// What was asked.
     pub request: Request,
     /// When it was submitted.
-    pub since: Now,
+    pub since: Timestamp,
     /// Latest start.
-    pub deadline: Now,
+    pub deadline: Timestamp,
     /// Latest start by the wall clock, in milliseconds since 1970.
     pub until_millis: u64,
     /// Number of the newest attempt; 0 before the first.
@@ -150,7 +150,12 @@
 impl Entry {
     /// A request that has just come in.
     #[must_use]
-    pub fn new(request: Request, since: Now, deadline: Now, until_millis: u64) -> Entry {
+    pub fn new(
+        request: Request,
+        since: Timestamp,
+        deadline: Timestamp,
+        until_millis: u64,
+    ) -> Entry {
         Entry {
             request,
             since,
@@ -175,7 +180,7 @@
 
     /// A request that only a worker's report tells of.
     #[must_use]
-    pub fn orphan(key: &str, needs: Resources, now: Now) -> Entry {
+    pub fn orphan(key: &str, needs: Resources, now: Timestamp) -> Entry {
         let (team, id) = key.split_once('/').unwrap_or(("", key));
         let request = Request {
             id: id.to_owned(),
@@ -236,7 +241,7 @@
 
     /// Takes in that its attempt starts, or was sent, at `now`. What an
     /// earlier attempt waited stays.
-    pub(crate) fn note_wait(&mut self, now: Now) {
+    pub(crate) fn note_wait(&mut self, now: Timestamp) {
         if !self.touched() {
             let here = crate::intake::millis(now.saturating_sub(self.since));
             self.waited_millis = self.before_millis + here;
--- a/crates/shard/src/fleet.rs
+++ b/crates/shard/src/fleet.rs
@@ -8,7 +8,7 @@
 use event::Kind;
 use model::WorkerId;
 use sched::JobKey;
-use sched::Refused;
+use sched::SubmitError;
 use sched::WorkerState;
 use store::HostState;
 use worker::Claimed;
@@ -60,7 +60,7 @@
     fn count_known(&mut self) {
         let core = &self.core;
         let complete = self.workers.keys().all(|id| core.worker(id).is_some());
-        if !self.core.set_complete(complete) {
+        if !self.core.set_all_known(complete) {
             return;
         }
         let core = &self.core;
@@ -71,7 +71,7 @@
         let keys: Vec<String> = entries.map(|(key, _)| key.clone()).collect();
         for key in keys {
             self.withdraw(&key);
-            self.finish_interrupted(&key, Refused::NeverFits);
+            self.finish_interrupted(&key, SubmitError::NeverFits);
         }
     }
 
@@ -105,7 +105,7 @@
         };
         let lost = self
             .core
-            .worker_slot(worker)
+            .worker_entry(worker)
             .is_some_and(|slot| slot.state == WorkerState::Lost);
         if lost {
             return;
@@ -296,8 +296,8 @@
         let Some(worker) = self.core.worker(id) else {
             return;
         };
-        let ready = |slot: &sched::WorkerSlot| slot.state == WorkerState::Ready;
-        if self.core.worker_slot(worker).is_some_and(ready) {
+        let ready = |slot: &sched::WorkerEntry| slot.state == WorkerState::Ready;
+        if self.core.worker_entry(worker).is_some_and(ready) {
             self.core.set_state(worker, WorkerState::Held);
             self.held.push((self.times.now + HOLD, id.to_owned()));
         }
@@ -313,8 +313,8 @@
             let Some(worker) = self.core.worker(&id) else {
                 continue;
             };
-            let held = |slot: &sched::WorkerSlot| slot.state == WorkerState::Held;
-            if self.core.worker_slot(worker).is_some_and(held) {
+            let held = |slot: &sched::WorkerEntry| slot.state == WorkerState::Held;
+            if self.core.worker_entry(worker).is_some_and(held) {
                 self.core.set_state(worker, WorkerState::Ready);
             }
         }
--- a/crates/shard/src/intake.rs
+++ b/crates/shard/src/intake.rs
@@ -9,7 +9,7 @@
 use model::Request;
 use model::request_key;
 use sched::JobSpec;
-use sched::Refused;
+use sched::SubmitError;
 
 use crate::Acceptance;
 use crate::Accepted;
@@ -159,7 +159,7 @@
 
     /// A refused id is remembered like any other: a copy of the submission
     /// that was delayed on its way must not run after "not run" was said.
-    fn refuse(&mut self, key: &str, entry: Entry, refused: Refused, waiter: WaiterKey) {
+    fn refuse(&mut self, key: &str, entry: Entry, refused: SubmitError, waiter: WaiterKey) {
         let id = entry.request.id.clone();
         let (code, reason) = refusal_of(refused);
         let mut answer = Answer::bare(&id, code, reason);
--- a/crates/shard/src/launch.rs
+++ b/crates/shard/src/launch.rs
@@ -31,7 +31,7 @@
         };
         let names: Vec<String> = workers
             .iter()
-            .filter_map(|worker| self.core.worker_slot(*worker))
+            .filter_map(|worker| self.core.worker_entry(*worker))
             .map(|slot| slot.id.clone())
             .collect();
         let Some(entry) = self.ledger.get_mut(&key) else {
--- a/crates/shard/src/ledger.rs
+++ b/crates/shard/src/ledger.rs
@@ -6,7 +6,7 @@
 
 use model::Answer;
 use model::Epoch;
-use sched::Now;
+use sched::Timestamp;
 
 use crate::Acceptance;
 use crate::Accepted;
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 pub struct Ledger {
     entries: HashMap<String, Entry>,
-    ended: VecDeque<(Now, String)>,
+    ended: VecDeque<(Timestamp, String)>,
 }
 
 /// Times of one input: the monotonic one decides, the wall clock is kept for
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Times {
     /// Time since the shard's task began.
-    pub now: Now,
+    pub now: Timestamp,
     /// Milliseconds since 1970.
     pub wall_millis: u64,
 }
@@ -70,7 +70,7 @@
 
     /// Takes in an answer that an earlier owner recorded; the request itself
     /// may stand in an older segment that is no longer read.
-    fn replay_end(&mut self, key: &str, answer: Answer, now: Now) {
+    fn replay_end(&mut self, key: &str, answer: Answer, now: Timestamp) {
         if !self.entries.contains_key(key) {
             let entry = Entry::orphan(key, model::Resources::default(), now);
             self.entries.insert(key.to_owned(), entry);
@@ -82,7 +82,7 @@
     }
 
     /// Marks a request as answered.
-    pub fn finish(&mut self, key: &str, answer: Answer, now: Now) {
+    pub fn finish(&mut self, key: &str, answer: Answer, now: Timestamp) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.stage = Stage::Done(answer);
             entry.members = Vec::new();
@@ -92,7 +92,7 @@
     }
 
     /// Forgets answers older than the retention.
-    pub fn forget(&mut self, now: Now, retention: Duration) {
+    pub fn forget(&mut self, now: Timestamp, retention: Duration) {
         while let Some((at, _)) = self.ended.front() {
             if *at + retention > now {
                 return;
--- a/crates/shard/src/lend.rs
+++ b/crates/shard/src/lend.rs
@@ -91,7 +91,7 @@
             return;
         }
         let spec = Self::job_spec(entry);
-        self.core.end_loan(&spec);
+        self.core.release_lent(&spec);
         match loan {
             Loan::Answer(answer) if answer.code.family() != Family::NotRun => {
                 self.finish_lent(key, answer);
--- a/crates/shard/src/machine.rs
+++ b/crates/shard/src/machine.rs
@@ -18,7 +18,7 @@
 use sched::Core;
 use sched::Decision;
 use sched::JobKey;
-use sched::Now;
+use sched::Timestamp;
 use sched::Weighted;
 
 use crate::Entry;
@@ -51,7 +51,7 @@
     /// Longest time for which answers are remembered.
     pub retention: Duration,
     /// When the tasks of workers that could not be claimed count as missing.
-    pub missing_at: Now,
+    pub missing_at: Timestamp,
 }
 
 /// What waits for a commit.
@@ -92,7 +92,7 @@
     /// Workers that left the host list, but may still run tasks.
     pub(crate) retiring: Vec<WorkerId>,
     /// Workers that have refused a start, and until when they are left alone.
-    pub(crate) held: Vec<(Now, WorkerId)>,
+    pub(crate) held: Vec<(Timestamp, WorkerId)>,
     /// New requests that may be lent, and those that nobody had room for.
     pub(crate) lendable: VecDeque<String>,
     pub(crate) unlent: VecDeque<String>,
@@ -104,7 +104,7 @@
     /// Ends since the last segment.
     pub(crate) ended: Vec<Record>,
     next_ticket: Ticket,
-    next_probe: Now,
+    next_probe: Timestamp,
     /// Whether the table takes records for now.
     pub(crate) stalled: bool,
     /// Whether the shard moves away.
@@ -197,7 +197,7 @@
 
     /// When the next tick is due at the latest.
     #[must_use]
-    pub fn next_due(&self) -> Option<Now> {
+    pub fn next_due(&self) -> Option<Timestamp> {
         self.core.queues().next_deadline()
     }
 
--- a/crates/shard/src/outcome.rs
+++ b/crates/shard/src/outcome.rs
@@ -6,7 +6,7 @@
 use model::Code;
 use model::Family;
 use sched::HealthChange;
-use sched::Refused;
+use sched::SubmitError;
 use worker::EndResult;
 use worker::Task;
 
@@ -253,7 +253,7 @@
         }
     }
 
-    pub(crate) fn finish_interrupted(&mut self, key: &str, refused: Refused) {
+    pub(crate) fn finish_interrupted(&mut self, key: &str, refused: SubmitError) {
         let touched = self.ledger.get(key).is_some_and(Entry::touched);
         if touched {
             self.finish_bare(
@@ -400,13 +400,13 @@
 }
 
 /// Code and reason of a request that the core refuses.
-pub(crate) fn refusal_of(refused: Refused) -> (Code, &'static str) {
+pub(crate) fn refusal_of(refused: SubmitError) -> (Code, &'static str) {
     match refused {
-        Refused::NeverFits => {
+        SubmitError::NeverFits => {
             let reason = "no set of workers of its shard is large enough";
             (Code::NeverFits, reason)
         }
-        Refused::QueueFull => (Code::QueueFull, "the team's queue is full"),
+        SubmitError::QueueFull => (Code::QueueFull, "the team's queue is full"),
     }
 }
 
--- a/crates/shard/src/standing.rs
+++ b/crates/shard/src/standing.rs
@@ -32,7 +32,7 @@
             Stage::Waiting(_) | Stage::Recording(_) if !entry.is_safe() => {
                 "its acceptance is being recorded".to_owned()
             }
-            Stage::Waiting(job) => match self.core.waits_for(job) {
+            Stage::Waiting(job) => match self.core.blocking_limit(job) {
                 Some(limit) => format!("waiting for {limit}"),
                 None => "waiting".to_owned(),
             },
