--- a/crates/shard/src/answers.rs
+++ b/crates/shard/src/answers.rs
@@ -1,4 +1,5 @@
-//! What the ends of an attempt mean for its request.
+//! Evaluates the results of an attempt: either its request gets a final answer
+//! or it runs again.
 
 use std::time::Duration;
 
@@ -13,23 +14,24 @@
 use crate::Origin;
 use crate::Past;
 
-/// Attempts of a request, restarts included.
+/// Maximum number of attempts of a request.
 pub const ATTEMPTS: u32 = 4;
 
-/// Time within which an interrupted request must start again, if its own
-/// deadline lies earlier.
+/// Time within which an interrupted request must start again if its own
+/// deadline is earlier.
 pub const RESTART_GRACE: Duration = Duration::from_secs(15);
 
-/// What becomes of a request whose attempt is over.
+/// What follows for a request after an attempt has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Its final answer.
+    /// The request gets this final answer.
     Answer(Answer),
-    /// It runs again, from a checkpoint if there is one.
+    /// The request runs again, from this checkpoint if there is one.
     Again(Option<String>),
 }
 
-/// Judges an attempt; `extra` are ends beside those of the members.
+/// Evaluates an attempt whose members have all ended. `extra` are results of
+/// tasks that are not among the members of `entry`.
 #[must_use]
 pub fn judge(entry: &Entry, extra: &[(&str, &End)]) -> Verdict {
     let mut ends: Vec<(&str, &End)> = extra.to_vec();
@@ -84,9 +86,10 @@
     answer(Code::HostLost, "it was interrupted; it may have run")
 }
 
-/// Answer to a request whose caller cancelled it while it ran. A stop that was
-/// sent is not one that was carried out: a task that ended by itself first was
-/// answered as stopped, and its caller, told that it failed, did it again.
+/// Answer to a request that was cancelled while it ran. It depends on how the
+/// task ended, not on the stop that was sent: a task that had ended by itself
+/// before the stop arrived was once answered as stopped, and its caller, who
+/// took that for a failure, submitted it again.
 fn stopped(entry: &Entry, ends: &[(&str, &End)], gone: bool) -> Answer {
     if gone || entry.past == Past::Unseen {
         let reason = "cancelled, but nobody knows how it ended; it may have run";
--- a/crates/shard/src/cancel.rs
+++ b/crates/shard/src/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancel calls: what waits is withdrawn, what runs is told to stop.
+//! Cancel calls: waiting requests are withdrawn, running tasks are sent a stop.
 
 use event::Event;
 use event::Kind;
@@ -16,14 +16,14 @@
 use crate::machine::Pending;
 use crate::machine::Withdrawn;
 
-/// What a cancel call has found so far.
+/// Effects of a cancel call on the requests processed so far.
 #[derive(Debug, Default)]
 struct Found {
-    /// Requests that wait, whose end is recorded with one record for all.
+    /// Keys of waiting requests whose cancellation goes into one common record.
     waiting: Vec<String>,
-    /// All that the call means.
+    /// Number of requests that count as cancelled by the call.
     count: u32,
-    /// Whether some end is on the way to the table already.
+    /// Whether the record of some request's answer is already being written.
     recording: bool,
 }
 
@@ -34,7 +34,8 @@
         entries.map(|(key, _)| key.clone()).collect()
     }
 
-    /// What waits is withdrawn with one record for all; what runs is stopped.
+    /// Withdraws waiting requests, with one record for all, and stops running
+    /// ones.
     pub(crate) fn on_cancel(&mut self, keys: Vec<String>, waiter: WaiterKey) {
         let mut found = Found::default();
         for key in keys {
@@ -57,9 +58,10 @@
         self.append(record, Pending::Cancelled(withdrawn));
     }
 
-    /// A request that an earlier call has cancelled counts again: a caller who
-    /// lost the reply repeats the call, and would be told that nothing was
-    /// cancelled. While its end is on the way to the table, the reply waits.
+    /// Cancels one request. A request that an earlier call cancelled counts
+    /// again: a caller that lost the reply repeats the call, and would otherwise
+    /// be told that nothing was cancelled. The reply waits until the records of
+    /// the answers are in the table.
     fn cancel_one(&mut self, key: String, found: &mut Found) {
         let Some(entry) = self.ledger.get(&key) else {
             return;
@@ -101,8 +103,8 @@
         self.finish_bare(key, code, reason);
     }
 
-    /// From here on nothing starts them; callers hear of it once the record
-    /// is in the table.
+    /// Closes cancelled requests, so that they can't start any more. Their callers
+    /// get the answer once its record is in the table.
     fn close_cancelled(&mut self, keys: &[String]) {
         for key in keys {
             if let Some(entry) = self.ledger.get_mut(key) {
@@ -128,7 +130,7 @@
     }
 }
 
-/// Whether an answer says that its caller cancelled the request.
+/// Whether an answer code says that the request was cancelled by its caller.
 pub(crate) fn is_cancelled(code: Code) -> bool {
     matches!(code, Code::Cancelled | Code::TaskStopped)
 }
--- a/crates/shard/src/entry.rs
+++ b/crates/shard/src/entry.rs
@@ -1,4 +1,4 @@
-//! A request as its shard remembers it.
+//! State of a request in the ledger of its shard.
 
 use model::Answer;
 use model::Class;
@@ -14,28 +14,29 @@
 
 use crate::WaiterKey;
 
-/// What is known of one member of an attempt.
+/// State of one member of an attempt, as far as the shard knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberState {
-    /// An earlier owner recorded the intent; the worker has not been asked.
+    /// An earlier owner recorded the intent, and the worker has not been claimed
+    /// since.
     Unknown,
-    /// The start was sent, or is about to be.
+    /// The start was sent or is about to be sent; its reply is outstanding.
     Sent,
-    /// The worker runs it.
+    /// The worker has confirmed that it runs the task.
     Started,
-    /// The worker certainly never started it.
+    /// The worker has not started the task and never will.
     NotStarted,
-    /// It ended.
+    /// The worker has reported the end of the task.
     Ended(End),
-    /// It was stopped with its host, or its lease ran out: it has certainly
-    /// ended, but nobody knows how far it came.
+    /// The task was stopped with its host, or its lease expired. It has
+    /// certainly ended, but its result is unknown.
     Gone,
-    /// Its worker cannot be reached: it may even run.
+    /// The worker cannot be reached; the task may still be running.
     Missing,
 }
 
 impl MemberState {
-    /// Whether the member needs no more news.
+    /// Whether this state is final, so that no further report is awaited.
     #[must_use]
     pub fn is_settled(&self) -> bool {
         !matches!(
@@ -48,107 +49,109 @@
 /// One member of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Id of its start.
+    /// Attempt id under which the member was started.
     pub attempt: AttemptId,
-    /// Worker that it was placed on.
+    /// Worker on which the member was placed.
     pub worker: WorkerId,
-    /// Run of the worker.
+    /// Incarnation of the worker at the time of the placement.
     pub run: Incarnation,
-    /// What is known of it.
+    /// State of the member, as far as the shard knows it.
     pub state: MemberState,
 }
 
-/// How far a request has come.
+/// Stage of a request between submission and answer.
 #[derive(Clone, Debug)]
 pub enum Stage {
-    /// In the queue.
+    /// Waiting in the queue.
     Waiting(JobKey),
-    /// Placed; its intent is on the way to the table, nothing was sent.
+    /// Placed; its intent is being written to the table and no start was sent.
     Recording(JobKey),
-    /// Another shard was asked to run it.
+    /// Offered to other shards, one of which may be running it.
     Lent,
-    /// Starts were sent, or an earlier owner may have sent them.
+    /// Starts were sent, or an earlier owner may have sent them. There is no job
+    /// until the worker of a recovered member lists its task.
     Running(Option<JobKey>),
-    /// The answer is on the way to the table.
+    /// The answer is decided but not yet final: its record may still be on the
+    /// way to the table.
     Closing(Answer),
-    /// Answered.
+    /// The answer is final.
     Done(Answer),
 }
 
-/// Who told a shard of a request.
+/// How the shard learnt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// Its caller, or an earlier owner's journal.
+    /// From its caller, or from an earlier owner's journal.
     Caller,
-    /// Only a worker's report, or the record of its end; most of the request
-    /// is unknown.
+    /// Only from a worker's report or the record of its end; most fields of
+    /// the request are unknown.
     Report,
 }
 
-/// What the attempts of a request may have done so far.
+/// Whether earlier attempts of a request ran, as far as the shard knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Past {
-    /// Nothing has started.
+    /// No attempt has started.
     Untouched,
-    /// Something has started; how it ended is known.
+    /// An attempt has started, and the results of all started tasks are known.
     Seen,
-    /// Something may have started whose end nobody heard of.
+    /// An attempt may have started whose result is unknown.
     Unseen,
 }
 
-/// How far the record of a request's acceptance has come.
+/// Whether the acceptance of a request is recorded in the table.
 #[derive(Clone, Debug)]
 pub enum Acceptance {
-    /// It is not in the table yet; these callers wait for it.
+    /// The record is not in the table yet; these callers wait for it.
     Recording(Vec<WaiterKey>),
-    /// It is in the table.
+    /// The record is in the table.
     Safe,
 }
 
-/// A request as its shard remembers it.
+/// A request with its state in its shard.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// What was asked.
+    /// The request as submitted.
     pub request: Request,
-    /// When it was submitted.
+    /// Time at which the request came to this shard.
     pub since: Timestamp,
-    /// Latest start.
+    /// Latest time at which the request may start.
     pub deadline: Timestamp,
-    /// Latest start by the wall clock, in milliseconds since 1970.
+    /// The same deadline as wall clock time, in milliseconds since 1970.
     pub until_millis: u64,
-    /// Number of the newest attempt; 0 before the first.
+    /// Number of the newest attempt; 0 before the first one.
     pub attempt: u32,
     /// Epoch of the owner that made the newest attempt.
     pub epoch: Epoch,
     /// Members of the newest attempt.
     pub members: Vec<Member>,
-    /// How far it has come.
+    /// Stage between submission and answer.
     pub stage: Stage,
-    /// Callers that wait for the answer.
+    /// Callers that wait for the final answer.
     pub waiters: Vec<WaiterKey>,
-    /// Whether the journal has it, or will have it with the next commit.
+    /// Whether the journal contains the request, or will with the next commit.
     pub recorded: bool,
-    /// What earlier attempts may have done.
+    /// Whether earlier attempts ran.
     pub past: Past,
-    /// How far the record of its acceptance has come.
+    /// Whether the acceptance is recorded in the table.
     pub acceptance: Acceptance,
-    /// Whether its caller withdrew it while it ran.
+    /// Whether the caller cancelled the request while it was running.
     pub cancelled: bool,
-    /// Who told of it.
+    /// How the shard learnt of the request.
     pub origin: Origin,
-    /// Milliseconds that it had waited elsewhere before it came here.
+    /// Milliseconds between the first submission and its arrival in this shard.
     pub before_millis: u64,
-    /// Milliseconds from submission until the worker said that its newest
-    /// attempt started; until it says so, to the sending of the start.
+    /// Milliseconds from submission to the start of the newest attempt: the
+    /// worker's confirmation or, until it arrives, the sending of the start.
     pub waited_millis: u64,
-    /// Ends of earlier attempts that their workers still keep.
+    /// Members of earlier attempts, whose results the workers still keep.
     pub spent: Vec<Member>,
-    /// Checkpoint of its last attempt.
+    /// Checkpoint from which the next attempt continues; empty if there is none.
     pub checkpoint: String,
 }
 
 impl Entry {
-    /// A request that has just come in.
+    /// Creates the entry of a request that has just been submitted.
     #[must_use]
     pub fn new(
         request: Request,
@@ -178,7 +181,7 @@
         }
     }
 
-    /// A request that only a worker's report tells of.
+    /// Creates the entry of a request that is known only from a worker's report.
     #[must_use]
     pub fn orphan(key: &str, needs: Resources, now: Timestamp) -> Entry {
         let (team, id) = key.split_once('/').unwrap_or(("", key));
@@ -213,7 +216,7 @@
                 && mine.payload == other.payload)
     }
 
-    /// The answer, when there is one.
+    /// The final answer, if there is one.
     #[must_use]
     pub fn answer(&self) -> Option<&Answer> {
         match &self.stage {
@@ -222,25 +225,25 @@
         }
     }
 
-    /// Whether a later owner will know of it as well, or does not have to.
+    /// Whether the request is recorded in the table, or needs no record.
     #[must_use]
     pub fn is_safe(&self) -> bool {
         !self.recorded || matches!(self.acceptance, Acceptance::Safe)
     }
 
-    /// Whether some attempt may have started.
+    /// Whether an attempt may have started.
     #[must_use]
     pub fn touched(&self) -> bool {
         self.past != Past::Untouched
     }
 
-    /// Takes in what an attempt may have done.
+    /// Adds what is known of an attempt to the run history.
     pub(crate) fn touch(&mut self, past: Past) {
         self.past = self.past.max(past);
     }
 
-    /// Takes in that its attempt starts, or was sent, at `now`. What an
-    /// earlier attempt waited stays.
+    /// Sets the waiting time when the start is sent or confirmed at `now`,
+    /// unless an earlier attempt has already set it.
     pub(crate) fn note_wait(&mut self, now: Timestamp) {
         if !self.touched() {
             let here = crate::intake::millis(now.saturating_sub(self.since));
@@ -248,13 +251,13 @@
         }
     }
 
-    /// Whether it is answered, or the answer is on the way to the table.
+    /// Whether the answer is decided, even if its record is not yet in the table.
     #[must_use]
     pub fn is_over(&self) -> bool {
         matches!(self.stage, Stage::Closing(_) | Stage::Done(_))
     }
 
-    /// Job of the core while it has one.
+    /// Job of the request in the scheduling core, if any.
     #[must_use]
     pub fn job(&self) -> Option<JobKey> {
         match self.stage {
@@ -264,7 +267,7 @@
         }
     }
 
-    /// Member by the id of its start.
+    /// Member of the newest attempt with this attempt id.
     pub fn member_mut(&mut self, attempt: &str) -> Option<&mut Member> {
         self.members
             .iter_mut()
@@ -272,15 +275,15 @@
     }
 }
 
-/// Id of the start of one member. The epoch is in it because an owner that
-/// knows nothing of an earlier one's attempts would number its own alike, and
-/// the worker would take its start for a copy of the earlier one.
+/// Attempt id of one member. It contains the epoch because an owner that does
+/// not know of a former owner's attempts would use the same numbers again, and
+/// the worker would take its start for a duplicate of the earlier one.
 #[must_use]
 pub fn attempt_id(key: &str, epoch: Epoch, attempt: u32, member: usize) -> AttemptId {
     format!("{key}#{epoch}.{attempt}.{member}")
 }
 
-/// Key of the request of a start.
+/// Request key within an attempt id.
 #[must_use]
 pub fn attempt_key(attempt: &str) -> &str {
     attempt.rsplit_once('#').map_or(attempt, |(key, _)| key)
--- a/crates/shard/src/fleet.rs
+++ b/crates/shard/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The workers of a shard: claims, losses, and what recovered intents turn
-//! out to be.
+//! The workers of a shard: changes of the worker list, claims, losses, and the
+//! resolution of intents that were recovered after a take-over.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 use crate::StopMode;
 use crate::WorkerHost;
 
-/// How long a worker is left alone that has refused a start.
+/// Time for which no tasks are placed on a worker that has refused a start.
 const HOLD: Duration = Duration::from_millis(200);
 
 impl Machine {
@@ -55,8 +55,9 @@
         self.count_known();
     }
 
-    /// "Too large for every worker" needs to know them all. What waits and was
-    /// not refused before they were known is refused now.
+    /// Updates whether all workers are known to the core. A request can be
+    /// refused as too large only when they are, so waiting requests are checked
+    /// again at that moment.
     fn count_known(&mut self) {
         let core = &self.core;
         let complete = self.workers.keys().all(|id| core.worker(id).is_some());
@@ -75,8 +76,9 @@
         }
     }
 
-    /// A worker that left the host list keeps its link until its tasks have
-    /// ended or their lease is over; without the link nobody would notice.
+    /// Closes the links of workers that have left the host list. A link stays
+    /// open until the worker's tasks have ended or their lease has expired,
+    /// since only the link can notice that.
     pub(crate) fn unlink_retired(&mut self) {
         let retiring = std::mem::take(&mut self.retiring);
         for id in retiring {
@@ -117,7 +119,8 @@
         }
     }
 
-    /// Tasks that may wait are checkpointed and run on elsewhere.
+    /// Stops batch tasks on a worker with a checkpoint, so that they continue on
+    /// another worker.
     fn move_long_work(&mut self, worker: &str) {
         let movable = |entry: &Entry| entry.request.class == model::Class::Batch;
         let mut stops = Vec::new();
@@ -157,9 +160,10 @@
         }
     }
 
-    /// Members that the worker does not list. If it is still the run that the
-    /// intent names, the start never reached it, and never will: the claim
-    /// has fenced it off. If it has restarted, nobody knows.
+    /// Settles members that the claimed worker does not list. If the worker is
+    /// still the incarnation that the intent names, the start has not reached it
+    /// and never will, since the claim has fenced it off. If the worker has
+    /// restarted, it is unknown whether the task ran.
     fn reconcile_members(&mut self, id: &str, run: &str, listed: &HashMap<String, Task>) {
         let mut settled = Vec::new();
         for (key, entry) in self.ledger.iter().filter(|(_, entry)| !entry.is_over()) {
@@ -169,7 +173,7 @@
                 }
                 let state = match (member.run == run, &member.state) {
                     (true, MemberState::Unknown) => MemberState::NotStarted,
-                    // The link tells what became of starts in flight.
+                    // The link reports the outcome of starts in flight.
                     (true, MemberState::Sent) => continue,
                     _ if matches!(entry.stage, Stage::Recording(_)) => continue,
                     _ => MemberState::Gone,
@@ -192,8 +196,8 @@
             self.on_ended(id, vec![task]);
             return;
         }
-        // A stop that was lost on its way shows as a task that runs on after
-        // its caller was told that it is cancelled; so it is sent again.
+        // If a stop was lost on its way, the worker still lists the task of a
+        // cancelled request; the stop is sent again.
         let key = &task.request;
         let cancelled = self.ledger.get(key).is_some_and(|entry| entry.cancelled);
         if !self.adopt(id, &task) || cancelled {
@@ -202,8 +206,8 @@
         }
     }
 
-    /// Whether requests with this key belong here, as far as the configuration
-    /// in force tells.
+    /// Whether requests with this key belong to this shard under the current
+    /// configuration. True if the team is not known.
     pub(crate) fn is_home(&self, key: &str) -> bool {
         if let Some(shard) = model::lent_to(key) {
             return shard == self.facts.shard;
@@ -213,7 +217,7 @@
         shards.is_none_or(|shards| shards.home(key) == self.facts.shard)
     }
 
-    /// A task of another shard, which had the worker before.
+    /// Forgets or stops a task of the shard to which the worker belonged before.
     fn drop_stray(&mut self, id: &str, task: Task) {
         if task.end.is_some() {
             self.forget_task(id, task.attempt);
@@ -223,8 +227,9 @@
         }
     }
 
-    /// Takes a listed task into ledger and core. False: nobody wants it any
-    /// more, as when its request was answered under an earlier owner.
+    /// Adds a task listed by a worker to the ledger and the core. Returns false
+    /// if the task is no longer needed, for instance because its request was
+    /// answered under an earlier owner.
     fn adopt(&mut self, id: &str, task: &Task) -> bool {
         let key = &task.request;
         if self.ledger.get(key).is_none() && task.end.is_none() {
@@ -289,9 +294,10 @@
         self.ledger.insert(&task.request, entry);
     }
 
-    /// Leaves a worker alone that has refused a start. Without the pause a
-    /// shard whose view of a worker is wrong would place the same job there
-    /// again at once, and be refused as fast as the network allows.
+    /// Places nothing on a worker for a short time after it has refused a start.
+    /// Without the pause, a shard with a wrong view of a worker would place the
+    /// same job there again at once, and be refused as fast as the network
+    /// allows.
     pub(crate) fn hold_worker(&mut self, id: &str) {
         let Some(worker) = self.core.worker(id) else {
             return;
@@ -336,8 +342,9 @@
         self.event(Event::new(Kind::WorkerRefused).worker(id).detail(detail));
     }
 
-    /// What ran there may be running still, and its end will be reported to
-    /// the other shard: nobody here can tell, so nothing is run again.
+    /// Another shard has claimed the worker. Tasks may still run there, and their
+    /// ends will be reported to that shard only, so they are settled as
+    /// unreachable and not run again.
     pub(crate) fn on_worker_taken(&mut self, id: &str) {
         self.on_worker_refused(id, "another shard holds it");
         self.settle_all(id, &MemberState::Missing);
@@ -362,8 +369,8 @@
         }
     }
 
-    /// Recovered intents on workers that nobody could claim in all this time:
-    /// their callers get "may have run".
+    /// Settles recovered intents on workers that could not be claimed in time.
+    /// Their callers are told that the request may have run.
     pub(crate) fn settle_missing(&mut self) {
         let mut missing = Vec::new();
         for (_, entry) in self.ledger.iter().filter(|(_, entry)| !entry.is_over()) {
--- a/crates/shard/src/intake.rs
+++ b/crates/shard/src/intake.rs
@@ -1,4 +1,4 @@
-//! What callers ask of a shard: submit, status, cancel.
+//! Calls to a shard: submit, status, cancel.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
 use crate::machine::Pending;
 use crate::outcome::refusal_of;
 
-/// When a refused caller may come back, in milliseconds.
+/// Delay after which a caller should ask again, in milliseconds.
 const COME_BACK_MILLIS: u64 = 1000;
 
 impl Machine {
@@ -53,7 +53,7 @@
             return;
         }
         if !self.is_home(&key) {
-            // The router's configuration is older than this team.
+            // The sender's router has an older configuration, without this team.
             self.reply(waiter, ShardReply::NotOwner);
             return;
         }
@@ -67,7 +67,7 @@
         self.take(&key, submission, waiter);
     }
 
-    /// A retry gets the answer of the first submission.
+    /// Answers a repeated submission of a known id like the first one.
     pub(crate) fn attach(&mut self, key: &str, submission: &Submission, waiter: WaiterKey) {
         let Some(entry) = self.ledger.get_mut(key) else {
             return;
@@ -87,8 +87,8 @@
         } else if entry.recorded
             && let Acceptance::Recording(waiters) = &mut entry.acceptance
         {
-            // Its record may never reach the table; an "accepted" now would be
-            // followed by a request that the next owner has never heard of.
+            // The acceptance record may never reach the table. If the caller got
+            // "accepted" now, the next owner might not know the request.
             waiters.push(waiter);
         } else {
             let answer = pending_answer(id, "accepted");
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Why a new request cannot be taken, if so.
+    /// The answer that refuses a new request, if it cannot be accepted.
     fn refusal(&self, request: &Request) -> Option<Answer> {
         let id = &request.id;
         let retention = millis(self.facts.retention);
@@ -157,8 +157,9 @@
         }
     }
 
-    /// A refused id is remembered like any other: a copy of the submission
-    /// that was delayed on its way must not run after "not run" was said.
+    /// Refuses a request. Its id is kept in the ledger like any other: a delayed
+    /// duplicate of the submission must not run after its caller was told that
+    /// it did not run.
     fn refuse(&mut self, key: &str, entry: Entry, refused: SubmitError, waiter: WaiterKey) {
         let id = entry.request.id.clone();
         let (code, reason) = refusal_of(refused);
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Takes a request that nothing was sent for out of the core.
+    /// Removes a request for which no start was sent from the scheduling core.
     pub(crate) fn withdraw(&mut self, key: &str) {
         let Some(entry) = self.ledger.get_mut(key) else {
             return;
@@ -206,7 +207,7 @@
     }
 }
 
-/// An answer that is not final.
+/// Builds an answer that is not final.
 pub(crate) fn pending_answer(id: &str, reason: &str) -> Answer {
     Answer::bare(id, Code::Pending, reason).retry_in(COME_BACK_MILLIS)
 }
--- a/crates/shard/src/launch.rs
+++ b/crates/shard/src/launch.rs
@@ -1,5 +1,5 @@
-//! From a placement to starts: the intent is in the table before anything is
-//! sent that must not run twice.
+//! From a placement to the starts. For a request that must not run twice, the
+//! intent is written to the table before any start is sent.
 
 use event::Event;
 use event::Kind;
@@ -113,8 +113,8 @@
         }
     }
 
-    /// The intent is safe. It may have been withdrawn meanwhile; then nothing
-    /// is sent.
+    /// The intent is in the table. Nothing is sent if the request was withdrawn
+    /// in the meantime or its deadline has passed.
     fn on_intent(&mut self, key: &str, attempt: u32) {
         if self.released {
             return;
@@ -154,10 +154,9 @@
         }
     }
 
-    /// The table takes no records for now: answers that wait for theirs are
-    /// given at once, as far as they are true without their record; if this
-    /// process dies before it is written, the workers still hold the ends that
-    /// were not acknowledged.
+    /// The table currently accepts no records. Answers that are valid without
+    /// their record are given at once: if this process dies before the record is
+    /// written, the workers still hold the unacknowledged results.
     pub(crate) fn on_stalled(&mut self) {
         self.stalled = true;
         let closing = |entry: &Entry| match &entry.stage {
@@ -175,9 +174,10 @@
         }
     }
 
-    /// Requests whose intent could not be recorded in time. Nothing was sent
-    /// for them, and nothing will be: the stage changes here, and a later
-    /// owner that finds the intent finds its latest start passed, too.
+    /// Answers requests whose intent could not be recorded before their deadline.
+    /// No start was or will be sent for them: their stage changes here, and a
+    /// later owner that finds the intent also finds that the deadline has
+    /// passed.
     pub(crate) fn give_up_recording(&mut self) {
         let now = self.times.now;
         let overdue =
--- a/crates/shard/src/lend.rs
+++ b/crates/shard/src/lend.rs
@@ -1,9 +1,11 @@
-//! Requests that run in another shard, since this one has no room.
+//! Lending: requests that run in another shard because this one has no free
+//! workers.
 //!
-//! Only unrecorded (idempotent) work is lent: a loan whose answer is lost may
-//! have run, and is run again. Who lends asks few shards at random, each of
-//! which starts the work at once or refuses; so nothing is published that
-//! could be stale, and nobody queues in two places.
+//! Only unrecorded (idempotent) requests are lent: if the reply of the other
+//! shard is lost, the request may have run, and it runs again. The lending shard
+//! asks a few shards at random, each of which starts the request at once or
+//! refuses it. So no load figures that could be stale are published, and no
+//! request waits in two queues.
 
 use std::time::Duration;
 
@@ -23,11 +25,11 @@
 use crate::WaiterKey;
 use crate::intake::millis;
 
-/// Waiting requests that are offered to others at one tick.
+/// Maximum number of waiting requests offered to other shards again per tick.
 const OFFERS: usize = 32;
 
 impl Machine {
-    /// Notes an unrecorded request that may be lent if it has to wait.
+    /// Remembers an unrecorded request that may be lent if it has to wait.
     pub(crate) fn note_lendable(&mut self, key: &str) {
         if self.facts.shards > 1 {
             self.lendable.push_back(key.to_owned());
@@ -43,7 +45,7 @@
         }
     }
 
-    /// Offers requests again that nobody had room for.
+    /// Offers requests again for which no shard had free workers.
     pub(crate) fn lend_again(&mut self) {
         for _ in 0..OFFERS.min(self.unlent.len()) {
             let Some(key) = self.unlent.pop_front() else {
@@ -123,7 +125,7 @@
         }
     }
 
-    /// A request of another shard: it starts now or not at all.
+    /// Handles a request lent by another shard: it starts now or not at all.
     pub(crate) fn on_run(&mut self, submission: &Submission, waiter: WaiterKey) {
         let request = &submission.request;
         let key = lent_key(&request_key(&request.team, &request.id), self.facts.shard);
--- a/crates/shard/src/lender.rs
+++ b/crates/shard/src/lender.rs
@@ -1,4 +1,4 @@
-//! Finds a shard with room for a request that its own has none for.
+//! Finds a shard with free workers for a request that has to wait in its own.
 
 use std::time::Duration;
 
@@ -11,13 +11,13 @@
 use crate::ShardReply;
 use crate::Submission;
 
-/// Shards that are asked before the request goes back into its queue.
+/// Number of shards that are asked before the request returns to its queue.
 const PROBES: u32 = 3;
 
-/// Time that a loan may take beyond the declared run time.
+/// Time for the reply of the other shard, in addition to the declared run time.
 const GRACE: Duration = Duration::from_secs(30);
 
-/// Finds shards with room; clones share the view.
+/// Finds shards with free workers; clones share the view of the cell.
 #[derive(Clone, Debug)]
 pub struct Lender {
     router: Router,
@@ -25,13 +25,13 @@
 }
 
 impl Lender {
-    /// A lender for one shard.
+    /// Creates a lender for one shard.
     #[must_use]
     pub fn new(router: Router, shard: ShardId) -> Lender {
         Lender { router, shard }
     }
 
-    /// Asks a few shards at random to run the request at once.
+    /// Asks a few random shards to run the request at once.
     pub async fn lend(&self, submission: &Submission) -> Loan {
         let run = Duration::from_millis(submission.request.run_millis);
         for _ in 0..PROBES {
--- a/crates/shard/src/limits.rs
+++ b/crates/shard/src/limits.rs
@@ -1,4 +1,4 @@
-//! A shard's part of the limits of the whole cell.
+//! Divides the limits of the cell among its shards.
 
 use std::collections::HashMap;
 
@@ -9,8 +9,9 @@
 use sched::Grants;
 use sched::TeamGrant;
 
-/// A shard's part of every limit. The parts add up to the limit at most,
-/// whichever processes own the shards, and a lower limit lowers each part.
+/// Grants of one shard: its part of every limit. The parts of all shards never
+/// exceed the limit, whichever processes own them, and a lower limit lowers
+/// each part.
 #[must_use]
 pub fn shard_grants(config: &Config, shard: ShardId, shards: u16) -> Grants {
     let part = |all: u32| share(all, shard, shards);
@@ -40,14 +41,15 @@
     grants
 }
 
-/// Part `index` of `all` in `parts` parts; they add up to `all`.
+/// Part number `index` of `all` divided into `parts` nearly equal parts, which
+/// add up to `all`.
 #[must_use]
 pub fn share(all: u32, index: u16, parts: u16) -> u32 {
     let (index, parts) = (u32::from(index), u32::from(parts.max(1)));
     all / parts + u32::from(index < all % parts)
 }
 
-/// The limit of the whole cell that a request breaks by itself, if any.
+/// Reason why a request alone exceeds a limit of the cell, if it does.
 #[must_use]
 pub fn breaks_limit(config: &Config, request: &Request) -> Option<String> {
     let Some(team) = config.teams.get(&request.team) else {
@@ -76,7 +78,7 @@
     use super::share;
 
     #[test]
-    fn parts_add_up_to_the_whole() {
+    fn parts_add_up_to_the_total() {
         for all in [0, 1, 15, 16, 17, 1000] {
             let sum: u32 = (0..16).map(|index| share(all, index, 16)).sum();
 
--- a/crates/shard/src/link.rs
+++ b/crates/shard/src/link.rs
@@ -1,5 +1,6 @@
-//! Link of a shard to one worker: claims it, renews the lease of its tasks by
-//! polling, and sends starts and stops. The task owns all calls to the worker.
+//! Link of a shard to one worker: claims the worker, renews the lease of its
+//! tasks by polling, and sends starts and stops. All calls of the shard to the
+//! worker are made here.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -32,47 +33,47 @@
 use crate::StopMode;
 use crate::WorkerHost;
 
-/// How long a worker may hold a poll back.
+/// Maximum time for which a worker may delay the reply to a poll.
 const POLL_WAIT: Duration = Duration::from_secs(1);
 
-/// Silence after which nothing new is placed on a worker.
+/// Time without a poll reply after which no new tasks are placed on a worker.
 const SILENCE: Duration = Duration::from_millis(1500);
 
-/// Pause before a failed call is made again.
+/// Pause before a failed call is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Pause before a refused claim is made again.
+/// Pause before a refused claim is repeated.
 const CLAIM_PAUSE: Duration = Duration::from_millis(300);
 
-/// Added to a task lease for clocks that run at unlike rates, in percent.
+/// Margin added to the lease for clocks that run at different rates, in percent.
 const CLOCK_PERCENT: u32 = 10;
 
-/// Tries of a start whose connection cannot be made.
+/// Maximum number of attempts to connect for a start.
 const CONNECT_TRIES: u32 = 2;
 
-/// Orders to a link.
+/// Commands from the shard to a link.
 #[derive(Debug)]
 pub enum LinkOrder {
     /// Start a task.
     Start(StartOrder),
     /// Stop a task.
     Stop(AttemptId, StopMode),
-    /// Ended tasks that the worker may forget.
+    /// Let the worker forget these ended tasks.
     Forget(Vec<AttemptId>),
 }
 
-/// Fixed facts of a link.
+/// Properties of a link that do not change.
 #[derive(Clone, Debug)]
 pub struct LinkFacts {
-    /// The worker.
+    /// Worker at the other end of the link.
     pub host: WorkerHost,
-    /// Shard that it is assigned to.
+    /// Shard to which the worker is assigned.
     pub shard: ShardId,
-    /// Lease of tasks.
+    /// Duration of the lease of the worker's tasks.
     pub lease: Duration,
-    /// Client of all workers.
+    /// Client for calls to workers.
     pub client: WorkerClient,
-    /// Right to act.
+    /// Open while the process may act as the owner.
     pub gate: Arc<Gate>,
 }
 
@@ -83,25 +84,26 @@
     fence: Fence,
     orders: mpsc::UnboundedReceiver<LinkOrder>,
     owner: mpsc::UnboundedSender<Input>,
-    /// When the newest reply came that renewed, or will renew, the lease.
+    /// Arrival of the newest poll reply. The next poll acknowledges it and so
+    /// renews the lease. `None` before the first reply and after lease expiry.
     replied: Option<Instant>,
     turn: Turn,
     forget: Vec<AttemptId>,
     lost: bool,
-    /// Starts whose outcome is not known yet.
+    /// Starts that were sent and whose outcome is unknown.
     sent: HashSet<AttemptId>,
 }
 
-/// How a stretch of polling ended.
+/// Reason why polling ended.
 enum Ended {
-    /// Claim again.
+    /// The worker has to be claimed again.
     Reclaim,
     /// The shard has closed the link.
     Closed,
 }
 
 impl Link {
-    /// A link that takes `orders` and reports to `owner`.
+    /// Creates a link that receives `orders` and reports to `owner`.
     #[must_use]
     pub fn new(
         facts: LinkFacts,
@@ -146,10 +148,10 @@
         self.owner.send(input).map_err(|_| ())
     }
 
-    /// Reports a claim, what has ended since, and the starts that were in
-    /// flight before it. Those that the worker does not list can never be
-    /// carried out: either the fence or the run that they name is an older
-    /// one, or their lease was over and the shard has given them up.
+    /// Reports a claim, the tasks that ended since, and the starts that were in
+    /// flight before it. Starts that the worker does not list can never be
+    /// carried out: either they name an older fence or incarnation, or their
+    /// lease has expired and the shard has settled them.
     fn announce(&mut self, claimed: Claimed, ended: Vec<Task>) -> Result<(), ()> {
         self.lost = false;
         for task in &claimed.tasks {
@@ -163,7 +165,8 @@
         Ok(())
     }
 
-    /// Claims until the worker accepts; none when the link is closed.
+    /// Repeats the claim until the worker accepts it; returns `None` when the link
+    /// is closed.
     async fn claim(&mut self) -> Option<(Claimed, Vec<Task>)> {
         loop {
             if self.facts.gate.is_open() {
@@ -177,8 +180,9 @@
         }
     }
 
-    /// The poll renews the lease, which the claim alone does not; it may tell
-    /// of ends of tasks that the claim lists as running.
+    /// Claims the worker and polls it once. The claim alone does not renew the
+    /// lease, the poll does. Its reply may report the end of tasks that the claim
+    /// lists as running.
     async fn try_claim(&mut self) -> Result<(Claimed, Vec<Task>), WorkerError> {
         let claim = Claim {
             fence: self.fence,
@@ -193,7 +197,8 @@
         Ok((claimed, self.take_poll(polled)))
     }
 
-    /// While the worker is not claimed, nothing is sent to it.
+    /// Handles commands during a pause in which nothing may be sent: starts are
+    /// reported as not sent, stops are dropped.
     async fn refuse_orders(&mut self, pause: Duration) -> Result<(), ()> {
         let until = tokio::time::sleep(pause);
         tokio::pin!(until);
@@ -213,10 +218,11 @@
         }
     }
 
-    /// Tells the shard when the worker is silent, and when the lease of its
-    /// tasks is over. The worker counts its lease from when it sent the reply
-    /// that a poll acknowledges, which is before that reply came here: so
-    /// here it ends later, and what was decided on it is safe.
+    /// Reports to the shard when the worker has not answered for too long, and
+    /// when the lease of its tasks has expired. The worker counts the lease from
+    /// the time at which it sent the acknowledged reply, the link from the later
+    /// time at which that reply arrived. So the lease expires later here, and the
+    /// shard can rely on the tasks having stopped.
     fn check_lease(&mut self) -> Result<(), ()> {
         let Some(replied) = self.replied else {
             return Ok(());
@@ -235,8 +241,8 @@
     }
 
     async fn serve(&mut self) -> Ended {
-        // Dropping the set drops the calls in flight. Their starts may still
-        // arrive; the worker refuses them once its lease is over.
+        // Dropping the set aborts the calls in flight. Their starts may still
+        // arrive; the worker refuses them once its lease has expired.
         let mut calls: JoinSet<Option<Input>> = JoinSet::new();
         let mut wait = POLL_WAIT;
         loop {
@@ -326,9 +332,10 @@
         }
     }
 
-    /// Takes a reply in and hands its ends on. The next poll acknowledges the
-    /// reply, and then the worker tells of them no more: a request whose end
-    /// stayed here would wait until its worker is claimed again.
+    /// Processes a poll reply and returns the ended tasks in it. The next poll
+    /// acknowledges the reply, after which the worker does not report them again.
+    /// If the caller dropped them, their requests would wait until the worker is
+    /// claimed again.
     #[must_use]
     fn take_poll(&mut self, polled: Polled) -> Vec<Task> {
         self.turn = polled.turn;
@@ -363,11 +370,11 @@
     }
 }
 
-/// Sends one start until it is known what became of it; none when only the
-/// next claim can tell. The worker starts an attempt at most once, so repeating
-/// it is safe; after a lost answer only the worker's own answer can tell "not
-/// started", and only in the same run and under the same fence: a worker that
-/// has restarted refuses the second message, and knows nothing of the first.
+/// Repeats one start until its outcome is known; returns `None` if only the next
+/// claim can show it. The worker starts an attempt at most once, so repeating is
+/// safe. After a lost reply, only a refusal by the same incarnation under the
+/// same fence proves that the task was not started: a worker that has restarted
+/// refuses the second message without knowing of the first.
 async fn send_start(
     client: &WorkerClient,
     address: std::net::SocketAddr,
@@ -403,14 +410,15 @@
     }
 }
 
-/// Whether a refusal tells only that the worker has restarted or was claimed by
-/// another. The poll is refused as well then, and the link claims again.
+/// Whether a refusal may only mean that the worker has restarted or was claimed
+/// by another owner. The poll is refused as well then, and the link claims the
+/// worker again.
 fn is_other_life(reason: RefusalReason) -> bool {
     matches!(reason, RefusalReason::Fenced | RefusalReason::Unclaimed)
 }
 
-/// Sends one stop until the worker has answered it. The link ends it with the
-/// stretch of polling that it belongs to.
+/// Repeats one stop until the worker has answered. The link aborts it when
+/// polling ends.
 async fn send_stop(client: &WorkerClient, address: std::net::SocketAddr, stop: &Stop) {
     while let Err(error) = client.stop(address, stop).await {
         if matches!(error, WorkerError::Refused { .. }) {
--- a/crates/shard/src/message.rs
+++ b/crates/shard/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between processes, and to the task that runs a shard.
+//! Messages between processes, and the inputs and outputs of a shard.
 
 use std::sync::Arc;
 
@@ -21,23 +21,23 @@
 use crate::WorkerHost;
 
 new_key_type! {
-    /// A caller that waits for the reply of a shard.
+    /// Key of a caller that waits for the reply of a shard.
     pub struct WaiterKey;
 }
 
-/// Number of a set of records handed to the journal, growing.
+/// Sequence number of a set of records that was handed to the journal.
 pub type Ticket = u64;
 
-/// Which requests a cancel call means.
+/// Selects the requests of a cancel call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CancelFilter {
-    /// One request, by its key.
+    /// The request with this key.
     One(String),
-    /// All of a team with a label.
+    /// All requests of a team with a label.
     Label {
-        /// Team.
+        /// Team of the requests.
         team: TeamId,
-        /// Label.
+        /// Label of the requests.
         label: String,
     },
 }
@@ -45,145 +45,147 @@
 /// A submission on its way to its shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Submission {
-    /// The request; its deadline counts from its first submission.
+    /// The request, whose deadline counts from its first submission.
     pub request: Request,
-    /// Milliseconds since that first submission.
+    /// Milliseconds since the first submission.
     pub waited_millis: u64,
     /// Whether the reply waits for the final answer.
     pub wait: bool,
 }
 
-/// What may be asked of a shard.
+/// Call to a shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ShardAsk {
-    /// Takes a request, or attaches to it.
+    /// Submits a request; a repeated submission is attached to the first one.
     Submit(Submission),
-    /// Runs a request of another shard at once, or not at all.
+    /// Runs a request lent by another shard at once, or not at all.
     Run(Submission),
-    /// Tells how a request stands.
+    /// Asks for the status of the request with this key.
     Status(String),
-    /// Cancels requests.
+    /// Cancels the selected requests.
     Cancel(CancelFilter),
 }
 
-/// What a shard replies.
+/// Reply of a shard to a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ShardReply {
-    /// Answer to a request.
+    /// Answer to the request, which may be pending.
     Answer(Answer),
-    /// No such request.
+    /// The shard does not know the request.
     Unknown,
-    /// There is no room for a request of another shard.
+    /// No worker is free for a request lent by another shard.
     Busy,
-    /// Number of requests cancelled.
+    /// Number of requests that the call cancelled.
     Cancelled(u32),
-    /// This process does not own the shard; nothing was done. Ask the owner.
+    /// This process does not own the shard and did nothing. The caller has to ask
+    /// the owner.
     NotOwner,
-    /// The lease of the owner timed out but nobody has taken the shard;
-    /// nothing was done. Ask again soon: the state may be kept. This is told
-    /// apart from `NotOwner` after KIP-588.
+    /// The owner's lease timed out, but no process has taken over the shard.
+    /// Nothing was done. The caller should ask again soon, since the owner may
+    /// keep the shard and its state. The distinction from `NotOwner` follows
+    /// KIP-588.
     TimedOut,
-    /// The shard moves to another process while the request is under way.
-    /// Ask the next owner with the same id.
+    /// The shard is moving to another process while the request is in progress.
+    /// The caller has to ask the next owner with the same id.
     Moved,
 }
 
-/// A call from one process to another.
+/// Call from one process to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Ask {
-    /// For a shard.
+    /// Call to a shard that the receiver owns.
     Shard(ShardId, ShardAsk),
-    /// Whether the table answers there.
+    /// Exchanges the view of the table's health.
     Ping(TableHealth),
-    /// Something in the table has changed: read it at once.
+    /// The table has changed and should be read at once.
     Hint(Version),
 }
 
-/// Reply to a call.
+/// Reply to a call of another process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Reply {
-    /// Of a shard.
+    /// Reply of the shard.
     Shard(ShardReply),
-    /// Whether the table answers there.
+    /// The receiver's view of the table's health.
     Pong(TableHealth),
-    /// Done.
+    /// The hint was received.
     Done,
 }
 
-/// What a process knows of the table.
+/// A process's view of the table's health.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableHealth {
-    /// Process run that says so.
+    /// Incarnation of the process that reports it.
     pub process: Incarnation,
-    /// Whether the table has answered it within the last second or so.
+    /// Whether the table has answered that process within about the last second.
     pub reachable: bool,
 }
 
-/// Why a start was certainly not carried out.
+/// Reason why a start was certainly not carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotStarted {
-    /// The worker has no room.
+    /// The worker had too few free resources.
     Full,
-    /// The worker belongs to a newer owner, or has to be claimed again.
+    /// The worker was claimed by a newer owner, or has to be claimed again.
     Fenced,
-    /// It was not sent.
+    /// The start was not sent.
     Unsent,
 }
 
-/// What the state machine of a shard takes in.
+/// Input of the state machine of a shard.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A call with the waiter of its reply.
+    /// A call, and the waiter that gets its reply.
     Ask(ShardAsk, WaiterKey),
-    /// A configuration document is in force.
+    /// A new configuration document takes effect.
     Config(Arc<Numbered>),
-    /// The workers of the shard.
+    /// The complete list of the shard's workers.
     Workers(Vec<WorkerHost>),
-    /// A worker accepted the claim.
+    /// A worker has accepted the claim.
     Claimed(model::WorkerId, Claimed),
-    /// A worker does not answer.
+    /// A worker has not answered its polls for too long.
     WorkerLost(model::WorkerId),
-    /// A worker refused the shard's poll; it has to be claimed again.
+    /// A worker refused a poll and has to be claimed again.
     WorkerRefused(model::WorkerId),
-    /// The lease of all tasks of a worker is certainly over.
+    /// The lease of all tasks of a worker has certainly expired.
     LeaseOver(model::WorkerId),
-    /// Another shard has claimed the worker, and renews the lease of whatever
-    /// runs there.
+    /// Another shard has claimed the worker, and renews the lease of the tasks
+    /// that run there.
     WorkerTaken(model::WorkerId),
-    /// A start was carried out.
+    /// A worker has confirmed a start.
     Started(AttemptId),
-    /// A start was certainly not carried out.
+    /// A start was certainly not carried out, for this reason.
     NotStarted(AttemptId, NotStarted),
-    /// Tasks of a worker have ended.
+    /// A worker has reported ended tasks.
     Ended(model::WorkerId, Vec<Task>),
-    /// All records up to a ticket are in the table.
+    /// All records up to this ticket are in the table.
     Written(Ticket),
-    /// The table does not take records for now.
+    /// The table currently accepts no records.
     Stalled,
-    /// What became of a request that was lent.
+    /// Result of lending the request with this key.
     Lent(String, Loan),
-    /// Time has passed.
+    /// Timer tick.
     Tick,
-    /// The shard moves: take nothing more.
+    /// The shard moves to another process and must accept no more calls.
     Release,
 }
 
-/// What the state machine of a shard wants done.
+/// Action that the state machine of a shard asks for.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Commit records; `Written` follows.
+    /// Commit records to the journal; `Input::Written` follows.
     Append(Ticket, Vec<Record>),
-    /// Send a start; `Started` or `NotStarted` follows.
+    /// Send a start; `Input::Started` or `Input::NotStarted` follows.
     Start(model::WorkerId, StartOrder),
-    /// Stop a task.
+    /// Send a stop to a task.
     Stop(model::WorkerId, AttemptId, StopMode),
-    /// Ended tasks that a worker may forget.
+    /// Let a worker forget these ended tasks.
     Forget(model::WorkerId, Vec<AttemptId>),
-    /// Reply to a waiter.
+    /// Send a reply to a waiter.
     Reply(WaiterKey, ShardReply),
-    /// Have a request run by another shard; `Lent` follows.
+    /// Lend a request to another shard; `Input::Lent` follows.
     Lend(String, Submission),
-    /// Record an event.
+    /// Record an event in the timeline.
     Event(event::Event),
     /// Open a link to a worker.
     Link(WorkerHost),
@@ -191,49 +193,50 @@
     Unlink(model::WorkerId),
 }
 
-/// What became of a request that was lent.
+/// Result of lending a request to another shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Loan {
-    /// It was run, or the other shard may have run it.
+    /// The other shard has answered the request.
     Answer(Answer),
-    /// No shard that was asked has room; nothing was done.
+    /// None of the shards that were asked has a free worker; nothing was done.
     Refused,
-    /// The other shard may have run it.
+    /// No reply came; the other shard may have run the request.
     Lost,
 }
 
-/// How a task is stopped.
+/// Manner in which a task is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopMode {
-    /// At once.
+    /// The task is killed at once.
     Kill,
-    /// After its state was written out.
+    /// The task writes a checkpoint before it stops.
     Checkpoint,
 }
 
-/// A start without fence and turn, which the link adds. The run is the one
-/// that the shard knew when it decided: if the worker has restarted since, it
-/// refuses, and the shard does not take the start for one of the old run.
+/// A start without fence and turn, which the link adds. The incarnation is the
+/// one that the shard knew when it placed the task. If the worker has restarted
+/// since, it refuses the start, so that a task never starts in an incarnation
+/// other than the one that the shard has noted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartOrder {
-    /// Id of the start.
+    /// Attempt id of the member.
     pub attempt: AttemptId,
-    /// Run of the worker.
+    /// Incarnation of the worker for which the start is meant.
     pub run: model::Incarnation,
-    /// Key of the request.
+    /// Key of the request that the task belongs to.
     pub request: String,
-    /// What it holds while it runs.
+    /// Resources that the task uses while it runs.
     pub needs: model::Resources,
-    /// Handed to the task.
+    /// Payload that is passed to the task.
     pub payload: String,
     /// Declared run time, in milliseconds.
     pub run_millis: u64,
-    /// Checkpoint to go on from.
+    /// Checkpoint from which the task continues; empty if there is none.
     pub checkpoint: String,
 }
 
 impl StartOrder {
-    /// The message to the worker.
+    /// Completes the start message with fence and turn.
     #[must_use]
     pub fn fenced(self, fence: worker::Fence, turn: worker::Turn) -> Start {
         Start {
--- a/crates/shard/src/outcome.rs
+++ b/crates/shard/src/outcome.rs
@@ -1,4 +1,4 @@
-//! From the ends of tasks to the answer of their request.
+//! Processes the start and the end of tasks, up to the answer of their request.
 
 use event::Event;
 use event::Kind;
@@ -27,8 +27,8 @@
 use crate::judge;
 use crate::machine::Pending;
 
-/// Most by which the clocks of a caller and of a process may differ, where
-/// the time of a first call is compared with that of a take-over.
+/// Maximum difference between the clocks of a caller and of a process, when the
+/// time of a first call is compared with that of a take-over.
 const CLOCK_SKEW_MILLIS: u64 = 2000;
 
 impl Machine {
@@ -82,7 +82,8 @@
         };
         let key = task.request;
         let Some(entry) = self.ledger.get_mut(&key) else {
-            // Its request was forgotten, or an earlier owner never told.
+            // The request has left the ledger, or an earlier owner did not
+            // record it.
             self.remember_orphan_end(&key, worker, task.needs, &end);
             self.forget_task(worker, task.attempt);
             return;
@@ -91,9 +92,9 @@
             .member_mut(&task.attempt)
             .is_some_and(|m| !m.state.is_settled());
         if !wanted {
-            // While the request is open its workers keep the ends of earlier
-            // attempts: they alone tell a later owner, which finds only the
-            // intent, that the attempt was carried out.
+            // While the request is open, the workers keep the results of its
+            // earlier attempts. A later owner finds only the intent in the
+            // journal and learns only from them that the attempt ran.
             let answered = entry.answer().is_some();
             if answered || !entry.recorded {
                 self.forget_task(worker, task.attempt);
@@ -109,8 +110,8 @@
         self.settle(&key, &task.attempt, MemberState::Ended(end));
     }
 
-    /// The worker keeps an end until its answer is recorded, so that an owner
-    /// that dies in between costs nothing.
+    /// Tells a worker to forget a task. It keeps the result until the answer is
+    /// recorded, so that nothing is lost if the owner dies before.
     pub(crate) fn forget_task(&mut self, worker: &str, attempt: String) {
         self.outputs
             .push(Output::Forget(worker.to_owned(), vec![attempt]));
@@ -145,8 +146,8 @@
         self.event(Event::new(kind).worker(worker));
     }
 
-    /// News of one member that needs no more; the request is concluded with
-    /// the last.
+    /// Sets the final state of one member. When all members are settled, the
+    /// attempt is evaluated.
     pub(crate) fn settle(&mut self, key: &str, attempt: &str, state: MemberState) {
         let Some(entry) = self.ledger.get_mut(key) else {
             return;
@@ -171,7 +172,7 @@
         }
     }
 
-    /// A gang that lost a member is stopped whole.
+    /// Stops all remaining members of a gang that has lost one.
     fn stop_broken_gang(&mut self, key: &str) {
         let Some(entry) = self.ledger.get(key) else {
             return;
@@ -267,8 +268,8 @@
         }
     }
 
-    /// Puts requests that an earlier owner had taken back into the queue,
-    /// unless an intent tells that they may have started.
+    /// Queues requests again that an earlier owner had accepted, unless an intent
+    /// shows that they may have started.
     pub(crate) fn requeue_recovered(&mut self) {
         let waits = |entry: &Entry| !entry.is_over() && entry.members.is_empty();
         let keys: Vec<String> = self
@@ -287,10 +288,10 @@
         self.finish(key, Answer::bare(id, code, reason));
     }
 
-    /// An answer that is true of earlier owners as well. They may have run an
-    /// unrecorded request, answered it, and died; a caller that lost that
-    /// answer asks again with the time of its first call, which lies before
-    /// this owner's.
+    /// Replaces a "not run" answer if an earlier owner may have run the request.
+    /// That owner may have run and answered an unrecorded request before it died.
+    /// A caller that lost the answer repeats the call with the time of its first
+    /// call, which is before the take-over by this owner.
     pub(crate) fn make_true(&self, entry: &Entry, answer: Answer) -> Answer {
         let not_run = answer.code.family() == Family::NotRun;
         let sent = entry.request.sent_millis;
@@ -306,7 +307,8 @@
         Answer::bare(&answer.id, Code::OwnerLost, reason)
     }
 
-    /// Gives a request its answer: at once, or once it is recorded.
+    /// Answers a request: at once, or, if the request is recorded, after its
+    /// answer is in the table.
     pub(crate) fn finish(&mut self, key: &str, answer: Answer) {
         let Some(entry) = self.ledger.get(key) else {
             return;
@@ -380,9 +382,10 @@
     }
 }
 
-/// What an end says of its worker; none if it was cut short. A task that was
-/// stopped, or whose lease ran out, proves nothing: taken for a success it
-/// brought a worker out of quarantine that still fails everything.
+/// Whether the result of a task counts as a success of its worker; `None` if the
+/// task was interrupted. A task that was stopped, or whose lease expired, proves
+/// nothing: counted as a success, it ended the quarantine of a worker on which
+/// every task still failed.
 fn verdict_on_worker(result: EndResult) -> Option<bool> {
     match result {
         EndResult::Succeeded | EndResult::Checkpointed => Some(true),
@@ -391,15 +394,16 @@
     }
 }
 
-/// Whether an answer may be given before its record is in the table. One that
-/// says that nothing will run may not: if this owner ends first, the next one
-/// finds the request open and starts it, and the caller who was told "not run"
-/// sees it run. A latest start that has passed holds for the next owner too.
+/// Whether an answer may be given before its record is in the table. This does
+/// not hold for answers that say that the request will not run: if this owner
+/// ends first, the next one finds the request open and starts it although its
+/// caller was told "not run". A missed deadline is an exception, since it holds
+/// for the next owner too.
 pub(crate) fn stands_unrecorded(code: Code) -> bool {
     !is_cancelled(code) && !matches!(code, Code::QueueFull | Code::NeverFits)
 }
 
-/// Code and reason of a request that the core refuses.
+/// Answer code and reason for a request that the scheduling core refuses.
 pub(crate) fn refusal_of(refused: SubmitError) -> (Code, &'static str) {
     match refused {
         SubmitError::NeverFits => {
--- a/crates/shard/src/pacer.rs
+++ b/crates/shard/src/pacer.rs
@@ -1,4 +1,4 @@
-//! Keeps this process within its share of the table's write rate.
+//! Limits the writes of this process to its share of the table's write rate.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -6,10 +6,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// Writes that may be made at once after a quiet time.
+/// Number of writes that may be made at once after an idle period.
 const BURST: f64 = 4.0;
 
-/// Token bucket for writes of rows; clones share it.
+/// Token bucket for row writes; clones share the bucket.
 #[derive(Clone, Debug)]
 pub struct Pacer {
     bucket: Arc<Mutex<Bucket>>,
@@ -23,7 +23,7 @@
 }
 
 impl Pacer {
-    /// A pacer for `rate` writes a second.
+    /// Creates a pacer for `rate` writes per second.
     #[must_use]
     pub fn new(rate: f64) -> Pacer {
         let bucket = Bucket {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Changes the rate, as when a process joined or left.
+    /// Changes the rate, for instance when a process has joined or left.
     pub fn set_rate(&self, rate: f64) {
         let mut bucket = self.bucket.lock().unwrap_or_else(PoisonError::into_inner);
         bucket.refill();
@@ -63,7 +63,8 @@
         self.filled = now;
     }
 
-    /// Goes into debt when there are too few tokens; the wait pays it back.
+    /// Takes tokens and returns the time to wait. The bucket may go into debt,
+    /// which is paid back during the wait.
     fn reserve(&mut self, writes: f64) -> Duration {
         self.refill();
         self.tokens -= writes;
--- a/crates/shard/src/patch.rs
+++ b/crates/shard/src/patch.rs
@@ -1,5 +1,5 @@
-//! Patches of the numbered configuration: one transaction makes the next
-//! version, so of two racing patches exactly one is accepted.
+//! Patches of the numbered configuration. Each version is created in one
+//! transaction, so that exactly one of two concurrent patches is accepted.
 
 use std::sync::Arc;
 
@@ -23,70 +23,72 @@
 use crate::history_key;
 use crate::patch_key;
 
-/// Tries of a commit whose answer was lost.
+/// Maximum number of tries of a commit whose reply is lost.
 const TRIES: u32 = 4;
 
-/// A patch against a numbered version.
+/// A patch of a numbered configuration version.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Patch {
-    /// Chosen by the operator; the same id is never applied twice.
+    /// Id chosen by the operator; a patch with the same id is not applied twice.
     pub id: String,
-    /// Version that it was made against.
+    /// Version to which the patch applies.
     pub version: Version,
-    /// Merge patch (RFC 7396).
+    /// Merge patch (RFC 7396) of the configuration.
     pub patch: Value,
 }
 
-/// Why a patch was refused, or is not known to be accepted.
+/// Reason why a patch was refused, or why it is unknown whether it was applied.
 #[derive(Debug, Snafu)]
 pub enum PatchError {
-    /// Another patch came first.
+    /// The patch applies to a version that is no longer current.
     #[snafu(display("made against version {against}, but version {current} is current"))]
     Stale {
-        /// Version that it was made against.
+        /// Version to which the patch applies.
         against: Version,
-        /// Version that is current.
+        /// Current version.
         current: Version,
     },
-    /// The result would be invalid.
+    /// The patched configuration would be invalid.
     #[snafu(display("{source} (version {current} stays current)"))]
     Invalid {
-        /// What is wrong.
+        /// Problem in the patched configuration.
         source: ConfigError,
-        /// Version that is current.
+        /// Current version.
         current: Version,
     },
-    /// The patch id is unusable.
+    /// The patch id is malformed.
     #[snafu(display("id: found {found:?}, allowed: 1 to 64 letters, digits, hyphens, dots"))]
     BadId {
-        /// The id.
+        /// Id of the patch.
         found: String,
     },
-    /// The table failed before anything could take effect.
+    /// The table failed before the patch could take effect.
     #[snafu(display("this call applied nothing: {source}"))]
     Unavailable {
-        /// Its error.
+        /// Error of the table.
         source: StoreError,
     },
-    /// The answer was lost. Send the same patch with the same id again.
+    /// The table's reply was lost. The operator has to send the same patch with
+    /// the same id again.
     #[snafu(display("may have been applied; send it again with the same id: {source}"))]
     Unknown {
-        /// Its error.
+        /// Error of the table.
         source: StoreError,
     },
-    /// The stored document cannot be read; it was left as it is.
+    /// The stored document cannot be read; it was not changed.
     #[snafu(display("the stored document cannot be read: {reason}"))]
     Damaged {
-        /// What is wrong.
+        /// Row and problem.
         reason: String,
     },
 }
 
-/// Reads the newest document; version 0 before the first patch.
+/// Reads the current configuration and its row. Before the first patch that is
+/// version 0, without a row.
 ///
 /// # Errors
-/// The table fails, or the document cannot be read.
+/// The table fails, or the stored document cannot be read.
 pub async fn read_config<T: Table>(table: &T) -> Result<(Numbered, Option<Row>), PatchError> {
     let row = table.get(CONFIG_CURRENT).await;
     let row = row.map_err(|source| PatchError::Unavailable { source })?;
@@ -97,7 +99,7 @@
     Ok((numbered, row))
 }
 
-/// The document before the first patch.
+/// The configuration before the first patch.
 #[must_use]
 pub fn first_config() -> Numbered {
     Numbered {
@@ -113,10 +115,10 @@
     })
 }
 
-/// Applies a patch, or finds that it was applied before.
+/// Applies a patch; one that was applied before is not applied again.
 ///
 /// # Errors
-/// See [`PatchError`]; only `Unknown` leaves open whether it was applied.
+/// See [`PatchError`]. Only after `Unknown` the patch may have been applied.
 pub async fn apply_patch<T: Table>(table: &T, patch: &Patch) -> Result<Arc<Numbered>, PatchError> {
     check_id(&patch.id)?;
     let mut lost = None;
@@ -162,8 +164,8 @@
     let commit = patch_commit(&next, row.map_or(0, |row| row.version));
     match table.commit(&commit).await {
         Ok(Committed::Done(_)) => Ok(Arc::new(next)),
-        // Either another patch won, or an earlier try of this one: the next
-        // try finds out by the id.
+        // Either another patch or an earlier try of this one was committed
+        // first; the row of the patch id shows which.
         Ok(Committed::Conflict(_)) => {
             let row = table
                 .get(&patch_key(&patch.id))
@@ -194,7 +196,7 @@
         .put(patch_key(&next.patch_id), version)
 }
 
-/// The document that a patch id made.
+/// Reads the configuration version that a patch id has created.
 async fn read_applied<T: Table>(table: &T, row: &Row) -> Result<Arc<Numbered>, PatchError> {
     let damaged = |reason: &str| PatchError::Damaged {
         reason: format!("{}: {reason}", row.key),
--- a/crates/shard/src/router.rs
+++ b/crates/shard/src/router.rs
@@ -1,5 +1,5 @@
-//! Brings a call to the owner of its shard, through hand-overs and crashes.
-//! This is the one place that retries a call on behalf of a caller.
+//! Routes a call to the owner of its shard, across hand-overs and crashes. Calls
+//! are retried on behalf of a caller only here.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,14 +25,15 @@
 use crate::View;
 use crate::service::ask_local;
 
-/// First and longest pause between two tries.
+/// First pause between two tries; it doubles with each try.
 const PAUSE_FIRST: Duration = Duration::from_millis(20);
+/// Longest pause between two tries.
 const PAUSE_LONGEST: Duration = Duration::from_millis(250);
 
-/// Longest wait for a reply that needs no task to end.
+/// Timeout of calls that do not wait for a task to end.
 const PLAIN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Brings calls to the owners of shards; clones share the view.
+/// Routes calls to the owners of shards; clones share the view of the cell.
 #[derive(Clone, Debug)]
 pub struct Router {
     node: Node,
@@ -40,36 +41,36 @@
     view: watch::Receiver<Arc<View>>,
 }
 
-/// What is known of a request.
+/// Status of a request, as its shard reports it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// Its answer, or what it waits for.
+    /// The final answer, or a pending answer with the current state.
     Answer(Answer),
-    /// Its shard does not know it.
+    /// The shard does not know the request.
     Unknown,
-    /// Nothing: no owner of its shard answers.
+    /// No owner of the shard has answered.
     Unreached,
 }
 
-/// One try to ask an owner.
+/// Result of one call to the owner of a shard.
 enum Tried {
-    /// The owner replied.
+    /// The owner has replied.
     Reply(ShardReply),
-    /// No owner did anything about it.
+    /// The call reached no owner.
     Nothing,
-    /// An owner may have received it.
+    /// No reply came; an owner may have received the call.
     Lost,
 }
 
 impl Router {
-    /// A router for a cell of `shards` shards.
+    /// Creates a router for a cell with `shards` shards.
     #[must_use]
     pub fn new(node: Node, shards: u16, view: watch::Receiver<Arc<View>>) -> Router {
         Router { node, shards, view }
     }
 
-    /// Shard of a request. Of a team that this process does not know any shard
-    /// can say that it has no quota.
+    /// Shard of a request. If this process does not know the team, the key is
+    /// hashed over all shards: any shard can answer that the team has no quota.
     #[must_use]
     pub fn shard(&self, key: &str) -> ShardId {
         let team = key.split_once('/').map_or(key, |(team, _)| team);
@@ -81,25 +82,26 @@
             .home(key)
     }
 
-    /// Number of shards.
+    /// Number of shards in the cell.
     #[must_use]
     pub fn shards(&self) -> u16 {
         self.shards
     }
 
-    /// What this process believes about the cell.
+    /// This process's current view of the cell.
     #[must_use]
     pub fn view(&self) -> Arc<View> {
         self.view.borrow().clone()
     }
 
-    /// Submits a request and waits for its reply, at most `patience`, or until
-    /// `leave` turns true: the process stops, and another can be asked.
+    /// Submits a request and waits for its reply for at most `patience`, or until
+    /// `leave` becomes true because the process stops; the caller can then ask
+    /// another process.
     ///
     /// A retry reaches either the same owner, which knows the id, or a later
-    /// one, which has the journal and the workers' reports; so the tries add
-    /// up to one submission. "Not run" is said here only when no try can have
-    /// reached an owner.
+    /// one, which has the journal and the workers' reports. So all tries together
+    /// count as one submission. The router itself answers "not run" only if no
+    /// try can have reached an owner.
     pub async fn submit(
         &self,
         mut submission: Submission,
@@ -134,7 +136,8 @@
                 Tried::Reply(_) | Tried::Nothing => {}
             }
             // The next owner has to know that this is a retry. Without the time
-            // of the first try it would say "not run" of what that one ran.
+            // of the first try it could answer "not run" to a request that the
+            // former owner has run.
             if reached && submission.request.sent_millis == 0 {
                 submission.request.sent_millis = first_millis;
             }
@@ -142,7 +145,7 @@
         }
     }
 
-    /// Asks how a request stands.
+    /// Asks for the status of a request.
     pub async fn status(&self, key: &str) -> Standing {
         let ask = ShardAsk::Status(key.to_owned());
         match self.plain(self.shard(key), ask).await {
@@ -152,8 +155,8 @@
         }
     }
 
-    /// Cancels requests; the number of those cancelled, none when some owner
-    /// could not be asked.
+    /// Cancels requests and returns how many were cancelled, or `None` if the owner
+    /// of any shard concerned has not answered.
     pub async fn cancel(&self, filter: CancelFilter) -> Option<u32> {
         if let CancelFilter::One(key) = &filter {
             let shard = self.shard(key);
@@ -187,8 +190,8 @@
         }
     }
 
-    /// Asks the owner of a shard once; none when it may have received it and
-    /// no reply came. A shard without an owner that can be reached is busy.
+    /// Asks the owner of a shard once. Returns `None` if the owner may have
+    /// received the call but no reply came, and `Busy` if no owner was reached.
     pub(crate) async fn ask_once(
         &self,
         shard: ShardId,
@@ -221,7 +224,7 @@
         }
     }
 
-    /// Waits with jitter, or until the view changes.
+    /// Waits with jitter, or until the view of the cell changes.
     async fn pause(&self, pause: &mut Duration, left: Duration) {
         let jitter = rand::rng().random_range(0.5..1.5);
         let wait = pause.mul_f64(jitter).min(left);
@@ -235,7 +238,7 @@
     }
 }
 
-/// Waits until a flag turns true; a vanished sender counts as that.
+/// Waits until a flag becomes true or its sender is dropped.
 async fn told(flag: &mut watch::Receiver<bool>) {
     let _ = flag.wait_for(|set| *set).await;
 }
--- a/crates/shard/src/service.rs
+++ b/crates/shard/src/service.rs
@@ -1,4 +1,4 @@
-//! Answers the calls of other processes.
+//! Service that answers the calls of other processes.
 
 use std::sync::Arc;
 
@@ -16,7 +16,7 @@
 use crate::TableHealth;
 use crate::View;
 
-/// Answers the calls of other processes.
+/// Answers calls of other processes from this process's view and shards.
 #[derive(Clone, Debug)]
 pub struct CellService {
     process: Incarnation,
@@ -25,7 +25,8 @@
 }
 
 impl CellService {
-    /// A service of the process with the given view; a hint wakes `hints`.
+    /// Creates the service of a process with its view of the cell. A hint from
+    /// another process notifies `hints`.
     #[must_use]
     pub fn new(process: &str, view: watch::Receiver<Arc<View>>, hints: Arc<Notify>) -> CellService {
         CellService {
@@ -44,7 +45,7 @@
     }
 }
 
-/// Asks a shard of this process.
+/// Sends a call to a shard that this process owns.
 pub(crate) async fn ask_local(
     owner: &tokio::sync::mpsc::UnboundedSender<OwnerMessage>,
     ask: ShardAsk,
@@ -53,7 +54,7 @@
     if owner.send(OwnerMessage::Ask(ask, sender)).is_err() {
         return ShardReply::NotOwner;
     }
-    // A task that ended without a reply has given the shard up.
+    // If the owner's task ended without a reply, it has released the shard.
     reply.await.unwrap_or(ShardReply::Moved)
 }
 
