--- a/crates/bench/benches/main/pack.rs
+++ b/crates/bench/benches/main/pack.rs
@@ -12,7 +12,7 @@
 use sched::LeastLoaded;
 use sched::Policy;
 use sched::Weighted;
-use shard::share;
+use shard::equal_part;
 
 use crate::cores::TEAM;
 use crate::cores::capped_core;
@@ -80,7 +80,7 @@
 }
 
 fn shard_core<P: Policy>(policy: P, site: &Site, shard: u16, shards: u16) -> Core<P> {
-    let mut core = capped_core(policy, share(site.watts, shard, shards), site.watts);
+    let mut core = capped_core(policy, equal_part(site.watts, shard, shards), site.watts);
     let capacity = Resources {
         cpu_milli: site.cpu_milli,
         memory_mib: site.memory_mib,
--- a/crates/daemon/tests/shown/cell.rs
+++ b/crates/daemon/tests/shown/cell.rs
@@ -14,7 +14,7 @@
 use shard::TableHealth;
 use shard::View;
 use shard::encode_row;
-use shard::first_config;
+use shard::initial_config;
 use web::Handler;
 use web::Method;
 
@@ -44,7 +44,7 @@
 /// A table with configuration version 3.
 fn configured() -> House {
     let house = House::new();
-    let mut config = first_config();
+    let mut config = initial_config();
     config.version = 3;
     house.table.put(CONFIG_HEAD, "3");
     house.table.put(CONFIG_CURRENT, &encode_row(&config));
--- a/crates/daemon/tests/shown/links.rs
+++ b/crates/daemon/tests/shown/links.rs
@@ -191,7 +191,7 @@
 fn start() -> LinkOrder {
     LinkOrder::Start(StartOrder {
         attempt: "stores/r1#1.1.0".to_owned(),
-        run: "run-0".to_owned(),
+        incarnation: "run-0".to_owned(),
         request: "stores/r1".to_owned(),
         needs: Resources::default(),
         payload: String::new(),
--- a/crates/entry/src/api.rs
+++ b/crates/entry/src/api.rs
@@ -18,8 +18,8 @@
 use shard::KeeperOrder;
 use shard::Patch;
 use shard::PatchError;
+use shard::RequestStatus;
 use shard::Router;
-use shard::Standing;
 use shard::Submission;
 use shard::apply_patch;
 use shard::history_key;
@@ -210,12 +210,14 @@
         let id = asked.path.trim_start_matches("/v1/requests/");
         let answer = self.router.status(&request_key(&caller.team, id)).await;
         match answer {
-            Standing::Answer(answer) => Ok(web::json(StatusCode::OK, &AnswerBody::from(answer))),
-            Standing::Unknown => Err(Refusal::new(
+            RequestStatus::Answer(answer) => {
+                Ok(web::json(StatusCode::OK, &AnswerBody::from(answer)))
+            }
+            RequestStatus::Unknown => Err(Refusal::new(
                 StatusCode::NOT_FOUND,
                 "no such request of this team",
             )),
-            Standing::Unreached => Err(Refusal::new(
+            RequestStatus::Unreached => Err(Refusal::new(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "the owner of its shard does not answer; nothing is known of it here",
             )),
--- a/crates/shard/src/answers.rs
+++ b/crates/shard/src/answers.rs
@@ -12,10 +12,10 @@
 use crate::Entry;
 use crate::MemberState;
 use crate::Origin;
-use crate::Past;
+use crate::RunHistory;
 
 /// Maximum number of attempts of a request.
-pub const ATTEMPTS: u32 = 4;
+pub const MAX_ATTEMPTS: u32 = 4;
 
 /// Time within which an interrupted request must start again if its own
 /// deadline is earlier.
@@ -23,65 +23,69 @@
 
 /// What follows for a request after an attempt has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AttemptOutcome {
     /// The request gets this final answer.
     Answer(Answer),
     /// The request runs again, from this checkpoint if there is one.
-    Again(Option<String>),
+    Retry(Option<String>),
 }
 
 /// Evaluates an attempt whose members have all ended. `extra` are results of
 /// tasks that are not among the members of `entry`.
 #[must_use]
-pub fn judge(entry: &Entry, extra: &[(&str, &End)]) -> Verdict {
+pub fn evaluate_attempt(entry: &Entry, extra: &[(&str, &End)]) -> AttemptOutcome {
     let mut ends: Vec<(&str, &End)> = extra.to_vec();
-    let mut unstarted = 0;
-    let mut missing = false;
-    let mut gone = false;
+    let mut not_started = 0;
+    let mut unreachable = false;
+    let mut interrupted = false;
     for member in &entry.members {
         match &member.state {
             MemberState::Ended(end) => ends.push((&member.worker, end)),
-            MemberState::NotStarted => unstarted += 1,
-            MemberState::Missing => missing = true,
-            _ => gone = true,
+            MemberState::NotStarted => not_started += 1,
+            MemberState::Unreachable => unreachable = true,
+            _ => interrupted = true,
         }
     }
-    let answer = |code, reason: &str| Verdict::Answer(bare(entry, code, reason));
-    if missing {
+    let answer = |code, reason: &str| AttemptOutcome::Answer(bare(entry, code, reason));
+    if unreachable {
         return answer(
             Code::HostLost,
             "its worker cannot be reached; it may have run",
         );
     }
-    let none_started = unstarted == entry.members.len() && extra.is_empty();
-    if entry.cancelled && none_started && !entry.touched() {
+    let none_started = not_started == entry.members.len() && extra.is_empty();
+    if entry.cancelled && none_started && !entry.may_have_run() {
         return answer(Code::Cancelled, "cancelled before it started");
     }
     if none_started && !entry.cancelled {
-        return Verdict::Again(None);
+        return AttemptOutcome::Retry(None);
     }
-    let result = |wanted| ends.iter().any(|(_, end)| end.result == wanted);
-    if unstarted == 0
-        && !gone
+    let any_ended_with = |expected| ends.iter().any(|(_, end)| end.result == expected);
+    if not_started == 0
+        && !interrupted
         && ends
             .iter()
             .all(|(_, end)| end.result == EndResult::Succeeded)
     {
-        return Verdict::Answer(success(entry, &ends));
+        return AttemptOutcome::Answer(success_answer(entry, &ends));
     }
     if entry.cancelled {
-        return Verdict::Answer(stopped(entry, &ends, gone));
+        return AttemptOutcome::Answer(stop_answer(entry, &ends, interrupted));
     }
-    if result(EndResult::Checkpointed) && !gone && unstarted == 0 && ends.len() == 1 {
-        return Verdict::Again(Some(ends[0].1.output.clone()));
+    if any_ended_with(EndResult::Checkpointed)
+        && !interrupted
+        && not_started == 0
+        && ends.len() == 1
+    {
+        return AttemptOutcome::Retry(Some(ends[0].1.output.clone()));
     }
-    let again =
-        entry.request.idempotent && entry.attempt < ATTEMPTS && entry.origin == Origin::Caller;
-    if again {
-        return Verdict::Again(None);
+    let may_retry =
+        entry.request.idempotent && entry.attempt < MAX_ATTEMPTS && entry.origin == Origin::Caller;
+    if may_retry {
+        return AttemptOutcome::Retry(None);
     }
-    if result(EndResult::Failed) {
-        return Verdict::Answer(failure(entry, &ends));
+    if any_ended_with(EndResult::Failed) {
+        return AttemptOutcome::Answer(failure_answer(entry, &ends));
     }
     answer(Code::HostLost, "it was interrupted; it may have run")
 }
@@ -90,13 +94,13 @@
 /// task ended, not on the stop that was sent: a task that had ended by itself
 /// before the stop arrived was once answered as stopped, and its caller, who
 /// took that for a failure, submitted it again.
-fn stopped(entry: &Entry, ends: &[(&str, &End)], gone: bool) -> Answer {
-    if gone || entry.past == Past::Unseen {
+fn stop_answer(entry: &Entry, ends: &[(&str, &End)], interrupted: bool) -> Answer {
+    if interrupted || entry.history == RunHistory::EndUnknown {
         let reason = "cancelled, but nobody knows how it ended; it may have run";
         return bare(entry, Code::HostLost, reason);
     }
     if ends.iter().any(|(_, end)| end.result == EndResult::Failed) {
-        return failure(entry, ends);
+        return failure_answer(entry, ends);
     }
     bare(entry, Code::TaskStopped, "stopped by its caller")
 }
@@ -107,18 +111,18 @@
     answer
 }
 
-fn success(entry: &Entry, ends: &[(&str, &End)]) -> Answer {
-    let whole = ends
+fn success_answer(entry: &Entry, ends: &[(&str, &End)]) -> Answer {
+    let is_intact = ends
         .iter()
         .all(|(_, end)| digest(&end.output) == end.digest);
-    if !whole {
+    if !is_intact {
         let reason = "its output was damaged on the way from the worker";
         return bare(entry, Code::HostLost, reason);
     }
     with_output(bare(entry, Code::Ok, ""), ends)
 }
 
-fn failure(entry: &Entry, ends: &[(&str, &End)]) -> Answer {
+fn failure_answer(entry: &Entry, ends: &[(&str, &End)]) -> Answer {
     with_output(bare(entry, Code::TaskFailed, "the task failed"), ends)
 }
 
--- a/crates/shard/src/cancel.rs
+++ b/crates/shard/src/cancel.rs
@@ -7,8 +7,8 @@
 use crate::Entry;
 use crate::Machine;
 use crate::Output;
-use crate::Past;
 use crate::Record;
+use crate::RunHistory;
 use crate::ShardReply;
 use crate::Stage;
 use crate::StopMode;
@@ -18,7 +18,7 @@
 
 /// Effects of a cancel call on the requests processed so far.
 #[derive(Debug, Default)]
-struct Found {
+struct CancelProgress {
     /// Keys of waiting requests whose cancellation goes into one common record.
     waiting: Vec<String>,
     /// Number of requests that count as cancelled by the call.
@@ -28,31 +28,31 @@
 }
 
 impl Machine {
-    pub(crate) fn labelled(&self, team: &str, label: &str) -> Vec<String> {
-        let means = |entry: &Entry| entry.request.team == team && entry.request.label == label;
-        let entries = self.ledger.iter().filter(|(_, entry)| means(entry));
+    pub(crate) fn keys_with_label(&self, team: &str, label: &str) -> Vec<String> {
+        let has_label = |entry: &Entry| entry.request.team == team && entry.request.label == label;
+        let entries = self.ledger.iter().filter(|(_, entry)| has_label(entry));
         entries.map(|(key, _)| key.clone()).collect()
     }
 
     /// Withdraws waiting requests, with one record for all, and stops running
     /// ones.
     pub(crate) fn on_cancel(&mut self, keys: Vec<String>, waiter: WaiterKey) {
-        let mut found = Found::default();
+        let mut progress = CancelProgress::default();
         for key in keys {
-            self.cancel_one(key, &mut found);
+            self.cancel_one(key, &mut progress);
         }
-        if found.waiting.is_empty() && !found.recording {
-            self.reply(waiter, ShardReply::Cancelled(found.count));
+        if progress.waiting.is_empty() && !progress.recording {
+            self.reply(waiter, ShardReply::Cancelled(progress.count));
             return;
         }
-        self.close_cancelled(&found.waiting);
+        self.close_withdrawn(&progress.waiting);
         let record = Record::Cancel {
-            keys: found.waiting.clone(),
+            keys: progress.waiting.clone(),
             at_millis: self.times.wall_millis,
         };
         let withdrawn = Withdrawn {
-            keys: found.waiting,
-            count: found.count,
+            keys: progress.waiting,
+            count: progress.count,
             waiter,
         };
         self.append(record, Pending::Cancelled(withdrawn));
@@ -62,30 +62,30 @@
     /// again: a caller that lost the reply repeats the call, and would otherwise
     /// be told that nothing was cancelled. The reply waits until the records of
     /// the answers are in the table.
-    fn cancel_one(&mut self, key: String, found: &mut Found) {
+    fn cancel_one(&mut self, key: String, progress: &mut CancelProgress) {
         let Some(entry) = self.ledger.get(&key) else {
             return;
         };
-        let (touched, durable) = (entry.touched(), entry.recorded);
+        let (may_have_run, durable) = (entry.may_have_run(), entry.recorded);
         match &entry.stage {
-            Stage::Done(answer) => found.count += u32::from(is_cancelled(answer.code)),
+            Stage::Done(answer) => progress.count += u32::from(is_cancelled(answer.code)),
             Stage::Closing(answer) if is_cancelled(answer.code) => {
-                found.count += 1;
-                found.recording |= durable;
+                progress.count += 1;
+                progress.recording |= durable;
             }
             Stage::Closing(_) => {}
             Stage::Waiting(_) | Stage::Recording(_) => {
-                found.count += 1;
+                progress.count += 1;
                 self.withdraw(&key);
-                if durable && !touched {
-                    found.waiting.push(key);
+                if durable && !may_have_run {
+                    progress.waiting.push(key);
                 } else {
-                    found.recording |= durable;
+                    progress.recording |= durable;
                     self.finish_cancelled(&key);
                 }
             }
             Stage::Lent | Stage::Running(_) => {
-                found.count += 1;
+                progress.count += 1;
                 self.stop_running(&key);
             }
         }
@@ -95,17 +95,19 @@
         let Some(entry) = self.ledger.get(key) else {
             return;
         };
-        let (code, reason) = match entry.past {
-            Past::Untouched => (Code::Cancelled, "cancelled before it started"),
-            Past::Seen => (Code::TaskStopped, "cancelled between two attempts"),
-            Past::Unseen => (Code::HostLost, "cancelled; an earlier attempt may have run"),
+        let (code, reason) = match entry.history {
+            RunHistory::NeverStarted => (Code::Cancelled, "cancelled before it started"),
+            RunHistory::EndKnown => (Code::TaskStopped, "cancelled between two attempts"),
+            RunHistory::EndUnknown => {
+                (Code::HostLost, "cancelled; an earlier attempt may have run")
+            }
         };
         self.finish_bare(key, code, reason);
     }
 
     /// Closes cancelled requests, so that they can't start any more. Their callers
     /// get the answer once its record is in the table.
-    fn close_cancelled(&mut self, keys: &[String]) {
+    fn close_withdrawn(&mut self, keys: &[String]) {
         for key in keys {
             if let Some(entry) = self.ledger.get_mut(key) {
                 entry.stage = Stage::Closing(crate::cancelled_answer(key));
--- a/crates/shard/src/entry.rs
+++ b/crates/shard/src/entry.rs
@@ -30,9 +30,9 @@
     Ended(End),
     /// The task was stopped with its host, or its lease expired. It has
     /// certainly ended, but its result is unknown.
-    Gone,
+    Interrupted,
     /// The worker cannot be reached; the task may still be running.
-    Missing,
+    Unreachable,
 }
 
 impl MemberState {
@@ -54,7 +54,7 @@
     /// Worker on which the member was placed.
     pub worker: WorkerId,
     /// Incarnation of the worker at the time of the placement.
-    pub run: Incarnation,
+    pub incarnation: Incarnation,
     /// State of the member, as far as the shard knows it.
     pub state: MemberState,
 }
@@ -90,13 +90,13 @@
 
 /// Whether earlier attempts of a request ran, as far as the shard knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Past {
+pub enum RunHistory {
     /// No attempt has started.
-    Untouched,
+    NeverStarted,
     /// An attempt has started, and the results of all started tasks are known.
-    Seen,
+    EndKnown,
     /// An attempt may have started whose result is unknown.
-    Unseen,
+    EndUnknown,
 }
 
 /// Whether the acceptance of a request is recorded in the table.
@@ -105,7 +105,7 @@
     /// The record is not in the table yet; these callers wait for it.
     Recording(Vec<WaiterKey>),
     /// The record is in the table.
-    Safe,
+    Recorded,
 }
 
 /// A request with its state in its shard.
@@ -114,7 +114,7 @@
     /// The request as submitted.
     pub request: Request,
     /// Time at which the request came to this shard.
-    pub since: Timestamp,
+    pub submitted_at: Timestamp,
     /// Latest time at which the request may start.
     pub deadline: Timestamp,
     /// The same deadline as wall clock time, in milliseconds since 1970.
@@ -132,7 +132,7 @@
     /// Whether the journal contains the request, or will with the next commit.
     pub recorded: bool,
     /// Whether earlier attempts ran.
-    pub past: Past,
+    pub history: RunHistory,
     /// Whether the acceptance is recorded in the table.
     pub acceptance: Acceptance,
     /// Whether the caller cancelled the request while it was running.
@@ -140,12 +140,12 @@
     /// How the shard learnt of the request.
     pub origin: Origin,
     /// Milliseconds between the first submission and its arrival in this shard.
-    pub before_millis: u64,
+    pub prior_millis: u64,
     /// Milliseconds from submission to the start of the newest attempt: the
     /// worker's confirmation or, until it arrives, the sending of the start.
     pub waited_millis: u64,
     /// Members of earlier attempts, whose results the workers still keep.
-    pub spent: Vec<Member>,
+    pub earlier_members: Vec<Member>,
     /// Checkpoint from which the next attempt continues; empty if there is none.
     pub checkpoint: String,
 }
@@ -155,13 +155,13 @@
     #[must_use]
     pub fn new(
         request: Request,
-        since: Timestamp,
+        submitted_at: Timestamp,
         deadline: Timestamp,
         until_millis: u64,
     ) -> Entry {
         Entry {
             request,
-            since,
+            submitted_at,
             deadline,
             until_millis,
             attempt: 0,
@@ -170,20 +170,20 @@
             stage: Stage::Running(None),
             waiters: Vec::new(),
             recorded: false,
-            past: Past::Untouched,
+            history: RunHistory::NeverStarted,
             acceptance: Acceptance::Recording(Vec::new()),
             cancelled: false,
             origin: Origin::Caller,
-            before_millis: 0,
+            prior_millis: 0,
             waited_millis: 0,
-            spent: Vec::new(),
+            earlier_members: Vec::new(),
             checkpoint: String::new(),
         }
     }
 
     /// Creates the entry of a request that is known only from a worker's report.
     #[must_use]
-    pub fn orphan(key: &str, needs: Resources, now: Timestamp) -> Entry {
+    pub fn from_report(key: &str, needs: Resources, now: Timestamp) -> Entry {
         let (team, id) = key.split_once('/').unwrap_or(("", key));
         let request = Request {
             id: id.to_owned(),
@@ -200,20 +200,20 @@
         };
         let mut entry = Entry::new(request, now, now, 0);
         entry.origin = Origin::Report;
-        entry.past = Past::Seen;
+        entry.history = RunHistory::EndKnown;
         entry
     }
 
     /// Whether `other` asks for the same work.
     #[must_use]
     pub fn is_same_work(&self, other: &Request) -> bool {
-        let mine = &self.request;
+        let own = &self.request;
         self.origin == Origin::Report
-            || (mine.class == other.class
-                && mine.needs == other.needs
-                && mine.members == other.members
-                && mine.idempotent == other.idempotent
-                && mine.payload == other.payload)
+            || (own.class == other.class
+                && own.needs == other.needs
+                && own.members == other.members
+                && own.idempotent == other.idempotent
+                && own.payload == other.payload)
     }
 
     /// The final answer, if there is one.
@@ -227,33 +227,33 @@
 
     /// Whether the request is recorded in the table, or needs no record.
     #[must_use]
-    pub fn is_safe(&self) -> bool {
-        !self.recorded || matches!(self.acceptance, Acceptance::Safe)
+    pub fn survives_takeover(&self) -> bool {
+        !self.recorded || matches!(self.acceptance, Acceptance::Recorded)
     }
 
     /// Whether an attempt may have started.
     #[must_use]
-    pub fn touched(&self) -> bool {
-        self.past != Past::Untouched
+    pub fn may_have_run(&self) -> bool {
+        self.history != RunHistory::NeverStarted
     }
 
     /// Adds what is known of an attempt to the run history.
-    pub(crate) fn touch(&mut self, past: Past) {
-        self.past = self.past.max(past);
+    pub(crate) fn add_history(&mut self, history: RunHistory) {
+        self.history = self.history.max(history);
     }
 
     /// Sets the waiting time when the start is sent or confirmed at `now`,
     /// unless an earlier attempt has already set it.
     pub(crate) fn note_wait(&mut self, now: Timestamp) {
-        if !self.touched() {
-            let here = crate::intake::millis(now.saturating_sub(self.since));
-            self.waited_millis = self.before_millis + here;
+        if !self.may_have_run() {
+            let local_millis = crate::intake::millis(now.saturating_sub(self.submitted_at));
+            self.waited_millis = self.prior_millis + local_millis;
         }
     }
 
     /// Whether the answer is decided, even if its record is not yet in the table.
     #[must_use]
-    pub fn is_over(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         matches!(self.stage, Stage::Closing(_) | Stage::Done(_))
     }
 
--- a/crates/shard/src/fleet.rs
+++ b/crates/shard/src/fleet.rs
@@ -18,33 +18,33 @@
 use crate::Machine;
 use crate::MemberState;
 use crate::Output;
-use crate::Past;
+use crate::RunHistory;
 use crate::Stage;
 use crate::StopMode;
 use crate::WorkerHost;
 
 /// Time for which no tasks are placed on a worker that has refused a start.
-const HOLD: Duration = Duration::from_millis(200);
+const HOLD_TIME: Duration = Duration::from_millis(200);
 
 impl Machine {
     pub(crate) fn on_workers(&mut self, workers: Vec<WorkerHost>) {
-        let mut known = std::mem::take(&mut self.workers);
+        let mut previous = std::mem::take(&mut self.workers);
         for host in workers {
-            let earlier = known.remove(&host.host.id);
-            let same = earlier.as_ref().is_some_and(|old| old.is_same_link(&host));
-            if !same {
+            let earlier = previous.remove(&host.host.id);
+            let same_link = earlier.as_ref().is_some_and(|old| old.is_same_link(&host));
+            if !same_link {
                 if earlier.is_some() || self.retiring.contains(&host.host.id) {
                     self.outputs.push(Output::Unlink(host.host.id.clone()));
                 }
                 self.outputs.push(Output::Link(host.clone()));
             }
-            let was = earlier.map(|old| old.host.state);
+            let old_state = earlier.map(|old| old.host.state);
             self.workers.insert(host.host.id.clone(), host.clone());
-            if was != Some(host.host.state) {
+            if old_state != Some(host.host.state) {
                 self.on_host_state(&host);
             }
         }
-        for id in known.into_keys() {
+        for id in previous.into_keys() {
             if let Some(worker) = self.core.worker(&id) {
                 self.core.set_state(worker, WorkerState::Leaving);
             }
@@ -52,23 +52,23 @@
         }
         let workers = &self.workers;
         self.retiring.retain(|id| !workers.contains_key(id));
-        self.count_known();
+        self.update_all_known();
     }
 
     /// Updates whether all workers are known to the core. A request can be
     /// refused as too large only when they are, so waiting requests are checked
     /// again at that moment.
-    fn count_known(&mut self) {
+    fn update_all_known(&mut self) {
         let core = &self.core;
-        let complete = self.workers.keys().all(|id| core.worker(id).is_some());
-        if !self.core.set_all_known(complete) {
+        let all_known = self.workers.keys().all(|id| core.worker(id).is_some());
+        if !self.core.set_all_known(all_known) {
             return;
         }
         let core = &self.core;
-        let impossible = |entry: &Entry| {
+        let never_fits = |entry: &Entry| {
             matches!(entry.stage, Stage::Waiting(_)) && !core.could_hold(&Self::job_spec(entry))
         };
-        let entries = self.ledger.iter().filter(|(_, entry)| impossible(entry));
+        let entries = self.ledger.iter().filter(|(_, entry)| never_fits(entry));
         let keys: Vec<String> = entries.map(|(key, _)| key.clone()).collect();
         for key in keys {
             self.withdraw(&key);
@@ -94,11 +94,11 @@
     }
 
     fn has_open_members(&self, id: &str) -> bool {
-        let open = |entry: &Entry| {
+        let has_open = |entry: &Entry| {
             let mut here = entry.members.iter().filter(|m| m.worker == id);
-            !entry.is_over() && here.any(|m| !m.state.is_settled())
+            !entry.is_closed() && here.any(|m| !m.state.is_settled())
         };
-        self.ledger.iter().any(|(_, entry)| open(entry))
+        self.ledger.iter().any(|(_, entry)| has_open(entry))
     }
 
     fn on_host_state(&mut self, host: &WorkerHost) {
@@ -108,23 +108,23 @@
         let lost = self
             .core
             .worker_entry(worker)
-            .is_some_and(|slot| slot.state == WorkerState::Lost);
+            .is_some_and(|w| w.state == WorkerState::Lost);
         if lost {
             return;
         }
-        self.core.set_state(worker, core_state(host.host.state));
+        self.core.set_state(worker, worker_state(host.host.state));
         if host.host.state == HostState::Leaving {
             self.event(Event::new(Kind::WorkerLeaving).worker(&host.host.id));
-            self.move_long_work(&host.host.id);
+            self.checkpoint_batch_tasks(&host.host.id);
         }
     }
 
     /// Stops batch tasks on a worker with a checkpoint, so that they continue on
     /// another worker.
-    fn move_long_work(&mut self, worker: &str) {
-        let movable = |entry: &Entry| entry.request.class == model::Class::Batch;
+    fn checkpoint_batch_tasks(&mut self, worker: &str) {
+        let is_batch = |entry: &Entry| entry.request.class == model::Class::Batch;
         let mut stops = Vec::new();
-        for (_, entry) in self.ledger.iter().filter(|(_, entry)| movable(entry)) {
+        for (_, entry) in self.ledger.iter().filter(|(_, entry)| is_batch(entry)) {
             let here = entry.members.iter().filter(|m| m.worker == worker);
             for member in here.filter(|m| !m.state.is_settled()) {
                 let attempt = member.attempt.clone();
@@ -143,8 +143,8 @@
             return;
         };
         let worker = self.core.add_worker(id, &host.host.rack, claimed.capacity);
-        self.core.set_state(worker, core_state(host.host.state));
-        self.count_known();
+        self.core.set_state(worker, worker_state(host.host.state));
+        self.update_all_known();
         self.runs.insert(id.to_owned(), claimed.incarnation.clone());
         self.event(Event::new(Kind::WorkerClaimed).worker(id));
         let mut listed: HashMap<String, Task> = HashMap::new();
@@ -153,10 +153,10 @@
         }
         self.reconcile_members(id, &claimed.incarnation, &listed);
         for task in listed.into_values() {
-            self.take_listed(id, task);
+            self.process_listed_task(id, task);
         }
         if host.host.state == HostState::Leaving {
-            self.move_long_work(id);
+            self.checkpoint_batch_tasks(id);
         }
     }
 
@@ -164,19 +164,19 @@
     /// still the incarnation that the intent names, the start has not reached it
     /// and never will, since the claim has fenced it off. If the worker has
     /// restarted, it is unknown whether the task ran.
-    fn reconcile_members(&mut self, id: &str, run: &str, listed: &HashMap<String, Task>) {
+    fn reconcile_members(&mut self, id: &str, incarnation: &str, listed: &HashMap<String, Task>) {
         let mut settled = Vec::new();
-        for (key, entry) in self.ledger.iter().filter(|(_, entry)| !entry.is_over()) {
+        for (key, entry) in self.ledger.iter().filter(|(_, entry)| !entry.is_closed()) {
             for member in entry.members.iter().filter(|m| m.worker == id) {
                 if member.state.is_settled() || listed.contains_key(&member.attempt) {
                     continue;
                 }
-                let state = match (member.run == run, &member.state) {
+                let state = match (member.incarnation == incarnation, &member.state) {
                     (true, MemberState::Unknown) => MemberState::NotStarted,
                     // The link reports the outcome of starts in flight.
                     (true, MemberState::Sent) => continue,
                     _ if matches!(entry.stage, Stage::Recording(_)) => continue,
-                    _ => MemberState::Gone,
+                    _ => MemberState::Interrupted,
                 };
                 settled.push((key.clone(), member.attempt.clone(), state));
             }
@@ -186,9 +186,9 @@
         }
     }
 
-    fn take_listed(&mut self, id: &str, task: Task) {
-        if !self.is_home(&task.request) {
-            self.drop_stray(id, task);
+    fn process_listed_task(&mut self, id: &str, task: Task) {
+        if !self.belongs_here(&task.request) {
+            self.drop_foreign_task(id, task);
             return;
         }
         if task.end.is_some() {
@@ -208,7 +208,7 @@
 
     /// Whether requests with this key belong to this shard under the current
     /// configuration. True if the team is not known.
-    pub(crate) fn is_home(&self, key: &str) -> bool {
+    pub(crate) fn belongs_here(&self, key: &str) -> bool {
         if let Some(shard) = model::lent_to(key) {
             return shard == self.facts.shard;
         }
@@ -218,7 +218,7 @@
     }
 
     /// Forgets or stops a task of the shard to which the worker belonged before.
-    fn drop_stray(&mut self, id: &str, task: Task) {
+    fn drop_foreign_task(&mut self, id: &str, task: Task) {
         if task.end.is_some() {
             self.forget_task(id, task.attempt);
         } else {
@@ -233,7 +233,7 @@
     fn adopt(&mut self, id: &str, task: &Task) -> bool {
         let key = &task.request;
         if self.ledger.get(key).is_none() && task.end.is_none() {
-            self.insert_orphan(id, task);
+            self.insert_reported(id, task);
         }
         let Some(worker) = self.core.worker(id) else {
             return false;
@@ -242,7 +242,7 @@
         let Some(entry) = self.ledger.get_mut(key) else {
             return true;
         };
-        if entry.is_over() {
+        if entry.is_closed() {
             return false;
         }
         let job = entry.job();
@@ -277,18 +277,18 @@
         let job = self.core.adopt(self.times.now, spec, worker);
         self.keys.insert(job, key.to_owned());
         if let Some(entry) = self.ledger.get_mut(key) {
-            entry.touch(Past::Seen);
+            entry.add_history(RunHistory::EndKnown);
             entry.stage = Stage::Running(Some(job));
         }
     }
 
-    fn insert_orphan(&mut self, id: &str, task: &Task) {
-        let mut entry = Entry::orphan(&task.request, task.needs, self.times.now);
+    fn insert_reported(&mut self, id: &str, task: &Task) {
+        let mut entry = Entry::from_report(&task.request, task.needs, self.times.now);
         entry.attempt = 1;
         entry.members = vec![crate::Member {
             attempt: task.attempt.clone(),
             worker: id.to_owned(),
-            run: self.runs.get(id).cloned().unwrap_or_default(),
+            incarnation: self.runs.get(id).cloned().unwrap_or_default(),
             state: MemberState::Unknown,
         }];
         self.ledger.insert(&task.request, entry);
@@ -302,10 +302,10 @@
         let Some(worker) = self.core.worker(id) else {
             return;
         };
-        let ready = |slot: &sched::WorkerEntry| slot.state == WorkerState::Ready;
+        let ready = |w: &sched::WorkerEntry| w.state == WorkerState::Ready;
         if self.core.worker_entry(worker).is_some_and(ready) {
             self.core.set_state(worker, WorkerState::Held);
-            self.held.push((self.times.now + HOLD, id.to_owned()));
+            self.held.push((self.times.now + HOLD_TIME, id.to_owned()));
         }
     }
 
@@ -319,7 +319,7 @@
             let Some(worker) = self.core.worker(&id) else {
                 continue;
             };
-            let held = |slot: &sched::WorkerEntry| slot.state == WorkerState::Held;
+            let held = |w: &sched::WorkerEntry| w.state == WorkerState::Held;
             if self.core.worker_entry(worker).is_some_and(held) {
                 self.core.set_state(worker, WorkerState::Ready);
             }
@@ -345,18 +345,18 @@
     /// Another shard has claimed the worker. Tasks may still run there, and their
     /// ends will be reported to that shard only, so they are settled as
     /// unreachable and not run again.
-    pub(crate) fn on_worker_taken(&mut self, id: &str) {
+    pub(crate) fn on_worker_reassigned(&mut self, id: &str) {
         self.on_worker_refused(id, "another shard holds it");
-        self.settle_all(id, &MemberState::Missing);
+        self.settle_all(id, &MemberState::Unreachable);
     }
 
-    pub(crate) fn on_lease_over(&mut self, id: &str) {
-        self.settle_all(id, &MemberState::Gone);
+    pub(crate) fn on_lease_expired(&mut self, id: &str) {
+        self.settle_all(id, &MemberState::Interrupted);
     }
 
     fn settle_all(&mut self, id: &str, state: &MemberState) {
         let mut settled = Vec::new();
-        for (key, entry) in self.ledger.iter().filter(|(_, entry)| !entry.is_over()) {
+        for (key, entry) in self.ledger.iter().filter(|(_, entry)| !entry.is_closed()) {
             if matches!(entry.stage, Stage::Recording(_)) {
                 continue;
             }
@@ -371,9 +371,9 @@
 
     /// Settles recovered intents on workers that could not be claimed in time.
     /// Their callers are told that the request may have run.
-    pub(crate) fn settle_missing(&mut self) {
+    pub(crate) fn settle_unclaimed(&mut self) {
         let mut missing = Vec::new();
-        for (_, entry) in self.ledger.iter().filter(|(_, entry)| !entry.is_over()) {
+        for (_, entry) in self.ledger.iter().filter(|(_, entry)| !entry.is_closed()) {
             let unknown = entry
                 .members
                 .iter()
@@ -388,12 +388,12 @@
     fn settle_unknown(&mut self, id: &WorkerId) {
         let claimed = self.runs.contains_key(id);
         if !claimed {
-            self.settle_all(id, &MemberState::Missing);
+            self.settle_all(id, &MemberState::Unreachable);
         }
     }
 }
 
-fn core_state(state: HostState) -> WorkerState {
+fn worker_state(state: HostState) -> WorkerState {
     match state {
         HostState::Live => WorkerState::Ready,
         HostState::Leaving => WorkerState::Leaving,
--- a/crates/shard/src/host_watch.rs
+++ b/crates/shard/src/host_watch.rs
@@ -8,7 +8,7 @@
 use tokio::sync::watch;
 
 /// Interval between polls.
-const POLL: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The newest host list; `None` until the first one was read.
 pub type Hosts = Option<Arc<Vec<Host>>>;
@@ -18,19 +18,19 @@
 pub async fn watch_hosts<H: HostList>(list: H, hosts: watch::Sender<Hosts>) {
     while !hosts.is_closed() {
         match list.hosts().await {
-            Ok(now) => publish(&hosts, now),
+            Ok(newest) => publish(&hosts, newest),
             Err(error) => log::debug!("cannot read the host list: {error}"),
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-fn publish(hosts: &watch::Sender<Hosts>, now: Vec<Host>) {
-    hosts.send_if_modified(|known| {
-        if known.as_ref().is_some_and(|known| **known == now) {
+fn publish(hosts: &watch::Sender<Hosts>, newest: Vec<Host>) {
+    hosts.send_if_modified(|current| {
+        if current.as_ref().is_some_and(|current| **current == newest) {
             return false;
         }
-        *known = Some(Arc::new(now));
+        *current = Some(Arc::new(newest));
         true
     });
 }
--- a/crates/shard/src/intake.rs
+++ b/crates/shard/src/intake.rs
@@ -23,10 +23,10 @@
 use crate::Submission;
 use crate::WaiterKey;
 use crate::machine::Pending;
-use crate::outcome::refusal_of;
+use crate::outcome::refusal_code;
 
 /// Delay after which a caller should ask again, in milliseconds.
-const COME_BACK_MILLIS: u64 = 1000;
+const RETRY_MILLIS: u64 = 1000;
 
 impl Machine {
     pub(crate) fn on_ask(&mut self, ask: ShardAsk, waiter: WaiterKey) {
@@ -40,7 +40,7 @@
             ShardAsk::Status(key) => self.on_status(&key, waiter),
             ShardAsk::Cancel(CancelFilter::One(key)) => self.on_cancel(vec![key], waiter),
             ShardAsk::Cancel(CancelFilter::Label { team, label }) => {
-                let keys = self.labelled(&team, &label);
+                let keys = self.keys_with_label(&team, &label);
                 self.on_cancel(keys, waiter);
             }
         }
@@ -49,10 +49,10 @@
     fn on_submit(&mut self, submission: Submission, waiter: WaiterKey) {
         let key = request_key(&submission.request.team, &submission.request.id);
         if self.ledger.get(&key).is_some() {
-            self.attach(&key, &submission, waiter);
+            self.attach_to_known(&key, &submission, waiter);
             return;
         }
-        if !self.is_home(&key) {
+        if !self.belongs_here(&key) {
             // The sender's router has an older configuration, without this team.
             self.reply(waiter, ShardReply::NotOwner);
             return;
@@ -60,15 +60,20 @@
         if let Some(answer) = self.refusal(&submission.request) {
             let now = self.times.now;
             let entry = Entry::new(submission.request, now, now, 0);
-            let answer = self.make_true(&entry, answer);
+            let answer = self.qualify_not_run(&entry, answer);
             self.reply(waiter, ShardReply::Answer(answer));
             return;
         }
-        self.take(&key, submission, waiter);
+        self.accept(&key, submission, waiter);
     }
 
     /// Answers a repeated submission of a known id like the first one.
-    pub(crate) fn attach(&mut self, key: &str, submission: &Submission, waiter: WaiterKey) {
+    pub(crate) fn attach_to_known(
+        &mut self,
+        key: &str,
+        submission: &Submission,
+        waiter: WaiterKey,
+    ) {
         let Some(entry) = self.ledger.get_mut(key) else {
             return;
         };
@@ -106,11 +111,11 @@
                 format!("first sent more than {retention} ms ago; answers are forgotten by then");
             return Some(Answer::bare(id, Code::Forgotten, reason));
         }
-        let reason = crate::breaks_limit(self.config(), request)?;
+        let reason = crate::exceeded_cell_limit(self.config(), request)?;
         Some(Answer::bare(id, Code::NeverFits, reason))
     }
 
-    fn take(&mut self, key: &str, submission: Submission, waiter: WaiterKey) {
+    fn accept(&mut self, key: &str, submission: Submission, waiter: WaiterKey) {
         let Submission {
             request,
             waited_millis,
@@ -120,7 +125,7 @@
         let deadline = self.times.now + Duration::from_millis(left);
         let until_millis = self.times.wall_millis + left;
         let mut entry = Entry::new(request, self.times.now, deadline, until_millis);
-        entry.before_millis = waited_millis;
+        entry.prior_millis = waited_millis;
         let spec = Self::job_spec(&entry);
         let job = match self.core.submit(self.times.now, spec) {
             Ok(job) => job,
@@ -162,12 +167,12 @@
     /// it did not run.
     fn refuse(&mut self, key: &str, entry: Entry, refused: SubmitError, waiter: WaiterKey) {
         let id = entry.request.id.clone();
-        let (code, reason) = refusal_of(refused);
+        let (code, reason) = refusal_code(refused);
         let mut answer = Answer::bare(&id, code, reason);
         if code == Code::QueueFull {
-            answer = answer.retry_in(COME_BACK_MILLIS);
+            answer = answer.retry_in(RETRY_MILLIS);
         }
-        let answer = self.make_true(&entry, answer);
+        let answer = self.qualify_not_run(&entry, answer);
         self.ledger.insert(key, entry);
         self.ledger.finish(key, answer.clone(), self.times.now);
         self.reply(waiter, ShardReply::Answer(answer));
@@ -209,7 +214,7 @@
 
 /// Builds an answer that is not final.
 pub(crate) fn pending_answer(id: &str, reason: &str) -> Answer {
-    Answer::bare(id, Code::Pending, reason).retry_in(COME_BACK_MILLIS)
+    Answer::bare(id, Code::Pending, reason).retry_in(RETRY_MILLIS)
 }
 
 pub(crate) fn millis(duration: Duration) -> u64 {
--- a/crates/shard/src/keeper.rs
+++ b/crates/shard/src/keeper.rs
@@ -42,7 +42,7 @@
 use crate::View;
 use crate::WorkerHost;
 use crate::ask_peers;
-use crate::first_config;
+use crate::initial_config;
 /// Silence of the table after which it counts as unreachable.
 pub(crate) const UNREACHABLE: Duration = Duration::from_millis(1200);
 
@@ -137,7 +137,7 @@
             opened: JoinSet::new(),
             ended: JoinSet::new(),
             released: JoinSet::new(),
-            config: Arc::new(first_config()),
+            config: Arc::new(initial_config()),
             hosts: ports.hosts,
             view: ports.view,
             hints: ports.hints,
--- a/crates/shard/src/launch.rs
+++ b/crates/shard/src/launch.rs
@@ -22,7 +22,7 @@
 use crate::attempt_id;
 use crate::intake::pending_answer;
 use crate::machine::Pending;
-use crate::outcome::stands_unrecorded;
+use crate::outcome::is_valid_unrecorded;
 
 impl Machine {
     pub(crate) fn start(&mut self, job: JobKey, workers: &[WorkerKey]) {
@@ -44,7 +44,7 @@
         let member = |(index, worker): (usize, &String)| Member {
             attempt: attempt_id(&key, epoch, attempt, index),
             worker: worker.clone(),
-            run: runs.get(worker).cloned().unwrap_or_default(),
+            incarnation: runs.get(worker).cloned().unwrap_or_default(),
             state: MemberState::Sent,
         };
         entry.members = names.iter().enumerate().map(member).collect();
@@ -63,15 +63,15 @@
         let Some(entry) = self.ledger.get(key) else {
             return;
         };
-        let place = |member: &Member| Placed {
+        let to_placed = |member: &Member| Placed {
             worker: member.worker.clone(),
-            run: member.run.clone(),
+            run: member.incarnation.clone(),
         };
         let record = Record::Intent {
             key: key.to_owned(),
             epoch: entry.epoch,
             attempt,
-            placed: entry.members.iter().map(place).collect(),
+            placed: entry.members.iter().map(to_placed).collect(),
         };
         self.append(record, Pending::Intent(key.to_owned(), attempt));
     }
@@ -85,15 +85,15 @@
         let starts: Vec<Output> = entry
             .members
             .iter()
-            .map(|member| Output::Start(member.worker.clone(), order(entry, key, member)))
+            .map(|member| Output::Start(member.worker.clone(), start_order(entry, key, member)))
             .collect();
         self.outputs.extend(starts);
     }
 
     pub(crate) fn on_written(&mut self, ticket: Ticket) {
         self.stalled = false;
-        let later = self.pending.split_off(&(ticket + 1));
-        let written = std::mem::replace(&mut self.pending, later);
+        let unwritten = self.pending.split_off(&(ticket + 1));
+        let written = std::mem::replace(&mut self.pending, unwritten);
         for pending in written.into_values().flatten() {
             self.on_record(pending);
         }
@@ -141,7 +141,7 @@
         let Some(entry) = self.ledger.get_mut(key) else {
             return;
         };
-        let recording = std::mem::replace(&mut entry.acceptance, Acceptance::Safe);
+        let recording = std::mem::replace(&mut entry.acceptance, Acceptance::Recorded);
         let answer = match entry.answer() {
             Some(answer) => answer.clone(),
             None => pending_answer(&entry.request.id, "accepted"),
@@ -160,7 +160,7 @@
     pub(crate) fn on_stalled(&mut self) {
         self.stalled = true;
         let closing = |entry: &Entry| match &entry.stage {
-            Stage::Closing(answer) => stands_unrecorded(answer.code),
+            Stage::Closing(answer) => is_valid_unrecorded(answer.code),
             _ => false,
         };
         let keys: Vec<String> = self
@@ -178,7 +178,7 @@
     /// No start was or will be sent for them: their stage changes here, and a
     /// later owner that finds the intent also finds that the deadline has
     /// passed.
-    pub(crate) fn give_up_recording(&mut self) {
+    pub(crate) fn fail_overdue_intents(&mut self) {
         let now = self.times.now;
         let overdue =
             |entry: &Entry| matches!(entry.stage, Stage::Recording(_)) && entry.deadline < now;
@@ -189,9 +189,9 @@
             .map(|(key, _)| key.clone())
             .collect();
         for key in keys {
-            let touched = self.ledger.get(&key).is_some_and(Entry::touched);
+            let may_have_run = self.ledger.get(&key).is_some_and(Entry::may_have_run);
             self.withdraw(&key);
-            if touched {
+            if may_have_run {
                 self.finish_bare(
                     &key,
                     Code::HostLost,
@@ -205,10 +205,10 @@
     }
 }
 
-fn order(entry: &Entry, key: &str, member: &Member) -> StartOrder {
+fn start_order(entry: &Entry, key: &str, member: &Member) -> StartOrder {
     StartOrder {
         attempt: member.attempt.clone(),
-        run: member.run.clone(),
+        incarnation: member.incarnation.clone(),
         request: key.to_owned(),
         needs: entry.request.task_needs(),
         payload: entry.request.payload.clone(),
--- a/crates/shard/src/ledger.rs
+++ b/crates/shard/src/ledger.rs
@@ -12,9 +12,9 @@
 use crate::Accepted;
 use crate::Entry;
 use crate::MemberState;
-use crate::Past;
 use crate::Placed;
 use crate::Record;
+use crate::RunHistory;
 use crate::Stage;
 use crate::attempt_id;
 
@@ -72,10 +72,10 @@
     /// may stand in an older segment that is no longer read.
     fn replay_end(&mut self, key: &str, answer: Answer, now: Timestamp) {
         if !self.entries.contains_key(key) {
-            let entry = Entry::orphan(key, model::Resources::default(), now);
+            let entry = Entry::from_report(key, model::Resources::default(), now);
             self.entries.insert(key.to_owned(), entry);
         }
-        let known = self.entries.get(key).is_some_and(Entry::is_over);
+        let known = self.entries.get(key).is_some_and(Entry::is_closed);
         if !known {
             self.finish(key, answer, now);
         }
@@ -86,7 +86,7 @@
         if let Some(entry) = self.entries.get_mut(key) {
             entry.stage = Stage::Done(answer);
             entry.members = Vec::new();
-            entry.spent = Vec::new();
+            entry.earlier_members = Vec::new();
             self.ended.push_back((now, key.to_owned()));
         }
     }
@@ -135,7 +135,7 @@
         let deadline = times.now + Duration::from_millis(left);
         let mut entry = Entry::new(request, times.now, deadline, accepted.until_millis);
         entry.recorded = true;
-        entry.acceptance = Acceptance::Safe;
+        entry.acceptance = Acceptance::Recorded;
         self.entries.insert(key, entry);
     }
 
@@ -143,18 +143,18 @@
         let Some(entry) = self.entries.get_mut(key) else {
             return;
         };
-        if entry.is_over() || attempt <= entry.attempt {
+        if entry.is_closed() || attempt <= entry.attempt {
             return;
         }
         entry.attempt = attempt;
         entry.epoch = epoch;
         if attempt > 1 || placed.is_empty() {
-            entry.past = Past::Unseen;
+            entry.history = RunHistory::EndUnknown;
         }
         let member = |(index, place): (usize, &Placed)| crate::Member {
             attempt: attempt_id(key, epoch, attempt, index),
             worker: place.worker.clone(),
-            run: place.run.clone(),
+            incarnation: place.run.clone(),
             state: MemberState::Unknown,
         };
         entry.members = placed.iter().enumerate().map(member).collect();
--- a/crates/shard/src/lend.rs
+++ b/crates/shard/src/lend.rs
@@ -18,7 +18,7 @@
 use crate::Loan;
 use crate::Machine;
 use crate::Output;
-use crate::Past;
+use crate::RunHistory;
 use crate::ShardReply;
 use crate::Stage;
 use crate::Submission;
@@ -26,7 +26,7 @@
 use crate::intake::millis;
 
 /// Maximum number of waiting requests offered to other shards again per tick.
-const OFFERS: usize = 32;
+const OFFERS_PER_TICK: usize = 32;
 
 impl Machine {
     /// Remembers an unrecorded request that may be lent if it has to wait.
@@ -47,7 +47,7 @@
 
     /// Offers requests again for which no shard had free workers.
     pub(crate) fn lend_again(&mut self) {
-        for _ in 0..OFFERS.min(self.unlent.len()) {
+        for _ in 0..OFFERS_PER_TICK.min(self.unlent.len()) {
             let Some(key) = self.unlent.pop_front() else {
                 return;
             };
@@ -75,10 +75,10 @@
         }
         self.keys.remove(&job);
         entry.stage = Stage::Lent;
-        let here = millis(now.saturating_sub(entry.since));
+        let local_millis = millis(now.saturating_sub(entry.submitted_at));
         let submission = Submission {
             request: entry.request.clone(),
-            waited_millis: entry.before_millis + here,
+            waited_millis: entry.prior_millis + local_millis,
             wait: true,
         };
         self.outputs.push(Output::Lend(key.to_owned(), submission));
@@ -98,10 +98,10 @@
             Loan::Answer(answer) if answer.code.family() != Family::NotRun => {
                 self.finish_lent(key, answer);
             }
-            Loan::Answer(_) | Loan::Refused => self.take_back(key),
+            Loan::Answer(_) | Loan::Refused => self.requeue_returned(key),
             Loan::Lost => {
-                entry.touch(Past::Unseen);
-                self.take_back(key);
+                entry.add_history(RunHistory::EndUnknown);
+                self.requeue_returned(key);
             }
         }
     }
@@ -113,7 +113,7 @@
         self.finish(key, answer);
     }
 
-    fn take_back(&mut self, key: &str) {
+    fn requeue_returned(&mut self, key: &str) {
         let cancelled = self.ledger.get(key).is_some_and(|entry| entry.cancelled);
         if cancelled {
             self.finish_cancelled(key);
@@ -130,7 +130,7 @@
         let request = &submission.request;
         let key = lent_key(&request_key(&request.team, &request.id), self.facts.shard);
         if self.ledger.get(&key).is_some() {
-            self.attach(&key, submission, waiter);
+            self.attach_to_known(&key, submission, waiter);
             return;
         }
         let left = request
@@ -138,7 +138,7 @@
             .saturating_sub(submission.waited_millis);
         let deadline = self.times.now + Duration::from_millis(left);
         let mut entry = Entry::new(request.clone(), self.times.now, deadline, 0);
-        entry.before_millis = submission.waited_millis;
+        entry.prior_millis = submission.waited_millis;
         let spec = Self::job_spec(&entry);
         let Some((job, worker)) = self.core.place_lent(self.times.now, spec) else {
             self.reply(waiter, ShardReply::Busy);
--- a/crates/shard/src/lender.rs
+++ b/crates/shard/src/lender.rs
@@ -12,10 +12,10 @@
 use crate::Submission;
 
 /// Number of shards that are asked before the request returns to its queue.
-const PROBES: u32 = 3;
+const MAX_PROBES: u32 = 3;
 
 /// Time for the reply of the other shard, in addition to the declared run time.
-const GRACE: Duration = Duration::from_secs(30);
+const REPLY_GRACE: Duration = Duration::from_secs(30);
 
 /// Finds shards with free workers; clones share the view of the cell.
 #[derive(Clone, Debug)]
@@ -34,11 +34,11 @@
     /// Asks a few random shards to run the request at once.
     pub async fn lend(&self, submission: &Submission) -> Loan {
         let run = Duration::from_millis(submission.request.run_millis);
-        for _ in 0..PROBES {
+        for _ in 0..MAX_PROBES {
             let ask = ShardAsk::Run(submission.clone());
             match self
                 .router
-                .ask_once(self.other_shard(), ask, run + GRACE)
+                .ask_once(self.other_shard(), ask, run + REPLY_GRACE)
                 .await
             {
                 Some(ShardReply::Answer(answer)) if answer.code.is_final() => {
@@ -52,8 +52,8 @@
     }
 
     fn other_shard(&self) -> ShardId {
-        let others = self.router.shards() - 1;
-        let step = rand::rng().random_range(1..=others.max(1));
+        let other_count = self.router.shards() - 1;
+        let step = rand::rng().random_range(1..=other_count.max(1));
         (self.shard + step) % self.router.shards()
     }
 }
--- a/crates/shard/src/limits.rs
+++ b/crates/shard/src/limits.rs
@@ -14,7 +14,7 @@
 /// each part.
 #[must_use]
 pub fn shard_grants(config: &Config, shard: ShardId, shards: u16) -> Grants {
-    let part = |all: u32| share(all, shard, shards);
+    let part = |all: u32| equal_part(all, shard, shards);
     let mut grants = Grants {
         site_watts: part(config.site_watts),
         rack_watts: part(config.rack_watts),
@@ -25,7 +25,7 @@
         let Some(index) = team_shards.index_of(shard) else {
             continue;
         };
-        let part = |all: u32| share(all, index, team_shards.span());
+        let part = |all: u32| equal_part(all, index, team_shards.span());
         let quota = model::Resources {
             cpu_milli: part(team.quota.cpu_milli),
             memory_mib: part(team.quota.memory_mib),
@@ -44,25 +44,25 @@
 /// Part number `index` of `all` divided into `parts` nearly equal parts, which
 /// add up to `all`.
 #[must_use]
-pub fn share(all: u32, index: u16, parts: u16) -> u32 {
+pub fn equal_part(all: u32, index: u16, parts: u16) -> u32 {
     let (index, parts) = (u32::from(index), u32::from(parts.max(1)));
     all / parts + u32::from(index < all % parts)
 }
 
 /// Reason why a request alone exceeds a limit of the cell, if it does.
 #[must_use]
-pub fn breaks_limit(config: &Config, request: &Request) -> Option<String> {
+pub fn exceeded_cell_limit(config: &Config, request: &Request) -> Option<String> {
     let Some(team) = config.teams.get(&request.team) else {
         return Some(format!("team {} has no quota", request.team));
     };
-    let whole = request.task_needs().times(request.members);
-    if !whole.fits(&team.quota) {
+    let total = request.task_needs().times(request.members);
+    if !total.fits(&team.quota) {
         return Some(format!(
             "more than the whole quota of team {}",
             request.team
         ));
     }
-    if whole.power_watts > config.site_watts {
+    if total.power_watts > config.site_watts {
         return Some(format!(
             "more power than the site's cap of {} W",
             config.site_watts
@@ -75,12 +75,12 @@
 
 #[cfg(test)]
 mod tests {
-    use super::share;
+    use super::equal_part;
 
     #[test]
     fn parts_add_up_to_the_total() {
         for all in [0, 1, 15, 16, 17, 1000] {
-            let sum: u32 = (0..16).map(|index| share(all, index, 16)).sum();
+            let sum: u32 = (0..16).map(|index| equal_part(all, index, 16)).sum();
 
             assert_eq!(sum, all);
         }
--- a/crates/shard/src/link.rs
+++ b/crates/shard/src/link.rs
@@ -37,7 +37,7 @@
 const POLL_WAIT: Duration = Duration::from_secs(1);
 
 /// Time without a poll reply after which no new tasks are placed on a worker.
-const SILENCE: Duration = Duration::from_millis(1500);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Pause before a failed call is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
@@ -46,10 +46,10 @@
 const CLAIM_PAUSE: Duration = Duration::from_millis(300);
 
 /// Margin added to the lease for clocks that run at different rates, in percent.
-const CLOCK_PERCENT: u32 = 10;
+const CLOCK_MARGIN_PERCENT: u32 = 10;
 
 /// Maximum number of attempts to connect for a start.
-const CONNECT_TRIES: u32 = 2;
+const MAX_CONNECT_TRIES: u32 = 2;
 
 /// Commands from the shard to a link.
 #[derive(Debug)]
@@ -86,16 +86,16 @@
     owner: mpsc::UnboundedSender<Input>,
     /// Arrival of the newest poll reply. The next poll acknowledges it and so
     /// renews the lease. `None` before the first reply and after lease expiry.
-    replied: Option<Instant>,
+    last_reply: Option<Instant>,
     turn: Turn,
     forget: Vec<AttemptId>,
     lost: bool,
     /// Starts that were sent and whose outcome is unknown.
-    sent: HashSet<AttemptId>,
+    unconfirmed: HashSet<AttemptId>,
 }
 
 /// Reason why polling ended.
-enum Ended {
+enum PollEnd {
     /// The worker has to be claimed again.
     Reclaim,
     /// The shard has closed the link.
@@ -116,11 +116,11 @@
             fence,
             orders,
             owner,
-            replied: None,
+            last_reply: None,
             turn: 0,
             forget: Vec::new(),
             lost: false,
-            sent: HashSet::new(),
+            unconfirmed: HashSet::new(),
         }
     }
 
@@ -134,12 +134,12 @@
             let Some((claimed, ended)) = self.claim().await else {
                 return;
             };
-            if self.announce(claimed, ended).is_err() {
+            if self.report_claim(claimed, ended).is_err() {
                 return;
             }
-            match self.serve().await {
-                Ended::Reclaim => {}
-                Ended::Closed => return,
+            match self.poll_until_end().await {
+                PollEnd::Reclaim => {}
+                PollEnd::Closed => return,
             }
         }
     }
@@ -152,14 +152,14 @@
     /// flight before it. Starts that the worker does not list can never be
     /// carried out: either they name an older fence or incarnation, or their
     /// lease has expired and the shard has settled them.
-    fn announce(&mut self, claimed: Claimed, ended: Vec<Task>) -> Result<(), ()> {
+    fn report_claim(&mut self, claimed: Claimed, ended: Vec<Task>) -> Result<(), ()> {
         self.lost = false;
         for task in &claimed.tasks {
-            self.sent.remove(&task.attempt);
+            self.unconfirmed.remove(&task.attempt);
         }
         self.report(Input::Claimed(self.id().clone(), claimed))?;
         self.report(Input::Ended(self.id().clone(), ended))?;
-        for attempt in std::mem::take(&mut self.sent) {
+        for attempt in std::mem::take(&mut self.unconfirmed) {
             self.report(Input::NotStarted(attempt, NotStarted::Fenced))?;
         }
         Ok(())
@@ -176,7 +176,7 @@
                 }
             }
             self.check_lease().ok()?;
-            self.refuse_orders(jittered(CLAIM_PAUSE)).await.ok()?;
+            self.pause_unclaimed(jittered(CLAIM_PAUSE)).await.ok()?;
         }
     }
 
@@ -194,12 +194,12 @@
         self.turn = claimed.turn;
         let poll = self.poll_message(Duration::ZERO);
         let polled = self.facts.client.poll(address, &poll).await?;
-        Ok((claimed, self.take_poll(polled)))
+        Ok((claimed, self.process_reply(polled)))
     }
 
     /// Handles commands during a pause in which nothing may be sent: starts are
     /// reported as not sent, stops are dropped.
-    async fn refuse_orders(&mut self, pause: Duration) -> Result<(), ()> {
+    async fn pause_unclaimed(&mut self, pause: Duration) -> Result<(), ()> {
         let until = tokio::time::sleep(pause);
         tokio::pin!(until);
         loop {
@@ -224,30 +224,30 @@
     /// time at which that reply arrived. So the lease expires later here, and the
     /// shard can rely on the tasks having stopped.
     fn check_lease(&mut self) -> Result<(), ()> {
-        let Some(replied) = self.replied else {
+        let Some(last_reply) = self.last_reply else {
             return Ok(());
         };
-        let silence = replied.elapsed();
-        if silence >= SILENCE && !self.lost {
+        let silence = last_reply.elapsed();
+        if silence >= SILENCE_TIMEOUT && !self.lost {
             self.lost = true;
             self.report(Input::WorkerLost(self.id().clone()))?;
         }
         let lease = self.facts.lease;
-        if silence >= lease + lease * CLOCK_PERCENT / 100 {
-            self.replied = None;
-            self.report(Input::LeaseOver(self.id().clone()))?;
+        if silence >= lease + lease * CLOCK_MARGIN_PERCENT / 100 {
+            self.last_reply = None;
+            self.report(Input::LeaseExpired(self.id().clone()))?;
         }
         Ok(())
     }
 
-    async fn serve(&mut self) -> Ended {
+    async fn poll_until_end(&mut self) -> PollEnd {
         // Dropping the set aborts the calls in flight. Their starts may still
         // arrive; the worker refuses them once its lease has expired.
         let mut calls: JoinSet<Option<Input>> = JoinSet::new();
         let mut wait = POLL_WAIT;
         loop {
             let message = self.poll_message(wait);
-            let forgotten = message.ended.len();
+            let forget_count = message.ended.len();
             let client = self.facts.client.clone();
             let address = self.facts.host.host.address;
             let poll = async move { client.poll(address, &message).await };
@@ -256,52 +256,52 @@
                 tokio::select! {
                     polled = &mut poll => break polled,
                     order = self.orders.recv() => match order {
-                        None => return Ended::Closed,
+                        None => return PollEnd::Closed,
                         Some(order) => self.dispatch(order, &mut calls),
                     },
                     Some(done) = calls.join_next() => {
                         if self.on_call(done.ok().flatten()).is_err() {
-                            return Ended::Closed;
+                            return PollEnd::Closed;
                         }
                     }
                 }
             };
             match polled {
                 Ok(polled) => {
-                    self.forget.drain(..forgotten);
-                    let ended = self.take_poll(polled);
+                    self.forget.drain(..forget_count);
+                    let ended = self.process_reply(polled);
                     if self.report(Input::Ended(self.id().clone(), ended)).is_err() {
-                        return Ended::Closed;
+                        return PollEnd::Closed;
                     }
                     wait = POLL_WAIT;
                 }
                 Err(error) => {
                     if self.on_poll_error(&error).await.is_err() {
-                        return Ended::Closed;
+                        return PollEnd::Closed;
                     }
-                    if matches!(error, WorkerError::Refused { .. }) || self.replied.is_none() {
-                        return Ended::Reclaim;
+                    if matches!(error, WorkerError::Refused { .. }) || self.last_reply.is_none() {
+                        return PollEnd::Reclaim;
                     }
                     wait = Duration::ZERO;
                 }
             }
             while !self.facts.gate.is_open() {
                 if self.check_lease().is_err() {
-                    return Ended::Closed;
+                    return PollEnd::Closed;
                 }
-                if self.refuse_orders(RETRY_PAUSE).await.is_err() {
-                    return Ended::Closed;
+                if self.pause_unclaimed(RETRY_PAUSE).await.is_err() {
+                    return PollEnd::Closed;
                 }
             }
         }
     }
 
-    fn on_call(&mut self, news: Option<Input>) -> Result<(), ()> {
-        let Some(input) = news else {
+    fn on_call(&mut self, result: Option<Input>) -> Result<(), ()> {
+        let Some(input) = result else {
             return Ok(());
         };
         if let Input::Started(attempt) | Input::NotStarted(attempt, _) = &input {
-            self.sent.remove(attempt);
+            self.unconfirmed.remove(attempt);
         }
         self.report(input)
     }
@@ -312,8 +312,8 @@
             self.lost = true;
             let id = self.id().clone();
             if refusal.fence.assigned > self.fence.assigned {
-                self.replied = None;
-                self.report(Input::WorkerTaken(id))?;
+                self.last_reply = None;
+                self.report(Input::WorkerReassigned(id))?;
             } else {
                 self.report(Input::WorkerRefused(id))?;
             }
@@ -337,9 +337,9 @@
     /// If the caller dropped them, their requests would wait until the worker is
     /// claimed again.
     #[must_use]
-    fn take_poll(&mut self, polled: Polled) -> Vec<Task> {
+    fn process_reply(&mut self, polled: Polled) -> Vec<Task> {
         self.turn = polled.turn;
-        self.replied = Some(Instant::now());
+        self.last_reply = Some(Instant::now());
         self.lost = false;
         polled.ended
     }
@@ -351,7 +351,7 @@
             LinkOrder::Start(order) => {
                 let gate = self.facts.gate.clone();
                 let start = order.fenced(self.fence, self.turn);
-                self.sent.insert(start.attempt.clone());
+                self.unconfirmed.insert(start.attempt.clone());
                 calls.spawn(async move { send_start(&client, address, &gate, start).await });
             }
             LinkOrder::Stop(attempt, mode) => {
@@ -381,16 +381,18 @@
     gate: &Gate,
     start: Start,
 ) -> Option<Input> {
-    let mut maybe = false;
+    let mut may_have_started = false;
     let mut tries = 0;
     loop {
         tries += 1;
-        if !gate.is_open() && !maybe {
+        if !gate.is_open() && !may_have_started {
             return Some(Input::NotStarted(start.attempt, NotStarted::Unsent));
         }
         match client.start(address, &start).await {
             Ok(()) => return Some(Input::Started(start.attempt)),
-            Err(WorkerError::Refused { refusal }) if maybe && is_other_life(refusal.reason) => {
+            Err(WorkerError::Refused { refusal })
+                if may_have_started && is_other_incarnation(refusal.reason) =>
+            {
                 return None;
             }
             Err(WorkerError::Refused { refusal }) => {
@@ -400,11 +402,13 @@
                 };
                 return Some(Input::NotStarted(start.attempt, reason));
             }
-            Err(WorkerError::Unreached { .. }) if !maybe && tries >= CONNECT_TRIES => {
+            Err(WorkerError::Unreached { .. })
+                if !may_have_started && tries >= MAX_CONNECT_TRIES =>
+            {
                 return Some(Input::NotStarted(start.attempt, NotStarted::Unsent));
             }
             Err(WorkerError::Unreached { .. }) => {}
-            Err(WorkerError::Lost { .. }) => maybe = true,
+            Err(WorkerError::Lost { .. }) => may_have_started = true,
         }
         tokio::time::sleep(jittered(RETRY_PAUSE)).await;
     }
@@ -413,7 +417,7 @@
 /// Whether a refusal may only mean that the worker has restarted or was claimed
 /// by another owner. The poll is refused as well then, and the link claims the
 /// worker again.
-fn is_other_life(reason: RefusalReason) -> bool {
+fn is_other_incarnation(reason: RefusalReason) -> bool {
     matches!(reason, RefusalReason::Fenced | RefusalReason::Unclaimed)
 }
 
--- a/crates/shard/src/machine.rs
+++ b/crates/shard/src/machine.rs
@@ -158,8 +158,8 @@
             Input::Claimed(worker, claimed) => self.on_claimed(&worker, claimed),
             Input::WorkerLost(worker) => self.on_worker_lost(&worker),
             Input::WorkerRefused(worker) => self.on_worker_refused(&worker, "to be claimed again"),
-            Input::LeaseOver(worker) => self.on_lease_over(&worker),
-            Input::WorkerTaken(worker) => self.on_worker_taken(&worker),
+            Input::LeaseExpired(worker) => self.on_lease_expired(&worker),
+            Input::WorkerReassigned(worker) => self.on_worker_reassigned(&worker),
             Input::Started(attempt) => self.on_started(&attempt),
             Input::NotStarted(attempt, reason) => self.on_not_started(&attempt, reason),
             Input::Ended(worker, tasks) => self.on_ended(&worker, tasks),
@@ -223,13 +223,13 @@
             self.next_probe = self.times.now + PROBE_INTERVAL;
             self.core.allow_probes();
         }
-        self.give_up_recording();
+        self.fail_overdue_intents();
         self.unlink_retired();
         if !self.released {
             self.lend_again();
         }
         if self.times.now >= self.facts.missing_at {
-            self.settle_missing();
+            self.settle_unclaimed();
         }
     }
 
@@ -269,7 +269,7 @@
     /// wherever this is noticed; left out, the caller of work that ran in part
     /// is told "not run" and does it again.
     pub(crate) fn finish_too_late(&mut self, key: &str) {
-        if self.ledger.get(key).is_some_and(Entry::touched) {
+        if self.ledger.get(key).is_some_and(Entry::may_have_run) {
             let reason = "interrupted, and no room before its deadline";
             self.finish_bare(key, Code::HostLost, reason);
         } else {
--- a/crates/shard/src/message.rs
+++ b/crates/shard/src/message.rs
@@ -148,10 +148,10 @@
     /// A worker refused a poll and has to be claimed again.
     WorkerRefused(model::WorkerId),
     /// The lease of all tasks of a worker has certainly expired.
-    LeaseOver(model::WorkerId),
+    LeaseExpired(model::WorkerId),
     /// Another shard has claimed the worker, and renews the lease of the tasks
     /// that run there.
-    WorkerTaken(model::WorkerId),
+    WorkerReassigned(model::WorkerId),
     /// A worker has confirmed a start.
     Started(AttemptId),
     /// A start was certainly not carried out, for this reason.
@@ -222,7 +222,7 @@
     /// Attempt id of the member.
     pub attempt: AttemptId,
     /// Incarnation of the worker for which the start is meant.
-    pub run: model::Incarnation,
+    pub incarnation: model::Incarnation,
     /// Key of the request that the task belongs to.
     pub request: String,
     /// Resources that the task uses while it runs.
@@ -241,7 +241,7 @@
     pub fn fenced(self, fence: worker::Fence, turn: worker::Turn) -> Start {
         Start {
             fence,
-            run: self.run,
+            run: self.incarnation,
             turn,
             attempt: self.attempt,
             request: self.request,
--- a/crates/shard/src/outcome.rs
+++ b/crates/shard/src/outcome.rs
@@ -10,21 +10,21 @@
 use worker::EndResult;
 use worker::Task;
 
+use crate::AttemptOutcome;
 use crate::Entry;
 use crate::Machine;
 use crate::Member;
 use crate::MemberState;
 use crate::NotStarted;
 use crate::Output;
-use crate::Past;
 use crate::Record;
+use crate::RunHistory;
 use crate::ShardReply;
 use crate::Stage;
 use crate::StopMode;
-use crate::Verdict;
 use crate::attempt_key;
 use crate::cancel::is_cancelled;
-use crate::judge;
+use crate::evaluate_attempt;
 use crate::machine::Pending;
 
 /// Maximum difference between the clocks of a caller and of a process, when the
@@ -84,14 +84,14 @@
         let Some(entry) = self.ledger.get_mut(&key) else {
             // The request has left the ledger, or an earlier owner did not
             // record it.
-            self.remember_orphan_end(&key, worker, task.needs, &end);
+            self.record_unknown_end(&key, worker, task.needs, &end);
             self.forget_task(worker, task.attempt);
             return;
         };
-        let wanted = entry
+        let is_open = entry
             .member_mut(&task.attempt)
             .is_some_and(|m| !m.state.is_settled());
-        if !wanted {
+        if !is_open {
             // While the request is open, the workers keep the results of its
             // earlier attempts. A later owner finds only the intent in the
             // journal and learns only from them that the attempt ran.
@@ -102,7 +102,7 @@
             return;
         }
         let cancelled = self.ledger.get(&key).is_some_and(|entry| entry.cancelled);
-        if !cancelled && let Some(succeeded) = verdict_on_worker(end.result) {
+        if !cancelled && let Some(succeeded) = worker_success(end.result) {
             self.record_health(worker, succeeded);
         }
         let event = Event::new(Kind::TaskEnded).request(&key).worker(worker);
@@ -117,17 +117,17 @@
             .push(Output::Forget(worker.to_owned(), vec![attempt]));
     }
 
-    fn remember_orphan_end(
+    fn record_unknown_end(
         &mut self,
         key: &str,
         worker: &str,
         needs: model::Resources,
         end: &worker::End,
     ) {
-        let entry = Entry::orphan(key, needs, self.times.now);
-        let verdict = judge(&entry, &[(worker, end)]);
+        let entry = Entry::from_report(key, needs, self.times.now);
+        let outcome = evaluate_attempt(&entry, &[(worker, end)]);
         self.ledger.insert(key, entry);
-        if let Verdict::Answer(answer) = verdict {
+        if let AttemptOutcome::Answer(answer) = outcome {
             self.ledger.finish(key, answer, self.times.now);
         } else {
             self.finish_bare(key, Code::HostLost, "interrupted under an earlier owner");
@@ -135,10 +135,10 @@
     }
 
     fn record_health(&mut self, worker: &str, succeeded: bool) {
-        let Some(slot) = self.core.worker(worker) else {
+        let Some(worker_key) = self.core.worker(worker) else {
             return;
         };
-        let kind = match self.core.record_end(slot, succeeded) {
+        let kind = match self.core.record_end(worker_key, succeeded) {
             HealthChange::None => return,
             HealthChange::Quarantined => Kind::WorkerQuarantined,
             HealthChange::Restored => Kind::WorkerRestored,
@@ -161,11 +161,11 @@
         }
         member.state = state;
         let worker = member.worker.clone();
-        let done = entry.members.iter().all(|member| member.state.is_settled());
+        let all_settled = entry.members.iter().all(|member| member.state.is_settled());
         if let (Some(job), Some(worker)) = (job, self.core.worker(&worker)) {
             self.core.release(job, worker);
         }
-        if done {
+        if all_settled {
             self.conclude(key);
         } else {
             self.stop_broken_gang(key);
@@ -178,7 +178,7 @@
             return;
         };
         let broken = entry.members.iter().any(|member| match &member.state {
-            MemberState::NotStarted | MemberState::Gone | MemberState::Missing => true,
+            MemberState::NotStarted | MemberState::Interrupted | MemberState::Unreachable => true,
             MemberState::Ended(end) => end.result != EndResult::Succeeded,
             _ => false,
         });
@@ -199,22 +199,22 @@
         let Some(entry) = self.ledger.get_mut(key) else {
             return;
         };
-        if entry.is_over() {
+        if entry.is_closed() {
             return;
         }
         if let Some(job) = entry.job() {
             self.keys.remove(&job);
         }
         let started = |member: &Member| member.state != MemberState::NotStarted;
-        let unseen = |member: &Member| !matches!(member.state, MemberState::Ended(_));
-        if entry.members.iter().any(|m| started(m) && unseen(m)) {
-            entry.touch(Past::Unseen);
+        let end_unknown = |member: &Member| !matches!(member.state, MemberState::Ended(_));
+        if entry.members.iter().any(|m| started(m) && end_unknown(m)) {
+            entry.add_history(RunHistory::EndUnknown);
         } else if entry.members.iter().any(started) {
-            entry.touch(Past::Seen);
+            entry.add_history(RunHistory::EndKnown);
         }
-        match judge(entry, &[]) {
-            Verdict::Answer(answer) => self.finish(key, answer),
-            Verdict::Again(checkpoint) => self.requeue(key, checkpoint),
+        match evaluate_attempt(entry, &[]) {
+            AttemptOutcome::Answer(answer) => self.finish(key, answer),
+            AttemptOutcome::Retry(checkpoint) => self.requeue(key, checkpoint),
         }
     }
 
@@ -228,8 +228,8 @@
         let failed = entry.members.iter().filter(|m| m.state.is_settled());
         let failed: Vec<String> = failed.map(|m| m.worker.clone()).collect();
         let mut members = std::mem::take(&mut entry.members);
-        entry.spent.append(&mut members);
-        if entry.touched() {
+        entry.earlier_members.append(&mut members);
+        if entry.may_have_run() {
             entry.deadline = entry.deadline.max(self.times.now + crate::RESTART_GRACE);
         }
         let Some(entry) = self.ledger.get(key) else {
@@ -255,15 +255,15 @@
     }
 
     pub(crate) fn finish_interrupted(&mut self, key: &str, refused: SubmitError) {
-        let touched = self.ledger.get(key).is_some_and(Entry::touched);
-        if touched {
+        let may_have_run = self.ledger.get(key).is_some_and(Entry::may_have_run);
+        if may_have_run {
             self.finish_bare(
                 key,
                 Code::HostLost,
                 "interrupted, and there is no room to run it again",
             );
         } else {
-            let (code, reason) = refusal_of(refused);
+            let (code, reason) = refusal_code(refused);
             self.finish_bare(key, code, reason);
         }
     }
@@ -271,11 +271,11 @@
     /// Queues requests again that an earlier owner had accepted, unless an intent
     /// shows that they may have started.
     pub(crate) fn requeue_recovered(&mut self) {
-        let waits = |entry: &Entry| !entry.is_over() && entry.members.is_empty();
+        let never_placed = |entry: &Entry| !entry.is_closed() && entry.members.is_empty();
         let keys: Vec<String> = self
             .ledger
             .iter()
-            .filter(|(_, entry)| waits(entry))
+            .filter(|(_, entry)| never_placed(entry))
             .map(|(key, _)| key.clone())
             .collect();
         for key in keys {
@@ -292,12 +292,13 @@
     /// That owner may have run and answered an unrecorded request before it died.
     /// A caller that lost the answer repeats the call with the time of its first
     /// call, which is before the take-over by this owner.
-    pub(crate) fn make_true(&self, entry: &Entry, answer: Answer) -> Answer {
+    pub(crate) fn qualify_not_run(&self, entry: &Entry, answer: Answer) -> Answer {
         let not_run = answer.code.family() == Family::NotRun;
         let sent = entry.request.sent_millis;
-        let margin = self.facts.since_millis + CLOCK_SKEW_MILLIS;
-        let known = entry.recorded || sent == 0 || sent > margin || self.facts.since_millis == 0;
-        if !not_run || known {
+        let latest_takeover = self.facts.since_millis + CLOCK_SKEW_MILLIS;
+        let is_certain =
+            entry.recorded || sent == 0 || sent > latest_takeover || self.facts.since_millis == 0;
+        if !not_run || is_certain {
             return answer;
         }
         let reason = format!(
@@ -313,7 +314,7 @@
         let Some(entry) = self.ledger.get(key) else {
             return;
         };
-        let answer = self.make_true(entry, answer);
+        let answer = self.qualify_not_run(entry, answer);
         let Some(entry) = self.ledger.get_mut(key) else {
             return;
         };
@@ -329,7 +330,7 @@
             at_millis: self.times.wall_millis,
         };
         self.append(record, Pending::End(key.to_owned()));
-        if self.stalled && stands_unrecorded(code) {
+        if self.stalled && is_valid_unrecorded(code) {
             self.answer_waiters(key);
         }
     }
@@ -345,14 +346,14 @@
         let ended: Vec<(String, String)> = entry
             .members
             .iter()
-            .chain(&entry.spent)
+            .chain(&entry.earlier_members)
             .filter(|member| matches!(member.state, MemberState::Ended(_)))
             .map(|member| (member.worker.clone(), member.attempt.clone()))
             .collect();
         for (worker, attempt) in ended {
             self.forget_task(&worker, attempt);
         }
-        if entry_is_recorded(self.ledger.get(key)) {
+        if is_recorded(self.ledger.get(key)) {
             self.ended.push(Record::End {
                 key: key.to_owned(),
                 answer: answer.clone(),
@@ -386,7 +387,7 @@
 /// task was interrupted. A task that was stopped, or whose lease expired, proves
 /// nothing: counted as a success, it ended the quarantine of a worker on which
 /// every task still failed.
-fn verdict_on_worker(result: EndResult) -> Option<bool> {
+fn worker_success(result: EndResult) -> Option<bool> {
     match result {
         EndResult::Succeeded | EndResult::Checkpointed => Some(true),
         EndResult::Failed => Some(false),
@@ -399,12 +400,12 @@
 /// ends first, the next one finds the request open and starts it although its
 /// caller was told "not run". A missed deadline is an exception, since it holds
 /// for the next owner too.
-pub(crate) fn stands_unrecorded(code: Code) -> bool {
+pub(crate) fn is_valid_unrecorded(code: Code) -> bool {
     !is_cancelled(code) && !matches!(code, Code::QueueFull | Code::NeverFits)
 }
 
 /// Answer code and reason for a request that the scheduling core refuses.
-pub(crate) fn refusal_of(refused: SubmitError) -> (Code, &'static str) {
+pub(crate) fn refusal_code(refused: SubmitError) -> (Code, &'static str) {
     match refused {
         SubmitError::NeverFits => {
             let reason = "no set of workers of its shard is large enough";
@@ -414,6 +415,6 @@
     }
 }
 
-fn entry_is_recorded(entry: Option<&Entry>) -> bool {
+fn is_recorded(entry: Option<&Entry>) -> bool {
     entry.is_some_and(|entry| entry.recorded)
 }
--- a/crates/shard/src/pacer.rs
+++ b/crates/shard/src/pacer.rs
@@ -19,7 +19,7 @@
 struct Bucket {
     rate: f64,
     tokens: f64,
-    filled: Instant,
+    last_refill: Instant,
 }
 
 impl Pacer {
@@ -29,7 +29,7 @@
         let bucket = Bucket {
             rate,
             tokens: BURST,
-            filled: Instant::now(),
+            last_refill: Instant::now(),
         };
         Pacer {
             bucket: Arc::new(Mutex::new(bucket)),
@@ -58,9 +58,9 @@
 impl Bucket {
     fn refill(&mut self) {
         let now = Instant::now();
-        let earned = now.duration_since(self.filled).as_secs_f64() * self.rate;
+        let earned = now.duration_since(self.last_refill).as_secs_f64() * self.rate;
         self.tokens = (self.tokens + earned).min(BURST);
-        self.filled = now;
+        self.last_refill = now;
     }
 
     /// Takes tokens and returns the time to wait. The bucket may go into debt,
--- a/crates/shard/src/patch.rs
+++ b/crates/shard/src/patch.rs
@@ -24,7 +24,7 @@
 use crate::patch_key;
 
 /// Maximum number of tries of a commit whose reply is lost.
-const TRIES: u32 = 4;
+const MAX_COMMIT_TRIES: u32 = 4;
 
 /// A patch of a numbered configuration version.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -94,14 +94,14 @@
     let row = row.map_err(|source| PatchError::Unavailable { source })?;
     let numbered = match &row {
         Some(row) => parse(row)?,
-        None => first_config(),
+        None => initial_config(),
     };
     Ok((numbered, row))
 }
 
 /// The configuration before the first patch.
 #[must_use]
-pub fn first_config() -> Numbered {
+pub fn initial_config() -> Numbered {
     Numbered {
         version: 0,
         patch_id: String::new(),
@@ -121,15 +121,15 @@
 /// See [`PatchError`]. Only after `Unknown` the patch may have been applied.
 pub async fn apply_patch<T: Table>(table: &T, patch: &Patch) -> Result<Arc<Numbered>, PatchError> {
     check_id(&patch.id)?;
-    let mut lost = None;
-    for _ in 0..TRIES {
+    let mut failure = None;
+    for _ in 0..MAX_COMMIT_TRIES {
         match try_patch(table, patch).await {
-            Err(PatchError::Unknown { source }) => lost = Some(source),
-            Err(PatchError::Unavailable { source }) if lost.is_some() => lost = Some(source),
+            Err(PatchError::Unknown { source }) => failure = Some(source),
+            Err(PatchError::Unavailable { source }) if failure.is_some() => failure = Some(source),
             done => return done,
         }
     }
-    let source = lost.unwrap_or(StoreError::Unavailable {
+    let source = failure.unwrap_or(StoreError::Unavailable {
         reason: "no try was made".to_owned(),
     });
     Err(PatchError::Unknown { source })
@@ -202,17 +202,17 @@
         reason: format!("{}: {reason}", row.key),
     };
     let version = row.value.parse().map_err(|_| damaged("not a number"))?;
-    let made = table.get(&history_key(version)).await;
-    let made = made.map_err(|source| PatchError::Unavailable { source })?;
-    let made = made.ok_or_else(|| damaged("its version is not in the history"))?;
-    Ok(Arc::new(parse(&made)?))
+    let created = table.get(&history_key(version)).await;
+    let created = created.map_err(|source| PatchError::Unavailable { source })?;
+    let created = created.ok_or_else(|| damaged("its version is not in the history"))?;
+    Ok(Arc::new(parse(&created)?))
 }
 
 fn check_id(id: &str) -> Result<(), PatchError> {
-    let plain = id
+    let is_plain = id
         .bytes()
         .all(|b| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'.'));
-    if plain && (1..=64).contains(&id.len()) {
+    if is_plain && (1..=64).contains(&id.len()) {
         return Ok(());
     }
     Err(PatchError::BadId {
--- a/crates/shard/src/router.rs
+++ b/crates/shard/src/router.rs
@@ -26,12 +26,12 @@
 use crate::service::ask_local;
 
 /// First pause between two tries; it doubles with each try.
-const PAUSE_FIRST: Duration = Duration::from_millis(20);
+const FIRST_PAUSE: Duration = Duration::from_millis(20);
 /// Longest pause between two tries.
-const PAUSE_LONGEST: Duration = Duration::from_millis(250);
+const LONGEST_PAUSE: Duration = Duration::from_millis(250);
 
 /// Timeout of calls that do not wait for a task to end.
-const PLAIN_TIMEOUT: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Routes calls to the owners of shards; clones share the view of the cell.
 #[derive(Clone, Debug)]
@@ -43,7 +43,7 @@
 
 /// Status of a request, as its shard reports it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum RequestStatus {
     /// The final answer, or a pending answer with the current state.
     Answer(Answer),
     /// The shard does not know the request.
@@ -53,11 +53,11 @@
 }
 
 /// Result of one call to the owner of a shard.
-enum Tried {
+enum AskResult {
     /// The owner has replied.
     Reply(ShardReply),
     /// The call reached no owner.
-    Nothing,
+    NotReached,
     /// No reply came; an owner may have received the call.
     Lost,
 }
@@ -95,7 +95,7 @@
     }
 
     /// Submits a request and waits for its reply for at most `patience`, or until
-    /// `leave` becomes true because the process stops; the caller can then ask
+    /// `stopping` becomes true because the process stops; the caller can then ask
     /// another process.
     ///
     /// A retry reaches either the same owner, which knows the id, or a later
@@ -106,34 +106,34 @@
         &self,
         mut submission: Submission,
         patience: Duration,
-        mut leave: watch::Receiver<bool>,
+        mut stopping: watch::Receiver<bool>,
     ) -> Answer {
-        let began = Instant::now();
-        let before = submission.waited_millis;
+        let started = Instant::now();
+        let waited_before = submission.waited_millis;
         let id = submission.request.id.clone();
         let key = request_key(&submission.request.team, &id);
         let first_millis = event::wall_millis();
         let mut reached = false;
-        let mut pause = PAUSE_FIRST;
+        let mut pause = FIRST_PAUSE;
         loop {
-            let left = patience.saturating_sub(began.elapsed());
-            if left.is_zero() || *leave.borrow() {
-                return give_up(&id, &submission, reached);
+            let remaining = patience.saturating_sub(started.elapsed());
+            if remaining.is_zero() || *stopping.borrow() {
+                return unanswered(&id, &submission, reached);
             }
-            submission.waited_millis = before + crate::intake::millis(began.elapsed());
+            submission.waited_millis = waited_before + crate::intake::millis(started.elapsed());
             let ask = ShardAsk::Submit(submission.clone());
-            let tried = tokio::select! {
-                tried = self.ask(self.shard(&key), ask, left) => tried,
-                () = told(&mut leave) => Tried::Lost,
+            let result = tokio::select! {
+                result = self.ask(self.shard(&key), ask, remaining) => result,
+                () = wait_until_set(&mut stopping) => AskResult::Lost,
             };
-            match tried {
-                Tried::Reply(ShardReply::Answer(answer)) => return answer,
-                Tried::Reply(ShardReply::Moved) => {
+            match result {
+                AskResult::Reply(ShardReply::Answer(answer)) => return answer,
+                AskResult::Reply(ShardReply::Moved) => {
                     reached = true;
-                    pause = PAUSE_FIRST;
+                    pause = FIRST_PAUSE;
                 }
-                Tried::Lost => reached = true,
-                Tried::Reply(_) | Tried::Nothing => {}
+                AskResult::Lost => reached = true,
+                AskResult::Reply(_) | AskResult::NotReached => {}
             }
             // The next owner has to know that this is a retry. Without the time
             // of the first try it could answer "not run" to a request that the
@@ -141,17 +141,17 @@
             if reached && submission.request.sent_millis == 0 {
                 submission.request.sent_millis = first_millis;
             }
-            self.pause(&mut pause, left).await;
+            self.pause(&mut pause, remaining).await;
         }
     }
 
     /// Asks for the status of a request.
-    pub async fn status(&self, key: &str) -> Standing {
+    pub async fn status(&self, key: &str) -> RequestStatus {
         let ask = ShardAsk::Status(key.to_owned());
-        match self.plain(self.shard(key), ask).await {
-            Some(ShardReply::Answer(answer)) => Standing::Answer(answer),
-            Some(ShardReply::Unknown) => Standing::Unknown,
-            _ => Standing::Unreached,
+        match self.ask_until_reply(self.shard(key), ask).await {
+            Some(ShardReply::Answer(answer)) => RequestStatus::Answer(answer),
+            Some(ShardReply::Unknown) => RequestStatus::Unknown,
+            _ => RequestStatus::Unreached,
         }
     }
 
@@ -160,33 +160,41 @@
     pub async fn cancel(&self, filter: CancelFilter) -> Option<u32> {
         if let CancelFilter::One(key) = &filter {
             let shard = self.shard(key);
-            return cancelled(self.plain(shard, ShardAsk::Cancel(filter)).await.as_ref());
+            return cancelled_count(
+                self.ask_until_reply(shard, ShardAsk::Cancel(filter))
+                    .await
+                    .as_ref(),
+            );
         }
         let mut calls = tokio::task::JoinSet::new();
         for shard in 0..self.shards {
             let router = self.clone();
             let ask = ShardAsk::Cancel(filter.clone());
-            calls.spawn(async move { cancelled(router.plain(shard, ask).await.as_ref()) });
+            calls.spawn(async move {
+                cancelled_count(router.ask_until_reply(shard, ask).await.as_ref())
+            });
         }
         let counts = calls.join_all().await;
         counts.into_iter().sum()
     }
 
-    async fn plain(&self, shard: ShardId, ask: ShardAsk) -> Option<ShardReply> {
-        let began = Instant::now();
-        let mut pause = PAUSE_FIRST;
+    async fn ask_until_reply(&self, shard: ShardId, ask: ShardAsk) -> Option<ShardReply> {
+        let started = Instant::now();
+        let mut pause = FIRST_PAUSE;
         loop {
-            let left = PLAIN_TIMEOUT.saturating_sub(began.elapsed());
-            if left.is_zero() {
+            let remaining = CALL_TIMEOUT.saturating_sub(started.elapsed());
+            if remaining.is_zero() {
                 return None;
             }
-            match self.ask(shard, ask.clone(), left).await {
-                Tried::Reply(ShardReply::NotOwner | ShardReply::TimedOut | ShardReply::Moved)
-                | Tried::Nothing
-                | Tried::Lost => {}
-                Tried::Reply(reply) => return Some(reply),
+            match self.ask(shard, ask.clone(), remaining).await {
+                AskResult::Reply(
+                    ShardReply::NotOwner | ShardReply::TimedOut | ShardReply::Moved,
+                )
+                | AskResult::NotReached
+                | AskResult::Lost => {}
+                AskResult::Reply(reply) => return Some(reply),
             }
-            self.pause(&mut pause, left).await;
+            self.pause(&mut pause, remaining).await;
         }
     }
 
@@ -199,36 +207,36 @@
         patience: Duration,
     ) -> Option<ShardReply> {
         match self.ask(shard, ask, patience).await {
-            Tried::Reply(reply) => Some(reply),
-            Tried::Nothing => Some(ShardReply::Busy),
-            Tried::Lost => None,
+            AskResult::Reply(reply) => Some(reply),
+            AskResult::NotReached => Some(ShardReply::Busy),
+            AskResult::Lost => None,
         }
     }
 
-    async fn ask(&self, shard: ShardId, ask: ShardAsk, left: Duration) -> Tried {
+    async fn ask(&self, shard: ShardId, ask: ShardAsk, remaining: Duration) -> AskResult {
         let route = self.view.borrow().route(shard);
         match route {
-            Route::Nowhere => Tried::Nothing,
+            Route::Nowhere => AskResult::NotReached,
             Route::Local(owner) => {
-                let reply = tokio::time::timeout(left, ask_local(&owner, ask)).await;
-                reply.map_or(Tried::Lost, Tried::Reply)
+                let reply = tokio::time::timeout(remaining, ask_local(&owner, ask)).await;
+                reply.map_or(AskResult::Lost, AskResult::Reply)
             }
             Route::Remote(peer) => {
                 let ask = Ask::Shard(shard, ask);
-                match self.node.call(peer, &ask, left).await {
-                    Ok(Reply::Shard(reply)) => Tried::Reply(reply),
-                    Ok(_) | Err(PeerError::Lost { .. }) => Tried::Lost,
-                    Err(PeerError::Unreached { .. }) => Tried::Nothing,
+                match self.node.call(peer, &ask, remaining).await {
+                    Ok(Reply::Shard(reply)) => AskResult::Reply(reply),
+                    Ok(_) | Err(PeerError::Lost { .. }) => AskResult::Lost,
+                    Err(PeerError::Unreached { .. }) => AskResult::NotReached,
                 }
             }
         }
     }
 
     /// Waits with jitter, or until the view of the cell changes.
-    async fn pause(&self, pause: &mut Duration, left: Duration) {
+    async fn pause(&self, pause: &mut Duration, remaining: Duration) {
         let jitter = rand::rng().random_range(0.5..1.5);
-        let wait = pause.mul_f64(jitter).min(left);
-        *pause = (*pause * 2).min(PAUSE_LONGEST);
+        let wait = pause.mul_f64(jitter).min(remaining);
+        *pause = (*pause * 2).min(LONGEST_PAUSE);
         let mut view = self.view.clone();
         view.mark_unchanged();
         tokio::select! {
@@ -239,18 +247,18 @@
 }
 
 /// Waits until a flag becomes true or its sender is dropped.
-async fn told(flag: &mut watch::Receiver<bool>) {
+async fn wait_until_set(flag: &mut watch::Receiver<bool>) {
     let _ = flag.wait_for(|set| *set).await;
 }
 
-fn cancelled(reply: Option<&ShardReply>) -> Option<u32> {
+fn cancelled_count(reply: Option<&ShardReply>) -> Option<u32> {
     match reply {
         Some(ShardReply::Cancelled(count)) => Some(*count),
         _ => None,
     }
 }
 
-fn give_up(id: &str, submission: &Submission, reached: bool) -> Answer {
+fn unanswered(id: &str, submission: &Submission, reached: bool) -> Answer {
     if !reached {
         let reason = "no owner of its shard could be reached; nothing was sent";
         return Answer::bare(id, Code::NoOwner, reason);
--- a/crates/shard/src/snapshot.rs
+++ b/crates/shard/src/snapshot.rs
@@ -22,7 +22,7 @@
             open.push(accept_record(&entry.request, entry.until_millis));
             // An attempt that is over has no members left. Without its intent
             // the next owner would say "not run" of what ran in part.
-            if !entry.members.is_empty() || entry.touched() {
+            if !entry.members.is_empty() || entry.may_have_run() {
                 open.push(intent_record(key, entry));
             }
         }
@@ -52,7 +52,7 @@
 fn intent_record(key: &str, entry: &Entry) -> Record {
     let place = |member: &crate::Member| Placed {
         worker: member.worker.clone(),
-        run: member.run.clone(),
+        run: member.incarnation.clone(),
     };
     Record::Intent {
         key: key.to_owned(),
--- a/crates/shard/src/standing.rs
+++ b/crates/shard/src/standing.rs
@@ -29,7 +29,7 @@
             return String::new();
         };
         match entry.stage {
-            Stage::Waiting(_) | Stage::Recording(_) if !entry.is_safe() => {
+            Stage::Waiting(_) | Stage::Recording(_) if !entry.survives_takeover() => {
                 "its acceptance is being recorded".to_owned()
             }
             Stage::Waiting(job) => match self.core.blocking_limit(job) {
--- a/crates/shard/tests/shown/cancels.rs
+++ b/crates/shard/tests/shown/cancels.rs
@@ -1,127 +1,125 @@
-//! What the caller of a cancel call is told, and those who wait.
+//! Replies to cancel calls and to callers whose requests were cancelled.
 
 use model::Code;
 use shard::Input;
 use shard::ShardReply;
 use worker::EndResult;
 
-use crate::desk::Desk;
-use crate::desk::confirmation;
-use crate::desk::ended;
-use crate::desk::key;
-use crate::desk::lookup;
-
-// A caller was told that its confirmation was stopped (201, "failed") although
-// it had run to its end with success. The cancel call came while the task ran,
-// the stop was sent, and the worker's word of the success arrived before the
-// stop did. The shard answered by what it had ordered and not by how the
-// worker said that the task ended.
+use crate::fixture::Fixture;
+use crate::fixture::idempotent_request;
+use crate::fixture::key;
+use crate::fixture::recorded_request;
+use crate::fixture::task_ended;
+
+// Guards against answering "stopped" (201, "failed") to a cancelled request whose
+// task succeeded. The worker reported the success after the stop was sent but
+// before it arrived, and the shard answered by the stop that it had sent instead
+// of the reported result.
 #[test]
-fn a_task_that_succeeds_before_its_stop_arrives_has_succeeded() {
-    let mut desk = Desk::with_worker();
-    let (caller, _) = desk.submit(lookup("r1"), true);
+fn cancelled_task_that_succeeds_before_the_stop_is_answered_ok() {
+    let mut fixture = Fixture::with_worker();
+    let (caller, _) = fixture.submit(idempotent_request("r1"), true);
     let attempt = format!("{}#1.1.0", key("r1"));
-    desk.feed(Input::Started(attempt.clone()));
-    desk.cancel("r1");
+    fixture.send(Input::Started(attempt.clone()));
+    fixture.cancel("r1");
 
-    let seen = desk.feed(ended(&attempt, "r1", EndResult::Succeeded));
+    let effects = fixture.send(task_ended(&attempt, "r1", EndResult::Succeeded));
 
-    let answer = seen.answer(caller).expect("a final answer");
+    let answer = effects.answer(caller).expect("a final answer");
     assert_eq!(answer.code, Code::Ok, "{answer:?}");
 }
 
-// The same race with a task that fails by itself: its caller was told that it
-// was stopped, and never saw what the task wrote.
+// The same race with a task that fails by itself: the caller was told that it was
+// stopped and did not get the output of the task.
 #[test]
-fn a_task_that_fails_before_its_stop_arrives_has_failed() {
-    let mut desk = Desk::with_worker();
-    let (caller, _) = desk.submit(lookup("r1"), true);
+fn cancelled_task_that_fails_before_the_stop_is_answered_failed() {
+    let mut fixture = Fixture::with_worker();
+    let (caller, _) = fixture.submit(idempotent_request("r1"), true);
     let attempt = format!("{}#1.1.0", key("r1"));
-    desk.feed(Input::Started(attempt.clone()));
-    desk.cancel("r1");
+    fixture.send(Input::Started(attempt.clone()));
+    fixture.cancel("r1");
 
-    let seen = desk.feed(ended(&attempt, "r1", EndResult::Failed));
+    let effects = fixture.send(task_ended(&attempt, "r1", EndResult::Failed));
 
-    let answer = seen.answer(caller).expect("a final answer");
+    let answer = effects.answer(caller).expect("a final answer");
     assert_eq!(answer.code, Code::TaskFailed, "{answer:?}");
 }
 
 #[test]
-fn a_task_that_its_worker_stopped_is_said_to_be_stopped() {
-    let mut desk = Desk::with_worker();
-    let (caller, _) = desk.submit(lookup("r1"), true);
+fn task_stopped_by_its_worker_is_answered_stopped() {
+    let mut fixture = Fixture::with_worker();
+    let (caller, _) = fixture.submit(idempotent_request("r1"), true);
     let attempt = format!("{}#1.1.0", key("r1"));
-    desk.feed(Input::Started(attempt.clone()));
-    desk.cancel("r1");
+    fixture.send(Input::Started(attempt.clone()));
+    fixture.cancel("r1");
 
-    let seen = desk.feed(ended(&attempt, "r1", EndResult::Stopped));
+    let effects = fixture.send(task_ended(&attempt, "r1", EndResult::Stopped));
 
-    let answer = seen.answer(caller).expect("a final answer");
+    let answer = effects.answer(caller).expect("a final answer");
     assert_eq!(answer.code, Code::TaskStopped, "{answer:?}");
 }
 
-// A caller was told that its task was stopped, while nobody knew how far it
-// had come. The task was running, its caller cancelled it, and its worker fell
-// silent until the lease was over. The task may have ended well before that;
-// the shard took the stop that it had sent for one that was carried out.
+// Guards against answering "stopped" when the result of the task is unknown. A
+// running task was cancelled, and its worker did not answer until the lease
+// expired. The task may have succeeded before; the shard took the stop that it had
+// sent for one that was carried out.
 #[test]
-fn a_cancelled_task_on_a_lost_worker_may_have_run() {
-    let mut desk = Desk::with_worker();
-    let (caller, _) = desk.submit(lookup("r1"), true);
-    desk.feed(Input::Started(format!("{}#1.1.0", key("r1"))));
-    desk.cancel("r1");
+fn cancelled_task_on_a_lost_worker_may_have_run() {
+    let mut fixture = Fixture::with_worker();
+    let (caller, _) = fixture.submit(idempotent_request("r1"), true);
+    fixture.send(Input::Started(format!("{}#1.1.0", key("r1"))));
+    fixture.cancel("r1");
 
-    let seen = desk.feed(Input::LeaseOver("w0".to_owned()));
+    let effects = fixture.send(Input::LeaseExpired("w0".to_owned()));
 
-    let answer = seen.answer(caller).expect("a final answer");
+    let answer = effects.answer(caller).expect("a final answer");
     assert_eq!(answer.code, Code::HostLost, "{answer:?}");
 }
 
-// A caller was told that its task was stopped "between two attempts", while
-// nobody knew how the first had ended. Its worker was lost, the request went
-// back to the queue, and was cancelled there.
+// Guards against answering "cancelled between two attempts" when the result of the
+// first attempt is unknown: its worker was lost, the request was queued again and
+// was cancelled in the queue.
 #[test]
-fn a_request_cancelled_after_a_lost_attempt_may_have_run() {
-    let mut desk = Desk::with_worker();
-    let (caller, _) = desk.submit(lookup("r1"), true);
-    desk.feed(Input::Started(format!("{}#1.1.0", key("r1"))));
-    desk.feed(Input::WorkerLost("w0".to_owned()));
-    desk.feed(Input::LeaseOver("w0".to_owned()));
+fn request_cancelled_after_a_lost_attempt_may_have_run() {
+    let mut fixture = Fixture::with_worker();
+    let (caller, _) = fixture.submit(idempotent_request("r1"), true);
+    fixture.send(Input::Started(format!("{}#1.1.0", key("r1"))));
+    fixture.send(Input::WorkerLost("w0".to_owned()));
+    fixture.send(Input::LeaseExpired("w0".to_owned()));
 
-    let (_, seen) = desk.cancel("r1");
+    let (_, effects) = fixture.cancel("r1");
 
-    let answer = seen.answer(caller).expect("a final answer");
+    let answer = effects.answer(caller).expect("a final answer");
     assert_eq!(answer.code, Code::HostLost, "{answer:?}");
 }
 
-// An operator was told "0 cancelled" of a call that had cancelled a request.
-// The reply to the first call was lost, and the same call was made again; the
-// shard counted only what was still open, and answered before the record of
-// the first call was in the table.
+// Guards against the reply "0 cancelled" to a repeated cancel call whose first reply
+// was lost. The shard counted only requests that were still open, and it replied
+// before the record of the first call was in the table.
 #[test]
-fn a_repeated_cancel_call_counts_what_the_first_one_did() {
-    let mut desk = Desk::open(&["w0"]);
-    let (_, seen) = desk.submit(confirmation("r1"), true);
-    desk.feed(Input::Written(seen.ticket()));
-    desk.cancel("r1");
+fn repeated_cancel_call_returns_the_count_of_the_first() {
+    let mut fixture = Fixture::with_unclaimed(&["w0"]);
+    let (_, effects) = fixture.submit(recorded_request("r1"), true);
+    fixture.send(Input::Written(effects.ticket()));
+    fixture.cancel("r1");
 
-    let (again, early) = desk.cancel("r1");
-    let seen = desk.feed(Input::Written(early.ticket()));
+    let (again, early) = fixture.cancel("r1");
+    let effects = fixture.send(Input::Written(early.ticket()));
 
     assert_eq!(early.reply(again), None);
-    assert_eq!(seen.reply(again), Some(ShardReply::Cancelled(1)));
+    assert_eq!(effects.reply(again), Some(ShardReply::Cancelled(1)));
 }
 
-// A cancelled task ran on for its whole time. The stop was lost on its way, as
-// the shard's link to the worker had just broken; the caller had been told
-// that it was cancelled, and nobody sent the stop again.
+// Guards against a cancelled task that runs to its end. The stop was lost because
+// the link to the worker had just broken, and it was not sent again although the
+// caller had been told that the request was cancelled.
 #[test]
-fn a_task_that_a_worker_still_lists_is_stopped_again() {
-    let mut desk = Desk::with_worker();
-    desk.submit(lookup("r1"), true);
+fn stop_is_repeated_if_the_worker_still_lists_the_task() {
+    let mut fixture = Fixture::with_worker();
+    fixture.submit(idempotent_request("r1"), true);
     let attempt = format!("{}#1.1.0", key("r1"));
-    desk.feed(Input::Started(attempt.clone()));
-    desk.cancel("r1");
+    fixture.send(Input::Started(attempt.clone()));
+    fixture.cancel("r1");
     let task = worker::Task {
         attempt: attempt.clone(),
         request: key("r1"),
@@ -129,23 +127,23 @@
         end: None,
     };
 
-    let seen = desk.claim("w0", "run-1", 2, vec![task]);
+    let effects = fixture.claim("w0", "run-1", 2, vec![task]);
 
-    assert_eq!(seen.stops(), [attempt]);
+    assert_eq!(effects.stops(), [attempt]);
 }
 
-// The time line said that a request was cancelled while it ran on to its end.
-// The event was recorded when the stop was sent; a request that really was
-// cancelled, in the queue, had no such event.
+// Guards against a timeline that shows a request as cancelled although it ran to its
+// end: the event was recorded when the stop was sent. A request that was cancelled
+// in the queue had no such event.
 #[test]
-fn a_request_is_recorded_as_cancelled_when_it_is() {
-    let mut desk = Desk::with_worker();
-    desk.submit(lookup("r1"), true);
-    desk.feed(Input::Started(format!("{}#1.1.0", key("r1"))));
-    let mut idle = Desk::open(&["w0"]);
-    idle.submit(lookup("r2"), true);
-
-    let (_, running) = desk.cancel("r1");
+fn cancel_event_is_recorded_only_after_the_cancellation() {
+    let mut fixture = Fixture::with_worker();
+    fixture.submit(idempotent_request("r1"), true);
+    fixture.send(Input::Started(format!("{}#1.1.0", key("r1"))));
+    let mut idle = Fixture::with_unclaimed(&["w0"]);
+    idle.submit(idempotent_request("r2"), true);
+
+    let (_, running) = fixture.cancel("r1");
     let (_, waiting) = idle.cancel("r2");
 
     assert!(!running.events().contains(&"request_cancelled".to_owned()));
--- a/crates/shard/tests/shown/desk.rs
+++ b/crates/shard/tests/shown/fixture.rs
@@ -1,4 +1,5 @@
-//! A shard's machine with the callers and workers of one test, by hand.
+//! Fixture that drives the state machine of one shard, with its callers and
+//! workers simulated by the test.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -34,14 +35,14 @@
 
 pub(crate) const TEAM: &str = "stores";
 
-/// What one input brought about.
+/// Outputs of the state machine for one input.
 #[derive(Debug, Default)]
-pub(crate) struct Seen {
+pub(crate) struct Effects {
     pub(crate) outputs: Vec<Output>,
 }
 
-impl Seen {
-    /// Ids of the starts that were sent.
+impl Effects {
+    /// Attempt ids of the starts that were sent.
     pub(crate) fn starts(&self) -> Vec<AttemptId> {
         let start = |output: &Output| match output {
             Output::Start(_, order) => Some(order.attempt.clone()),
@@ -50,7 +51,7 @@
         self.outputs.iter().filter_map(start).collect()
     }
 
-    /// Ids of the starts that were told to stop.
+    /// Attempt ids of the stops that were sent.
     pub(crate) fn stops(&self) -> Vec<AttemptId> {
         let stop = |output: &Output| match output {
             Output::Stop(_, attempt, _) => Some(attempt.clone()),
@@ -59,16 +60,16 @@
         self.outputs.iter().filter_map(stop).collect()
     }
 
-    /// What `waiter` was told, if anything.
+    /// Reply to `waiter`, if any.
     pub(crate) fn reply(&self, waiter: WaiterKey) -> Option<ShardReply> {
-        let told = |output: &Output| match output {
+        let reply_to_waiter = |output: &Output| match output {
             Output::Reply(to, reply) if *to == waiter => Some(reply.clone()),
             _ => None,
         };
-        self.outputs.iter().find_map(told)
+        self.outputs.iter().find_map(reply_to_waiter)
     }
 
-    /// The answer that `waiter` was told, if any.
+    /// Answer in the reply to `waiter`, if any.
     pub(crate) fn answer(&self, waiter: WaiterKey) -> Option<Answer> {
         match self.reply(waiter) {
             Some(ShardReply::Answer(answer)) => Some(answer),
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Ticket of the records that go to the table.
+    /// Ticket of the records that are to be committed.
     pub(crate) fn ticket(&self) -> Ticket {
         let ticket = |output: &Output| match output {
             Output::Append(ticket, _) => Some(*ticket),
@@ -85,7 +86,7 @@
         self.outputs.iter().find_map(ticket).expect("a record")
     }
 
-    /// Names of the events that were recorded.
+    /// Kinds of the recorded events.
     pub(crate) fn events(&self) -> Vec<String> {
         let event = |output: &Output| match output {
             Output::Event(event) => Some(event.kind.to_string()),
@@ -95,83 +96,83 @@
     }
 }
 
-/// A shard's machine with its callers and workers.
+/// State machine of a shard with its clock and its waiting callers.
 #[derive(Debug)]
-pub(crate) struct Desk {
+pub(crate) struct Fixture {
     machine: Machine,
     times: Times,
     waiters: SlotMap<WaiterKey, ()>,
 }
 
-impl Desk {
-    /// A shard whose host list names `workers`, none of them claimed.
-    pub(crate) fn open(workers: &[&str]) -> Desk {
+impl Fixture {
+    /// Creates a shard to which `workers` are assigned but not yet claimed.
+    pub(crate) fn with_unclaimed(workers: &[&str]) -> Fixture {
         let times = Times {
             now: Duration::ZERO,
             wall_millis: 1_000_000,
         };
-        let mut desk = Desk {
-            machine: machine(Ledger::default(), times),
+        let mut fixture = Fixture {
+            machine: new_machine(Ledger::default(), times),
             times,
             waiters: SlotMap::with_key(),
         };
-        let hosts = workers.iter().map(|name| host(name)).collect();
-        desk.feed(Input::Workers(hosts));
-        desk
+        let hosts = workers.iter().map(|name| worker_host(name)).collect();
+        fixture.send(Input::Workers(hosts));
+        fixture
     }
 
-    /// A shard with one claimed worker.
-    pub(crate) fn with_worker() -> Desk {
-        let mut desk = Desk::open(&["w0"]);
-        desk.claim("w0", "run-1", 2, Vec::new());
-        desk
+    /// Creates a shard with one claimed worker, `w0`.
+    pub(crate) fn with_worker() -> Fixture {
+        let mut fixture = Fixture::with_unclaimed(&["w0"]);
+        fixture.claim("w0", "run-1", 2, Vec::new());
+        fixture
     }
 
-    /// Gives the machine one input.
-    pub(crate) fn feed(&mut self, input: Input) -> Seen {
+    /// Sends one input to the state machine.
+    pub(crate) fn send(&mut self, input: Input) -> Effects {
         let outputs = self.machine.handle(self.times, input);
-        Seen { outputs }
+        Effects { outputs }
     }
 
-    /// The next owner, which finds what this one stores of itself and no
-    /// worker.
-    pub(crate) fn succeeded(&mut self) -> Desk {
+    /// Creates the successor of this owner, which recovers its stored state and has
+    /// no workers.
+    pub(crate) fn successor(&mut self) -> Fixture {
         let mut ledger = Ledger::default();
         for record in self.machine.make_segment(1).open {
             ledger.replay(&record, self.times);
         }
-        Desk {
-            machine: machine(ledger, self.times),
+        Fixture {
+            machine: new_machine(ledger, self.times),
             times: self.times,
             waiters: SlotMap::with_key(),
         }
     }
 
-    /// Lets time pass.
-    pub(crate) fn wait(&mut self, millis: u64) -> Seen {
-        self.pass(millis);
-        self.feed(Input::Tick)
+    /// Advances the clock and sends a tick.
+    pub(crate) fn advance(&mut self, millis: u64) -> Effects {
+        self.advance_without_tick(millis);
+        self.send(Input::Tick)
     }
 
-    /// Lets time pass while the process may not act, so without a tick.
-    pub(crate) fn pass(&mut self, millis: u64) {
+    /// Advances the clock without a tick, as while the process may not act.
+    pub(crate) fn advance_without_tick(&mut self, millis: u64) {
         self.times.now += Duration::from_millis(millis);
         self.times.wall_millis += millis;
     }
 
-    /// A worker accepts the claim.
-    pub(crate) fn claim(&mut self, name: &str, run: &str, slots: u32, tasks: Vec<Task>) -> Seen {
+    /// Reports that a worker has accepted the claim.
+    pub(crate) fn claim(&mut self, name: &str, run: &str, slots: u32, tasks: Vec<Task>) -> Effects {
         let claimed = Claimed {
             incarnation: run.to_owned(),
             turn: 1,
-            capacity: room(slots),
+            capacity: resources(slots),
             tasks,
         };
-        self.feed(Input::Claimed(name.to_owned(), claimed))
+        self.send(Input::Claimed(name.to_owned(), claimed))
     }
 
-    /// A caller submits; with `wait` it waits for the final answer.
-    pub(crate) fn submit(&mut self, request: Request, wait: bool) -> (WaiterKey, Seen) {
+    /// Submits a request; with `wait` the reply waits for the final answer.
+    pub(crate) fn submit(&mut self, request: Request, wait: bool) -> (WaiterKey, Effects) {
         let submission = Submission {
             request,
             waited_millis: 0,
@@ -180,31 +181,31 @@
         self.ask(ShardAsk::Submit(submission))
     }
 
-    /// A caller cancels the request with this id.
-    pub(crate) fn cancel(&mut self, id: &str) -> (WaiterKey, Seen) {
+    /// Cancels the request with this id.
+    pub(crate) fn cancel(&mut self, id: &str) -> (WaiterKey, Effects) {
         self.ask(ShardAsk::Cancel(CancelFilter::One(key(id))))
     }
 
-    /// What a caller is told who asks how a request stands.
+    /// Asks for the status of the request with this id.
     pub(crate) fn status(&mut self, id: &str) -> Answer {
-        let (waiter, seen) = self.ask(ShardAsk::Status(key(id)));
-        seen.answer(waiter).expect("a status")
+        let (waiter, effects) = self.ask(ShardAsk::Status(key(id)));
+        effects.answer(waiter).expect("a status")
     }
 
-    fn ask(&mut self, ask: ShardAsk) -> (WaiterKey, Seen) {
+    fn ask(&mut self, ask: ShardAsk) -> (WaiterKey, Effects) {
         let waiter = self.waiters.insert(());
-        let seen = self.feed(Input::Ask(ask, waiter));
-        (waiter, seen)
+        let effects = self.send(Input::Ask(ask, waiter));
+        (waiter, effects)
     }
 }
 
-/// Key of a request.
+/// Key of the request with this id.
 pub(crate) fn key(id: &str) -> String {
     model::request_key(TEAM, id)
 }
 
-/// A request that may run twice and is not recorded.
-pub(crate) fn lookup(id: &str) -> Request {
+/// An idempotent request, which is not recorded in the journal.
+pub(crate) fn idempotent_request(id: &str) -> Request {
     Request {
         id: id.to_owned(),
         team: TEAM.to_owned(),
@@ -220,16 +221,16 @@
     }
 }
 
-/// A request that must not run twice and is recorded.
-pub(crate) fn confirmation(id: &str) -> Request {
+/// A request that must not run twice and is recorded in the journal.
+pub(crate) fn recorded_request(id: &str) -> Request {
     Request {
         idempotent: false,
-        ..lookup(id)
+        ..idempotent_request(id)
     }
 }
 
-/// News of a task's end on the worker `w0`.
-pub(crate) fn ended(attempt: &str, id: &str, result: EndResult) -> Input {
+/// Report of the end of a task on worker `w0`.
+pub(crate) fn task_ended(attempt: &str, id: &str, result: EndResult) -> Input {
     let end = End {
         result,
         output: String::new(),
@@ -238,20 +239,20 @@
     let task = Task {
         attempt: attempt.to_owned(),
         request: key(id),
-        needs: room(1),
+        needs: resources(1),
         end: Some(end),
     };
     Input::Ended("w0".to_owned(), vec![task])
 }
 
-fn room(slots: u32) -> Resources {
+fn resources(slots: u32) -> Resources {
     Resources {
         slots,
         ..Resources::default()
     }
 }
 
-fn host(name: &str) -> WorkerHost {
+fn worker_host(name: &str) -> WorkerHost {
     let host = Host {
         id: name.to_owned(),
         address: ([127, 0, 0, 1], 1).into(),
@@ -262,7 +263,7 @@
     WorkerHost { host, assigned: 1 }
 }
 
-fn machine(ledger: Ledger, times: Times) -> Machine {
+fn new_machine(ledger: Ledger, times: Times) -> Machine {
     let quota = Resources {
         cpu_milli: 1000,
         memory_mib: 1000,
--- a/crates/shard/tests/shown/main.rs
+++ b/crates/shard/tests/shown/main.rs
@@ -1,8 +1,8 @@
-//! What callers of a shard are told rests on what the shard knows, not on what
-//! it has ordered or assumes.
+//! Replies and events of a shard must state confirmed facts, not what the shard has
+//! ordered or assumes.
 
 mod cancels;
-mod desk;
+mod fixture;
 mod refusals;
 mod states;
 mod workers;
--- a/crates/shard/tests/shown/refusals.rs
+++ b/crates/shard/tests/shown/refusals.rs
@@ -1,135 +1,137 @@
-//! "Accepted" and "not run" are said only when they are certain.
+//! A request is answered "accepted" or "not run" only when that is certain.
 
 use model::Class;
 use model::Code;
 use model::Resources;
 use shard::Input;
 
-use crate::desk::Desk;
-use crate::desk::confirmation;
-use crate::desk::lookup;
+use crate::fixture::Fixture;
+use crate::fixture::idempotent_request;
+use crate::fixture::recorded_request;
 
-// A caller was told that its restock is accepted, and the restock was gone
-// after a change of owner. Its first submission was on the way to the table;
-// a copy of it, sent at once, found the request in memory and was answered
-// "accepted". The owner ended before the record was written.
+// Guards against losing an accepted request at a take-over. While the record of the
+// first submission was being written, a duplicate submission found the request in
+// memory and was answered "accepted". The owner ended before the record was
+// written.
 #[test]
-fn a_copy_of_a_submission_hears_accepted_only_when_it_is_recorded() {
-    let mut desk = Desk::open(&["w0"]);
-    let (_, first) = desk.submit(confirmation("r1"), true);
+fn duplicate_submission_is_accepted_only_after_recording() {
+    let mut fixture = Fixture::with_unclaimed(&["w0"]);
+    let (_, first) = fixture.submit(recorded_request("r1"), true);
 
-    let (copy, early) = desk.submit(confirmation("r1"), false);
-    let seen = desk.feed(Input::Written(first.ticket()));
+    let (copy, early) = fixture.submit(recorded_request("r1"), false);
+    let effects = fixture.send(Input::Written(first.ticket()));
 
     assert_eq!(early.answer(copy), None);
-    let answer = seen.answer(copy).expect("an answer once it is recorded");
+    let answer = effects.answer(copy).expect("an answer once it is recorded");
     assert_eq!(answer.code, Code::Pending);
 }
 
 #[test]
-fn a_copy_of_a_recorded_submission_is_answered_at_once() {
-    let mut desk = Desk::open(&["w0"]);
-    let (_, first) = desk.submit(confirmation("r1"), true);
-    desk.feed(Input::Written(first.ticket()));
+fn duplicate_of_a_recorded_submission_is_answered_at_once() {
+    let mut fixture = Fixture::with_unclaimed(&["w0"]);
+    let (_, first) = fixture.submit(recorded_request("r1"), true);
+    fixture.send(Input::Written(first.ticket()));
 
-    let (copy, seen) = desk.submit(confirmation("r1"), false);
+    let (copy, effects) = fixture.submit(recorded_request("r1"), false);
 
-    assert!(seen.answer(copy).is_some());
+    assert!(effects.answer(copy).is_some());
 }
 
-// A caller was told "cancelled before it started", and the request ran. The
-// table was away when the request was cancelled, so answers were given before
-// their records were written; the owner ended, and the next one found the
-// request in the journal without its end.
+// Guards against running a request after the answer "cancelled before it started".
+// The table was unavailable, so answers were given before their records were
+// written. The owner ended, and its successor found the request in the journal
+// without its end.
 #[test]
-fn not_run_waits_for_its_record_while_the_table_is_away() {
-    let mut desk = Desk::open(&["w0"]);
-    let (caller, seen) = desk.submit(confirmation("r1"), true);
-    desk.feed(Input::Written(seen.ticket()));
-    let (_, cancelled) = desk.cancel("r1");
+fn not_run_answer_waits_for_its_record_while_the_table_is_unavailable() {
+    let mut fixture = Fixture::with_unclaimed(&["w0"]);
+    let (caller, effects) = fixture.submit(recorded_request("r1"), true);
+    fixture.send(Input::Written(effects.ticket()));
+    let (_, cancelled) = fixture.cancel("r1");
 
-    let early = desk.feed(Input::Stalled);
-    let seen = desk.feed(Input::Written(cancelled.ticket()));
+    let early = fixture.send(Input::Stalled);
+    let effects = fixture.send(Input::Written(cancelled.ticket()));
 
     assert_eq!(early.answer(caller), None);
-    let answer = seen.answer(caller).expect("an answer once it is recorded");
+    let answer = effects
+        .answer(caller)
+        .expect("an answer once it is recorded");
     assert_eq!(answer.code, Code::Cancelled);
 }
 
-// A request was refused as one that no worker could ever hold (301), though a
-// worker of its shard had room for it. The owner had just taken the shard over
-// and had claimed the smaller of its two workers; it took the capacities that
-// it knew for all that there are.
+// Guards against refusing a request as too large for every worker (301) although it
+// fits on one. After a take-over, the new owner had claimed only the smaller of two
+// workers and compared the request with the capacities known so far.
 #[test]
-fn nothing_is_too_large_before_all_workers_are_known() {
-    let mut desk = Desk::open(&["w0", "w1"]);
-    desk.claim("w0", "run-1", 2, Vec::new());
-    let mut large = lookup("r1");
+fn no_request_is_too_large_before_all_workers_are_known() {
+    let mut fixture = Fixture::with_unclaimed(&["w0", "w1"]);
+    fixture.claim("w0", "run-1", 2, Vec::new());
+    let mut large = idempotent_request("r1");
     large.needs = Resources {
         accelerators: 1,
         ..Resources::default()
     };
 
-    let (caller, seen) = desk.submit(large, true);
+    let (caller, effects) = fixture.submit(large, true);
 
-    assert_eq!(seen.answer(caller), None);
+    assert_eq!(effects.answer(caller), None);
 }
 
 #[test]
-fn what_no_worker_can_hold_is_refused_once_all_are_known() {
-    let mut desk = Desk::with_worker();
-    let mut large = lookup("r1");
+fn request_too_large_for_every_worker_is_refused_once_all_are_known() {
+    let mut fixture = Fixture::with_worker();
+    let mut large = idempotent_request("r1");
     large.needs = Resources {
         accelerators: 1,
         ..Resources::default()
     };
 
-    let (caller, seen) = desk.submit(large, true);
+    let (caller, effects) = fixture.submit(large, true);
 
-    let answer = seen.answer(caller).expect("a refusal");
+    let answer = effects.answer(caller).expect("a refusal");
     assert_eq!(answer.code, Code::NeverFits);
 }
 
-// A restock that had run in part was answered "not run: its latest start has
-// passed". Its worker was lost, and it was placed again; the table was silent
-// while the intent was on its way, and the process could not act. When the
-// intent was written at last, the first news, the time for a restart was over,
-// and the first attempt was left out of the answer.
+// Guards against answering "not run: its latest start has passed" to a batch request
+// that ran in part. After the loss of its worker the request was placed again. The
+// table did not answer while the intent was being written, and the process could
+// not act. When the intent was written, the deadline of the restart had passed, and
+// the answer ignored the first attempt.
 #[test]
-fn a_restart_that_comes_too_late_is_not_said_to_be_not_run() {
-    let mut desk = Desk::with_worker();
-    let mut restock = lookup("r1");
-    restock.class = Class::Batch;
-    let (caller, seen) = desk.submit(restock, true);
-    let seen = desk.feed(Input::Written(seen.ticket()));
-    desk.feed(Input::Started(seen.starts().remove(0)));
-    let again = desk.feed(Input::LeaseOver("w0".to_owned()));
-
-    desk.pass(20_000);
-    let late = desk.feed(Input::Written(again.ticket()));
-    let seen = desk.feed(Input::Written(late.ticket()));
-
-    let answer = seen.answer(caller).expect("a final answer");
+fn restart_after_the_deadline_is_not_answered_not_run() {
+    let mut fixture = Fixture::with_worker();
+    let mut batch = idempotent_request("r1");
+    batch.class = Class::Batch;
+    let (caller, effects) = fixture.submit(batch, true);
+    let effects = fixture.send(Input::Written(effects.ticket()));
+    fixture.send(Input::Started(effects.starts().remove(0)));
+    let again = fixture.send(Input::LeaseExpired("w0".to_owned()));
+
+    fixture.advance_without_tick(20_000);
+    let late = fixture.send(Input::Written(again.ticket()));
+    let effects = fixture.send(Input::Written(late.ticket()));
+
+    let answer = effects.answer(caller).expect("a final answer");
     assert_eq!(answer.code, Code::HostLost, "{answer:?}");
 }
 
-// A restock that had run in part was answered "not run" by the next owner. Its
-// first worker was lost and it waited for another; the owner stored its state,
-// in which the attempt had no members left and so no intent, and ended.
+// Guards against a successor that answers "not run" to a batch request that ran in
+// part. The first worker was lost and the request was waiting for another one. The
+// former owner stored its state, in which the attempt had no members left and so
+// no intent, and ended.
 #[test]
-fn the_next_owner_knows_of_an_attempt_that_is_over() {
-    let mut desk = Desk::with_worker();
-    let mut restock = lookup("r1");
-    restock.class = Class::Batch;
-    let (_, seen) = desk.submit(restock, true);
-    let seen = desk.feed(Input::Written(seen.ticket()));
-    desk.feed(Input::Started(seen.starts().remove(0)));
-    desk.feed(Input::WorkerLost("w0".to_owned()));
-    desk.feed(Input::LeaseOver("w0".to_owned()));
-
-    let mut next = desk.succeeded();
-    let late = next.wait(20_000);
-    next.feed(Input::Written(late.ticket()));
-
-    assert_eq!(next.status("r1").code, Code::HostLost);
+fn successor_knows_of_an_ended_attempt() {
+    let mut fixture = Fixture::with_worker();
+    let mut batch = idempotent_request("r1");
+    batch.class = Class::Batch;
+    let (_, effects) = fixture.submit(batch, true);
+    let effects = fixture.send(Input::Written(effects.ticket()));
+    fixture.send(Input::Started(effects.starts().remove(0)));
+    fixture.send(Input::WorkerLost("w0".to_owned()));
+    fixture.send(Input::LeaseExpired("w0".to_owned()));
+
+    let mut successor = fixture.successor();
+    let late = successor.advance(20_000);
+    successor.send(Input::Written(late.ticket()));
+
+    assert_eq!(successor.status("r1").code, Code::HostLost);
 }
--- a/crates/shard/tests/shown/workers.rs
+++ b/crates/shard/tests/shown/workers.rs
@@ -1,58 +1,66 @@
-//! What is said of a worker rests on what its tasks have shown.
+//! Quarantine of a worker depends only on tasks that have shown its health.
 
 use worker::EndResult;
 
-use crate::desk::Desk;
-use crate::desk::ended;
-use crate::desk::lookup;
+use crate::fixture::Fixture;
+use crate::fixture::idempotent_request;
+use crate::fixture::task_ended;
 
-/// A shard that places all work on `w0`, which has failed four requests.
-fn with_quarantined_worker() -> Desk {
-    let mut desk = Desk::open(&["w0", "w1", "w2", "w3"]);
-    desk.claim("w0", "run-1", 2, Vec::new());
-    for full in ["w1", "w2", "w3"] {
-        desk.claim(full, "run-1", 0, Vec::new());
+/// A shard that places all tasks on `w0`, which is quarantined after four
+/// failures.
+fn with_quarantined_worker() -> Fixture {
+    let mut fixture = Fixture::with_unclaimed(&["w0", "w1", "w2", "w3"]);
+    fixture.claim("w0", "run-1", 2, Vec::new());
+    for name in ["w1", "w2", "w3"] {
+        fixture.claim(name, "run-1", 0, Vec::new());
     }
     for id in ["r1", "r2", "r3", "r4"] {
-        let (_, seen) = desk.submit(lookup(id), true);
-        let attempt = seen.starts().remove(0);
-        let seen = desk.feed(ended(&attempt, id, EndResult::Failed));
-        assert_eq!(seen.events().contains(&quarantined()), id == "r4");
+        let (_, effects) = fixture.submit(idempotent_request(id), true);
+        let attempt = effects.starts().remove(0);
+        let effects = fixture.send(task_ended(&attempt, id, EndResult::Failed));
+        assert_eq!(effects.events().contains(&quarantined_event()), id == "r4");
     }
-    desk
+    fixture
 }
 
-fn quarantined() -> String {
+fn quarantined_event() -> String {
     "worker_quarantined".to_owned()
 }
 
-fn restored() -> String {
+fn restored_event() -> String {
     "worker_restored".to_owned()
 }
 
-// A worker that failed everything was said to have left quarantine (305), and
-// got work again. Its probe had not ended with success: the lease of the task
-// ran out. Every end that was not a failure counted as a success.
+// Guards against restoring a worker on which every task fails (305). The lease of its
+// probe expired, and every end that was not a failure counted as a success.
 #[test]
-fn a_probe_that_was_cut_short_restores_no_worker() {
-    let mut desk = with_quarantined_worker();
-    desk.wait(2100);
-    let (_, seen) = desk.submit(lookup("probe"), true);
-    let attempt = seen.starts().remove(0);
+fn interrupted_probe_does_not_end_quarantine() {
+    let mut fixture = with_quarantined_worker();
+    fixture.advance(2100);
+    let (_, effects) = fixture.submit(idempotent_request("probe"), true);
+    let attempt = effects.starts().remove(0);
 
-    let seen = desk.feed(ended(&attempt, "probe", EndResult::LeaseOver));
+    let effects = fixture.send(task_ended(&attempt, "probe", EndResult::LeaseOver));
 
-    assert!(!seen.events().contains(&restored()), "{:?}", seen.events());
+    assert!(
+        !effects.events().contains(&restored_event()),
+        "{:?}",
+        effects.events()
+    );
 }
 
 #[test]
-fn a_probe_that_succeeds_restores_its_worker() {
-    let mut desk = with_quarantined_worker();
-    desk.wait(2100);
-    let (_, seen) = desk.submit(lookup("probe"), true);
-    let attempt = seen.starts().remove(0);
+fn successful_probe_ends_quarantine() {
+    let mut fixture = with_quarantined_worker();
+    fixture.advance(2100);
+    let (_, effects) = fixture.submit(idempotent_request("probe"), true);
+    let attempt = effects.starts().remove(0);
 
-    let seen = desk.feed(ended(&attempt, "probe", EndResult::Succeeded));
+    let effects = fixture.send(task_ended(&attempt, "probe", EndResult::Succeeded));
 
-    assert!(seen.events().contains(&restored()), "{:?}", seen.events());
+    assert!(
+        effects.events().contains(&restored_event()),
+        "{:?}",
+        effects.events()
+    );
 }
--- a/crates/shard/tests/world/mod.rs
+++ b/crates/shard/tests/world/mod.rs
@@ -150,7 +150,7 @@
                 self.flying.push(Flying {
                     worker,
                     epoch: self.epoch,
-                    run: run_number(&order.run),
+                    run: run_number(&order.incarnation),
                     order,
                 });
             }
--- a/crates/shard/tests/world/workers.rs
+++ b/crates/shard/tests/world/workers.rs
@@ -152,7 +152,7 @@
         }
         if self.workers[worker].epoch == self.epoch {
             self.tell(worker, Input::WorkerLost(name_of(worker)));
-            self.tell(worker, Input::LeaseOver(name_of(worker)));
+            self.tell(worker, Input::LeaseExpired(name_of(worker)));
         }
     }
 }
