--- a/crates/bench/benches/main/decide.rs
+++ b/crates/bench/benches/main/decide.rs
@@ -53,7 +53,7 @@
         },
         members: 1,
         deadline: Duration::from_secs(1000),
-        run: Duration::from_millis(10),
+        run_time: Duration::from_millis(10),
         avoid: Vec::new(),
     }
 }
--- a/crates/bench/benches/main/pack.rs
+++ b/crates/bench/benches/main/pack.rs
@@ -74,7 +74,7 @@
         },
         members: 1,
         deadline: Duration::from_secs(1000),
-        run: Duration::from_secs(10),
+        run_time: Duration::from_secs(10),
         avoid: Vec::new(),
     }
 }
--- a/crates/sched/src/budget.rs
+++ b/crates/sched/src/budget.rs
@@ -1,7 +1,7 @@
-//! Hard limits in addition to the capacity of the workers: power of the site and
-//! of its racks, quotas of teams. A core books only what was granted to it, and
-//! the sum of all grants stays within the cap, so that the owners of several
-//! shards cannot exceed a limit together.
+//! Hard limits in addition to the capacity of the workers: power of the site
+//! and of its racks, quotas of teams. A core books only what was granted to it,
+//! and the sum of all grants stays within the cap, so that the owners of
+//! several shards cannot exceed a limit together.
 
 use std::collections::HashMap;
 
--- a/crates/sched/src/core.rs
+++ b/crates/sched/src/core.rs
@@ -41,7 +41,8 @@
     jobs: SlotMap<JobKey, Job>,
     pub(crate) budgets: Budgets,
     pub(crate) queues: Queues,
-    /// Jobs that another shard lent to this one and whose quota is charged there.
+    /// Jobs that another shard lent to this one and whose quota is charged
+    /// there.
     pub(crate) quota_exempt: HashSet<JobKey>,
     /// Number of jobs submitted so far, which ranks jobs by arrival.
     sequence: u64,
@@ -166,7 +167,7 @@
         let (class, deadline) = (spec.class, spec.deadline);
         let job = self.jobs.insert(Job {
             spec,
-            since: now,
+            submitted_at: now,
             placed: Vec::new(),
             rank,
         });
@@ -193,7 +194,7 @@
     pub fn adopt(&mut self, now: Timestamp, spec: JobSpec, worker: WorkerKey) -> JobKey {
         let job = self.jobs.insert(Job {
             spec,
-            since: now,
+            submitted_at: now,
             placed: Vec::new(),
             rank: 0,
         });
@@ -312,8 +313,8 @@
         decisions
     }
 
-    /// Tries to place a new job of a blocked class: it may fit although the jobs
-    /// at the heads of the queues do not.
+    /// Tries to place a new job of a blocked class: it may fit although the
+    /// jobs at the heads of the queues do not.
     fn decide_untried(&mut self, job: JobKey, decisions: &mut Vec<Decision>) {
         let Some(state) = self.jobs.get(job).filter(|state| state.placed.is_empty()) else {
             return;
--- a/crates/sched/src/job.rs
+++ b/crates/sched/src/job.rs
@@ -31,7 +31,7 @@
     /// Latest time at which the job may start.
     pub deadline: Timestamp,
     /// Expected run time of the job.
-    pub run: Duration,
+    pub run_time: Duration,
     /// Workers on which an earlier attempt failed; they are not chosen again.
     pub avoid: Vec<WorkerKey>,
 }
@@ -42,7 +42,7 @@
     /// Requirements of the job.
     pub spec: JobSpec,
     /// Time of submission.
-    pub since: Timestamp,
+    pub submitted_at: Timestamp,
     /// Workers of the running members; empty while the job is waiting.
     pub placed: Vec<WorkerKey>,
     /// Rank in the queue while the job is waiting.
--- a/crates/sched/src/pool.rs
+++ b/crates/sched/src/pool.rs
@@ -28,9 +28,11 @@
     by_id: HashMap<WorkerId, WorkerKey>,
     /// Workers that are ready and have a free slot.
     ranking: BTreeSet<RankKey>,
+    /// Sort key of each worker in the ranking.
     rank_keys: HashMap<WorkerKey, RankKey>,
     /// Number of workers of each capacity; there are few different capacities.
     capacities: Vec<(Resources, u32)>,
+    /// Number of placements so far.
     placements: u64,
 }
 
--- a/crates/shard/src/cancel.rs
+++ b/crates/shard/src/cancel.rs
@@ -59,9 +59,9 @@
     }
 
     /// Cancels one request. A request that an earlier call cancelled counts
-    /// again: a caller that lost the reply repeats the call, and would otherwise
-    /// be told that nothing was cancelled. The reply waits until the records of
-    /// the answers are in the table.
+    /// again: a caller that lost the reply repeats the call, and would
+    /// otherwise be told that nothing was cancelled. The reply waits until the
+    /// records of the answers are in the table.
     fn cancel_one(&mut self, key: String, progress: &mut CancelProgress) {
         let Some(entry) = self.ledger.get(&key) else {
             return;
@@ -105,8 +105,8 @@
         self.finish_bare(key, code, reason);
     }
 
-    /// Closes cancelled requests, so that they can't start any more. Their callers
-    /// get the answer once its record is in the table.
+    /// Closes cancelled requests, so that they can't start any more. Their
+    /// callers get the answer once its record is in the table.
     fn close_withdrawn(&mut self, keys: &[String]) {
         for key in keys {
             if let Some(entry) = self.ledger.get_mut(key) {
--- a/crates/shard/src/entry.rs
+++ b/crates/shard/src/entry.rs
@@ -17,8 +17,8 @@
 /// State of one member of an attempt, as far as the shard knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberState {
-    /// An earlier owner recorded the intent, and the worker has not been claimed
-    /// since.
+    /// An earlier owner recorded the intent, and the worker has not been
+    /// claimed since.
     Unknown,
     /// The start was sent or is about to be sent; its reply is outstanding.
     Sent,
@@ -68,8 +68,8 @@
     Recording(JobKey),
     /// Offered to other shards, one of which may be running it.
     Lent,
-    /// Starts were sent, or an earlier owner may have sent them. There is no job
-    /// until the worker of a recovered member lists its task.
+    /// Starts were sent, or an earlier owner may have sent them. There is no
+    /// job until the worker of a recovered member lists its task.
     Running(Option<JobKey>),
     /// The answer is decided but not yet final: its record may still be on the
     /// way to the table.
@@ -146,7 +146,8 @@
     pub waited_millis: u64,
     /// Members of earlier attempts, whose results the workers still keep.
     pub earlier_members: Vec<Member>,
-    /// Checkpoint from which the next attempt continues; empty if there is none.
+    /// Checkpoint from which the next attempt continues; empty if there is
+    /// none.
     pub checkpoint: String,
 }
 
@@ -181,7 +182,8 @@
         }
     }
 
-    /// Creates the entry of a request that is known only from a worker's report.
+    /// Creates the entry of a request that is known only from a worker's
+    /// report.
     #[must_use]
     pub fn from_report(key: &str, needs: Resources, now: Timestamp) -> Entry {
         let (team, id) = key.split_once('/').unwrap_or(("", key));
@@ -251,7 +253,8 @@
         }
     }
 
-    /// Whether the answer is decided, even if its record is not yet in the table.
+    /// Whether the answer is decided, even if its record is not yet in the
+    /// table.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         matches!(self.stage, Stage::Closing(_) | Stage::Done(_))
--- a/crates/shard/src/fleet.rs
+++ b/crates/shard/src/fleet.rs
@@ -95,8 +95,8 @@
 
     fn has_open_members(&self, id: &str) -> bool {
         let has_open = |entry: &Entry| {
-            let mut here = entry.members.iter().filter(|m| m.worker == id);
-            !entry.is_closed() && here.any(|m| !m.state.is_settled())
+            let mut on_worker = entry.members.iter().filter(|m| m.worker == id);
+            !entry.is_closed() && on_worker.any(|m| !m.state.is_settled())
         };
         self.ledger.iter().any(|(_, entry)| has_open(entry))
     }
@@ -119,14 +119,14 @@
         }
     }
 
-    /// Stops batch tasks on a worker with a checkpoint, so that they continue on
-    /// another worker.
+    /// Stops batch tasks on a worker with a checkpoint, so that they continue
+    /// on another worker.
     fn checkpoint_batch_tasks(&mut self, worker: &str) {
         let is_batch = |entry: &Entry| entry.request.class == model::Class::Batch;
         let mut stops = Vec::new();
         for (_, entry) in self.ledger.iter().filter(|(_, entry)| is_batch(entry)) {
-            let here = entry.members.iter().filter(|m| m.worker == worker);
-            for member in here.filter(|m| !m.state.is_settled()) {
+            let on_worker = entry.members.iter().filter(|m| m.worker == worker);
+            for member in on_worker.filter(|m| !m.state.is_settled()) {
                 let attempt = member.attempt.clone();
                 stops.push(Output::Stop(
                     worker.to_owned(),
@@ -161,8 +161,8 @@
     }
 
     /// Settles members that the claimed worker does not list. If the worker is
-    /// still the incarnation that the intent names, the start has not reached it
-    /// and never will, since the claim has fenced it off. If the worker has
+    /// still the incarnation that the intent names, the start has not reached
+    /// it and never will, since the claim has fenced it off. If the worker has
     /// restarted, it is unknown whether the task ran.
     fn reconcile_members(&mut self, id: &str, incarnation: &str, listed: &HashMap<String, Task>) {
         let mut settled = Vec::new();
@@ -217,7 +217,8 @@
         shards.is_none_or(|shards| shards.home(key) == self.facts.shard)
     }
 
-    /// Forgets or stops a task of the shard to which the worker belonged before.
+    /// Forgets or stops a task of the shard to which the worker belonged
+    /// before.
     fn drop_foreign_task(&mut self, id: &str, task: Task) {
         if task.end.is_some() {
             self.forget_task(id, task.attempt);
@@ -294,16 +295,16 @@
         self.ledger.insert(&task.request, entry);
     }
 
-    /// Places nothing on a worker for a short time after it has refused a start.
-    /// Without the pause, a shard with a wrong view of a worker would place the
-    /// same job there again at once, and be refused as fast as the network
-    /// allows.
+    /// Places nothing on a worker for a short time after it has refused a
+    /// start. Without the pause, a shard with a wrong view of a worker would
+    /// place the same job there again at once, and be refused as fast as the
+    /// network allows.
     pub(crate) fn hold_worker(&mut self, id: &str) {
         let Some(worker) = self.core.worker(id) else {
             return;
         };
-        let ready = |w: &sched::WorkerEntry| w.state == WorkerState::Ready;
-        if self.core.worker_entry(worker).is_some_and(ready) {
+        let is_ready = |w: &sched::WorkerEntry| w.state == WorkerState::Ready;
+        if self.core.worker_entry(worker).is_some_and(is_ready) {
             self.core.set_state(worker, WorkerState::Held);
             self.held.push((self.times.now + HOLD_TIME, id.to_owned()));
         }
@@ -319,8 +320,8 @@
             let Some(worker) = self.core.worker(&id) else {
                 continue;
             };
-            let held = |w: &sched::WorkerEntry| w.state == WorkerState::Held;
-            if self.core.worker_entry(worker).is_some_and(held) {
+            let is_held = |w: &sched::WorkerEntry| w.state == WorkerState::Held;
+            if self.core.worker_entry(worker).is_some_and(is_held) {
                 self.core.set_state(worker, WorkerState::Ready);
             }
         }
@@ -342,8 +343,8 @@
         self.event(Event::new(Kind::WorkerRefused).worker(id).detail(detail));
     }
 
-    /// Another shard has claimed the worker. Tasks may still run there, and their
-    /// ends will be reported to that shard only, so they are settled as
+    /// Another shard has claimed the worker. Tasks may still run there, and
+    /// their ends will be reported to that shard only, so they are settled as
     /// unreachable and not run again.
     pub(crate) fn on_worker_reassigned(&mut self, id: &str) {
         self.on_worker_refused(id, "another shard holds it");
@@ -372,15 +373,15 @@
     /// Settles recovered intents on workers that could not be claimed in time.
     /// Their callers are told that the request may have run.
     pub(crate) fn settle_unclaimed(&mut self) {
-        let mut missing = Vec::new();
+        let mut unclaimed = Vec::new();
         for (_, entry) in self.ledger.iter().filter(|(_, entry)| !entry.is_closed()) {
             let unknown = entry
                 .members
                 .iter()
                 .filter(|m| m.state == MemberState::Unknown);
-            missing.extend(unknown.map(|m| m.worker.clone()));
+            unclaimed.extend(unknown.map(|m| m.worker.clone()));
         }
-        for id in missing {
+        for id in unclaimed {
             self.settle_unknown(&id);
         }
     }
--- a/crates/shard/src/intake.rs
+++ b/crates/shard/src/intake.rs
@@ -53,7 +53,8 @@
             return;
         }
         if !self.belongs_here(&key) {
-            // The sender's router has an older configuration, without this team.
+            // The sender's router has an older configuration, without this
+            // team.
             self.reply(waiter, ShardReply::NotOwner);
             return;
         }
@@ -92,8 +93,8 @@
         } else if entry.recorded
             && let Acceptance::Recording(waiters) = &mut entry.acceptance
         {
-            // The acceptance record may never reach the table. If the caller got
-            // "accepted" now, the next owner might not know the request.
+            // The acceptance record may never reach the table. If the caller
+            // got "accepted" now, the next owner might not know the request.
             waiters.push(waiter);
         } else {
             let answer = pending_answer(id, "accepted");
@@ -121,9 +122,9 @@
             waited_millis,
             wait,
         } = submission;
-        let left = request.deadline_millis.saturating_sub(waited_millis);
-        let deadline = self.times.now + Duration::from_millis(left);
-        let until_millis = self.times.wall_millis + left;
+        let remaining_millis = request.deadline_millis.saturating_sub(waited_millis);
+        let deadline = self.times.now + Duration::from_millis(remaining_millis);
+        let until_millis = self.times.wall_millis + remaining_millis;
         let mut entry = Entry::new(request, self.times.now, deadline, until_millis);
         entry.prior_millis = waited_millis;
         let spec = Self::job_spec(&entry);
@@ -162,9 +163,9 @@
         }
     }
 
-    /// Refuses a request. Its id is kept in the ledger like any other: a delayed
-    /// duplicate of the submission must not run after its caller was told that
-    /// it did not run.
+    /// Refuses a request. Its id is kept in the ledger like any other: a
+    /// delayed duplicate of the submission must not run after its caller was
+    /// told that it did not run.
     fn refuse(&mut self, key: &str, entry: Entry, refused: SubmitError, waiter: WaiterKey) {
         let id = entry.request.id.clone();
         let (code, reason) = refusal_code(refused);
@@ -186,7 +187,7 @@
             needs: request.task_needs(),
             members: request.members,
             deadline: entry.deadline,
-            run: Duration::from_millis(request.run_millis),
+            run_time: Duration::from_millis(request.run_millis),
             avoid: Vec::new(),
         }
     }
--- a/crates/shard/src/launch.rs
+++ b/crates/shard/src/launch.rs
@@ -22,17 +22,17 @@
 use crate::attempt_id;
 use crate::intake::pending_answer;
 use crate::machine::Pending;
-use crate::outcome::is_valid_unrecorded;
+use crate::outcome::is_valid_without_record;
 
 impl Machine {
     pub(crate) fn start(&mut self, job: JobKey, workers: &[WorkerKey]) {
         let Some(key) = self.keys.get(&job).cloned() else {
             return;
         };
-        let names: Vec<String> = workers
+        let worker_ids: Vec<String> = workers
             .iter()
             .filter_map(|worker| self.core.worker_entry(*worker))
-            .map(|slot| slot.id.clone())
+            .map(|w| w.id.clone())
             .collect();
         let Some(entry) = self.ledger.get_mut(&key) else {
             return;
@@ -47,7 +47,7 @@
             incarnation: runs.get(worker).cloned().unwrap_or_default(),
             state: MemberState::Sent,
         };
-        entry.members = names.iter().enumerate().map(member).collect();
+        entry.members = worker_ids.iter().enumerate().map(member).collect();
         if entry.request.is_durable() {
             entry.stage = Stage::Recording(job);
             self.record_intent(&key, attempt);
@@ -56,7 +56,7 @@
             self.send_starts(&key);
         }
         let event = Event::new(Kind::TaskPlaced).request(&key);
-        self.event(event.worker(names.first().map_or("", |name| name)));
+        self.event(event.worker(worker_ids.first().map_or("", |name| name)));
     }
 
     fn record_intent(&mut self, key: &str, attempt: u32) {
@@ -155,18 +155,18 @@
     }
 
     /// The table currently accepts no records. Answers that are valid without
-    /// their record are given at once: if this process dies before the record is
-    /// written, the workers still hold the unacknowledged results.
+    /// their record are given at once: if this process dies before the record
+    /// is written, the workers still hold the unacknowledged results.
     pub(crate) fn on_stalled(&mut self) {
         self.stalled = true;
-        let closing = |entry: &Entry| match &entry.stage {
-            Stage::Closing(answer) => is_valid_unrecorded(answer.code),
+        let is_closing = |entry: &Entry| match &entry.stage {
+            Stage::Closing(answer) => is_valid_without_record(answer.code),
             _ => false,
         };
         let keys: Vec<String> = self
             .ledger
             .iter()
-            .filter(|(_, entry)| closing(entry))
+            .filter(|(_, entry)| is_closing(entry))
             .map(|(key, _)| key.clone())
             .collect();
         for key in keys {
@@ -174,18 +174,18 @@
         }
     }
 
-    /// Answers requests whose intent could not be recorded before their deadline.
-    /// No start was or will be sent for them: their stage changes here, and a
-    /// later owner that finds the intent also finds that the deadline has
-    /// passed.
+    /// Answers requests whose intent could not be recorded before their
+    /// deadline. No start was or will be sent for them: their stage changes
+    /// here, and a later owner that finds the intent also finds that the
+    /// deadline has passed.
     pub(crate) fn fail_overdue_intents(&mut self) {
         let now = self.times.now;
-        let overdue =
+        let is_overdue =
             |entry: &Entry| matches!(entry.stage, Stage::Recording(_)) && entry.deadline < now;
         let keys: Vec<String> = self
             .ledger
             .iter()
-            .filter(|(_, entry)| overdue(entry))
+            .filter(|(_, entry)| is_overdue(entry))
             .map(|(key, _)| key.clone())
             .collect();
         for key in keys {
--- a/crates/shard/src/lend.rs
+++ b/crates/shard/src/lend.rs
@@ -2,9 +2,9 @@
 //! workers.
 //!
 //! Only unrecorded (idempotent) requests are lent: if the reply of the other
-//! shard is lost, the request may have run, and it runs again. The lending shard
-//! asks a few shards at random, each of which starts the request at once or
-//! refuses it. So no load figures that could be stale are published, and no
+//! shard is lost, the request may have run, and it runs again. The lending
+//! shard asks a few shards at random, each of which starts the request at once
+//! or refuses it. So no load figures that could be stale are published, and no
 //! request waits in two queues.
 
 use std::time::Duration;
@@ -133,10 +133,10 @@
             self.attach_to_known(&key, submission, waiter);
             return;
         }
-        let left = request
+        let remaining_millis = request
             .deadline_millis
             .saturating_sub(submission.waited_millis);
-        let deadline = self.times.now + Duration::from_millis(left);
+        let deadline = self.times.now + Duration::from_millis(remaining_millis);
         let mut entry = Entry::new(request.clone(), self.times.now, deadline, 0);
         entry.prior_millis = submission.waited_millis;
         let spec = Self::job_spec(&entry);
--- a/crates/shard/src/link.rs
+++ b/crates/shard/src/link.rs
@@ -45,7 +45,8 @@
 /// Pause before a refused claim is repeated.
 const CLAIM_PAUSE: Duration = Duration::from_millis(300);
 
-/// Margin added to the lease for clocks that run at different rates, in percent.
+/// Margin added to the lease for clocks that run at different rates, in
+/// percent.
 const CLOCK_MARGIN_PERCENT: u32 = 10;
 
 /// Maximum number of attempts to connect for a start.
@@ -87,8 +88,11 @@
     /// Arrival of the newest poll reply. The next poll acknowledges it and so
     /// renews the lease. `None` before the first reply and after lease expiry.
     last_reply: Option<Instant>,
+    /// Turn of the newest reply, which the next poll acknowledges.
     turn: Turn,
+    /// Ended tasks that the next poll lets the worker forget.
     forget: Vec<AttemptId>,
+    /// Whether `WorkerLost` was reported since the newest reply.
     lost: bool,
     /// Starts that were sent and whose outcome is unknown.
     unconfirmed: HashSet<AttemptId>,
@@ -165,24 +169,24 @@
         Ok(())
     }
 
-    /// Repeats the claim until the worker accepts it; returns `None` when the link
-    /// is closed.
+    /// Repeats the claim until the worker accepts it; returns `None` when the
+    /// link is closed.
     async fn claim(&mut self) -> Option<(Claimed, Vec<Task>)> {
         loop {
             if self.facts.gate.is_open() {
                 match self.try_claim().await {
                     Ok(claimed) => return Some(claimed),
-                    Err(error) => log::debug!("claim of {}: {error}", self.id()),
+                    Err(error) => log::debug!("claim of worker {} failed: {error}", self.id()),
                 }
             }
             self.check_lease().ok()?;
-            self.pause_unclaimed(jittered(CLAIM_PAUSE)).await.ok()?;
+            self.pause_sending(jittered(CLAIM_PAUSE)).await.ok()?;
         }
     }
 
     /// Claims the worker and polls it once. The claim alone does not renew the
-    /// lease, the poll does. Its reply may report the end of tasks that the claim
-    /// lists as running.
+    /// lease, the poll does. Its reply may report the end of tasks that the
+    /// claim lists as running.
     async fn try_claim(&mut self) -> Result<(Claimed, Vec<Task>), WorkerError> {
         let claim = Claim {
             fence: self.fence,
@@ -199,7 +203,7 @@
 
     /// Handles commands during a pause in which nothing may be sent: starts are
     /// reported as not sent, stops are dropped.
-    async fn pause_unclaimed(&mut self, pause: Duration) -> Result<(), ()> {
+    async fn pause_sending(&mut self, pause: Duration) -> Result<(), ()> {
         let until = tokio::time::sleep(pause);
         tokio::pin!(until);
         loop {
@@ -219,10 +223,10 @@
     }
 
     /// Reports to the shard when the worker has not answered for too long, and
-    /// when the lease of its tasks has expired. The worker counts the lease from
-    /// the time at which it sent the acknowledged reply, the link from the later
-    /// time at which that reply arrived. So the lease expires later here, and the
-    /// shard can rely on the tasks having stopped.
+    /// when the lease of its tasks has expired. The worker counts the lease
+    /// from the time at which it sent the acknowledged reply, the link from the
+    /// later time at which that reply arrived. So the lease expires later here,
+    /// and the shard can rely on the tasks having stopped.
     fn check_lease(&mut self) -> Result<(), ()> {
         let Some(last_reply) = self.last_reply else {
             return Ok(());
@@ -289,7 +293,7 @@
                 if self.check_lease().is_err() {
                     return PollEnd::Closed;
                 }
-                if self.pause_unclaimed(RETRY_PAUSE).await.is_err() {
+                if self.pause_sending(RETRY_PAUSE).await.is_err() {
                     return PollEnd::Closed;
                 }
             }
@@ -307,7 +311,7 @@
     }
 
     async fn on_poll_error(&mut self, error: &WorkerError) -> Result<(), ()> {
-        log::debug!("poll of {}: {error}", self.id());
+        log::debug!("poll of worker {} failed: {error}", self.id());
         if let WorkerError::Refused { refusal } = error {
             self.lost = true;
             let id = self.id().clone();
@@ -333,9 +337,9 @@
     }
 
     /// Processes a poll reply and returns the ended tasks in it. The next poll
-    /// acknowledges the reply, after which the worker does not report them again.
-    /// If the caller dropped them, their requests would wait until the worker is
-    /// claimed again.
+    /// acknowledges the reply, after which the worker does not report them
+    /// again. If the caller dropped them, their requests would wait until the
+    /// worker is claimed again.
     #[must_use]
     fn process_reply(&mut self, polled: Polled) -> Vec<Task> {
         self.turn = polled.turn;
@@ -370,11 +374,12 @@
     }
 }
 
-/// Repeats one start until its outcome is known; returns `None` if only the next
-/// claim can show it. The worker starts an attempt at most once, so repeating is
-/// safe. After a lost reply, only a refusal by the same incarnation under the
-/// same fence proves that the task was not started: a worker that has restarted
-/// refuses the second message without knowing of the first.
+/// Repeats one start until its outcome is known; returns `None` if only the
+/// next claim can show it. The worker starts an attempt at most once, so
+/// repeating is safe. After a lost reply, only a refusal by the same
+/// incarnation under the same fence proves that the task was not started: a
+/// worker that has restarted refuses the second message without knowing of the
+/// first.
 async fn send_start(
     client: &WorkerClient,
     address: std::net::SocketAddr,
@@ -391,7 +396,7 @@
         match client.start(address, &start).await {
             Ok(()) => return Some(Input::Started(start.attempt)),
             Err(WorkerError::Refused { refusal })
-                if may_have_started && is_other_incarnation(refusal.reason) =>
+                if may_have_started && is_inconclusive(refusal.reason) =>
             {
                 return None;
             }
@@ -415,9 +420,9 @@
 }
 
 /// Whether a refusal may only mean that the worker has restarted or was claimed
-/// by another owner. The poll is refused as well then, and the link claims the
-/// worker again.
-fn is_other_incarnation(reason: RefusalReason) -> bool {
+/// by another owner, so that the outcome of earlier tries remains unknown. The
+/// poll is refused as well then, and the link claims the worker again.
+fn is_inconclusive(reason: RefusalReason) -> bool {
     matches!(reason, RefusalReason::Fenced | RefusalReason::Unclaimed)
 }
 
--- a/crates/shard/src/message.rs
+++ b/crates/shard/src/message.rs
@@ -77,8 +77,8 @@
     Busy,
     /// Number of requests that the call cancelled.
     Cancelled(u32),
-    /// This process does not own the shard and did nothing. The caller has to ask
-    /// the owner.
+    /// This process does not own the shard and did nothing. The caller has to
+    /// ask the owner.
     NotOwner,
     /// The owner's lease timed out, but no process has taken over the shard.
     /// Nothing was done. The caller should ask again soon, since the owner may
@@ -117,7 +117,8 @@
 pub struct TableHealth {
     /// Incarnation of the process that reports it.
     pub process: Incarnation,
-    /// Whether the table has answered that process within about the last second.
+    /// Whether the table has answered that process within about the last
+    /// second.
     pub reachable: bool,
 }
 
--- a/crates/shard/src/outcome.rs
+++ b/crates/shard/src/outcome.rs
@@ -166,7 +166,7 @@
             self.core.release(job, worker);
         }
         if all_settled {
-            self.conclude(key);
+            self.finish_attempt(key);
         } else {
             self.stop_broken_gang(key);
         }
@@ -195,7 +195,7 @@
         self.outputs.extend(stops);
     }
 
-    fn conclude(&mut self, key: &str) {
+    fn finish_attempt(&mut self, key: &str) {
         let Some(entry) = self.ledger.get_mut(key) else {
             return;
         };
@@ -268,8 +268,8 @@
         }
     }
 
-    /// Queues requests again that an earlier owner had accepted, unless an intent
-    /// shows that they may have started.
+    /// Queues requests again that an earlier owner had accepted, unless an
+    /// intent shows that they may have started.
     pub(crate) fn requeue_recovered(&mut self) {
         let never_placed = |entry: &Entry| !entry.is_closed() && entry.members.is_empty();
         let keys: Vec<String> = self
@@ -288,10 +288,10 @@
         self.finish(key, Answer::bare(id, code, reason));
     }
 
-    /// Replaces a "not run" answer if an earlier owner may have run the request.
-    /// That owner may have run and answered an unrecorded request before it died.
-    /// A caller that lost the answer repeats the call with the time of its first
-    /// call, which is before the take-over by this owner.
+    /// Replaces a "not run" answer if an earlier owner may have run the
+    /// request. That owner may have run and answered an unrecorded request
+    /// before it died. A caller that lost the answer repeats the call with the
+    /// time of its first call, which is before the take-over by this owner.
     pub(crate) fn qualify_not_run(&self, entry: &Entry, answer: Answer) -> Answer {
         let not_run = answer.code.family() == Family::NotRun;
         let sent = entry.request.sent_millis;
@@ -330,7 +330,7 @@
             at_millis: self.times.wall_millis,
         };
         self.append(record, Pending::End(key.to_owned()));
-        if self.stalled && is_valid_unrecorded(code) {
+        if self.stalled && is_valid_without_record(code) {
             self.answer_waiters(key);
         }
     }
@@ -383,10 +383,10 @@
     }
 }
 
-/// Whether the result of a task counts as a success of its worker; `None` if the
-/// task was interrupted. A task that was stopped, or whose lease expired, proves
-/// nothing: counted as a success, it ended the quarantine of a worker on which
-/// every task still failed.
+/// Whether the result of a task counts as a success of its worker; `None` if
+/// the task was interrupted. A task that was stopped, or whose lease expired,
+/// proves nothing: counted as a success, it ended the quarantine of a worker on
+/// which every task still failed.
 fn worker_success(result: EndResult) -> Option<bool> {
     match result {
         EndResult::Succeeded | EndResult::Checkpointed => Some(true),
@@ -400,7 +400,7 @@
 /// ends first, the next one finds the request open and starts it although its
 /// caller was told "not run". A missed deadline is an exception, since it holds
 /// for the next owner too.
-pub(crate) fn is_valid_unrecorded(code: Code) -> bool {
+pub(crate) fn is_valid_without_record(code: Code) -> bool {
     !is_cancelled(code) && !matches!(code, Code::QueueFull | Code::NeverFits)
 }
 
--- a/crates/shard/src/patch.rs
+++ b/crates/shard/src/patch.rs
@@ -30,7 +30,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Patch {
-    /// Id chosen by the operator; a patch with the same id is not applied twice.
+    /// Id chosen by the operator; a patch with the same id is not applied
+    /// twice.
     pub id: String,
     /// Version to which the patch applies.
     pub version: Version,
--- a/crates/shard/src/router.rs
+++ b/crates/shard/src/router.rs
@@ -1,5 +1,5 @@
-//! Routes a call to the owner of its shard, across hand-overs and crashes. Calls
-//! are retried on behalf of a caller only here.
+//! Routes a call to the owner of its shard, across hand-overs and crashes.
+//! Calls are retried on behalf of a caller only here.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -94,14 +94,14 @@
         self.view.borrow().clone()
     }
 
-    /// Submits a request and waits for its reply for at most `patience`, or until
-    /// `stopping` becomes true because the process stops; the caller can then ask
-    /// another process.
+    /// Submits a request and waits for its reply for at most `patience`, or
+    /// until `stopping` becomes true because the process stops; the caller can
+    /// then ask another process.
     ///
     /// A retry reaches either the same owner, which knows the id, or a later
-    /// one, which has the journal and the workers' reports. So all tries together
-    /// count as one submission. The router itself answers "not run" only if no
-    /// try can have reached an owner.
+    /// one, which has the journal and the workers' reports. So all tries
+    /// together count as one submission. The router itself answers "not run"
+    /// only if no try can have reached an owner.
     pub async fn submit(
         &self,
         mut submission: Submission,
@@ -155,8 +155,8 @@
         }
     }
 
-    /// Cancels requests and returns how many were cancelled, or `None` if the owner
-    /// of any shard concerned has not answered.
+    /// Cancels requests and returns how many were cancelled, or `None` if the
+    /// owner of any shard concerned has not answered.
     pub async fn cancel(&self, filter: CancelFilter) -> Option<u32> {
         if let CancelFilter::One(key) = &filter {
             let shard = self.shard(key);
--- a/crates/shard/tests/shown/cancels.rs
+++ b/crates/shard/tests/shown/cancels.rs
@@ -11,10 +11,10 @@
 use crate::fixture::recorded_request;
 use crate::fixture::task_ended;
 
-// Guards against answering "stopped" (201, "failed") to a cancelled request whose
-// task succeeded. The worker reported the success after the stop was sent but
-// before it arrived, and the shard answered by the stop that it had sent instead
-// of the reported result.
+// Guards against answering "stopped" (201, "failed") to a cancelled request
+// whose task succeeded. The worker reported the success after the stop was sent
+// but before it arrived, and the shard answered by the stop that it had sent
+// instead of the reported result.
 #[test]
 fn cancelled_task_that_succeeds_before_the_stop_is_answered_ok() {
     let mut fixture = Fixture::with_worker();
@@ -29,8 +29,8 @@
     assert_eq!(answer.code, Code::Ok, "{answer:?}");
 }
 
-// The same race with a task that fails by itself: the caller was told that it was
-// stopped and did not get the output of the task.
+// The same race with a task that fails by itself: the caller was told that it
+// was stopped and did not get the output of the task.
 #[test]
 fn cancelled_task_that_fails_before_the_stop_is_answered_failed() {
     let mut fixture = Fixture::with_worker();
@@ -61,8 +61,8 @@
 
 // Guards against answering "stopped" when the result of the task is unknown. A
 // running task was cancelled, and its worker did not answer until the lease
-// expired. The task may have succeeded before; the shard took the stop that it had
-// sent for one that was carried out.
+// expired. The task may have succeeded before; the shard took the stop that it
+// had sent for one that was carried out.
 #[test]
 fn cancelled_task_on_a_lost_worker_may_have_run() {
     let mut fixture = Fixture::with_worker();
@@ -76,9 +76,9 @@
     assert_eq!(answer.code, Code::HostLost, "{answer:?}");
 }
 
-// Guards against answering "cancelled between two attempts" when the result of the
-// first attempt is unknown: its worker was lost, the request was queued again and
-// was cancelled in the queue.
+// Guards against answering "cancelled between two attempts" when the result of
+// the first attempt is unknown: its worker was lost, the request was queued
+// again and was cancelled in the queue.
 #[test]
 fn request_cancelled_after_a_lost_attempt_may_have_run() {
     let mut fixture = Fixture::with_worker();
@@ -93,9 +93,9 @@
     assert_eq!(answer.code, Code::HostLost, "{answer:?}");
 }
 
-// Guards against the reply "0 cancelled" to a repeated cancel call whose first reply
-// was lost. The shard counted only requests that were still open, and it replied
-// before the record of the first call was in the table.
+// Guards against the reply "0 cancelled" to a repeated cancel call whose first
+// reply was lost. The shard counted only requests that were still open, and it
+// replied before the record of the first call was in the table.
 #[test]
 fn repeated_cancel_call_returns_the_count_of_the_first() {
     let mut fixture = Fixture::with_unclaimed(&["w0"]);
@@ -103,16 +103,16 @@
     fixture.send(Input::Written(effects.ticket()));
     fixture.cancel("r1");
 
-    let (again, early) = fixture.cancel("r1");
+    let (repeated, early) = fixture.cancel("r1");
     let effects = fixture.send(Input::Written(early.ticket()));
 
-    assert_eq!(early.reply(again), None);
-    assert_eq!(effects.reply(again), Some(ShardReply::Cancelled(1)));
+    assert_eq!(early.reply(repeated), None);
+    assert_eq!(effects.reply(repeated), Some(ShardReply::Cancelled(1)));
 }
 
-// Guards against a cancelled task that runs to its end. The stop was lost because
-// the link to the worker had just broken, and it was not sent again although the
-// caller had been told that the request was cancelled.
+// Guards against a cancelled task that runs to its end. The stop was lost
+// because the link to the worker had just broken, and it was not sent again
+// although the caller had been told that the request was cancelled.
 #[test]
 fn stop_is_repeated_if_the_worker_still_lists_the_task() {
     let mut fixture = Fixture::with_worker();
@@ -132,9 +132,9 @@
     assert_eq!(effects.stops(), [attempt]);
 }
 
-// Guards against a timeline that shows a request as cancelled although it ran to its
-// end: the event was recorded when the stop was sent. A request that was cancelled
-// in the queue had no such event.
+// Guards against a timeline that shows a request as cancelled although it ran
+// to its end: the event was recorded when the stop was sent. A request that was
+// cancelled in the queue had no such event.
 #[test]
 fn cancel_event_is_recorded_only_after_the_cancellation() {
     let mut fixture = Fixture::with_worker();
--- a/crates/shard/tests/shown/fixture.rs
+++ b/crates/shard/tests/shown/fixture.rs
@@ -134,8 +134,8 @@
         Effects { outputs }
     }
 
-    /// Creates the successor of this owner, which recovers its stored state and has
-    /// no workers.
+    /// Creates the successor of this owner, which recovers its stored state and
+    /// has no workers.
     pub(crate) fn successor(&mut self) -> Fixture {
         let mut ledger = Ledger::default();
         for record in self.machine.make_segment(1).open {
@@ -161,9 +161,15 @@
     }
 
     /// Reports that a worker has accepted the claim.
-    pub(crate) fn claim(&mut self, name: &str, run: &str, slots: u32, tasks: Vec<Task>) -> Effects {
+    pub(crate) fn claim(
+        &mut self,
+        name: &str,
+        incarnation: &str,
+        slots: u32,
+        tasks: Vec<Task>,
+    ) -> Effects {
         let claimed = Claimed {
-            incarnation: run.to_owned(),
+            incarnation: incarnation.to_owned(),
             turn: 1,
             capacity: resources(slots),
             tasks,
--- a/crates/shard/tests/shown/states.rs
+++ b/crates/shard/tests/shown/states.rs
@@ -10,9 +10,9 @@
 use crate::fixture::recorded_request;
 use crate::fixture::task_ended;
 
-// Guards against the status "running on w0" while w0 has not confirmed the start:
-// the start or its reply may be lost. The status was derived from the start that was
-// sent.
+// Guards against the status "running on w0" while w0 has not confirmed the
+// start: the start or its reply may be lost. The status was derived from the
+// start that was sent.
 #[test]
 fn unconfirmed_start_is_not_shown_as_running() {
     let mut fixture = Fixture::with_worker();
@@ -47,9 +47,9 @@
     assert_eq!(status.reason, "running on w0; 1 ended");
 }
 
-// Guards against the status "waiting for workers" (500), which implies acceptance,
-// before the acceptance record is in the table. If the owner ends at that point,
-// its successor does not know the request.
+// Guards against the status "waiting for workers" (500), which implies
+// acceptance, before the acceptance record is in the table. If the owner ends
+// at that point, its successor does not know the request.
 #[test]
 fn request_is_not_shown_as_accepted_before_it_is_recorded() {
     let mut fixture = Fixture::with_unclaimed(&["w0"]);
@@ -63,7 +63,8 @@
     assert_eq!(late.reason, "waiting for workers");
 }
 
-// Guards against the status "ended" for a request that was cancelled in the queue.
+// Guards against the status "ended" for a request that was cancelled in the
+// queue.
 #[test]
 fn request_that_never_ran_is_not_shown_as_ended() {
     let mut fixture = Fixture::with_unclaimed(&["w0"]);
@@ -76,8 +77,9 @@
     assert_eq!(status.reason, "its answer is being recorded");
 }
 
-// Guards against waiting times that end when the start is sent. A slow worker started
-// its tasks 700 ms after the placement, and their waiting time was shown as 0 ms.
+// Guards against waiting times that end when the start is sent. A slow worker
+// started its tasks 700 ms after the placement, and their waiting time was
+// shown as 0 ms.
 #[test]
 fn waiting_time_ends_when_the_worker_confirms_the_start() {
     let mut fixture = Fixture::with_worker();
--- a/crates/shard/tests/shown/workers.rs
+++ b/crates/shard/tests/shown/workers.rs
@@ -31,8 +31,9 @@
     "worker_restored".to_owned()
 }
 
-// Guards against restoring a worker on which every task fails (305). The lease of its
-// probe expired, and every end that was not a failure counted as a success.
+// Guards against restoring a worker on which every task fails (305). The lease
+// of its probe expired, and every end that was not a failure counted as a
+// success.
 #[test]
 fn interrupted_probe_does_not_end_quarantine() {
     let mut fixture = with_quarantined_worker();
