--- a/crates/shard/src/answers.rs
+++ b/crates/shard/src/answers.rs
@@ -14,7 +14,7 @@
 use crate::Origin;
 use crate::RunHistory;
 
-/// Maximum number of attempts of a request.
+/// Maximum number of attempts of a request, restarts included.
 pub const MAX_ATTEMPTS: u32 = 4;
 
 /// Time within which an interrupted request must start again if its own
--- a/crates/shard/src/patch.rs
+++ b/crates/shard/src/patch.rs
@@ -119,7 +119,7 @@
 /// Applies a patch; one that was applied before is not applied again.
 ///
 /// # Errors
-/// See [`PatchError`]. Only after `Unknown` the patch may have been applied.
+/// See [`PatchError`]. Only with `Unknown` may the patch have been applied.
 pub async fn apply_patch<T: Table>(table: &T, patch: &Patch) -> Result<Arc<Numbered>, PatchError> {
     check_id(&patch.id)?;
     let mut failure = None;
