--- a/crates/bench/benches/main/slopes.rs
+++ b/crates/bench/benches/main/slopes.rs
@@ -6,10 +6,10 @@
 use std::time::Instant;
 
 use model::Config;
-use model::Numbered;
 use model::Request;
 use model::Resources;
 use model::Team;
+use model::VersionedConfig;
 use sched::Weighted;
 use shard::Accepted;
 use shard::Ledger;
@@ -135,7 +135,7 @@
     report("journal_bytes_by_records", "B", "record", &points);
 }
 
-fn config(teams: u32) -> Arc<Numbered> {
+fn config(teams: u32) -> Arc<VersionedConfig> {
     let mut config = Config::default();
     let quota = Resources {
         cpu_milli: 1_000_000,
@@ -153,7 +153,7 @@
         let span = 16;
         config.teams.insert(name, Team { quota, span, queue });
     }
-    Arc::new(Numbered {
+    Arc::new(VersionedConfig {
         version: 1,
         patch_id: "first".to_owned(),
         config,
--- a/crates/cell/src/callers.rs
+++ b/crates/cell/src/callers.rs
@@ -15,9 +15,9 @@
 use platform::encode_shown;
 use platform::encode_waiting;
 use serde::Serialize;
-use web::Asked;
 use web::Handler;
-use web::Whole;
+use web::HttpRequest;
+use web::HttpResponse;
 
 use crate::Acceptor;
 use crate::Context;
@@ -75,7 +75,7 @@
         })
     }
 
-    async fn answer(&self, asked: &Asked) -> Whole {
+    async fn answer(&self, asked: &HttpRequest) -> HttpResponse {
         let config = self.context.config.borrow().clone();
         let Some(config) = config else {
             return unavailable("no configuration yet");
@@ -99,14 +99,14 @@
     }
 
     /// A queue that may just have been added is not denied.
-    fn denied(&self, whole: Whole) -> Whole {
+    fn denied(&self, whole: HttpResponse) -> HttpResponse {
         if self.context.config_age() > CONFIG_OLD {
             return unavailable("the configuration cannot be read from this host");
         }
         whole
     }
 
-    async fn state(&self, id: JobId) -> Whole {
+    async fn state(&self, id: JobId) -> HttpResponse {
         let view = self.owner.state(id).await;
         if let Ok(OwnerView::Job(shown)) = view {
             count(&self.context.metrics.states, "owner");
@@ -134,7 +134,7 @@
         }
     }
 
-    async fn waiting(&self, queue: &Queue) -> Whole {
+    async fn waiting(&self, queue: &Queue) -> HttpResponse {
         let name = queue.name.as_str();
         match self.owner.waiting(name).await {
             Ok(waiting) => {
@@ -150,12 +150,12 @@
 }
 
 impl Handler for CallerHandler {
-    async fn handle(&self, asked: Asked) -> Whole {
+    async fn handle(&self, asked: HttpRequest) -> HttpResponse {
         self.answer(&asked).await
     }
 }
 
-fn find<'a>(config: &'a Config, asked: &Asked) -> Result<Target<'a>, Box<Whole>> {
+fn find<'a>(config: &'a Config, asked: &HttpRequest) -> Result<Target<'a>, Box<HttpResponse>> {
     let Some(queue) = config.route(&asked.host, &asked.path) else {
         log::info!(
             code = 411, host = asked.host.as_str(), path = asked.path.as_str(),
@@ -177,14 +177,14 @@
     }
 }
 
-fn shown_reply(id: JobId, shown: Shown, source: &'static str) -> Whole {
+fn shown_reply(id: JobId, shown: Shown, source: &'static str) -> HttpResponse {
     log::debug!(code = 415, job:% = hex(id), state:% = shown, source = source; "state shown");
     web::json(StatusCode::OK, &encode_shown(shown))
 }
 
 /// Nothing was done; the caller may come back, on a new connection that the
 /// balancer leads to a host that works.
-pub(crate) fn unavailable(reason: &str) -> Whole {
+pub(crate) fn unavailable(reason: &str) -> HttpResponse {
     let mut whole = web::error(StatusCode::SERVICE_UNAVAILABLE, reason);
     let headers = whole.headers_mut();
     headers.insert(RETRY_AFTER, HeaderValue::from_static(RETRY_SECONDS));
@@ -194,7 +194,7 @@
 
 /// The job may have been accepted. A repetition with the same id, at any host,
 /// makes no second job, so the sooner the caller repeats it the better.
-pub(crate) fn no_answer(reason: &str) -> Whole {
+pub(crate) fn no_answer(reason: &str) -> HttpResponse {
     let mut whole = web::error(StatusCode::GATEWAY_TIMEOUT, reason);
     let headers = whole.headers_mut();
     headers.insert(CONNECTION, HeaderValue::from_static("close"));
--- a/crates/cell/src/cancel.rs
+++ b/crates/cell/src/cancel.rs
@@ -8,7 +8,7 @@
 use platform::Transaction;
 use snafu::ResultExt;
 use snafu::Snafu;
-use web::Whole;
+use web::HttpResponse;
 
 use crate::CallerHandler;
 use crate::callers::Empty;
@@ -57,7 +57,7 @@
 impl CallerHandler {
     /// Cancels a job. Once an answer was lost, "not stored" may not be said any
     /// more: the write may still be done.
-    pub(crate) async fn cancel(&self, queue: &Queue, id: JobId) -> Whole {
+    pub(crate) async fn cancel(&self, queue: &Queue, id: JobId) -> HttpResponse {
         let end = self.context.now() + longest(queue).mul_f64(TRY_SHARE);
         let mut unsure = false;
         let whole = loop {
--- a/crates/cell/src/metrics.rs
+++ b/crates/cell/src/metrics.rs
@@ -14,9 +14,9 @@
 use prometheus::Opts;
 use prometheus::Registry;
 use prometheus::TextEncoder;
-use web::Asked;
 use web::Handler;
-use web::Whole;
+use web::HttpRequest;
+use web::HttpResponse;
 
 /// Upper bounds of the latency buckets, in seconds: from one answer of the
 /// store to the longest jobs.
@@ -181,7 +181,7 @@
 }
 
 impl Handler for MetricsHandler {
-    async fn handle(&self, _: Asked) -> Whole {
+    async fn handle(&self, _: HttpRequest) -> HttpResponse {
         web::text(StatusCode::OK, self.metrics.text())
     }
 }
--- a/crates/cell/src/peers.rs
+++ b/crates/cell/src/peers.rs
@@ -16,11 +16,11 @@
 use serde::Serialize;
 use tokio::sync::oneshot;
 use tokio::sync::watch;
-use web::Asked;
 use web::Call;
 use web::CallError;
 use web::Handler;
-use web::Whole;
+use web::HttpRequest;
+use web::HttpResponse;
 
 use crate::Acceptance;
 use crate::Acceptor;
@@ -242,7 +242,7 @@
             Ok(reply) => reply,
             Err(error) => {
                 log::warn!(code = 416, owner = owner.node.as_str(), epoch = owner.epoch, error:% = error; "owner does not answer");
-                if error.broken() {
+                if error.closed_by_server() {
                     self.context.suspect(owner.epoch);
                 }
                 let until = self.context.now() + QUIET;
@@ -277,7 +277,7 @@
     }
 
     /// Accepts a job for a host that the store turns away.
-    async fn accept(&self, job: AcceptedJob) -> Whole {
+    async fn accept(&self, job: AcceptedJob) -> HttpResponse {
         let end = self.context.now() + ACCEPT_TIME;
         let acceptance = self.acceptor.accept(&job, end).await;
         if acceptance == (Acceptance::Accepted { first: true }) {
@@ -292,7 +292,7 @@
         &self,
         make: impl FnOnce(oneshot::Sender<T>) -> OwnerMessage,
         timeout: Duration,
-    ) -> Whole {
+    ) -> HttpResponse {
         match self.port.ask(make, timeout).await {
             Some(value) => web::json(StatusCode::OK, &value),
             None => web::error(StatusCode::CONFLICT, "not the owner of the pool"),
@@ -301,7 +301,7 @@
 }
 
 impl Handler for PeerHandler {
-    async fn handle(&self, asked: Asked) -> Whole {
+    async fn handle(&self, asked: HttpRequest) -> HttpResponse {
         if let Some(id) = asked.path.strip_prefix("/state/") {
             return match job::parse_job(id) {
                 Ok(id) => {
--- a/crates/cell/src/process.rs
+++ b/crates/cell/src/process.rs
@@ -14,10 +14,10 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::task::JoinSet;
-use web::Asked;
 use web::Handler;
+use web::HttpRequest;
+use web::HttpResponse;
 use web::Limits;
-use web::Whole;
 
 use crate::CallerHandler;
 use crate::CellError;
@@ -221,7 +221,7 @@
 }
 
 impl Handler for ReadyHandler {
-    async fn handle(&self, _: Asked) -> Whole {
+    async fn handle(&self, _: HttpRequest) -> HttpResponse {
         if self.ready() {
             web::text(StatusCode::OK, "ready")
         } else {
--- a/crates/cell/src/submit.rs
+++ b/crates/cell/src/submit.rs
@@ -7,8 +7,8 @@
 use job::Mechanism;
 use job::Queue;
 use platform::decode_job;
-use web::Asked;
-use web::Whole;
+use web::HttpRequest;
+use web::HttpResponse;
 
 use crate::Acceptance;
 use crate::AcceptedJob;
@@ -27,8 +27,8 @@
         config: &Config,
         queue: &Queue,
         id: JobId,
-        asked: &Asked,
-    ) -> Whole {
+        asked: &HttpRequest,
+    ) -> HttpResponse {
         if asked.body.len() > config.body_bytes {
             let reason = format!("body: allowed: at most {} bytes", config.body_bytes);
             return web::error(StatusCode::PAYLOAD_TOO_LARGE, &reason);
--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -5,7 +5,7 @@
 
 use argh::FromArgs;
 use entry::ConfigBody;
-use model::Numbered;
+use model::VersionedConfig;
 use serde_json::Value;
 use shard::Patch;
 use snafu::ResultExt;
@@ -83,7 +83,7 @@
             }
             Command::History(history) => {
                 let api = Api::open(history.server)?;
-                let versions: Vec<Numbered> = api.get("/v1/config/history").await?;
+                let versions: Vec<VersionedConfig> = api.get("/v1/config/history").await?;
                 print_json(&versions);
             }
         }
--- a/crates/cli/src/keys.rs
+++ b/crates/cli/src/keys.rs
@@ -18,7 +18,7 @@
 
 impl Keys {
     pub(crate) fn run(self) -> Result<u8, CliError> {
-        peer::make_keys(&self.folder)?;
+        peer::generate_keys(&self.folder)?;
         println!("made {}", self.folder.display());
         Ok(SUCCESS)
     }
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use entry::Api;
-use entry::Flight;
+use entry::InFlightLimit;
 use entry::Metrics;
 use entry::Tokens;
 use event::Event;
@@ -21,7 +21,7 @@
 use event::Timeline;
 use event::wall_millis;
 use peer::KeyFiles;
-use peer::Node;
+use peer::PeerEndpoint;
 use shard::CELL_FACTS;
 use shard::CellFacts;
 use shard::CellId;
@@ -40,8 +40,8 @@
 use shard::encode_row;
 use shard::watch_hosts;
 use store::Commit;
-use store::HttpHosts;
-use store::HttpObjects;
+use store::HttpHostList;
+use store::HttpObjectStore;
 use store::HttpTable;
 use store::Table;
 use tokio::net::TcpListener;
@@ -75,16 +75,16 @@
 const FACTS_PAUSE: Duration = Duration::from_millis(300);
 
 /// The context of a process that talks to the platform over HTTP.
-type HttpContext = Context<HttpTable, HttpObjects, HttpHosts>;
+type HttpContext = Context<HttpTable, HttpObjectStore, HttpHostList>;
 
 /// A running process.
 #[derive(Debug)]
 pub struct Process {
     pub(crate) context: Arc<HttpContext>,
-    pub(crate) node: Node,
+    pub(crate) node: PeerEndpoint,
     address: SocketAddr,
     pub(crate) keeper: mpsc::Sender<KeeperOrder>,
-    pub(crate) flight: Flight,
+    pub(crate) flight: InFlightLimit,
     pub(crate) leaving: watch::Sender<bool>,
     pub(crate) stop: watch::Sender<bool>,
     pub(crate) dismiss: watch::Sender<bool>,
@@ -133,7 +133,7 @@
         let (leaving, leaving_view) = watch::channel(false);
         let (stop, stop_view) = watch::channel(false);
         let (dismiss, dismiss_view) = watch::channel(false);
-        let flight = Flight::new(settings.http.in_flight);
+        let flight = InFlightLimit::new(settings.http.in_flight);
         let hints = Arc::new(Notify::new());
         let ports = KeeperPorts {
             hosts: hosts.clone(),
@@ -146,14 +146,14 @@
             table: context.table.clone(),
             objects: context.objects.clone(),
             tokens: Tokens::new(settings.tokens.clone()),
-            flight: flight.clone(),
+            in_flight: flight.clone(),
             metrics: Metrics::new()?,
             timeline: context.timeline.clone(),
             hosts,
             keeper: keeper.clone(),
             gate: context.gate.clone(),
-            leaving: leaving_view,
-            dismiss: dismiss_view,
+            stopping: leaving_view,
+            redirect_callers: dismiss_view,
         };
         let service = CellService::new(&context.process, view, hints);
         let node = context.node.clone();
@@ -226,7 +226,7 @@
     let keys = KeyFiles {
         folder: settings.peer.keys.clone(),
     };
-    let node = Node::open(settings.peer.listen, &keys, timeline.clone())?;
+    let node = PeerEndpoint::open(settings.peer.listen, &keys, timeline.clone())?;
     let timeout = Duration::from_millis(settings.platform.timeout_millis);
     Ok(Context {
         name: settings.name.clone(),
@@ -240,8 +240,8 @@
         reclaim: settings.lease.reclaim,
         timing: Timing::from(&settings.lease),
         table: HttpTable::new(settings.platform.table, timeout),
-        objects: HttpObjects::new(settings.platform.objects, timeout),
-        hosts: HttpHosts::new(settings.platform.hosts, timeout),
+        objects: HttpObjectStore::new(settings.platform.objects, timeout),
+        hosts: HttpHostList::new(settings.platform.hosts, timeout),
         workers: WorkerClient::new(WORKER_TIMEOUT),
         node,
         timeline,
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -74,7 +74,7 @@
             self.record_step(began, "callers: all connections have ended");
             return;
         }
-        let open = self.flight.open();
+        let open = self.flight.count();
         self.dismiss.send_replace(true);
         let ended = timeout(FAREWELL, &mut self.tasks.http).await.is_ok();
         let rest = if ended { "ended" } else { "cut" };
--- a/crates/daemon/src/uploader.rs
+++ b/crates/daemon/src/uploader.rs
@@ -7,7 +7,7 @@
 use event::Event;
 use event::Stamp;
 use event::Timeline;
-use store::Objects;
+use store::ObjectStore;
 
 /// Interval of uploads; one object each, if anything happened.
 const INTERVAL: Duration = Duration::from_secs(5);
@@ -17,7 +17,7 @@
 
 /// Uploads new events until the process ends. While the store is down they
 /// stay in the ring in memory, which forgets the oldest.
-pub async fn upload_events<O: Objects>(objects: O, timeline: Arc<Timeline>) {
+pub async fn upload_events<O: ObjectStore>(objects: O, timeline: Arc<Timeline>) {
     let mut after = 0;
     loop {
         tokio::time::sleep(INTERVAL).await;
@@ -27,8 +27,8 @@
 
 /// Uploads what happened after `after`; returns the stamp of the last event
 /// that is stored.
-pub async fn upload_since<O: Objects>(objects: &O, timeline: &Timeline, after: Stamp) -> Stamp {
-    let events = timeline.since(after, EVENTS);
+pub async fn upload_since<O: ObjectStore>(objects: &O, timeline: &Timeline, after: Stamp) -> Stamp {
+    let events = timeline.events_after(after, EVENTS);
     let Some(last) = events.last().map(|event| event.stamp) else {
         return after;
     };
@@ -37,7 +37,7 @@
         .await
     {
         Ok(()) => {
-            timeline.note_stored(last);
+            timeline.mark_stored(last);
             last
         }
         Err(error) => {
--- a/crates/daemon/tests/link.rs
+++ b/crates/daemon/tests/link.rs
@@ -18,10 +18,10 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use tokio::sync::watch;
-use web::Asked;
 use web::Handler;
+use web::HttpRequest;
+use web::HttpResponse;
 use web::Limits;
-use web::Whole;
 use worker::Claim;
 use worker::Fence;
 use worker::Poll;
@@ -42,7 +42,7 @@
 }
 
 impl Handler for Delayed {
-    async fn handle(&self, asked: Asked) -> Whole {
+    async fn handle(&self, asked: HttpRequest) -> HttpResponse {
         let poll = serde_json::from_slice::<Poll>(&asked.body);
         let late = poll.is_ok_and(|poll| poll.fence.epoch == self.epoch);
         while late && self.worker.running() > 0 {
--- a/crates/daemon/tests/path.rs
+++ b/crates/daemon/tests/path.rs
@@ -31,7 +31,7 @@
     }
 
     assert_eq!(first.number, 100, "{first:?}");
-    assert!(first.answer.is_whole());
+    assert!(first.answer.has_valid_digest());
     assert!(retries.iter().all(|retry| *retry == first), "{retries:?}");
     assert_eq!(cell.platform.log.runs_of("stores/bearing-1").len(), 1);
     cell.close();
--- a/crates/daemon/tests/shown/answers.rs
+++ b/crates/daemon/tests/shown/answers.rs
@@ -77,7 +77,7 @@
     let patience = Duration::from_secs(5);
     let asking = tokio::spawn(async move { router.submit(submission, patience, dismissed).await });
     let first = next_submission(&mut inbox, None).await;
-    let ok = Answer::bare("r1", Code::Ok, "");
+    let ok = Answer::without_output("r1", Code::Ok, "");
     let second = next_submission(&mut inbox, Some(ok)).await;
     asking.await.expect("an answer");
 
--- a/crates/daemon/tests/shown/cell.rs
+++ b/crates/daemon/tests/shown/cell.rs
@@ -30,7 +30,7 @@
 }
 
 impl Service for Neighbour {
-    type Ask = Ask;
+    type Request = Ask;
     type Reply = Reply;
 
     async fn answer(&self, _ask: Ask) -> Reply {
--- a/crates/daemon/tests/shown/house.rs
+++ b/crates/daemon/tests/shown/house.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use entry::Api;
-use entry::Flight;
+use entry::InFlightLimit;
 use entry::Metrics;
 use entry::Role;
 use entry::Token;
@@ -14,7 +14,7 @@
 use event::Event;
 use event::Timeline;
 use peer::KeyFiles;
-use peer::Node;
+use peer::PeerEndpoint;
 use shard::Context;
 use shard::FORMAT;
 use shard::Gate;
@@ -34,7 +34,7 @@
 use tempfile::TempDir;
 use tokio::sync::mpsc;
 use tokio::sync::watch;
-use web::Asked;
+use web::HttpRequest;
 use web::Method;
 use worker::WorkerClient;
 
@@ -61,7 +61,7 @@
     /// A process whose keeper does not run yet.
     pub(crate) fn new() -> House {
         let keys = tempfile::tempdir().expect("folder");
-        peer::make_keys(&keys.path().join("keys")).expect("keys");
+        peer::generate_keys(&keys.path().join("keys")).expect("keys");
         let table = StubTable::default();
         let timeline = Arc::new(Timeline::new("a-1"));
         let node = open_node(&keys, ([127, 0, 0, 1], 0).into(), timeline.clone());
@@ -73,14 +73,14 @@
             table: table.clone(),
             objects: StubObjects,
             tokens: operator(),
-            flight: Flight::new(8),
+            in_flight: InFlightLimit::new(8),
             metrics: Metrics::new().expect("metrics"),
             timeline: timeline.clone(),
             hosts: watch::channel(None).1,
             keeper,
             gate: gate.clone(),
-            leaving: watch::channel(false).1,
-            dismiss: watch::channel(false).1,
+            stopping: watch::channel(false).1,
+            redirect_callers: watch::channel(false).1,
         };
         let context = Context {
             name: "a".to_owned(),
@@ -115,7 +115,7 @@
     }
 
     /// A node of another process of the cell, and its address.
-    pub(crate) fn other_node(&self) -> (Node, SocketAddr) {
+    pub(crate) fn other_node(&self) -> (PeerEndpoint, SocketAddr) {
         let free = UdpSocket::bind(("127.0.0.1", 0)).and_then(|socket| socket.local_addr());
         let address = free.expect("a free address");
         let timeline = Arc::new(Timeline::new("b-1"));
@@ -164,7 +164,7 @@
 
     /// Names of the events so far.
     pub(crate) fn events(&self) -> Vec<String> {
-        let events = self.timeline.since(0, 1000);
+        let events = self.timeline.events_after(0, 1000);
         events
             .iter()
             .map(|event: &Event| event.kind.to_string())
@@ -184,8 +184,8 @@
 }
 
 /// A call of the operator.
-pub(crate) fn call(method: Method, path: &str, body: &str) -> Asked {
-    Asked {
+pub(crate) fn call(method: Method, path: &str, body: &str) -> HttpRequest {
+    HttpRequest {
         method,
         path: path.to_owned(),
         query: String::new(),
@@ -201,11 +201,11 @@
     ([127, 0, 0, 1], 1).into()
 }
 
-fn open_node(keys: &TempDir, listen: SocketAddr, timeline: Arc<Timeline>) -> Node {
+fn open_node(keys: &TempDir, listen: SocketAddr, timeline: Arc<Timeline>) -> PeerEndpoint {
     let keys = KeyFiles {
         folder: keys.path().join("keys"),
     };
-    Node::open(listen, &keys, timeline).expect("node")
+    PeerEndpoint::open(listen, &keys, timeline).expect("node")
 }
 
 fn operator() -> Tokens {
--- a/crates/daemon/tests/shown/links.rs
+++ b/crates/daemon/tests/shown/links.rs
@@ -22,14 +22,14 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use tokio::sync::watch;
-use web::Asked;
 use web::Handler;
+use web::HttpRequest;
+use web::HttpResponse;
 use web::Limits;
 use web::StatusCode;
-use web::Whole;
-use worker::Claimed;
+use worker::ClaimReply;
 use worker::Fence;
-use worker::Polled;
+use worker::PollReply;
 use worker::Refusal;
 use worker::RefusalReason;
 use worker::WorkerClient;
@@ -58,10 +58,10 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn claim(&self) -> Whole {
+    fn claim(&self) -> HttpResponse {
         let mut state = self.lock();
         state.claimed = true;
-        let claimed = Claimed {
+        let claimed = ClaimReply {
             incarnation: format!("run-{}", state.run),
             turn: 1,
             capacity: Resources::default(),
@@ -70,7 +70,7 @@
         web::json(StatusCode::OK, &claimed)
     }
 
-    fn start(&self) -> Whole {
+    fn start(&self) -> HttpResponse {
         let mut state = self.lock();
         state.starts += 1;
         if self.restarts && state.starts == 1 {
@@ -85,7 +85,7 @@
         refused()
     }
 
-    fn stop(&self) -> Whole {
+    fn stop(&self) -> HttpResponse {
         let mut state = self.lock();
         state.stops += 1;
         if state.stops == 1 {
@@ -94,7 +94,7 @@
         web::json(StatusCode::OK, &())
     }
 
-    async fn poll(&self) -> Whole {
+    async fn poll(&self) -> HttpResponse {
         let run = self.lock().run;
         tokio::time::sleep(Duration::from_millis(400)).await;
         let state = self.lock();
@@ -102,7 +102,7 @@
             drop(state);
             return refused();
         }
-        let polled = Polled {
+        let polled = PollReply {
             turn: 2,
             incarnation: format!("run-{}", state.run),
             ended: Vec::new(),
@@ -112,7 +112,7 @@
     }
 }
 
-fn refused() -> Whole {
+fn refused() -> HttpResponse {
     let refusal = Refusal {
         reason: RefusalReason::Unclaimed,
         fence: Fence::default(),
@@ -121,7 +121,7 @@
 }
 
 impl Handler for Clumsy {
-    async fn handle(&self, asked: Asked) -> Whole {
+    async fn handle(&self, asked: HttpRequest) -> HttpResponse {
         match asked.path.as_str() {
             "/v1/claim" => self.claim(),
             "/v1/start" => self.start(),
--- a/crates/daemon/tests/shown/stubs.rs
+++ b/crates/daemon/tests/shown/stubs.rs
@@ -7,11 +7,11 @@
 use std::sync::PoisonError;
 
 use store::Commit;
-use store::Committed;
+use store::CommitOutcome;
 use store::Conflict;
 use store::Host;
 use store::HostList;
-use store::Objects;
+use store::ObjectStore;
 use store::Row;
 use store::StoreError;
 use store::Table;
@@ -97,7 +97,7 @@
         Ok(found.cloned().collect())
     }
 
-    async fn commit(&self, commit: &Commit) -> Result<Committed, StoreError> {
+    async fn commit(&self, commit: &Commit) -> Result<CommitOutcome, StoreError> {
         self.read("commit").await?;
         let mut state = self.lock();
         if state.fault == Fault::LosesCommits {
@@ -108,7 +108,7 @@
             let found = state.rows.get(&check.key).map_or(0, |row| row.version);
             if found != check.version {
                 let key = check.key.clone();
-                return Ok(Committed::Conflict(Conflict { key, found }));
+                return Ok(CommitOutcome::Conflict(Conflict { key, found }));
             }
         }
         let mut versions = Vec::new();
@@ -118,7 +118,7 @@
                 None => state.rows.remove(&write.key).map_or(0, |row| row.version),
             });
         }
-        Ok(Committed::Done(versions))
+        Ok(CommitOutcome::Done(versions))
     }
 }
 
@@ -126,7 +126,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct StubObjects;
 
-impl Objects for StubObjects {
+impl ObjectStore for StubObjects {
     async fn put(&self, _name: &str, _body: Vec<u8>) -> Result<(), StoreError> {
         Ok(())
     }
--- a/crates/entry/src/api.rs
+++ b/crates/entry/src/api.rs
@@ -8,8 +8,8 @@
 use event::Timeline;
 use model::Answer;
 use model::Code;
-use model::Numbered;
 use model::Request;
+use model::VersionedConfig;
 use model::request_key;
 use serde::de::DeserializeOwned;
 use shard::CancelFilter;
@@ -24,15 +24,15 @@
 use shard::apply_patch;
 use shard::history_key;
 use shard::read_config;
-use store::Objects;
+use store::ObjectStore;
 use store::Table;
 use tokio::sync::mpsc;
 use tokio::sync::watch;
-use web::Asked;
 use web::Handler;
+use web::HttpRequest;
+use web::HttpResponse;
 use web::Method;
 use web::StatusCode;
-use web::Whole;
 
 use crate::AnswerBody;
 use crate::Caller;
@@ -40,29 +40,29 @@
 use crate::CancelledBody;
 use crate::CellBody;
 use crate::ConfigBody;
-use crate::Flight;
+use crate::InFlightLimit;
 use crate::Metrics;
 use crate::Role;
 use crate::Tokens;
 
 /// Longest time that a submission waits for its final answer, unless the
 /// caller names a shorter one.
-const PATIENCE: Duration = Duration::from_mins(5);
+const MAX_PATIENCE: Duration = Duration::from_mins(5);
 
 /// Patience of a submission that does not wait for the answer.
-const DETACH_PATIENCE: Duration = Duration::from_secs(10);
+const DETACHED_PATIENCE: Duration = Duration::from_secs(10);
 
 /// Most events in one reply.
-const EVENTS: usize = 10_000;
+const MAX_EVENTS: usize = 10_000;
 
 /// Newest objects of the stored timeline that one reply takes in.
-const TIMELINE_OBJECTS: usize = 200;
+const MAX_TIMELINE_OBJECTS: usize = 200;
 
 /// Versions in one reply of the history.
-const HISTORY: u64 = 20;
+const HISTORY_VERSIONS: u64 = 20;
 
 /// When a caller with too many requests in flight may come back, in ms.
-const COME_BACK_MILLIS: u64 = 200;
+const RETRY_MILLIS: u64 = 200;
 
 /// Everything that the interface needs.
 #[derive(Debug)]
@@ -76,7 +76,7 @@
     /// Who may call.
     pub tokens: Tokens,
     /// Requests in flight.
-    pub flight: Flight,
+    pub in_flight: InFlightLimit,
     /// Metrics.
     pub metrics: Metrics,
     /// Events.
@@ -88,62 +88,64 @@
     /// Right to act.
     pub gate: Arc<Gate>,
     /// Turns true when a planned stop begins.
-    pub leaving: watch::Receiver<bool>,
+    pub stopping: watch::Receiver<bool>,
     /// Turns true when callers that still wait are sent to other processes.
-    pub dismiss: watch::Receiver<bool>,
+    pub redirect_callers: watch::Receiver<bool>,
 }
 
-impl<T: Table, O: Objects> Handler for Api<T, O> {
-    async fn handle(&self, asked: Asked) -> Whole {
-        match self.route(&asked).await {
+impl<T: Table, O: ObjectStore> Handler for Api<T, O> {
+    async fn handle(&self, http_request: HttpRequest) -> HttpResponse {
+        match self.route(&http_request).await {
             Ok(whole) => whole,
-            Err(refusal) => web::error(refusal.status, &refusal.reason),
+            Err(api_error) => web::error(api_error.status, &api_error.reason),
         }
     }
 }
 
 /// Why a call is refused.
 #[derive(Debug)]
-struct Refusal {
+struct ApiError {
     status: StatusCode,
     reason: String,
 }
 
-impl Refusal {
-    fn new(status: StatusCode, reason: impl Into<String>) -> Refusal {
+impl ApiError {
+    fn new(status: StatusCode, reason: impl Into<String>) -> ApiError {
         let reason = reason.into();
-        Refusal { status, reason }
+        ApiError { status, reason }
     }
 }
 
 /// A reply, or why there is none.
-type Routed = Result<Whole, Refusal>;
+type ApiResult = Result<HttpResponse, ApiError>;
 
-impl<T: Table, O: Objects> Api<T, O> {
-    async fn route(&self, asked: &Asked) -> Routed {
-        let path = asked.path.as_str();
-        match (&asked.method, path) {
+impl<T: Table, O: ObjectStore> Api<T, O> {
+    async fn route(&self, http_request: &HttpRequest) -> ApiResult {
+        let path = http_request.path.as_str();
+        match (&http_request.method, path) {
             (&Method::GET, "/health") => Ok(self.health()),
             (&Method::GET, "/metrics") => Ok(self.scrape()),
-            (&Method::POST, "/v1/requests") => self.submit(asked).await,
-            (&Method::GET, _) if path.starts_with("/v1/requests/") => self.status(asked).await,
-            (&Method::POST, "/v1/cancel") => self.cancel(asked).await,
-            (&Method::GET, "/v1/config") => self.config(asked).await,
-            (&Method::POST, "/v1/config") => self.patch(asked).await,
-            (&Method::GET, "/v1/config/history") => self.history(asked).await,
-            (&Method::GET, "/v1/cell") => self.cell(asked),
-            (&Method::GET, "/v1/hosts") => self.list_hosts(asked),
-            (&Method::GET, "/v1/events") => self.events(asked),
-            (&Method::GET, "/v1/timeline") => self.stored_events(asked).await,
-            _ => Err(Refusal::new(
+            (&Method::POST, "/v1/requests") => self.submit(http_request).await,
+            (&Method::GET, _) if path.starts_with("/v1/requests/") => {
+                self.status(http_request).await
+            }
+            (&Method::POST, "/v1/cancel") => self.cancel(http_request).await,
+            (&Method::GET, "/v1/config") => self.config(http_request).await,
+            (&Method::POST, "/v1/config") => self.patch(http_request).await,
+            (&Method::GET, "/v1/config/history") => self.history(http_request).await,
+            (&Method::GET, "/v1/cell") => self.cell(http_request),
+            (&Method::GET, "/v1/hosts") => self.list_hosts(http_request),
+            (&Method::GET, "/v1/events") => self.events(http_request),
+            (&Method::GET, "/v1/timeline") => self.stored_events(http_request).await,
+            _ => Err(ApiError::new(
                 StatusCode::NOT_FOUND,
                 "no such path; see docs/API.md",
             )),
         }
     }
 
-    fn health(&self) -> Whole {
-        if *self.leaving.borrow() {
+    fn health(&self) -> HttpResponse {
+        if *self.stopping.borrow() {
             return web::error(StatusCode::SERVICE_UNAVAILABLE, "stopping");
         }
         if !self.gate.is_open() {
@@ -152,79 +154,82 @@
         web::text(StatusCode::OK, "ok\n")
     }
 
-    fn scrape(&self) -> Whole {
+    fn scrape(&self) -> HttpResponse {
         let lease = self.gate.remaining().as_secs_f64();
-        self.metrics.note_lost(self.timeline.lost());
+        self.metrics.set_lost(self.timeline.lost());
         let text = self.metrics.render(&self.router.view(), lease);
         web::text(StatusCode::OK, text)
     }
 
-    fn caller(&self, asked: &Asked) -> Result<Caller, Refusal> {
-        let token = asked.token.as_deref().unwrap_or_default();
+    fn caller(&self, http_request: &HttpRequest) -> Result<Caller, ApiError> {
+        let token = http_request.token.as_deref().unwrap_or_default();
         let caller = self.tokens.caller(token);
-        caller.ok_or_else(|| Refusal::new(StatusCode::UNAUTHORIZED, "no valid bearer token"))
+        caller.ok_or_else(|| ApiError::new(StatusCode::UNAUTHORIZED, "no valid bearer token"))
     }
 
-    fn operator(&self, asked: &Asked) -> Result<Caller, Refusal> {
-        let caller = self.caller(asked)?;
+    fn operator(&self, http_request: &HttpRequest) -> Result<Caller, ApiError> {
+        let caller = self.caller(http_request)?;
         if caller.role == Role::Operator {
             return Ok(caller);
         }
-        Err(Refusal::new(StatusCode::FORBIDDEN, "only for operators"))
+        Err(ApiError::new(StatusCode::FORBIDDEN, "only for operators"))
     }
 
-    async fn submit(&self, asked: &Asked) -> Routed {
-        let caller = self.caller(asked)?;
-        let mut request: Request = parse(asked)?;
+    async fn submit(&self, http_request: &HttpRequest) -> ApiResult {
+        let caller = self.caller(http_request)?;
+        let mut request: Request = parse(http_request)?;
         request.team.clone_from(&caller.team);
         let class: &'static str = request.class.into();
         if let Err(error) = request.check() {
-            let answer = Answer::bare(&request.id, Code::Invalid, error.to_string());
+            let answer = Answer::without_output(&request.id, Code::Invalid, error.to_string());
             return Ok(self.reply(StatusCode::BAD_REQUEST, answer, class));
         }
-        let Some(_place) = self.flight.enter(&caller.team) else {
+        let Some(_permit) = self.in_flight.try_acquire(&caller.team) else {
             let reason = "too many requests of the team in flight at this process";
-            let answer = Answer::bare(&request.id, Code::QueueFull, reason);
-            let answer = answer.retry_in(COME_BACK_MILLIS);
+            let answer = Answer::without_output(&request.id, Code::QueueFull, reason);
+            let answer = answer.retry_in(RETRY_MILLIS);
             return Ok(self.reply(StatusCode::TOO_MANY_REQUESTS, answer, class));
         };
-        let wait = asked.parameter("wait").as_deref() != Some("false");
-        let patience = patience(asked, wait)?;
+        let wait = http_request.parameter("wait").as_deref() != Some("false");
+        let patience = patience(http_request, wait)?;
         let submission = Submission {
             request,
             waited_millis: 0,
             wait,
         };
-        let dismiss = self.dismiss.clone();
-        let answer = self.router.submit(submission, patience, dismiss).await;
+        let redirect_callers = self.redirect_callers.clone();
+        let answer = self
+            .router
+            .submit(submission, patience, redirect_callers)
+            .await;
         Ok(self.reply(StatusCode::OK, answer, class))
     }
 
-    fn reply(&self, status: StatusCode, answer: Answer, class: &str) -> Whole {
+    fn reply(&self, status: StatusCode, answer: Answer, class: &str) -> HttpResponse {
         self.metrics.count(&answer, class);
         web::json(status, &AnswerBody::from(answer))
     }
 
-    async fn status(&self, asked: &Asked) -> Routed {
-        let caller = self.caller(asked)?;
-        let id = asked.path.trim_start_matches("/v1/requests/");
+    async fn status(&self, http_request: &HttpRequest) -> ApiResult {
+        let caller = self.caller(http_request)?;
+        let id = http_request.path.trim_start_matches("/v1/requests/");
         let answer = self.router.status(&request_key(&caller.team, id)).await;
         match answer {
             Standing::Answer(answer) => Ok(web::json(StatusCode::OK, &AnswerBody::from(answer))),
-            Standing::Unknown => Err(Refusal::new(
+            Standing::Unknown => Err(ApiError::new(
                 StatusCode::NOT_FOUND,
                 "no such request of this team",
             )),
-            Standing::Unreached => Err(Refusal::new(
+            Standing::Unreached => Err(ApiError::new(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "the owner of its shard does not answer; nothing is known of it here",
             )),
         }
     }
 
-    async fn cancel(&self, asked: &Asked) -> Routed {
-        let caller = self.caller(asked)?;
-        let body: CancelBody = parse(asked)?;
+    async fn cancel(&self, http_request: &HttpRequest) -> ApiResult {
+        let caller = self.caller(http_request)?;
+        let body: CancelBody = parse(http_request)?;
         let filter = match (body.id, body.label) {
             (Some(id), None) => CancelFilter::One(request_key(&caller.team, &id)),
             (None, Some(label)) if !label.is_empty() => CancelFilter::Label {
@@ -233,43 +238,46 @@
             },
             _ => {
                 let reason = "allowed: either id or a non-empty label";
-                return Err(Refusal::new(StatusCode::BAD_REQUEST, reason));
+                return Err(ApiError::new(StatusCode::BAD_REQUEST, reason));
             }
         };
         if let Some(cancelled) = self.router.cancel(filter).await {
             Ok(web::json(StatusCode::OK, &CancelledBody { cancelled }))
         } else {
             let reason = "not every owner could be asked; send the same call again";
-            Err(Refusal::new(StatusCode::SERVICE_UNAVAILABLE, reason))
+            Err(ApiError::new(StatusCode::SERVICE_UNAVAILABLE, reason))
         }
     }
 
-    async fn config(&self, asked: &Asked) -> Routed {
-        self.caller(asked)?;
-        let (numbered, _) = read_config(&self.table)
+    async fn config(&self, http_request: &HttpRequest) -> ApiResult {
+        self.caller(http_request)?;
+        let (versioned, _) = read_config(&self.table)
             .await
-            .map_err(|e| refuse_patch(&e))?;
-        Ok(web::json(StatusCode::OK, &self.config_body(&numbered)))
+            .map_err(|e| patch_error(&e))?;
+        Ok(web::json(StatusCode::OK, &self.config_body(&versioned)))
     }
 
-    fn config_body(&self, numbered: &Numbered) -> ConfigBody {
+    fn config_body(&self, versioned: &VersionedConfig) -> ConfigBody {
         ConfigBody {
-            version: numbered.version,
+            version: versioned.version,
             everywhere: self.router.view().lowest_config(),
-            config: numbered.config.clone(),
+            config: versioned.config.clone(),
         }
     }
 
-    async fn patch(&self, asked: &Asked) -> Routed {
-        self.operator(asked)?;
-        let patch: Patch = parse(asked)?;
+    async fn patch(&self, http_request: &HttpRequest) -> ApiResult {
+        self.operator(http_request)?;
+        let patch: Patch = parse(http_request)?;
         match apply_patch(&self.table, &patch).await {
-            Ok(numbered) => {
+            Ok(versioned) => {
                 let event = Event::new(Kind::PatchAccepted);
                 self.timeline
-                    .record(event.detail(format!("{} as {}", patch.id, numbered.version)));
-                let _ = self.keeper.send(KeeperOrder::Adopt(numbered.clone())).await;
-                Ok(web::json(StatusCode::OK, &self.config_body(&numbered)))
+                    .record(event.detail(format!("{} as {}", patch.id, versioned.version)));
+                let _ = self
+                    .keeper
+                    .send(KeeperOrder::Adopt(versioned.clone()))
+                    .await;
+                Ok(web::json(StatusCode::OK, &self.config_body(&versioned)))
             }
             Err(error) => {
                 let kind = match error {
@@ -279,56 +287,57 @@
                 let event = Event::new(kind);
                 self.timeline
                     .record(event.detail(format!("{}: {error}", patch.id)));
-                Err(refuse_patch(&error))
+                Err(patch_error(&error))
             }
         }
     }
 
-    async fn history(&self, asked: &Asked) -> Routed {
-        self.operator(asked)?;
+    async fn history(&self, http_request: &HttpRequest) -> ApiResult {
+        self.operator(http_request)?;
         let (current, _) = read_config(&self.table)
             .await
-            .map_err(|e| refuse_patch(&e))?;
-        let oldest = current.version.saturating_sub(HISTORY);
+            .map_err(|e| patch_error(&e))?;
+        let oldest = current.version.saturating_sub(HISTORY_VERSIONS);
         let mut versions = Vec::new();
         for version in (oldest + 1..=current.version).rev() {
             let row = self.table.get(&history_key(version)).await;
             let row =
-                row.map_err(|e| Refusal::new(StatusCode::SERVICE_UNAVAILABLE, e.to_string()))?;
-            let parsed = row.and_then(|row| serde_json::from_str::<Numbered>(&row.value).ok());
+                row.map_err(|e| ApiError::new(StatusCode::SERVICE_UNAVAILABLE, e.to_string()))?;
+            let parsed =
+                row.and_then(|row| serde_json::from_str::<VersionedConfig>(&row.value).ok());
             versions.extend(parsed);
         }
         Ok(web::json(StatusCode::OK, &versions))
     }
 
-    fn cell(&self, asked: &Asked) -> Routed {
-        self.operator(asked)?;
+    fn cell(&self, http_request: &HttpRequest) -> ApiResult {
+        self.operator(http_request)?;
         Ok(web::json(
             StatusCode::OK,
             &CellBody::from(&*self.router.view()),
         ))
     }
 
-    fn list_hosts(&self, asked: &Asked) -> Routed {
-        self.operator(asked)?;
+    fn list_hosts(&self, http_request: &HttpRequest) -> ApiResult {
+        self.operator(http_request)?;
         let hosts = self.hosts.borrow().clone();
         if let Some(hosts) = hosts {
             Ok(web::json(StatusCode::OK, &*hosts))
         } else {
             let reason = "the platform's host list was not read yet";
-            Err(Refusal::new(StatusCode::SERVICE_UNAVAILABLE, reason))
+            Err(ApiError::new(StatusCode::SERVICE_UNAVAILABLE, reason))
         }
     }
 
     /// The newest stored events of all processes, and this one's own.
-    async fn stored_events(&self, asked: &Asked) -> Routed {
-        self.operator(asked)?;
-        let down =
-            |e: store::StoreError| Refusal::new(StatusCode::SERVICE_UNAVAILABLE, e.to_string());
-        let names = self.objects.list("timeline/").await.map_err(down)?;
-        let mut events = self.timeline.since(0, EVENTS);
-        for name in names.iter().rev().take(TIMELINE_OBJECTS) {
-            let body = self.objects.fetch(name).await.map_err(down)?;
+    async fn stored_events(&self, http_request: &HttpRequest) -> ApiResult {
+        self.operator(http_request)?;
+        let unavailable =
+            |e: store::StoreError| ApiError::new(StatusCode::SERVICE_UNAVAILABLE, e.to_string());
+        let names = self.objects.list("timeline/").await.map_err(unavailable)?;
+        let mut events = self.timeline.events_after(0, MAX_EVENTS);
+        for name in names.iter().rev().take(MAX_TIMELINE_OBJECTS) {
+            let body = self.objects.fetch(name).await.map_err(unavailable)?;
             events.extend(parse_events(&body.unwrap_or_default()));
         }
         events.sort_by(|a, b| (a.stamp, &a.process).cmp(&(b.stamp, &b.process)));
@@ -336,10 +345,14 @@
         Ok(web::json(StatusCode::OK, &events))
     }
 
-    fn events(&self, asked: &Asked) -> Routed {
-        self.operator(asked)?;
-        let after = asked.parameter("after").and_then(|text| text.parse().ok());
-        let events = self.timeline.since(after.unwrap_or_default(), EVENTS);
+    fn events(&self, http_request: &HttpRequest) -> ApiResult {
+        self.operator(http_request)?;
+        let after = http_request
+            .parameter("after")
+            .and_then(|text| text.parse().ok());
+        let events = self
+            .timeline
+            .events_after(after.unwrap_or_default(), MAX_EVENTS);
         Ok(web::json(StatusCode::OK, &events))
     }
 }
@@ -353,25 +366,29 @@
         .collect()
 }
 
-fn parse<B: DeserializeOwned>(asked: &Asked) -> Result<B, Refusal> {
-    serde_json::from_slice(&asked.body)
-        .map_err(|error| Refusal::new(StatusCode::BAD_REQUEST, format!("body: {error}")))
+fn parse<B: DeserializeOwned>(http_request: &HttpRequest) -> Result<B, ApiError> {
+    serde_json::from_slice(&http_request.body)
+        .map_err(|error| ApiError::new(StatusCode::BAD_REQUEST, format!("body: {error}")))
 }
 
-fn patience(asked: &Asked, wait: bool) -> Result<Duration, Refusal> {
-    let Some(text) = asked.parameter("patience_millis") else {
-        return Ok(if wait { PATIENCE } else { DETACH_PATIENCE });
+fn patience(http_request: &HttpRequest, wait: bool) -> Result<Duration, ApiError> {
+    let Some(text) = http_request.parameter("patience_millis") else {
+        return Ok(if wait {
+            MAX_PATIENCE
+        } else {
+            DETACHED_PATIENCE
+        });
     };
     let millis = text.parse::<u64>().ok().filter(|millis| *millis > 0);
     if let Some(millis) = millis {
-        Ok(Duration::from_millis(millis).min(PATIENCE))
+        Ok(Duration::from_millis(millis).min(MAX_PATIENCE))
     } else {
         let reason = format!("patience_millis: found {text:?}, allowed: 1 to 300000");
-        Err(Refusal::new(StatusCode::BAD_REQUEST, reason))
+        Err(ApiError::new(StatusCode::BAD_REQUEST, reason))
     }
 }
 
-fn refuse_patch(error: &PatchError) -> Refusal {
+fn patch_error(error: &PatchError) -> ApiError {
     let status = match error {
         PatchError::Stale { .. } => StatusCode::CONFLICT,
         PatchError::Invalid { .. } | PatchError::BadId { .. } => StatusCode::BAD_REQUEST,
@@ -379,5 +396,5 @@
         PatchError::Unknown { .. } => StatusCode::GATEWAY_TIMEOUT,
         PatchError::Damaged { .. } => StatusCode::INTERNAL_SERVER_ERROR,
     };
-    Refusal::new(status, error.to_string())
+    ApiError::new(status, error.to_string())
 }
--- a/crates/entry/src/flight.rs
+++ b/crates/entry/src/in_flight.rs
@@ -12,37 +12,37 @@
 
 /// Requests in flight by team; clones share them.
 #[derive(Clone, Debug)]
-pub struct Flight {
-    most: usize,
+pub struct InFlightLimit {
+    limit: usize,
     teams: Arc<Mutex<HashMap<TeamId, Arc<Semaphore>>>>,
 }
 
-impl Flight {
+impl InFlightLimit {
     /// At most `most` requests in flight for each team.
     #[must_use]
-    pub fn new(most: usize) -> Flight {
-        Flight {
-            most,
+    pub fn new(limit: usize) -> InFlightLimit {
+        InFlightLimit {
+            limit,
             teams: Arc::default(),
         }
     }
 
     /// A place for one request, held until dropped; none when all are taken.
-    pub fn enter(&self, team: &str) -> Option<OwnedSemaphorePermit> {
+    pub fn try_acquire(&self, team: &str) -> Option<OwnedSemaphorePermit> {
         let mut teams = self.teams.lock().unwrap_or_else(PoisonError::into_inner);
-        let places = teams
+        let permits = teams
             .entry(team.to_owned())
-            .or_insert_with(|| Arc::new(Semaphore::new(self.most)));
-        places.clone().try_acquire_owned().ok()
+            .or_insert_with(|| Arc::new(Semaphore::new(self.limit)));
+        permits.clone().try_acquire_owned().ok()
     }
 
     /// Requests in flight of all teams.
     #[must_use]
-    pub fn open(&self) -> usize {
+    pub fn count(&self) -> usize {
         let teams = self.teams.lock().unwrap_or_else(PoisonError::into_inner);
-        let open = teams
+        let counts = teams
             .values()
-            .map(|places| self.most - places.available_permits());
-        open.sum()
+            .map(|permits| self.limit - permits.available_permits());
+        counts.sum()
     }
 }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -3,11 +3,11 @@
 mod api;
 mod auth;
 mod body;
-mod flight;
+mod in_flight;
 mod metrics;
 
 pub use api::*;
 pub use auth::*;
 pub use body::*;
-pub use flight::*;
+pub use in_flight::*;
 pub use metrics::*;
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -13,7 +13,7 @@
 use shard::View;
 
 /// Bounds of the waiting time histogram, in seconds.
-const WAIT_BOUNDS: [f64; 12] = [
+const WAIT_BUCKETS: [f64; 12] = [
     0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 1.0, 5.0, 30.0, 300.0,
 ];
 
@@ -50,7 +50,7 @@
                     "clovermount_wait_seconds",
                     "Time from submission until the worker said that the task started, by class",
                 )
-                .buckets(WAIT_BOUNDS.to_vec()),
+                .buckets(WAIT_BUCKETS.to_vec()),
                 &["class"],
             )?,
             shards: gauge(
@@ -102,7 +102,7 @@
     }
 
     /// Takes in how many events were dropped before they were stored.
-    pub fn note_lost(&self, events: u64) {
+    pub fn set_lost(&self, events: u64) {
         self.lost.set(i64::try_from(events).unwrap_or(i64::MAX));
     }
 
--- a/crates/entry/tests/docs.rs
+++ b/crates/entry/tests/docs.rs
@@ -10,7 +10,7 @@
 #[test]
 fn the_table_lists_each_metric() {
     let metrics = Metrics::new().expect("metrics");
-    let mut answer = Answer::bare("a", Code::Ok, "");
+    let mut answer = Answer::without_output("a", Code::Ok, "");
     answer.worker = "w".to_owned();
     metrics.count(&answer, "urgent");
 
--- a/crates/event/src/event.rs
+++ b/crates/event/src/event.rs
@@ -1,4 +1,4 @@
-//! One event of the timeline.
+//! Events recorded in the timeline.
 
 use model::Incarnation;
 use model::RequestId;
@@ -10,27 +10,27 @@
 use crate::Kind;
 use crate::Stamp;
 
-/// Something that happened in one process.
+/// An event in one process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Event {
-    /// Causal time stamp.
+    /// Timestamp from the hybrid logical clock.
     pub stamp: Stamp,
-    /// Process run that recorded it.
+    /// Incarnation of the process that recorded the event.
     pub process: Incarnation,
-    /// What happened.
+    /// Kind of the event.
     pub kind: Kind,
-    /// Request it is about, if any.
+    /// Request concerned, if any.
     pub request: Option<RequestId>,
-    /// Shard it is about, if any.
+    /// Shard concerned, if any.
     pub shard: Option<ShardId>,
-    /// Worker it is about, if any.
+    /// Worker concerned, if any.
     pub worker: Option<WorkerId>,
-    /// Free text for people.
+    /// Human-readable details.
     pub detail: String,
 }
 
 impl Event {
-    /// An event of `kind`; the timeline fills in stamp and process.
+    /// Creates an event of `kind`; the timeline sets `stamp` and `process`.
     #[must_use]
     pub fn new(kind: Kind) -> Event {
         Event {
@@ -44,28 +44,28 @@
         }
     }
 
-    /// Names the request.
+    /// Sets the request concerned.
     #[must_use]
     pub fn request(mut self, id: &str) -> Event {
         self.request = Some(id.to_owned());
         self
     }
 
-    /// Names the shard.
+    /// Sets the shard concerned.
     #[must_use]
     pub fn shard(mut self, id: ShardId) -> Event {
         self.shard = Some(id);
         self
     }
 
-    /// Names the worker.
+    /// Sets the worker concerned.
     #[must_use]
     pub fn worker(mut self, id: &str) -> Event {
         self.worker = Some(id.to_owned());
         self
     }
 
-    /// Adds free text.
+    /// Sets the human-readable details.
     #[must_use]
     pub fn detail(mut self, text: impl Into<String>) -> Event {
         self.detail = text.into();
--- a/crates/event/src/hlc.rs
+++ b/crates/event/src/hlc.rs
@@ -1,4 +1,4 @@
-//! Hybrid logical clock: wall time that never runs against causality
+//! Hybrid logical clock: timestamps close to wall time that respect causality
 //! (Kulkarni et al., "Logical Physical Clocks", 2014).
 
 use std::sync::atomic::AtomicU64;
@@ -6,26 +6,28 @@
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
-/// Bits of the logical counter below the milliseconds.
+/// Number of low bits that hold the logical counter, below the milliseconds.
 const COUNTER_BITS: u32 = 16;
 
-/// Time stamp: milliseconds since 1970 above a 16-bit logical counter.
+/// Hybrid timestamp: milliseconds since 1970 in the high bits, a 16-bit logical
+/// counter in the low bits.
 pub type Stamp = u64;
 
-/// Clock of one process.
+/// Hybrid logical clock of one process.
 #[derive(Debug, Default)]
 pub struct Hlc {
     last: AtomicU64,
 }
 
 impl Hlc {
-    /// Stamp of a local event, later than every earlier one.
+    /// Returns the timestamp of a local event, later than all previous ones.
     pub fn tick(&self) -> Stamp {
         self.merge(0)
     }
 
-    /// Takes in the stamp of a received message, so that whatever happens
-    /// next is stamped later than what the sender had seen.
+    /// Advances the clock past the timestamp of a received message, so that all
+    /// following events are stamped later than every event before the message
+    /// was sent.
     pub fn merge(&self, seen: Stamp) -> Stamp {
         let wall = wall_millis() << COUNTER_BITS;
         let mut last = self.last.load(Ordering::Relaxed);
@@ -42,7 +44,7 @@
     }
 }
 
-/// Milliseconds since 1970 by the wall clock; for display and retention only.
+/// Wall-clock time in milliseconds since 1970; for display and retention only.
 #[must_use]
 pub fn wall_millis() -> u64 {
     let since = SystemTime::now()
@@ -51,7 +53,7 @@
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Milliseconds part of a stamp.
+/// Extracts the milliseconds from a timestamp.
 #[must_use]
 pub fn stamp_millis(stamp: Stamp) -> u64 {
     stamp >> COUNTER_BITS
@@ -62,7 +64,7 @@
     use super::Hlc;
 
     #[test]
-    fn a_reply_is_later_than_a_stamp_from_a_fast_clock() {
+    fn timestamps_are_later_than_one_received_from_a_fast_clock() {
         let clock = Hlc::default();
         let ahead = clock.tick() + (60_000 << 16);
 
--- a/crates/event/src/kind.rs
+++ b/crates/event/src/kind.rs
@@ -1,4 +1,4 @@
-//! Kinds of events with their numbers, as listed in docs/EVENTS.md.
+//! Event kinds and their numbers, as listed in docs/EVENTS.md.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,7 +6,7 @@
 use strum::EnumIter;
 use strum::IntoStaticStr;
 
-/// What happened. The number never changes its meaning.
+/// Kind of an event. The meaning of a number must never change.
 #[derive(
     Clone,
     Copy,
@@ -24,55 +24,59 @@
 #[strum(serialize_all = "snake_case")]
 #[repr(u16)]
 pub enum Kind {
-    /// The process has started and serves.
+    /// The process has started and is serving.
     ProcessStarted = 100,
-    /// A planned stop began.
+    /// A planned stop has begun.
     StopBegan = 101,
-    /// The planned stop is over; the steps before tell what it left undone.
+    /// The planned stop has ended; the preceding `StopStep` events report what
+    /// could not be completed.
     Stopped = 102,
-    /// A task of the process ended unexpectedly; the process stops.
+    /// An async task of the process ended unexpectedly; the process stops.
     TaskCrashed = 103,
-    /// A step of a planned stop is over; the detail says how it went.
+    /// A step of a planned stop has ended; the detail holds its result.
     StopStep = 104,
-    /// The process holds a fresh lease.
+    /// The process acquired a new lease.
     LeaseAcquired = 200,
-    /// The lease lapsed and nobody had expired it; state is kept.
+    /// The process's lease ran out of time, but no other process marked it as
+    /// expired; the process keeps its state.
     LeaseLapsed = 201,
-    /// Another process had expired the lease.
+    /// Another process marked this process's lease as expired.
     LeaseExpired = 202,
-    /// This process expired the lease of another.
+    /// This process marked the lease of another process as expired.
     PeerExpired = 203,
-    /// Shards go on past the lease because a peer confirms the outage.
+    /// Shards continue past the end of the lease, because a peer confirms that
+    /// the table is unavailable.
     OutageEntered = 204,
-    /// The table answers again.
+    /// The table is available again.
     OutageLeft = 205,
-    /// No peer confirms the outage any more, or it lasted too long; the table
-    /// does not answer, and shards stop.
+    /// The table is unavailable, but no peer confirms the outage any more or it
+    /// has lasted too long; the shards stop.
     OutageUnconfirmed = 206,
-    /// A shard was claimed at a new epoch.
+    /// This process claimed a shard and raised its epoch.
     ShardClaimed = 210,
-    /// A shard serves requests.
+    /// A shard has begun to serve requests.
     ShardServing = 211,
-    /// A shard was handed over.
+    /// A shard was handed over to another process.
     ShardReleased = 212,
-    /// A shard's state was dropped: another process owns it.
+    /// The state of a shard was dropped, because another process owns the shard.
     ShardFenced = 213,
-    /// A shard of an expired lease was taken by nobody; its state is kept.
+    /// The lease expired, but no other process claimed the shard; this process
+    /// keeps the shard and its state.
     ShardReclaimed = 214,
-    /// A worker accepted the claim of a shard.
+    /// A worker accepted the claim of a shard's owner.
     WorkerClaimed = 300,
-    /// A worker refused this shard: a newer fence holds it, or it has
-    /// restarted and is claimed again.
+    /// A worker refused the shard's owner: the worker was claimed with a newer
+    /// fence, or it has restarted and will be claimed again.
     WorkerRefused = 301,
-    /// A worker does not answer.
+    /// A worker stopped answering.
     WorkerLost = 302,
-    /// A worker is leaving and gets nothing new.
+    /// A worker is leaving the cell and receives no new tasks.
     WorkerLeaving = 303,
-    /// A worker that fails everything gets nothing but probes.
+    /// A worker on which all tasks fail was quarantined: it receives only probes.
     WorkerQuarantined = 304,
     /// A worker left quarantine.
     WorkerRestored = 305,
-    /// A request was accepted by its shard.
+    /// The owner of a request's shard accepted the request.
     RequestAccepted = 400,
     /// A task was placed on a worker.
     TaskPlaced = 401,
@@ -82,24 +86,25 @@
     TaskEnded = 403,
     /// A request got its final answer.
     RequestAnswered = 404,
-    /// A request was cancelled, in the queue or while it ran.
+    /// A request was cancelled while it was queued or running.
     RequestCancelled = 405,
-    /// The caller of a request that runs asked to stop it.
+    /// The caller of a running request asked to stop it.
     StopAsked = 406,
-    /// A new configuration version is in force here.
+    /// A new configuration version is in force in this process.
     ConfigAdopted = 500,
-    /// A patch was accepted.
+    /// A configuration patch was accepted.
     PatchAccepted = 501,
-    /// A patch was refused.
+    /// A configuration patch was refused.
     PatchRefused = 502,
-    /// The answer to a patch was lost: it may be in force.
+    /// The table's reply to the commit of a patch was lost; the patch may be in
+    /// force.
     PatchUnknown = 503,
-    /// A row of the table cannot be read; it was left as it is.
+    /// A row of the table cannot be parsed; it was left unchanged.
     RowDamaged = 600,
 }
 
 impl Kind {
-    /// The number that stands in logs and in docs/EVENTS.md.
+    /// Numeric value, as used in logs and listed in docs/EVENTS.md.
     #[must_use]
     pub fn number(self) -> u16 {
         self as u16
--- a/crates/event/src/lib.rs
+++ b/crates/event/src/lib.rs
@@ -1,4 +1,4 @@
-//! Numbered events, their causal time stamps and the timeline of a process.
+//! Numbered event kinds, causal timestamps and the timeline of a process.
 
 mod event;
 mod hlc;
--- a/crates/event/src/timeline.rs
+++ b/crates/event/src/timeline.rs
@@ -1,4 +1,4 @@
-//! The events of one process: a bounded ring in memory, and a log line each.
+//! Events of one process: kept in a bounded ring buffer and written to the log.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -13,23 +13,23 @@
 use crate::Kind;
 use crate::Stamp;
 
-/// Events kept in memory; older ones are dropped, and counted as lost if they
-/// were not stored before.
-pub const RING_EVENTS: usize = 16 * 1024;
+/// Number of events kept in memory. Older events are dropped; those that were
+/// not yet written to the object store are counted as lost.
+pub const RING_CAPACITY: usize = 16 * 1024;
 
-/// Records events and hands them out to the timeline's readers.
+/// Records the events of a process and returns them to readers.
 #[derive(Debug)]
 pub struct Timeline {
     process: Incarnation,
     clock: Hlc,
     ring: Mutex<VecDeque<Event>>,
-    /// Stamp of the newest event that is stored.
+    /// Timestamp of the newest event written to the object store.
     stored: AtomicU64,
     lost: AtomicU64,
 }
 
 impl Timeline {
-    /// The timeline of one process run.
+    /// Creates an empty timeline for one incarnation of a process.
     #[must_use]
     pub fn new(process: &str) -> Timeline {
         Timeline {
@@ -41,18 +41,18 @@
         }
     }
 
-    /// The causal clock of the process.
+    /// Hybrid logical clock of the process.
     pub fn clock(&self) -> &Hlc {
         &self.clock
     }
 
-    /// Stamps, logs and keeps an event.
+    /// Adds timestamp and process to an event, logs it and keeps it in memory.
     pub fn record(&self, mut event: Event) {
         event.stamp = self.clock.tick();
         event.process.clone_from(&self.process);
-        write_line(&event);
+        log_event(&event);
         let mut ring = self.ring.lock().unwrap_or_else(PoisonError::into_inner);
-        if ring.len() == RING_EVENTS
+        if ring.len() == RING_CAPACITY
             && let Some(oldest) = ring.pop_front()
             && oldest.stamp > self.stored.load(Ordering::Acquire)
         {
@@ -61,27 +61,29 @@
         ring.push_back(event);
     }
 
-    /// All events up to `stamp` are stored.
-    pub fn note_stored(&self, stamp: Stamp) {
+    /// Marks all events up to `stamp` as written to the object store.
+    pub fn mark_stored(&self, stamp: Stamp) {
         self.stored.fetch_max(stamp, Ordering::AcqRel);
     }
 
-    /// Events that were dropped before they were stored.
+    /// Number of events that were dropped from memory before they were written
+    /// to the object store.
     #[must_use]
     pub fn lost(&self) -> u64 {
         self.lost.load(Ordering::Acquire)
     }
 
-    /// Events stamped later than `after`, oldest first, at most `limit`.
-    pub fn since(&self, after: Stamp, limit: usize) -> Vec<Event> {
+    /// Returns at most `limit` events with timestamps after `after`, oldest first.
+    pub fn events_after(&self, after: Stamp, limit: usize) -> Vec<Event> {
         let ring = self.ring.lock().unwrap_or_else(PoisonError::into_inner);
         let from = ring.partition_point(|event| event.stamp <= after);
         ring.iter().skip(from).take(limit).cloned().collect()
     }
 }
 
-/// Events of single requests are too many for the default log level.
-fn write_line(event: &Event) {
+/// Writes an event to the log. Events of single requests are logged at debug
+/// level, because there are too many of them for the default level.
+fn log_event(event: &Event) {
     let level = match event.kind {
         Kind::TaskCrashed | Kind::RowDamaged => log::Level::Error,
         Kind::LeaseExpired
--- a/crates/event/tests/docs.rs
+++ b/crates/event/tests/docs.rs
@@ -1,4 +1,4 @@
-//! The catalogue of events lists exactly those that the code has.
+//! Checks that docs/EVENTS.md lists exactly the event kinds defined in the code.
 
 use event::Kind;
 use strum::IntoEnumIterator;
@@ -6,7 +6,7 @@
 const PAGE: &str = include_str!("../../../docs/EVENTS.md");
 
 #[test]
-fn the_catalogue_lists_each_event_with_its_number() {
+fn the_docs_list_each_event_kind_with_its_number() {
     let rows: Vec<&str> = PAGE
         .lines()
         .filter(|line| line.starts_with("| "))
--- a/crates/event/tests/timeline.rs
+++ b/crates/event/tests/timeline.rs
@@ -1,8 +1,8 @@
-//! What the timeline says of events that are no longer there.
+//! Counting of events that the timeline drops from memory.
 
 use event::Event;
 use event::Kind;
-use event::RING_EVENTS;
+use event::RING_CAPACITY;
 use event::Timeline;
 
 fn fill(timeline: &Timeline, events: usize) {
@@ -11,18 +11,17 @@
     }
 }
 
-// A time line looked whole, and the event that explained a request was not in
-// it. The store had been slow under load, and the ring in memory had dropped
-// what was not stored yet; its comment said that this is counted, and nothing
-// counted it.
+// Guards against an uncounted loss of events: when the object store was slow
+// under load, the ring buffer dropped events that were not stored yet, and the
+// stored timeline looked complete although it had gaps.
 #[test]
 fn events_that_were_dropped_before_they_were_stored_are_counted() {
     let timeline = Timeline::new("a-1");
     fill(&timeline, 10);
-    let last = timeline.since(0, 10).last().map(|event| event.stamp);
+    let last = timeline.events_after(0, 10).last().map(|event| event.stamp);
 
-    timeline.note_stored(last.expect("ten events"));
-    fill(&timeline, RING_EVENTS + 5);
+    timeline.mark_stored(last.expect("ten events"));
+    fill(&timeline, RING_CAPACITY + 5);
 
     assert_eq!(timeline.lost(), 5);
 }
@@ -30,13 +29,13 @@
 #[test]
 fn events_that_were_stored_are_not_lost() {
     let timeline = Timeline::new("a-1");
-    fill(&timeline, RING_EVENTS);
+    fill(&timeline, RING_CAPACITY);
     let last = timeline
-        .since(0, RING_EVENTS)
+        .events_after(0, RING_CAPACITY)
         .last()
         .map(|event| event.stamp);
 
-    timeline.note_stored(last.expect("a full ring"));
+    timeline.mark_stored(last.expect("a full ring"));
     fill(&timeline, 100);
 
     assert_eq!(timeline.lost(), 0);
--- a/crates/fake/src/cell.rs
+++ b/crates/fake/src/cell.rs
@@ -166,7 +166,7 @@
     pub async fn open(plan: CellPlan) -> std::io::Result<Cell> {
         let folder = TempDir::new()?;
         let keys = folder.path().join("keys");
-        peer::make_keys(&keys).map_err(std::io::Error::other)?;
+        peer::generate_keys(&keys).map_err(std::io::Error::other)?;
         let platform = Platform::open(&plan.platform).await?;
         let mut cell = Cell {
             platform,
--- a/crates/fake/src/faults.rs
+++ b/crates/fake/src/faults.rs
@@ -4,8 +4,8 @@
 use std::sync::PoisonError;
 use std::time::Duration;
 
+use web::HttpResponse;
 use web::StatusCode;
-use web::Whole;
 
 /// Longer than any client of the platform waits.
 const NEVER: Duration = Duration::from_secs(20);
@@ -34,7 +34,7 @@
     }
 
     /// Applied before a call takes effect.
-    pub(crate) async fn before(&self) -> Option<Whole> {
+    pub(crate) async fn before(&self) -> Option<HttpResponse> {
         let plan = *self.plan.lock().unwrap_or_else(PoisonError::into_inner);
         if !plan.latency.is_zero() {
             tokio::time::sleep(plan.latency).await;
--- a/crates/fake/src/hosts.rs
+++ b/crates/fake/src/hosts.rs
@@ -8,10 +8,10 @@
 
 use store::Host;
 use store::HostState;
-use web::Asked;
 use web::Handler;
+use web::HttpRequest;
+use web::HttpResponse;
 use web::StatusCode;
-use web::Whole;
 
 /// Changes of the list, with the time from which they are seen.
 type Changes = Vec<(Instant, Vec<Host>)>;
@@ -73,7 +73,7 @@
 }
 
 impl Handler for FakeHosts {
-    async fn handle(&self, _asked: Asked) -> Whole {
+    async fn handle(&self, _asked: HttpRequest) -> HttpResponse {
         web::json(StatusCode::OK, &self.seen())
     }
 }
--- a/crates/fake/src/objects.rs
+++ b/crates/fake/src/objects.rs
@@ -5,11 +5,11 @@
 use std::sync::Mutex;
 use std::sync::PoisonError;
 
-use web::Asked;
 use web::Handler;
+use web::HttpRequest;
+use web::HttpResponse;
 use web::Method;
 use web::StatusCode;
-use web::Whole;
 
 use crate::Faults;
 
@@ -48,7 +48,7 @@
 }
 
 impl Handler for FakeObjects {
-    async fn handle(&self, asked: Asked) -> Whole {
+    async fn handle(&self, asked: HttpRequest) -> HttpResponse {
         if let Some(refusal) = self.faults.before().await {
             return refusal;
         }
@@ -62,7 +62,7 @@
             return web::json(StatusCode::OK, &self.names(&prefix));
         }
         match self.body(&name) {
-            Some(body) => web::with_type(StatusCode::OK, "application/octet-stream", body),
+            Some(body) => web::with_content_type(StatusCode::OK, "application/octet-stream", body),
             None => web::error(StatusCode::NOT_FOUND, "no such object"),
         }
     }
--- a/crates/fake/src/table.rs
+++ b/crates/fake/src/table.rs
@@ -6,14 +6,14 @@
 use std::sync::PoisonError;
 
 use store::Commit;
-use store::Committed;
+use store::CommitOutcome;
 use store::Conflict;
 use store::Row;
 use store::RowVersion;
-use web::Asked;
 use web::Handler;
+use web::HttpRequest;
+use web::HttpResponse;
 use web::StatusCode;
-use web::Whole;
 
 use crate::Faults;
 use crate::bucket::Bucket;
@@ -120,7 +120,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn get(&self, asked: &Asked) -> Whole {
+    fn get(&self, asked: &HttpRequest) -> HttpResponse {
         let mut state = self.lock();
         if !state.count_reads(1) {
             return too_many();
@@ -129,7 +129,7 @@
         web::json(StatusCode::OK, &state.rows.get(&key))
     }
 
-    fn range(&self, asked: &Asked) -> Whole {
+    fn range(&self, asked: &HttpRequest) -> HttpResponse {
         let prefix = asked.parameter("prefix").unwrap_or_default();
         let after = asked.parameter("after").unwrap_or_default();
         let limit = asked.parameter("limit").and_then(|l| l.parse().ok());
@@ -149,7 +149,7 @@
         web::json(StatusCode::OK, &rows)
     }
 
-    fn commit(&self, asked: &Asked) -> Whole {
+    fn commit(&self, asked: &HttpRequest) -> HttpResponse {
         let commit: Commit = match serde_json::from_slice(&asked.body) {
             Ok(commit) => commit,
             Err(error) => return web::error(StatusCode::BAD_REQUEST, &error.to_string()),
@@ -162,7 +162,7 @@
     }
 }
 
-fn too_many() -> Whole {
+fn too_many() -> HttpResponse {
     web::error(StatusCode::TOO_MANY_REQUESTS, "over the rate")
 }
 
@@ -187,13 +187,13 @@
         self.version
     }
 
-    fn commit(&mut self, commit: Commit) -> Option<Committed> {
+    fn commit(&mut self, commit: Commit) -> Option<CommitOutcome> {
         for check in &commit.checks {
             let found = self.rows.get(&check.key).map_or(0, |row| row.version);
             let ignored = self.unchecked.iter().any(|p| check.key.starts_with(p));
             if found != check.version && !ignored {
                 let key = check.key.clone();
-                return Some(Committed::Conflict(Conflict { key, found }));
+                return Some(CommitOutcome::Conflict(Conflict { key, found }));
             }
         }
         if !self.writes.take(commit.writes.len()) {
@@ -212,12 +212,12 @@
                 versions.push(self.version);
             }
         }
-        Some(Committed::Done(versions))
+        Some(CommitOutcome::Done(versions))
     }
 }
 
 impl Handler for FakeTable {
-    async fn handle(&self, asked: Asked) -> Whole {
+    async fn handle(&self, asked: HttpRequest) -> HttpResponse {
         if let Some(refusal) = self.faults.before().await {
             return refusal;
         }
--- a/crates/fake/src/verify.rs
+++ b/crates/fake/src/verify.rs
@@ -71,7 +71,7 @@
     let task = format!("{}:{}", request_key(TEAM, id), outcome.request.payload);
     let expected = vec![task; usize::try_from(outcome.request.members).unwrap_or_default()];
     let expected = expected.join("\n");
-    let own = body.answer.output == expected && body.answer.is_whole();
+    let own = body.answer.output == expected && body.answer.has_valid_digest();
     (!own).then(|| format!("{id}: not its own whole answer: {:?}", body.answer.output))
 }
 
--- a/crates/fake/src/worker/fake_worker.rs
+++ b/crates/fake/src/worker/fake_worker.rs
@@ -12,11 +12,11 @@
 use model::digest;
 use tokio::sync::Notify;
 use worker::Claim;
-use worker::Claimed;
+use worker::ClaimReply;
 use worker::End;
 use worker::EndResult;
 use worker::Poll;
-use worker::Polled;
+use worker::PollReply;
 use worker::Refusal;
 use worker::RefusalReason;
 use worker::Start;
@@ -78,7 +78,7 @@
         self.lock().running().count()
     }
 
-    pub(super) fn claim(&self, claim: &Claim) -> Result<Claimed, Refusal> {
+    pub(super) fn claim(&self, claim: &Claim) -> Result<ClaimReply, Refusal> {
         let mut state = self.lock();
         if claim.fence < state.fence && !state.manner.unfenced {
             return Err(state.refusal(RefusalReason::Fenced));
@@ -87,7 +87,7 @@
         state.claimed = true;
         state.lease = Duration::from_millis(claim.lease_millis);
         let turn = state.next_turn();
-        Ok(Claimed {
+        Ok(ClaimReply {
             incarnation: state.run.clone(),
             turn,
             capacity: self.capacity,
@@ -182,7 +182,7 @@
         Ok(())
     }
 
-    pub(super) async fn poll(&self, poll: &Poll) -> Result<Polled, Refusal> {
+    pub(super) async fn poll(&self, poll: &Poll) -> Result<PollReply, Refusal> {
         let until = Instant::now() + Duration::from_millis(poll.wait_millis);
         self.lock().take_poll(poll)?;
         loop {
--- a/crates/fake/src/worker/handler.rs
+++ b/crates/fake/src/worker/handler.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use web::Asked;
 use web::Handler;
+use web::HttpRequest;
+use web::HttpResponse;
 use web::StatusCode;
-use web::Whole;
 use worker::Claim;
 use worker::Poll;
 use worker::Refusal;
@@ -18,7 +18,7 @@
 const PAUSED_TICK: Duration = Duration::from_millis(20);
 
 impl Handler for FakeWorker {
-    async fn handle(&self, asked: Asked) -> Whole {
+    async fn handle(&self, asked: HttpRequest) -> HttpResponse {
         loop {
             let manner = self.lock().manner;
             if !manner.paused {
@@ -51,7 +51,7 @@
 }
 
 impl FakeWorker {
-    async fn start_late(&self, start: Start) -> Whole {
+    async fn start_late(&self, start: Start) -> HttpResponse {
         let late = self.lock().manner.late_starts;
         if late.is_zero() {
             return reply(self.start(&start));
@@ -68,13 +68,13 @@
     }
 }
 
-fn reply<T: serde::Serialize>(result: Result<T, Refusal>) -> Whole {
+fn reply<T: serde::Serialize>(result: Result<T, Refusal>) -> HttpResponse {
     match result {
         Ok(value) => web::json(StatusCode::OK, &value),
         Err(refusal) => web::json(StatusCode::CONFLICT, &refusal),
     }
 }
 
-fn bad(error: &serde_json::Error) -> Whole {
+fn bad(error: &serde_json::Error) -> HttpResponse {
     web::error(StatusCode::BAD_REQUEST, &error.to_string())
 }
--- a/crates/fake/src/worker/state.rs
+++ b/crates/fake/src/worker/state.rs
@@ -10,12 +10,12 @@
 use worker::AttemptId;
 use worker::Fence;
 use worker::Poll;
-use worker::Polled;
+use worker::PollReply;
 use worker::Refusal;
 use worker::RefusalReason;
+use worker::ReplyNumber;
 use worker::Start;
 use worker::Task;
-use worker::Turn;
 
 use super::Manner;
 
@@ -24,7 +24,7 @@
 pub(super) struct Running {
     pub(super) task: Task,
     /// Reply that first told of its end; 0 before.
-    pub(super) told: Turn,
+    pub(super) told: ReplyNumber,
 }
 
 /// An attempt that is over, remembered against late copies of its start.
@@ -42,8 +42,8 @@
     pub(super) claimed: bool,
     pub(super) lease: Duration,
     pub(super) lease_until: Option<Instant>,
-    turn: Turn,
-    sent: VecDeque<(Turn, Instant)>,
+    turn: ReplyNumber,
+    sent: VecDeque<(ReplyNumber, Instant)>,
     pub(super) tasks: HashMap<AttemptId, Running>,
     /// Attempts that are over: when, and whether they were carried out.
     closed: HashMap<AttemptId, Closed>,
@@ -95,7 +95,7 @@
         }
     }
 
-    pub(super) fn next_turn(&mut self) -> Turn {
+    pub(super) fn next_turn(&mut self) -> ReplyNumber {
         self.turn += 1;
         let now = Instant::now();
         self.sent.push_back((self.turn, now));
@@ -163,14 +163,14 @@
     }
 
     /// Ends that no acknowledged reply has told of.
-    pub(super) fn has_news(&self, acknowledged: Turn) -> bool {
+    pub(super) fn has_news(&self, acknowledged: ReplyNumber) -> bool {
         let fresh = |running: &Running| {
             running.task.end.is_some() && (running.told == 0 || running.told > acknowledged)
         };
         self.tasks.values().any(fresh)
     }
 
-    pub(super) fn polled(&mut self, acknowledged: Turn) -> Polled {
+    pub(super) fn polled(&mut self, acknowledged: ReplyNumber) -> PollReply {
         let turn = self.next_turn();
         let mut ended = Vec::new();
         for running in self.tasks.values_mut() {
@@ -180,7 +180,7 @@
                 ended.push(running.task.clone());
             }
         }
-        Polled {
+        PollReply {
             turn,
             incarnation: self.run.clone(),
             ended,
--- a/crates/model/src/answer.rs
+++ b/crates/model/src/answer.rs
@@ -1,4 +1,4 @@
-//! What a caller gets back.
+//! Answers to requests, as returned to callers.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -9,31 +9,32 @@
 use crate::RequestId;
 use crate::WorkerId;
 
-/// Answer to a request: final, or pending.
+/// Answer to a request; either final or pending.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
     /// Id of the request.
     pub id: RequestId,
     /// Result code.
     pub code: Code,
-    /// Why, for people.
+    /// Human-readable explanation of the result code.
     pub reason: String,
-    /// What the task wrote.
+    /// Output of the task.
     pub output: String,
-    /// Hex SHA-256 of `output`, as computed where the task ran.
+    /// Hexadecimal SHA-256 of `output`, computed by the worker that ran the task.
     pub digest: String,
-    /// Worker of the first member; empty when nothing started.
+    /// Worker that ran the first member; empty if no task was started.
     pub worker: WorkerId,
-    /// Milliseconds from submission to start.
+    /// Time from submission to start, in milliseconds.
     pub waited_millis: u64,
-    /// When to come back, in milliseconds; 0 when it does not apply.
+    /// Delay after which the caller may retry, in milliseconds; 0 if a retry
+    /// does not apply.
     pub retry_millis: u64,
 }
 
 impl Answer {
-    /// An answer without output.
+    /// Creates an answer without output.
     #[must_use]
-    pub fn bare(id: &str, code: Code, reason: impl Into<String>) -> Answer {
+    pub fn without_output(id: &str, code: Code, reason: impl Into<String>) -> Answer {
         Answer {
             id: id.to_owned(),
             code,
@@ -46,21 +47,21 @@
         }
     }
 
-    /// Tells the caller when to come back.
+    /// Sets the delay after which the caller may retry.
     #[must_use]
     pub fn retry_in(mut self, millis: u64) -> Answer {
         self.retry_millis = millis;
         self
     }
 
-    /// Whether the output is the one that the task wrote, whole.
+    /// Whether the output is complete and unchanged since the task wrote it.
     #[must_use]
-    pub fn is_whole(&self) -> bool {
+    pub fn has_valid_digest(&self) -> bool {
         digest(&self.output) == self.digest
     }
 }
 
-/// Hex SHA-256 of `text`.
+/// Returns the hexadecimal SHA-256 of `text`.
 #[must_use]
 pub fn digest(text: &str) -> String {
     use std::fmt::Write;
--- a/crates/model/src/class.rs
+++ b/crates/model/src/class.rs
@@ -1,4 +1,4 @@
-//! Classes of work, each with a scheduling policy of its own.
+//! Work classes, each with its own scheduling policy.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,7 +7,7 @@
 use strum::EnumString;
 use strum::IntoStaticStr;
 
-/// What kind of work a request is; it selects the policy and the queue.
+/// Work class of a request; selects the scheduling policy and the queue.
 #[derive(
     Clone,
     Copy,
@@ -27,19 +27,20 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Class {
-    /// Goes before everything else.
+    /// Scheduled before all other classes.
     Urgent,
-    /// A person is waiting for the answer.
+    /// A user is waiting for the answer.
     Interactive,
-    /// All members start together.
+    /// A group of tasks (members) that must start together.
     Gang,
-    /// May wait, but ends before its deadline.
+    /// May wait in the queue, but must end before its deadline.
     Batch,
 }
 
 impl Class {
-    /// Whether a start must be recorded in the table before it is sent, so
-    /// that no later owner of the shard can repeat it.
+    /// Whether the intent to start a task must be recorded in the table before
+    /// the start message is sent, so that no later owner of the shard can start
+    /// the task again.
     #[must_use]
     pub fn is_durable(self) -> bool {
         matches!(self, Class::Gang | Class::Batch)
--- a/crates/model/src/code.rs
+++ b/crates/model/src/code.rs
@@ -1,4 +1,4 @@
-//! Numbered result codes and the families that they belong to.
+//! Numeric result codes and their families.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,26 +6,26 @@
 use strum::EnumIter;
 use strum::IntoStaticStr;
 
-/// What a caller may conclude from a result code.
+/// Family of result codes; states whether the request ran and how it ended.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, Display, IntoStaticStr,
 )]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Family {
-    /// It ran and succeeded.
+    /// The request ran and succeeded.
     Succeeded,
-    /// It ran and failed.
+    /// The request ran and failed.
     Failed,
-    /// It did not run and will not run.
+    /// The request did not run and will not run.
     NotRun,
-    /// It may have run, in part or whole; nobody can tell.
+    /// Unknown whether the request ran, partly or completely.
     MayHaveRun,
-    /// No final answer yet; ask again.
+    /// No final answer yet; the caller should ask again.
     Pending,
 }
 
-/// Outcome of a request. The number never changes its meaning.
+/// Result code of a request. The meaning of a number must never change.
 #[derive(
     Clone,
     Copy,
@@ -43,46 +43,50 @@
 #[strum(serialize_all = "snake_case")]
 #[repr(u16)]
 pub enum Code {
-    /// The task ended with success.
+    /// The task succeeded.
     Ok = 100,
-    /// The task ended with a failure of its own.
+    /// The task itself reported a failure.
     TaskFailed = 200,
-    /// The task was stopped at its run-time limit or by its caller.
+    /// The task was stopped because it reached its run-time limit or because the
+    /// caller cancelled it.
     TaskStopped = 201,
     /// The request is malformed.
     Invalid = 300,
-    /// No host or limit of the cell could ever hold it.
+    /// The request needs more than any host offers or any limit of the cell allows.
     NeverFits = 301,
-    /// The queue of its class or team is full.
+    /// The queue of the request's class or team is full.
     QueueFull = 302,
-    /// Its deadline passed before it could start.
+    /// The deadline passed before the request could start.
     DeadlinePassed = 303,
-    /// It was cancelled before it started.
+    /// The request was cancelled before it started.
     Cancelled = 304,
-    /// The table is unavailable and the work needs a recorded intent.
+    /// The table is unavailable, and this request must not start without a
+    /// recorded intent.
     StoreUnavailable = 305,
-    /// No owner of its shard could be reached; nothing was sent.
+    /// No owner of the request's shard was reachable; the request was not sent.
     NoOwner = 306,
-    /// The same id was used earlier for different work.
+    /// The id was already used for a different request.
     IdReused = 308,
-    /// The host that ran it was lost.
+    /// The host that ran the request was lost.
     HostLost = 400,
-    /// The owner of its shard did not answer in time.
+    /// The owner of the request's shard did not answer in time.
     OwnerLost = 401,
-    /// The id is older than the retention of answers.
+    /// The request is older than the retention time of answers, so its result is
+    /// no longer stored.
     Forgotten = 402,
-    /// No final answer yet: accepted, or perhaps still on its way to its owner.
+    /// No final answer yet: the request was accepted, or may still be on its way
+    /// to the owner of its shard.
     Pending = 500,
 }
 
 impl Code {
-    /// The number that stands in answers and in docs/CODES.md.
+    /// Numeric value, as used in answers and listed in docs/CODES.md.
     #[must_use]
     pub fn number(self) -> u16 {
         self as u16
     }
 
-    /// The family, which alone decides what a caller may conclude.
+    /// Family of the code. Callers should base their decisions on the family only.
     #[must_use]
     pub fn family(self) -> Family {
         match self.number() {
--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -1,4 +1,4 @@
-//! The operators' numbered configuration document.
+//! The cell's versioned configuration document, which operators patch.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,50 +14,52 @@
 use crate::Version;
 use crate::WorkerId;
 
-/// Largest document, in bytes of JSON.
-pub const CONFIG_BYTES: usize = 256 * 1024;
+/// Maximum size of the configuration document, in bytes of JSON.
+pub const MAX_CONFIG_BYTES: usize = 256 * 1024;
 
-/// Limits of one team.
+/// Limits that apply to one team.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
-    /// Most that the team's tasks hold at one time, over the whole cell.
+    /// Maximum resources that the team's running tasks may hold in the whole cell.
     pub quota: Resources,
-    /// Shards over which the team is spread, fixed when the team is made. Left
-    /// out, it follows from the quota: a shard for each 8 slots.
+    /// Number of shards over which the team is spread, fixed when the team is
+    /// created. The default is derived from the quota: one shard per 8 slots.
     #[serde(default)]
     pub span: u16,
-    /// Most requests of the team that wait in one shard.
+    /// Maximum number of the team's requests queued in one shard.
     #[serde(default = "default_queue")]
     pub queue: u32,
 }
 
-/// Slots of a team's quota for each shard that it is spread over.
-const SPAN_SLOTS: u32 = 8;
+/// Quota slots per shard, from which the default span of a team is derived.
+const SLOTS_PER_SHARD: u32 = 8;
 
 fn default_span(slots: u32) -> u16 {
-    u16::try_from(slots / SPAN_SLOTS).unwrap_or(u16::MAX).max(1)
+    u16::try_from(slots / SLOTS_PER_SHARD)
+        .unwrap_or(u16::MAX)
+        .max(1)
 }
 
 fn default_queue() -> u32 {
     4096
 }
 
-/// Limits and policies that hold over the whole cell.
+/// Limits and policies that apply to the whole cell.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Cap on the power of all tasks, in watts.
+    /// Maximum power of all running tasks, in watts.
     pub site_watts: u32,
-    /// Cap on the power of the tasks in one rack, in watts.
+    /// Maximum power of the running tasks in one rack, in watts.
     pub rack_watts: u32,
-    /// Teams that may submit work.
+    /// Teams that may submit requests, by name.
     pub teams: BTreeMap<TeamId, Team>,
-    /// Workers that get nothing new and whose long work is moved.
+    /// Workers that receive no new tasks and whose long-running tasks are moved.
     #[serde(default)]
     pub drained: BTreeSet<WorkerId>,
-    /// Weight of packing against waiting, in percent: 0 places for the least
-    /// waiting, 100 for the tightest packing.
+    /// Weight of tight packing against short waiting times in placement, in
+    /// percent: 0 minimizes waiting, 100 packs as tightly as possible.
     #[serde(default)]
     pub pack_percent: u32,
 }
@@ -74,32 +76,32 @@
     }
 }
 
-/// Why a patch cannot become the next document.
+/// Reason why a patch was rejected.
 #[derive(Debug, PartialEq, Eq, Snafu)]
 pub enum ConfigError {
-    /// The patched document does not parse.
+    /// The patched document cannot be parsed.
     #[snafu(display("the patched document is invalid: {reason}"))]
-    Shape {
-        /// What the parser found and what it expected.
+    Malformed {
+        /// Error message of the parser.
         reason: String,
     },
-    /// A field breaks its rule.
+    /// A field has a value that is not allowed.
     #[snafu(display("{field}: found {found}, allowed: {allowed}"))]
-    Field {
-        /// Path of the field.
+    InvalidField {
+        /// Path of the field in the document.
         field: String,
-        /// What it holds.
+        /// Value of the field.
         found: String,
-        /// What it may hold.
+        /// Description of the allowed values.
         allowed: String,
     },
 }
 
 impl Config {
-    /// Applies a merge patch (RFC 7396) and checks the whole result.
+    /// Applies a JSON merge patch (RFC 7396) and validates the resulting document.
     ///
     /// # Errors
-    /// The document that results is malformed or breaks a rule; `self` stays.
+    /// The resulting document cannot be parsed or is invalid.
     pub fn patched(&self, patch: &Value) -> Result<Config, ConfigError> {
         let mut document = serde_json::to_value(self).unwrap_or(Value::Null);
         json_patch::merge(&mut document, patch);
@@ -107,11 +109,11 @@
         check(
             "document",
             &size,
-            size <= CONFIG_BYTES,
+            size <= MAX_CONFIG_BYTES,
             "at most 262144 bytes",
         )?;
         let mut config: Config =
-            serde_json::from_value(document).map_err(|error| ConfigError::Shape {
+            serde_json::from_value(document).map_err(|error| ConfigError::Malformed {
                 reason: error.to_string(),
             })?;
         config.check()?;
@@ -122,32 +124,36 @@
         Ok(config)
     }
 
-    /// A span that changed would send a retry to another shard, which knows
-    /// nothing of the request and would run it again.
-    fn check_spans(&self, before: &Config) -> Result<(), ConfigError> {
+    /// Rejects changes to the span of an existing team: the retry of a request
+    /// would be routed to another shard, which has no record of the request and
+    /// would run it again.
+    fn check_spans(&self, previous_config: &Config) -> Result<(), ConfigError> {
         for (name, team) in &self.teams {
-            let earlier = before.teams.get(name).map(|earlier| earlier.span);
-            let Some(earlier) = earlier else {
+            let previous = previous_config
+                .teams
+                .get(name)
+                .map(|previous| previous.span);
+            let Some(previous) = previous else {
                 continue;
             };
             let field = format!("teams.{name}.span");
-            let allowed = format!("{earlier}, as the team was made");
-            check(&field, &team.span, team.span == earlier, &allowed)?;
+            let allowed = format!("{previous}, as the team was made");
+            check(&field, &team.span, team.span == previous, &allowed)?;
         }
         Ok(())
     }
 
-    /// The shards of a team, if there is such a team.
+    /// Returns the shards of a team, if the team exists.
     #[must_use]
     pub fn team_shards(&self, team: &str, shards: u16) -> Option<TeamShards> {
-        let known = self.teams.get(team)?;
-        Some(TeamShards::new(team, known.span, shards))
+        let team_limits = self.teams.get(team)?;
+        Some(TeamShards::new(team, team_limits.span, shards))
     }
 
-    /// Checks every field against its rule.
+    /// Validates every field.
     ///
     /// # Errors
-    /// The first field that breaks its rule.
+    /// The first field with a value that is not allowed.
     pub fn check(&self) -> Result<(), ConfigError> {
         check(
             "pack_percent",
@@ -158,12 +164,12 @@
         let rack = self.rack_watts <= self.site_watts;
         check("rack_watts", &self.rack_watts, rack, "at most site_watts")?;
         for (name, team) in &self.teams {
-            let plain = name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-');
-            let named = plain && (1..=64).contains(&name.len());
+            let valid_chars = name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-');
+            let valid_name = valid_chars && (1..=64).contains(&name.len());
             check(
                 "teams",
                 name,
-                named,
+                valid_name,
                 "names of 1 to 64 letters, digits and hyphens",
             )?;
             let field = format!("teams.{name}.queue");
@@ -181,26 +187,27 @@
 fn check(
     field: &str,
     found: &impl std::fmt::Display,
-    holds: bool,
+    valid: bool,
     allowed: &str,
 ) -> Result<(), ConfigError> {
-    if holds {
+    if valid {
         return Ok(());
     }
-    Err(ConfigError::Field {
+    Err(ConfigError::InvalidField {
         field: field.to_owned(),
         found: found.to_string(),
         allowed: allowed.to_owned(),
     })
 }
 
-/// A document together with its number and the patch that made it.
+/// A configuration document with its version number and the id of the patch
+/// that produced it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Numbered {
-    /// Number of the document; 0 before the first patch.
+pub struct VersionedConfig {
+    /// Version number of the document; 0 before the first patch.
     pub version: Version,
-    /// Id that the operator gave the patch.
+    /// Id of the patch, chosen by the operator.
     pub patch_id: String,
-    /// The document itself.
+    /// Content of the document.
     pub config: Config,
 }
--- a/crates/model/src/id.rs
+++ b/crates/model/src/id.rs
@@ -1,50 +1,53 @@
-//! Type aliases for the ids that travel between processes.
+//! Identifiers exchanged between processes, and the mapping of requests to shards.
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Id of a request, chosen by its caller; unique within a team.
+/// Id of a request, chosen by its caller and unique within a team.
 pub type RequestId = String;
 
-/// Name of a team, as in the configuration document.
+/// Name of a team, as given in the configuration document.
 pub type TeamId = String;
 
-/// Name of a worker, as in the platform's host list.
+/// Name of a worker, as given in the platform's host list.
 pub type WorkerId = String;
 
-/// Number of a shard, from 0 to the cell's shard count less one.
+/// Index of a shard, from 0 to the cell's shard count minus one.
 pub type ShardId = u16;
 
-/// Ownership generation of a shard; it grows with each change of owner.
+/// Ownership generation of a shard; increases with each change of owner.
 pub type Epoch = u64;
 
-/// Name of one run of one process; a restarted process gets another.
+/// Identifies one incarnation of a process or worker; a restart creates a new one.
 pub type Incarnation = String;
 
-/// Number of an accepted configuration document.
+/// Version number of an accepted configuration document.
 pub type Version = u64;
 
-/// Key under which a shard remembers a request: team and request id.
+/// Key under which a shard stores a request: team and request id.
 #[must_use]
 pub fn request_key(team: &str, id: &str) -> String {
     format!("{team}/{id}")
 }
 
-/// Key under which another shard runs a request that its own has no room for.
+/// Key of a request that its own shard has no free resources for and has
+/// lent to shard `to`, which runs it.
 #[must_use]
 pub fn lent_key(key: &str, to: ShardId) -> String {
     format!("{key}~{to}")
 }
 
-/// The shard that a lent request was lent to.
+/// Returns the shard that runs a lent request; none if `key` is not the key
+/// of a lent request.
 #[must_use]
 pub fn lent_to(key: &str) -> Option<ShardId> {
     key.rsplit_once('~')
         .and_then(|(_, shard)| shard.parse().ok())
 }
 
-/// Shards over which the requests and the quota of a team are spread, from its
-/// first to its last. A small quota cut into a part for every shard would leave
-/// parts that hold no task at all.
+/// Contiguous range of shards, wrapping at the last one, over which the
+/// requests and the quota of a team are spread. A team does not use all shards,
+/// because a small quota split among all of them would leave grants that are
+/// too small for a single task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TeamShards {
     first: u16,
@@ -53,27 +56,27 @@
 }
 
 impl TeamShards {
-    /// The shards of a team in a cell of `shards`; at most `span` of them.
+    /// Selects the shards of a team, at most `span`, in a cell of `shards` shards.
     #[must_use]
     pub fn new(team: &str, span: u16, shards: u16) -> TeamShards {
         let shards = shards.max(1);
         TeamShards {
-            first: slot(team, shards),
+            first: bucket(team, shards),
             span: span.clamp(1, shards),
             shards,
         }
     }
 
-    /// The shard that a request belongs to, for good: the same on every
-    /// process, as long as the team keeps its span.
+    /// Returns the shard that a request belongs to. The result is the same on
+    /// every process and stays the same as long as the team keeps its span.
     #[must_use]
     pub fn home(&self, key: &str) -> ShardId {
-        let offset = u32::from(slot(key, self.span));
+        let offset = u32::from(bucket(key, self.span));
         let shard = (u32::from(self.first) + offset) % u32::from(self.shards);
         u16::try_from(shard).unwrap_or_default()
     }
 
-    /// Place of a shard among the team's, if it is one of them.
+    /// Index of a shard in the team's range, if it belongs to the range.
     #[must_use]
     pub fn index_of(&self, shard: ShardId) -> Option<u16> {
         let shards = u32::from(self.shards);
@@ -81,15 +84,16 @@
         u16::try_from(index).ok().filter(|index| *index < self.span)
     }
 
-    /// Number of the team's shards.
+    /// Number of shards in the team's range.
     #[must_use]
     pub fn span(&self) -> u16 {
         self.span
     }
 }
 
-fn slot(text: &str, slots: u16) -> u16 {
-    u16::try_from(xxh3_64(text.as_bytes()) % u64::from(slots)).unwrap_or_default()
+/// Hashes `text` to a number below `buckets`.
+fn bucket(text: &str, buckets: u16) -> u16 {
+    u16::try_from(xxh3_64(text.as_bytes()) % u64::from(buckets)).unwrap_or_default()
 }
 
 #[cfg(test)]
@@ -109,7 +113,7 @@
     }
 
     #[test]
-    fn a_team_has_as_many_shards_as_its_span() {
+    fn the_number_of_a_teams_shards_equals_its_span() {
         let shards = TeamShards::new("netting", 3, 16);
 
         let count = (0..16)
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,5 +1,5 @@
-//! Shared vocabulary of the cell: ids, resources, requests, answers, result
-//! codes and the operators' configuration document.
+//! Data types shared by all processes of a cell: ids, resources, requests,
+//! answers, result codes and the configuration document.
 
 mod answer;
 mod class;
--- a/crates/model/src/request.rs
+++ b/crates/model/src/request.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for.
+//! Requests, as submitted by callers.
 
 use std::fmt::Display;
 use std::time::Duration;
@@ -12,48 +12,50 @@
 use crate::Resources;
 use crate::TeamId;
 
-/// Longest request id, in bytes.
-pub const ID_BYTES: usize = 128;
+/// Maximum length of a request id, in bytes.
+pub const MAX_ID_BYTES: usize = 128;
 
-/// Largest payload, in bytes.
-pub const PAYLOAD_BYTES: usize = 64 * 1024;
+/// Maximum size of a payload, in bytes.
+pub const MAX_PAYLOAD_BYTES: usize = 64 * 1024;
 
-/// Most members of a gang.
-pub const GANG_MEMBERS: u32 = 128;
+/// Maximum number of members in a gang.
+pub const MAX_GANG_MEMBERS: u32 = 128;
 
-/// Longest time to a deadline, in milliseconds: a day.
-pub const DEADLINE_MILLIS: u64 = 86_400_000;
+/// Maximum deadline, in milliseconds from the submission: one day.
+pub const MAX_DEADLINE_MILLIS: u64 = 86_400_000;
 
-/// One piece of work, as submitted by its caller.
+/// A request to run one task, or the tasks of one gang.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Request {
-    /// Chosen by the caller; a retry carries the same id.
+    /// Id chosen by the caller; a retry must use the same id.
     pub id: RequestId,
-    /// Filled in from the caller's token, never taken from the body.
+    /// Team of the caller. Set from the caller's token; a value in the body is
+    /// ignored.
     #[serde(default)]
     pub team: TeamId,
-    /// Selects the policy.
+    /// Work class, which selects the scheduling policy.
     pub class: Class,
-    /// Needs of each member.
+    /// Resources that each member needs.
     pub needs: Resources,
-    /// Declared run time, in milliseconds.
+    /// Run time declared by the caller, in milliseconds.
     pub run_millis: u64,
     /// Latest start, in milliseconds from the submission.
     pub deadline_millis: u64,
-    /// Whether running it twice does no harm.
+    /// Whether the request may safely run more than once.
     #[serde(default)]
     pub idempotent: bool,
-    /// Tasks that start together; 1 but for gangs.
+    /// Number of tasks that start together; 1 unless the request is a gang.
     #[serde(default = "one")]
     pub members: u32,
-    /// Free text by which many requests are cancelled in one call.
+    /// Label with which several requests can be cancelled in one call.
     #[serde(default)]
     pub label: String,
-    /// When the caller first sent it, in milliseconds since 1970; 0 means now.
+    /// Time at which the caller first sent the request, in milliseconds since
+    /// 1970; 0 means now.
     #[serde(default)]
     pub sent_millis: u64,
-    /// Handed to the task as it is.
+    /// Payload, passed to the task unchanged.
     #[serde(default)]
     pub payload: String,
 }
@@ -62,34 +64,34 @@
     1
 }
 
-/// Why a request is malformed.
+/// Reason why a request is invalid.
 #[derive(Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{field}: found {found}, allowed: {allowed}"))]
 pub struct RequestError {
-    /// Field that breaks the rule.
+    /// Name of the invalid field.
     pub field: &'static str,
-    /// What it holds.
+    /// Value of the field.
     pub found: String,
-    /// What it may hold.
+    /// Description of the allowed values.
     pub allowed: String,
 }
 
 impl Request {
-    /// Checks every field.
+    /// Validates every field.
     ///
     /// # Errors
-    /// The first field that breaks its rule.
+    /// The first field with a value that is not allowed.
     pub fn check(&self) -> Result<(), RequestError> {
-        let plain = |b: u8| b.is_ascii_graphic() && b != b'/' && b != b'~';
-        let named = self.id.bytes().all(plain);
+        let is_allowed = |b: u8| b.is_ascii_graphic() && b != b'/' && b != b'~';
+        let valid_chars = self.id.bytes().all(is_allowed);
         let length = self.id.len();
         ensure(
             "id",
             &self.id,
-            named && (1..=ID_BYTES).contains(&length),
+            valid_chars && (1..=MAX_ID_BYTES).contains(&length),
             || {
                 format!(
-                    "1 to {ID_BYTES} printable ASCII characters without spaces, slashes or tildes"
+                    "1 to {MAX_ID_BYTES} printable ASCII characters without spaces, slashes or tildes"
                 )
             },
         )?;
@@ -100,35 +102,36 @@
             || "0 or 1; a task takes one slot".to_owned(),
         )?;
         let gang = self.class == Class::Gang;
-        let members = if gang { 2..=GANG_MEMBERS } else { 1..=1 };
+        let members = if gang { 2..=MAX_GANG_MEMBERS } else { 1..=1 };
         ensure(
             "members",
             &self.members,
             members.contains(&self.members),
-            || format!("2 to {GANG_MEMBERS} for a gang, 1 otherwise"),
+            || format!("2 to {MAX_GANG_MEMBERS} for a gang, 1 otherwise"),
         )?;
-        let deadline = 1..=DEADLINE_MILLIS;
+        let deadline = 1..=MAX_DEADLINE_MILLIS;
         ensure(
             "deadline_millis",
             &self.deadline_millis,
             deadline.contains(&self.deadline_millis),
-            || format!("1 to {DEADLINE_MILLIS}"),
+            || format!("1 to {MAX_DEADLINE_MILLIS}"),
         )?;
         ensure(
             "payload",
             &self.payload.len(),
-            self.payload.len() <= PAYLOAD_BYTES,
-            || format!("at most {PAYLOAD_BYTES} bytes"),
+            self.payload.len() <= MAX_PAYLOAD_BYTES,
+            || format!("at most {MAX_PAYLOAD_BYTES} bytes"),
         )
     }
 
-    /// Whether the start is recorded in the table before it is sent.
+    /// Whether the intent to start must be recorded in the table before the
+    /// start message is sent.
     #[must_use]
     pub fn is_durable(&self) -> bool {
         self.class.is_durable() || !self.idempotent
     }
 
-    /// Needs of one member, its slot included.
+    /// Resources that each member needs, including its slot.
     #[must_use]
     pub fn task_needs(&self) -> Resources {
         Resources {
@@ -137,7 +140,7 @@
         }
     }
 
-    /// Latest start, counted from the submission.
+    /// Latest start, as the time since the submission.
     #[must_use]
     pub fn deadline(&self) -> Duration {
         Duration::from_millis(self.deadline_millis)
@@ -147,10 +150,10 @@
 fn ensure(
     field: &'static str,
     found: &impl Display,
-    holds: bool,
+    valid: bool,
     allowed: impl FnOnce() -> String,
 ) -> Result<(), RequestError> {
-    if holds {
+    if valid {
         return Ok(());
     }
     Err(RequestError {
--- a/crates/model/src/resources.rs
+++ b/crates/model/src/resources.rs
@@ -1,22 +1,22 @@
-//! Amounts of what a worker has and a task needs.
+//! Resource amounts: the capacity of workers and the needs of tasks.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Processors, memory, accelerators, slots and power of a task or a worker.
+/// Processor, memory, accelerators, slots and power of a task or a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Resources {
-    /// Processors, in thousandths of a core.
+    /// Processor time, in thousandths of a core.
     #[serde(default)]
     pub cpu_milli: u32,
     /// Memory, in MiB.
     #[serde(default)]
     pub memory_mib: u32,
-    /// Whole accelerators.
+    /// Number of accelerators.
     #[serde(default)]
     pub accelerators: u32,
-    /// Slots; a task takes one.
+    /// Number of task slots; each task takes one.
     #[serde(default)]
     pub slots: u32,
     /// Electric power, in watts.
@@ -35,7 +35,7 @@
             && self.power_watts <= free.power_watts
     }
 
-    /// How many times `self` fits into `all`.
+    /// How many copies of `self` fit into `all`.
     #[must_use]
     pub fn fit_times(&self, all: &Resources) -> u32 {
         let times = |need: u32, have: u32| have.checked_div(need).unwrap_or(u32::MAX);
@@ -46,7 +46,7 @@
             .min(times(self.power_watts, all.power_watts))
     }
 
-    /// Sum of both; it stops at the largest value of a field.
+    /// Adds field by field, saturating at the maximum of the field type.
     #[must_use]
     pub fn plus(&self, other: &Resources) -> Resources {
         Resources {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// What is left of `self` without `other`; never below zero.
+    /// Subtracts field by field, saturating at zero.
     #[must_use]
     pub fn minus(&self, other: &Resources) -> Resources {
         Resources {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The same amount `count` times.
+    /// Multiplies each field by `count`, saturating at the maximum of the field type.
     #[must_use]
     pub fn times(&self, count: u32) -> Resources {
         Resources {
--- a/crates/model/tests/docs.rs
+++ b/crates/model/tests/docs.rs
@@ -1,4 +1,4 @@
-//! The table of result codes lists exactly those that the code has.
+//! Checks that docs/CODES.md lists exactly the result codes defined in the code.
 
 use model::Code;
 use strum::IntoEnumIterator;
--- a/crates/peer/src/node.rs
+++ b/crates/peer/src/endpoint.rs
@@ -19,9 +19,9 @@
 use serde::de::DeserializeOwned;
 
 use crate::CELL_NAME;
-use crate::FRAME_BYTES;
 use crate::Frame;
 use crate::KeyFiles;
+use crate::MAX_FRAME_BYTES;
 use crate::OpenError;
 use crate::PeerError;
 use crate::Service;
@@ -31,7 +31,7 @@
 
 /// Silence after which a connection counts as dead. Calls that wait on it
 /// then fail, so their callers can turn to the next owner.
-const DEAD_AFTER: Duration = Duration::from_secs(2);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Interval of keep-alive packets on a quiet connection.
 const KEEP_ALIVE: Duration = Duration::from_millis(600);
@@ -41,17 +41,17 @@
 
 /// Most calls in flight on one connection. The library keeps a table of that
 /// size for each; with 16,384 a connection took 2.4 MiB.
-const STREAMS: u32 = 2048;
+const MAX_STREAMS: u32 = 2048;
 
 /// Endpoint of one process; clones share it.
 #[derive(Clone, Debug)]
-pub struct Node {
+pub struct PeerEndpoint {
     endpoint: Endpoint,
     timeline: Arc<Timeline>,
     connections: Arc<Mutex<HashMap<SocketAddr, Connection>>>,
 }
 
-impl Node {
+impl PeerEndpoint {
     /// Binds the socket and loads the keys.
     ///
     /// # Errors
@@ -60,7 +60,7 @@
         listen: SocketAddr,
         keys: &KeyFiles,
         timeline: Arc<Timeline>,
-    ) -> Result<Node, OpenError> {
+    ) -> Result<PeerEndpoint, OpenError> {
         let tls = tls::load(keys)?;
         let transport = Arc::new(transport());
         let mut server = quinn::ServerConfig::with_crypto(Arc::new(tls.server));
@@ -72,7 +72,7 @@
             source,
         })?;
         endpoint.set_default_client_config(client);
-        Ok(Node {
+        Ok(PeerEndpoint {
             endpoint,
             timeline,
             connections: Arc::default(),
@@ -83,53 +83,53 @@
     ///
     /// # Errors
     /// See [`PeerError`]; only `Unreached` says that nothing was received.
-    pub async fn call<A, R>(
+    pub async fn call<Q, R>(
         &self,
         peer: SocketAddr,
-        ask: &A,
+        request: &Q,
         timeout: Duration,
     ) -> Result<R, PeerError>
     where
-        A: Serialize + Sync,
+        Q: Serialize + Sync,
         R: DeserializeOwned,
     {
         let connection = self.connect(peer).await?;
-        let exchange = self.exchange(&connection, peer, ask);
+        let exchange = self.exchange(&connection, peer, request);
         match tokio::time::timeout(timeout, exchange).await {
             Ok(reply) => reply,
-            Err(_) => Err(lost(peer, "timeout")),
+            Err(_) => Err(no_reply(peer, "timeout")),
         }
     }
 
-    async fn exchange<A, R>(
+    async fn exchange<Q, R>(
         &self,
         connection: &Connection,
         peer: SocketAddr,
-        ask: &A,
+        request: &Q,
     ) -> Result<R, PeerError>
     where
-        A: Serialize + Sync,
+        Q: Serialize + Sync,
         R: DeserializeOwned,
     {
         let frame = Frame {
             stamp: self.timeline.clock().tick(),
-            body: ask,
+            body: request,
         };
-        let bytes = encode(&frame).map_err(|error| unreached(peer, &error.to_string()))?;
+        let bytes = encode(&frame).map_err(|error| unreachable(peer, &error.to_string()))?;
         let (mut send, mut receive) = connection
             .open_bi()
             .await
-            .map_err(|error| unreached(peer, &error.to_string()))?;
-        let broken = |error: &str| lost(peer, error);
+            .map_err(|error| unreachable(peer, &error.to_string()))?;
+        let stream_error = |error: &str| no_reply(peer, error);
         send.write_all(&bytes)
             .await
-            .map_err(|e| broken(&e.to_string()))?;
-        send.finish().map_err(|e| broken(&e.to_string()))?;
+            .map_err(|e| stream_error(&e.to_string()))?;
+        send.finish().map_err(|e| stream_error(&e.to_string()))?;
         let bytes = receive
-            .read_to_end(FRAME_BYTES)
+            .read_to_end(MAX_FRAME_BYTES)
             .await
-            .map_err(|e| broken(&e.to_string()))?;
-        let reply: Frame<R> = decode(&bytes).map_err(|e| broken(&e.to_string()))?;
+            .map_err(|e| stream_error(&e.to_string()))?;
+        let reply: Frame<R> = decode(&bytes).map_err(|e| stream_error(&e.to_string()))?;
         self.timeline.clock().merge(reply.stamp);
         Ok(reply.body)
     }
@@ -141,11 +141,11 @@
         let connecting = self
             .endpoint
             .connect(peer, CELL_NAME)
-            .map_err(|error| unreached(peer, &error.to_string()))?;
+            .map_err(|error| unreachable(peer, &error.to_string()))?;
         let connection = match tokio::time::timeout(CONNECT_TIMEOUT, connecting).await {
             Ok(Ok(connection)) => connection,
-            Ok(Err(error)) => return Err(unreached(peer, &error.to_string())),
-            Err(_) => return Err(unreached(peer, "connect timeout")),
+            Ok(Err(error)) => return Err(unreachable(peer, &error.to_string())),
+            Err(_) => return Err(unreachable(peer, "connect timeout")),
         };
         let mut connections = self
             .connections
@@ -171,11 +171,11 @@
     /// Serves the calls of other processes until the endpoint closes.
     pub async fn serve<S: Service>(&self, service: S) {
         while let Some(incoming) = self.endpoint.accept().await {
-            let node = self.clone();
+            let peer_endpoint = self.clone();
             let service = service.clone();
             tokio::spawn(async move {
                 match incoming.await {
-                    Ok(connection) => node.serve_connection(connection, service).await,
+                    Ok(connection) => peer_endpoint.serve_connection(connection, service).await,
                     Err(error) => log::debug!("peer refused: {error}"),
                 }
             });
@@ -184,10 +184,10 @@
 
     async fn serve_connection<S: Service>(&self, connection: Connection, service: S) {
         while let Ok((send, receive)) = connection.accept_bi().await {
-            let node = self.clone();
+            let peer_endpoint = self.clone();
             let service = service.clone();
             tokio::spawn(async move {
-                if let Err(reason) = node.serve_call(send, receive, service).await {
+                if let Err(reason) = peer_endpoint.serve_call(send, receive, service).await {
                     log::debug!("call dropped: {reason}");
                 }
             });
@@ -201,12 +201,12 @@
         service: S,
     ) -> Result<(), String> {
         let bytes = receive
-            .read_to_end(FRAME_BYTES)
+            .read_to_end(MAX_FRAME_BYTES)
             .await
             .map_err(|error| error.to_string())?;
-        let ask: Frame<S::Ask> = decode(&bytes).map_err(|error| error.to_string())?;
-        self.timeline.clock().merge(ask.stamp);
-        let body = service.answer(ask.body).await;
+        let request: Frame<S::Request> = decode(&bytes).map_err(|error| error.to_string())?;
+        self.timeline.clock().merge(request.stamp);
+        let body = service.answer(request.body).await;
         let frame = Frame {
             stamp: self.timeline.clock().tick(),
             body,
@@ -227,19 +227,19 @@
 
 fn transport() -> TransportConfig {
     let mut transport = TransportConfig::default();
-    let millis = u32::try_from(DEAD_AFTER.as_millis()).unwrap_or(u32::MAX);
+    let millis = u32::try_from(IDLE_TIMEOUT.as_millis()).unwrap_or(u32::MAX);
     transport.max_idle_timeout(Some(IdleTimeout::from(VarInt::from_u32(millis))));
     transport.keep_alive_interval(Some(KEEP_ALIVE));
-    transport.max_concurrent_bidi_streams(VarInt::from_u32(STREAMS));
+    transport.max_concurrent_bidi_streams(VarInt::from_u32(MAX_STREAMS));
     transport
 }
 
-fn unreached(peer: SocketAddr, reason: &str) -> PeerError {
+fn unreachable(peer: SocketAddr, reason: &str) -> PeerError {
     let reason = reason.to_owned();
-    PeerError::Unreached { peer, reason }
+    PeerError::Unreachable { peer, reason }
 }
 
-fn lost(peer: SocketAddr, reason: &str) -> PeerError {
+fn no_reply(peer: SocketAddr, reason: &str) -> PeerError {
     let reason = reason.to_owned();
-    PeerError::Lost { peer, reason }
+    PeerError::NoReply { peer, reason }
 }
--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -10,7 +10,7 @@
 pub enum PeerError {
     /// Nothing was sent.
     #[snafu(display("cannot reach {peer}: {reason}"))]
-    Unreached {
+    Unreachable {
         /// Address of the other process.
         peer: SocketAddr,
         /// Text of the cause.
@@ -18,7 +18,7 @@
     },
     /// The other process may have received it.
     #[snafu(display("no reply from {peer}: {reason}"))]
-    Lost {
+    NoReply {
         /// Address of the other process.
         peer: SocketAddr,
         /// Text of the cause.
--- a/crates/peer/src/frame.rs
+++ b/crates/peer/src/frame.rs
@@ -6,7 +6,7 @@
 use serde::de::DeserializeOwned;
 
 /// Largest encoded message, in bytes.
-pub const FRAME_BYTES: usize = 16 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 
 /// A message with the causal time at which it was sent.
 #[derive(Debug, Serialize, Deserialize)]
--- a/crates/peer/src/keys.rs
+++ b/crates/peer/src/keys.rs
@@ -36,26 +36,26 @@
 ///
 /// # Errors
 /// A file exists already or cannot be written, or a key cannot be made.
-pub fn make_keys(folder: &Path) -> Result<(), OpenError> {
-    let broken = |error: rcgen::Error| OpenError::Key {
+pub fn generate_keys(folder: &Path) -> Result<(), OpenError> {
+    let key_error = |error: rcgen::Error| OpenError::Key {
         path: folder.to_owned(),
         reason: error.to_string(),
     };
-    let authority = make_authority().map_err(broken)?;
-    let key = KeyPair::generate().map_err(broken)?;
-    let mut leaf = CertificateParams::new(vec![CELL_NAME.to_owned()]).map_err(broken)?;
+    let authority = generate_authority().map_err(key_error)?;
+    let key = KeyPair::generate().map_err(key_error)?;
+    let mut leaf = CertificateParams::new(vec![CELL_NAME.to_owned()]).map_err(key_error)?;
     leaf.extended_key_usages = vec![
         ExtendedKeyUsagePurpose::ServerAuth,
         ExtendedKeyUsagePurpose::ClientAuth,
     ];
-    let certificate = leaf.signed_by(&key, &authority).map_err(broken)?;
+    let certificate = leaf.signed_by(&key, &authority).map_err(key_error)?;
     fs::create_dir_all(folder).context(FileSnafu { path: folder })?;
     write_new(&folder.join(AUTHORITY_FILE), &authority.pem())?;
     write_new(&folder.join(CERTIFICATE_FILE), &certificate.pem())?;
     write_new(&folder.join(KEY_FILE), &key.serialize_pem())
 }
 
-fn make_authority() -> Result<CertifiedIssuer<'static, KeyPair>, rcgen::Error> {
+fn generate_authority() -> Result<CertifiedIssuer<'static, KeyPair>, rcgen::Error> {
     let mut root = CertificateParams::new(Vec::new())?;
     root.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
     root.key_usages = vec![KeyUsagePurpose::KeyCertSign];
--- a/crates/peer/src/service.rs
+++ b/crates/peer/src/service.rs
@@ -8,10 +8,10 @@
 /// Answers the calls of other processes.
 pub trait Service: Clone + Send + Sync + 'static {
     /// What may be asked.
-    type Ask: DeserializeOwned + Serialize + Send + Sync;
+    type Request: DeserializeOwned + Serialize + Send + Sync;
     /// What comes back.
     type Reply: Serialize + DeserializeOwned + Send + Sync;
 
     /// Answers one call.
-    fn answer(&self, ask: Self::Ask) -> impl Future<Output = Self::Reply> + Send;
+    fn answer(&self, request: Self::Request) -> impl Future<Output = Self::Reply> + Send;
 }
--- a/crates/peer/src/tls.rs
+++ b/crates/peer/src/tls.rs
@@ -27,8 +27,8 @@
 pub(crate) fn load(files: &KeyFiles) -> Result<Tls, OpenError> {
     let path = files.path(AUTHORITY_FILE);
     let mut roots = RootCertStore::empty();
-    let broken = |error: rustls::Error| key_error(&path, &error.to_string());
-    roots.add(read_certificate(&path)?).map_err(broken)?;
+    let tls_error = |error: rustls::Error| key_error(&path, &error.to_string());
+    roots.add(read_certificate(&path)?).map_err(tls_error)?;
     let roots = Arc::new(roots);
     let chain = vec![read_certificate(&files.path(CERTIFICATE_FILE))?];
     let key_path = files.path(KEY_FILE);
@@ -40,21 +40,21 @@
         .map_err(|error| key_error(&path, &error.to_string()))?;
     let server = rustls::ServerConfig::builder_with_provider(provider.clone())
         .with_protocol_versions(&[&rustls::version::TLS13])
-        .map_err(broken)?
+        .map_err(tls_error)?
         .with_client_cert_verifier(verifier)
         .with_single_cert(chain.clone(), key.clone_key())
-        .map_err(broken)?;
+        .map_err(tls_error)?;
     let client = rustls::ClientConfig::builder_with_provider(provider)
         .with_protocol_versions(&[&rustls::version::TLS13])
-        .map_err(broken)?
+        .map_err(tls_error)?
         .with_root_certificates(roots)
         .with_client_auth_cert(chain, key)
-        .map_err(broken)?;
-    let suite =
+        .map_err(tls_error)?;
+    let cipher_error =
         |error: quinn::crypto::rustls::NoInitialCipherSuite| key_error(&path, &error.to_string());
     Ok(Tls {
-        server: QuicServerConfig::try_from(server).map_err(suite)?,
-        client: QuicClientConfig::try_from(client).map_err(suite)?,
+        server: QuicServerConfig::try_from(server).map_err(cipher_error)?,
+        client: QuicClientConfig::try_from(client).map_err(cipher_error)?,
     })
 }
 
--- a/crates/shard/src/answers.rs
+++ b/crates/shard/src/answers.rs
@@ -99,7 +99,7 @@
 }
 
 fn bare(entry: &Entry, code: Code, reason: &str) -> Answer {
-    let mut answer = Answer::bare(&entry.request.id, code, reason);
+    let mut answer = Answer::without_output(&entry.request.id, code, reason);
     answer.waited_millis = entry.waited_millis;
     answer
 }
--- a/crates/shard/src/assign.rs
+++ b/crates/shard/src/assign.rs
@@ -9,7 +9,7 @@
 use model::ShardId;
 use model::WorkerId;
 use store::Commit;
-use store::Committed;
+use store::CommitOutcome;
 use store::Host;
 use store::RowVersion;
 use store::Table;
@@ -163,7 +163,7 @@
                 .put(key, encode_row(&row));
         }
         let committed = table.commit(&commit).await?;
-        Ok(matches!(committed, Committed::Done(_)))
+        Ok(matches!(committed, CommitOutcome::Done(_)))
     }
 }
 
--- a/crates/shard/src/claiming.rs
+++ b/crates/shard/src/claiming.rs
@@ -10,9 +10,9 @@
 use model::Incarnation;
 use model::ShardId;
 use store::Commit;
-use store::Committed;
+use store::CommitOutcome;
 use store::HostList;
-use store::Objects;
+use store::ObjectStore;
 use store::RowVersion;
 use store::Table;
 use tokio::sync::mpsc;
@@ -47,7 +47,7 @@
     name: String,
 }
 
-impl<T: Table, O: Objects, H: HostList> Keeper<T, O, H> {
+impl<T: Table, O: ObjectStore, H: HostList> Keeper<T, O, H> {
     /// The lease had been expired. That alone fences nothing: a shard whose
     /// row still is as this process left it was taken by nobody, and with the
     /// lease renewed nobody can take it on the strength of the expiry. Such
@@ -126,7 +126,7 @@
             let commit = Commit::default()
                 .check(key.clone(), version)
                 .put(key, encode_row(&lease));
-            if let Committed::Done(_) = self.context.table.commit(&commit).await? {
+            if let CommitOutcome::Done(_) = self.context.table.commit(&commit).await? {
                 let event = Event::new(Kind::PeerExpired);
                 self.record(event.detail(format!("{process} ({name})")));
             }
@@ -242,7 +242,7 @@
         commit = commit.put(shard_key(shard), encode_row(&self.own_row(epoch)));
         let committed = self.context.table.commit(&commit).await?;
         self.outage.on_answer();
-        if let Committed::Done(versions) = committed {
+        if let CommitOutcome::Done(versions) = committed {
             let fence = versions.first().copied().unwrap_or_default();
             let event = Event::new(Kind::ShardClaimed).shard(shard);
             self.record(event.detail(format!("epoch {epoch}")));
--- a/crates/shard/src/context.rs
+++ b/crates/shard/src/context.rs
@@ -6,7 +6,7 @@
 
 use event::Timeline;
 use model::Incarnation;
-use peer::Node;
+use peer::PeerEndpoint;
 use worker::WorkerClient;
 
 use crate::CellId;
@@ -73,7 +73,7 @@
     /// Client of the workers.
     pub workers: WorkerClient,
     /// Calls to other processes.
-    pub node: Node,
+    pub node: PeerEndpoint,
     /// Events.
     pub timeline: Arc<Timeline>,
     /// Right to act.
--- a/crates/shard/src/fleet.rs
+++ b/crates/shard/src/fleet.rs
@@ -11,7 +11,7 @@
 use sched::Refused;
 use sched::WorkerState;
 use store::HostState;
-use worker::Claimed;
+use worker::ClaimReply;
 use worker::Task;
 
 use crate::Entry;
@@ -135,7 +135,7 @@
         self.outputs.extend(stops);
     }
 
-    pub(crate) fn on_claimed(&mut self, id: &str, claimed: Claimed) {
+    pub(crate) fn on_claimed(&mut self, id: &str, claimed: ClaimReply) {
         let Some(host) = self.workers.get(id).cloned() else {
             return;
         };
--- a/crates/shard/src/intake.rs
+++ b/crates/shard/src/intake.rs
@@ -75,7 +75,7 @@
         let id = &submission.request.id;
         if !entry.is_same_work(&submission.request) {
             let reason = "the id was used earlier for different work";
-            let answer = Answer::bare(id, Code::IdReused, reason);
+            let answer = Answer::without_output(id, Code::IdReused, reason);
             self.reply(waiter, ShardReply::Answer(answer));
             return;
         }
@@ -104,10 +104,10 @@
         if request.sent_millis != 0 && request.sent_millis < oldest {
             let reason =
                 format!("first sent more than {retention} ms ago; answers are forgotten by then");
-            return Some(Answer::bare(id, Code::Forgotten, reason));
+            return Some(Answer::without_output(id, Code::Forgotten, reason));
         }
         let reason = crate::breaks_limit(self.config(), request)?;
-        Some(Answer::bare(id, Code::NeverFits, reason))
+        Some(Answer::without_output(id, Code::NeverFits, reason))
     }
 
     fn take(&mut self, key: &str, submission: Submission, waiter: WaiterKey) {
@@ -162,7 +162,7 @@
     fn refuse(&mut self, key: &str, entry: Entry, refused: Refused, waiter: WaiterKey) {
         let id = entry.request.id.clone();
         let (code, reason) = refusal_of(refused);
-        let mut answer = Answer::bare(&id, code, reason);
+        let mut answer = Answer::without_output(&id, code, reason);
         if code == Code::QueueFull {
             answer = answer.retry_in(COME_BACK_MILLIS);
         }
@@ -208,7 +208,7 @@
 
 /// An answer that is not final.
 pub(crate) fn pending_answer(id: &str, reason: &str) -> Answer {
-    Answer::bare(id, Code::Pending, reason).retry_in(COME_BACK_MILLIS)
+    Answer::without_output(id, Code::Pending, reason).retry_in(COME_BACK_MILLIS)
 }
 
 pub(crate) fn millis(duration: Duration) -> u64 {
--- a/crates/shard/src/journal.rs
+++ b/crates/shard/src/journal.rs
@@ -8,7 +8,7 @@
 use model::ShardId;
 use rand::RngExt;
 use store::Commit;
-use store::Committed;
+use store::CommitOutcome;
 use store::RowVersion;
 use store::StoreError;
 use store::Table;
@@ -215,7 +215,7 @@
             commit = self.with_segments(commit);
         }
         match self.table.commit(&commit).await? {
-            Committed::Done(versions) => {
+            CommitOutcome::Done(versions) => {
                 self.start.rows[slot] = versions.first().copied().unwrap_or_default();
                 if lists {
                     self.start.list_version = versions.get(1).copied().unwrap_or_default();
@@ -223,7 +223,7 @@
                 }
                 Ok(Tried::Done)
             }
-            Committed::Conflict(_) => self.resolve(batch, lists).await,
+            CommitOutcome::Conflict(_) => self.resolve(batch, lists).await,
         }
     }
 
@@ -247,12 +247,12 @@
         }
         let fence = Commit::default().check(shard_key(self.start.shard), self.start.fence);
         match self.table.commit(&self.with_segments(fence)).await? {
-            Committed::Done(versions) => {
+            CommitOutcome::Done(versions) => {
                 self.start.list_version = versions.first().copied().unwrap_or_default();
                 self.start.segments = self.listed.clone();
                 Ok(Tried::Again)
             }
-            Committed::Conflict(_) => self.refresh().await,
+            CommitOutcome::Conflict(_) => self.refresh().await,
         }
     }
 
--- a/crates/shard/src/keeper.rs
+++ b/crates/shard/src/keeper.rs
@@ -10,10 +10,10 @@
 use event::Event;
 use event::Kind;
 use model::Epoch;
-use model::Numbered;
 use model::ShardId;
+use model::VersionedConfig;
 use store::HostList;
-use store::Objects;
+use store::ObjectStore;
 use store::RowVersion;
 use store::Table;
 use tokio::sync::Notify;
@@ -55,7 +55,7 @@
     /// Hand all shards over, give the lease up, then tell how that went.
     Leave(oneshot::Sender<Handover>),
     /// Adopt a configuration that this process has just made.
-    Adopt(Arc<Numbered>),
+    Adopt(Arc<VersionedConfig>),
 }
 
 /// What a leaving process knows of its shards and its lease: what the table
@@ -96,7 +96,7 @@
     pub(crate) opened: JoinSet<Opened>,
     pub(crate) ended: JoinSet<(ShardId, OwnerEnd)>,
     pub(crate) released: JoinSet<ShardId>,
-    pub(crate) config: Arc<Numbered>,
+    pub(crate) config: Arc<VersionedConfig>,
     pub(crate) hosts: watch::Receiver<Hosts>,
     pub(crate) view: watch::Sender<Arc<View>>,
     pub(crate) hints: Arc<Notify>,
@@ -123,7 +123,7 @@
     pub orders: mpsc::Receiver<KeeperOrder>,
 }
 
-impl<T: Table, O: Objects, H: HostList> Keeper<T, O, H> {
+impl<T: Table, O: ObjectStore, H: HostList> Keeper<T, O, H> {
     /// A keeper that owns nothing yet.
     #[must_use]
     pub fn new(context: Arc<Context<T, O, H>>, ports: KeeperPorts) -> Keeper<T, O, H> {
--- a/crates/shard/src/lease.rs
+++ b/crates/shard/src/lease.rs
@@ -5,7 +5,7 @@
 
 use model::Version;
 use store::Commit;
-use store::Committed;
+use store::CommitOutcome;
 use store::RowVersion;
 use store::StoreError;
 use store::Table;
@@ -134,11 +134,11 @@
             commit = commit.put(member, encode_row(&self.member()));
         }
         match self.context.table.commit(&commit).await? {
-            Committed::Done(versions) => {
+            CommitOutcome::Done(versions) => {
                 self.version = versions.first().copied().unwrap_or_default();
                 Ok(true)
             }
-            Committed::Conflict(_) => Ok(false),
+            CommitOutcome::Conflict(_) => Ok(false),
         }
     }
 
@@ -170,7 +170,7 @@
             .delete(key)
             .delete(member_key(&self.context.process));
         match self.context.table.commit(&commit).await {
-            Ok(committed) => matches!(committed, Committed::Done(_)),
+            Ok(committed) => matches!(committed, CommitOutcome::Done(_)),
             Err(error) => {
                 log::debug!("lease not given up: {error}");
                 false
--- a/crates/shard/src/ledger.rs
+++ b/crates/shard/src/ledger.rs
@@ -166,5 +166,5 @@
 #[must_use]
 pub fn cancelled_answer(key: &str) -> Answer {
     let id = key.split_once('/').map_or(key, |(_, id)| id);
-    Answer::bare(id, model::Code::Cancelled, "cancelled before it started")
+    Answer::without_output(id, model::Code::Cancelled, "cancelled before it started")
 }
--- a/crates/shard/src/link.rs
+++ b/crates/shard/src/link.rs
@@ -13,15 +13,15 @@
 use tokio::task::JoinSet;
 use worker::AttemptId;
 use worker::Claim;
-use worker::Claimed;
+use worker::ClaimReply;
 use worker::Fence;
 use worker::Poll;
-use worker::Polled;
+use worker::PollReply;
 use worker::RefusalReason;
+use worker::ReplyNumber;
 use worker::Start;
 use worker::Stop;
 use worker::Task;
-use worker::Turn;
 use worker::WorkerClient;
 use worker::WorkerError;
 
@@ -85,7 +85,7 @@
     owner: mpsc::UnboundedSender<Input>,
     /// When the newest reply came that renewed, or will renew, the lease.
     replied: Option<Instant>,
-    turn: Turn,
+    turn: ReplyNumber,
     forget: Vec<AttemptId>,
     lost: bool,
     /// Starts whose outcome is not known yet.
@@ -150,7 +150,7 @@
     /// flight before it. Those that the worker does not list can never be
     /// carried out: either the fence or the run that they name is an older
     /// one, or their lease was over and the shard has given them up.
-    fn announce(&mut self, claimed: Claimed, ended: Vec<Task>) -> Result<(), ()> {
+    fn announce(&mut self, claimed: ClaimReply, ended: Vec<Task>) -> Result<(), ()> {
         self.lost = false;
         for task in &claimed.tasks {
             self.sent.remove(&task.attempt);
@@ -164,7 +164,7 @@
     }
 
     /// Claims until the worker accepts; none when the link is closed.
-    async fn claim(&mut self) -> Option<(Claimed, Vec<Task>)> {
+    async fn claim(&mut self) -> Option<(ClaimReply, Vec<Task>)> {
         loop {
             if self.facts.gate.is_open() {
                 match self.try_claim().await {
@@ -179,7 +179,7 @@
 
     /// The poll renews the lease, which the claim alone does not; it may tell
     /// of ends of tasks that the claim lists as running.
-    async fn try_claim(&mut self) -> Result<(Claimed, Vec<Task>), WorkerError> {
+    async fn try_claim(&mut self) -> Result<(ClaimReply, Vec<Task>), WorkerError> {
         let claim = Claim {
             fence: self.fence,
             shard: self.facts.shard,
@@ -330,7 +330,7 @@
     /// reply, and then the worker tells of them no more: a request whose end
     /// stayed here would wait until its worker is claimed again.
     #[must_use]
-    fn take_poll(&mut self, polled: Polled) -> Vec<Task> {
+    fn take_poll(&mut self, polled: PollReply) -> Vec<Task> {
         self.turn = polled.turn;
         self.replied = Some(Instant::now());
         self.lost = false;
@@ -393,11 +393,11 @@
                 };
                 return Some(Input::NotStarted(start.attempt, reason));
             }
-            Err(WorkerError::Unreached { .. }) if !maybe && tries >= CONNECT_TRIES => {
+            Err(WorkerError::Unreachable { .. }) if !maybe && tries >= CONNECT_TRIES => {
                 return Some(Input::NotStarted(start.attempt, NotStarted::Unsent));
             }
-            Err(WorkerError::Unreached { .. }) => {}
-            Err(WorkerError::Lost { .. }) => maybe = true,
+            Err(WorkerError::Unreachable { .. }) => {}
+            Err(WorkerError::NoReply { .. }) => maybe = true,
         }
         tokio::time::sleep(jittered(RETRY_PAUSE)).await;
     }
--- a/crates/shard/src/machine.rs
+++ b/crates/shard/src/machine.rs
@@ -12,8 +12,8 @@
 use model::Code;
 use model::Config;
 use model::Epoch;
-use model::Numbered;
 use model::ShardId;
+use model::VersionedConfig;
 use model::WorkerId;
 use sched::Core;
 use sched::Decision;
@@ -86,7 +86,7 @@
     pub(crate) times: Times,
     pub(crate) core: Core<Weighted>,
     pub(crate) ledger: Ledger,
-    pub(crate) config: Arc<Numbered>,
+    pub(crate) config: Arc<VersionedConfig>,
     pub(crate) keys: HashMap<JobKey, String>,
     pub(crate) workers: HashMap<WorkerId, WorkerHost>,
     /// Workers that left the host list, but may still run tasks.
@@ -117,7 +117,7 @@
     pub fn new(
         facts: MachineFacts,
         ledger: Ledger,
-        config: Arc<Numbered>,
+        config: Arc<VersionedConfig>,
         times: Times,
     ) -> Machine {
         let mut machine = Machine {
@@ -201,7 +201,7 @@
         self.core.queues().next_deadline()
     }
 
-    fn on_config(&mut self, config: Arc<Numbered>) {
+    fn on_config(&mut self, config: Arc<VersionedConfig>) {
         if config.version < self.config.version {
             return;
         }
--- a/crates/shard/src/message.rs
+++ b/crates/shard/src/message.rs
@@ -4,16 +4,16 @@
 
 use model::Answer;
 use model::Incarnation;
-use model::Numbered;
 use model::Request;
 use model::ShardId;
 use model::TeamId;
 use model::Version;
+use model::VersionedConfig;
 use serde::Deserialize;
 use serde::Serialize;
 use slotmap::new_key_type;
 use worker::AttemptId;
-use worker::Claimed;
+use worker::ClaimReply;
 use worker::Start;
 use worker::Task;
 
@@ -136,11 +136,11 @@
     /// A call with the waiter of its reply.
     Ask(ShardAsk, WaiterKey),
     /// A configuration document is in force.
-    Config(Arc<Numbered>),
+    Config(Arc<VersionedConfig>),
     /// The workers of the shard.
     Workers(Vec<WorkerHost>),
     /// A worker accepted the claim.
-    Claimed(model::WorkerId, Claimed),
+    Claimed(model::WorkerId, ClaimReply),
     /// A worker does not answer.
     WorkerLost(model::WorkerId),
     /// A worker refused the shard's poll; it has to be claimed again.
@@ -235,7 +235,7 @@
 impl StartOrder {
     /// The message to the worker.
     #[must_use]
-    pub fn fenced(self, fence: worker::Fence, turn: worker::Turn) -> Start {
+    pub fn fenced(self, fence: worker::Fence, turn: worker::ReplyNumber) -> Start {
         Start {
             fence,
             run: self.run,
--- a/crates/shard/src/moving.rs
+++ b/crates/shard/src/moving.rs
@@ -8,9 +8,9 @@
 use event::Kind;
 use model::ShardId;
 use store::Commit;
-use store::Committed;
+use store::CommitOutcome;
 use store::HostList;
-use store::Objects;
+use store::ObjectStore;
 use store::Table;
 use tokio::sync::oneshot;
 
@@ -30,7 +30,7 @@
 /// Longest wait for a shard to finish its journal before it is handed over.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(5);
 
-impl<T: Table, O: Objects, H: HostList> Keeper<T, O, H> {
+impl<T: Table, O: ObjectStore, H: HostList> Keeper<T, O, H> {
     /// Passes shards on to the processes that should own them: all at once
     /// when leaving, otherwise one at a time.
     pub(crate) fn pass_on(&mut self) {
@@ -83,7 +83,7 @@
             .check(key.clone(), running.fence)
             .put(key, encode_row(&row));
         match self.context.table.commit(&commit).await {
-            Ok(Committed::Done(versions)) => {
+            Ok(CommitOutcome::Done(versions)) => {
                 let version = versions.first().copied().unwrap_or_default();
                 let event = Event::new(Kind::ShardReleased).shard(shard);
                 self.record(event.detail(format!("to {next} at epoch {}", row.epoch)));
@@ -92,7 +92,7 @@
                 self.publish();
                 self.hint(&next);
             }
-            Ok(Committed::Conflict(_)) => {}
+            Ok(CommitOutcome::Conflict(_)) => {}
             // The row names this process or the next one; the next tick
             // reads which, and opens the shard here again if need be.
             Err(error) => {
--- a/crates/shard/src/outage.rs
+++ b/crates/shard/src/outage.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use peer::Node;
+use peer::PeerEndpoint;
 use std::net::SocketAddr;
 
 use crate::Ask;
@@ -49,7 +49,11 @@
 }
 
 /// Asks all peers whether the table answers them.
-pub async fn ask_peers(node: &Node, own: TableHealth, peers: Vec<SocketAddr>) -> OutageWord {
+pub async fn ask_peers(
+    node: &PeerEndpoint,
+    own: TableHealth,
+    peers: Vec<SocketAddr>,
+) -> OutageWord {
     let own = Arc::new(own);
     let mut calls = tokio::task::JoinSet::new();
     for peer in peers {
--- a/crates/shard/src/outcome.rs
+++ b/crates/shard/src/outcome.rs
@@ -284,7 +284,7 @@
 
     pub(crate) fn finish_bare(&mut self, key: &str, code: Code, reason: &str) {
         let id = key.split_once('/').map_or(key, |(_, id)| id);
-        self.finish(key, Answer::bare(id, code, reason));
+        self.finish(key, Answer::without_output(id, code, reason));
     }
 
     /// An answer that is true of earlier owners as well. They may have run an
@@ -303,7 +303,7 @@
             "an earlier owner of its shard may have run it; now: {}",
             answer.reason
         );
-        Answer::bare(&answer.id, Code::OwnerLost, reason)
+        Answer::without_output(&answer.id, Code::OwnerLost, reason)
     }
 
     /// Gives a request its answer: at once, or once it is recorded.
--- a/crates/shard/src/owner.rs
+++ b/crates/shard/src/owner.rs
@@ -10,12 +10,12 @@
 use event::Kind;
 use event::wall_millis;
 use model::Epoch;
-use model::Numbered;
 use model::ShardId;
+use model::VersionedConfig;
 use model::WorkerId;
 use slotmap::SlotMap;
 use store::HostList;
-use store::Objects;
+use store::ObjectStore;
 use store::Table;
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
@@ -63,7 +63,7 @@
     /// A call, and where its reply goes.
     Ask(ShardAsk, oneshot::Sender<ShardReply>),
     /// A configuration document is in force.
-    Config(Arc<Numbered>),
+    Config(Arc<VersionedConfig>),
     /// The workers of the shard.
     Workers(Vec<WorkerHost>),
     /// Another process owns the shard: turn everybody away, then end. It is
@@ -113,13 +113,13 @@
     releasing: Option<oneshot::Sender<()>>,
 }
 
-impl<T: Table, O: Objects, H: HostList> Owner<T, O, H> {
+impl<T: Table, O: ObjectStore, H: HostList> Owner<T, O, H> {
     /// A task that goes on from what was recovered.
     #[must_use]
     pub fn new(
         context: Arc<Context<T, O, H>>,
         recovered: Recovered,
-        config: Arc<Numbered>,
+        config: Arc<VersionedConfig>,
         view: watch::Receiver<Arc<View>>,
         inbox: mpsc::UnboundedReceiver<OwnerMessage>,
     ) -> Owner<T, O, H> {
--- a/crates/shard/src/patch.rs
+++ b/crates/shard/src/patch.rs
@@ -5,14 +5,14 @@
 
 use model::Config;
 use model::ConfigError;
-use model::Numbered;
 use model::Version;
+use model::VersionedConfig;
 use serde::Deserialize;
 use serde::Serialize;
 use serde_json::Value;
 use snafu::Snafu;
 use store::Commit;
-use store::Committed;
+use store::CommitOutcome;
 use store::Row;
 use store::StoreError;
 use store::Table;
@@ -87,7 +87,9 @@
 ///
 /// # Errors
 /// The table fails, or the document cannot be read.
-pub async fn read_config<T: Table>(table: &T) -> Result<(Numbered, Option<Row>), PatchError> {
+pub async fn read_config<T: Table>(
+    table: &T,
+) -> Result<(VersionedConfig, Option<Row>), PatchError> {
     let row = table.get(CONFIG_CURRENT).await;
     let row = row.map_err(|source| PatchError::Unavailable { source })?;
     let numbered = match &row {
@@ -99,15 +101,15 @@
 
 /// The document before the first patch.
 #[must_use]
-pub fn first_config() -> Numbered {
-    Numbered {
+pub fn first_config() -> VersionedConfig {
+    VersionedConfig {
         version: 0,
         patch_id: String::new(),
         config: Config::default(),
     }
 }
 
-fn parse(row: &Row) -> Result<Numbered, PatchError> {
+fn parse(row: &Row) -> Result<VersionedConfig, PatchError> {
     serde_json::from_str(&row.value).map_err(|error| PatchError::Damaged {
         reason: format!("{}: {error}", row.key),
     })
@@ -117,7 +119,10 @@
 ///
 /// # Errors
 /// See [`PatchError`]; only `Unknown` leaves open whether it was applied.
-pub async fn apply_patch<T: Table>(table: &T, patch: &Patch) -> Result<Arc<Numbered>, PatchError> {
+pub async fn apply_patch<T: Table>(
+    table: &T,
+    patch: &Patch,
+) -> Result<Arc<VersionedConfig>, PatchError> {
     check_id(&patch.id)?;
     let mut lost = None;
     for _ in 0..TRIES {
@@ -133,7 +138,7 @@
     Err(PatchError::Unknown { source })
 }
 
-async fn try_patch<T: Table>(table: &T, patch: &Patch) -> Result<Arc<Numbered>, PatchError> {
+async fn try_patch<T: Table>(table: &T, patch: &Patch) -> Result<Arc<VersionedConfig>, PatchError> {
     let unavailable = |source| PatchError::Unavailable { source };
     if let Some(row) = table
         .get(&patch_key(&patch.id))
@@ -154,17 +159,17 @@
         source,
         current: current.version,
     })?;
-    let next = Numbered {
+    let next = VersionedConfig {
         version: current.version + 1,
         patch_id: patch.id.clone(),
         config,
     };
     let commit = patch_commit(&next, row.map_or(0, |row| row.version));
     match table.commit(&commit).await {
-        Ok(Committed::Done(_)) => Ok(Arc::new(next)),
+        Ok(CommitOutcome::Done(_)) => Ok(Arc::new(next)),
         // Either another patch won, or an earlier try of this one: the next
         // try finds out by the id.
-        Ok(Committed::Conflict(_)) => {
+        Ok(CommitOutcome::Conflict(_)) => {
             let row = table
                 .get(&patch_key(&patch.id))
                 .await
@@ -182,7 +187,7 @@
     }
 }
 
-fn patch_commit(next: &Numbered, current: store::RowVersion) -> Commit {
+fn patch_commit(next: &VersionedConfig, current: store::RowVersion) -> Commit {
     let text = encode_row(next);
     let version = next.version.to_string();
     Commit::default()
@@ -195,7 +200,7 @@
 }
 
 /// The document that a patch id made.
-async fn read_applied<T: Table>(table: &T, row: &Row) -> Result<Arc<Numbered>, PatchError> {
+async fn read_applied<T: Table>(table: &T, row: &Row) -> Result<Arc<VersionedConfig>, PatchError> {
     let damaged = |reason: &str| PatchError::Damaged {
         reason: format!("{}: {reason}", row.key),
     };
--- a/crates/shard/src/reading.rs
+++ b/crates/shard/src/reading.rs
@@ -7,11 +7,11 @@
 use event::Event;
 use event::Kind;
 use model::Incarnation;
-use model::Numbered;
 use model::ShardId;
 use model::Version;
+use model::VersionedConfig;
 use store::HostList;
-use store::Objects;
+use store::ObjectStore;
 use store::Row;
 use store::RowVersion;
 use store::Table;
@@ -37,7 +37,7 @@
 /// is for leases, claims and patches.
 const JOURNAL_PERCENT: u32 = 80;
 
-impl<T: Table, O: Objects, H: HostList> Keeper<T, O, H> {
+impl<T: Table, O: ObjectStore, H: HostList> Keeper<T, O, H> {
     pub(crate) async fn read_cell(&mut self) -> Result<(), ShardError> {
         let began = Instant::now();
         let rows = self.context.table.range(CELL_PREFIX).await?;
@@ -140,7 +140,7 @@
     }
 
     /// Never goes back a version.
-    pub(crate) fn adopt(&mut self, config: &Arc<Numbered>) {
+    pub(crate) fn adopt(&mut self, config: &Arc<VersionedConfig>) {
         if config.version <= self.config.version {
             return;
         }
--- a/crates/shard/src/recovery.rs
+++ b/crates/shard/src/recovery.rs
@@ -3,7 +3,7 @@
 
 use model::Incarnation;
 use model::ShardId;
-use store::Objects;
+use store::ObjectStore;
 use store::Row;
 use store::RowVersion;
 use store::Table;
@@ -49,7 +49,7 @@
 /// # Errors
 /// The platform's service fails, or something stored cannot be read; then
 /// nothing is changed.
-pub async fn recover<T: Table, O: Objects>(
+pub async fn recover<T: Table, O: ObjectStore>(
     table: &T,
     objects: &O,
     claim: &Claim,
@@ -90,7 +90,7 @@
 }
 
 /// Ended requests of all segments, open ones of the newest.
-async fn read_segments<O: Objects>(
+async fn read_segments<O: ObjectStore>(
     objects: &O,
     list: &SegmentList,
     ledger: &mut Ledger,
@@ -111,7 +111,10 @@
     Ok(())
 }
 
-async fn read_segment<O: Objects>(objects: &O, name: &SegmentName) -> Result<Segment, ShardError> {
+async fn read_segment<O: ObjectStore>(
+    objects: &O,
+    name: &SegmentName,
+) -> Result<Segment, ShardError> {
     let damaged = |reason: &str| ShardError::Damaged {
         key: name.name.clone(),
         reason: reason.to_owned(),
--- a/crates/shard/src/router.rs
+++ b/crates/shard/src/router.rs
@@ -10,7 +10,7 @@
 use model::ShardId;
 use model::TeamShards;
 use model::request_key;
-use peer::Node;
+use peer::PeerEndpoint;
 use peer::PeerError;
 use rand::RngExt;
 use tokio::sync::watch;
@@ -35,7 +35,7 @@
 /// Brings calls to the owners of shards; clones share the view.
 #[derive(Clone, Debug)]
 pub struct Router {
-    node: Node,
+    node: PeerEndpoint,
     shards: u16,
     view: watch::Receiver<Arc<View>>,
 }
@@ -64,7 +64,7 @@
 impl Router {
     /// A router for a cell of `shards` shards.
     #[must_use]
-    pub fn new(node: Node, shards: u16, view: watch::Receiver<Arc<View>>) -> Router {
+    pub fn new(node: PeerEndpoint, shards: u16, view: watch::Receiver<Arc<View>>) -> Router {
         Router { node, shards, view }
     }
 
@@ -214,8 +214,8 @@
                 let ask = Ask::Shard(shard, ask);
                 match self.node.call(peer, &ask, left).await {
                     Ok(Reply::Shard(reply)) => Tried::Reply(reply),
-                    Ok(_) | Err(PeerError::Lost { .. }) => Tried::Lost,
-                    Err(PeerError::Unreached { .. }) => Tried::Nothing,
+                    Ok(_) | Err(PeerError::NoReply { .. }) => Tried::Lost,
+                    Err(PeerError::Unreachable { .. }) => Tried::Nothing,
                 }
             }
         }
@@ -250,11 +250,11 @@
 fn give_up(id: &str, submission: &Submission, reached: bool) -> Answer {
     if !reached {
         let reason = "no owner of its shard could be reached; nothing was sent";
-        return Answer::bare(id, Code::NoOwner, reason);
+        return Answer::without_output(id, Code::NoOwner, reason);
     }
     if submission.wait {
         let reason = "no answer yet; ask again with the same id";
         return crate::intake::pending_answer(id, reason);
     }
-    Answer::bare(id, Code::OwnerLost, "the owner of its shard did not answer")
+    Answer::without_output(id, Code::OwnerLost, "the owner of its shard did not answer")
 }
--- a/crates/shard/src/service.rs
+++ b/crates/shard/src/service.rs
@@ -58,7 +58,7 @@
 }
 
 impl peer::Service for CellService {
-    type Ask = Ask;
+    type Request = Ask;
     type Reply = Reply;
 
     async fn answer(&self, ask: Ask) -> Reply {
--- a/crates/shard/src/staffing.rs
+++ b/crates/shard/src/staffing.rs
@@ -6,7 +6,7 @@
 use model::ShardId;
 use store::HostList;
 use store::HostState;
-use store::Objects;
+use store::ObjectStore;
 use store::RowVersion;
 use store::Table;
 
@@ -26,7 +26,7 @@
 /// owner of shard 0 has dealt new workers.
 const ASSIGN_AGAIN: Duration = Duration::from_secs(1);
 
-impl<T: Table, O: Objects, H: HostList> Keeper<T, O, H> {
+impl<T: Table, O: ObjectStore, H: HostList> Keeper<T, O, H> {
     pub(crate) async fn read_workers(&mut self) -> Result<(), ShardError> {
         let now = Instant::now();
         let hosts = self.hosts.borrow().clone();
--- a/crates/shard/src/view.rs
+++ b/crates/shard/src/view.rs
@@ -8,9 +8,9 @@
 use std::time::Instant;
 
 use model::Incarnation;
-use model::Numbered;
 use model::ShardId;
 use model::Version;
+use model::VersionedConfig;
 use tokio::sync::mpsc;
 
 use crate::LastAnswer;
@@ -57,7 +57,7 @@
     /// Shards that this process runs.
     pub local: HashMap<ShardId, mpsc::UnboundedSender<OwnerMessage>>,
     /// Configuration in force here.
-    pub config: Option<Arc<Numbered>>,
+    pub config: Option<Arc<VersionedConfig>>,
     /// When the table last answered.
     pub answered: Arc<LastAnswer>,
     /// When members and owners were last read.
--- a/crates/shard/tests/journal.rs
+++ b/crates/shard/tests/journal.rs
@@ -17,7 +17,7 @@
 use shard::encode_row;
 use shard::shard_key;
 use store::Commit;
-use store::Committed;
+use store::CommitOutcome;
 use store::Conflict;
 use store::Row;
 use store::StoreError;
@@ -62,12 +62,12 @@
             .collect())
     }
 
-    async fn commit(&self, commit: &Commit) -> Result<Committed, StoreError> {
+    async fn commit(&self, commit: &Commit) -> Result<CommitOutcome, StoreError> {
         for check in &commit.checks {
             let found = self.get(&check.key).await?.map_or(0, |row| row.version);
             if found != check.version {
                 let key = check.key.clone();
-                return Ok(Committed::Conflict(Conflict { key, found }));
+                return Ok(CommitOutcome::Conflict(Conflict { key, found }));
             }
         }
         let mut versions = Vec::new();
@@ -80,7 +80,7 @@
             let reason = "lost".to_owned();
             return Err(StoreError::Unknown { reason });
         }
-        Ok(Committed::Done(versions))
+        Ok(CommitOutcome::Done(versions))
     }
 }
 
--- a/crates/shard/tests/shown/desk.rs
+++ b/crates/shard/tests/shown/desk.rs
@@ -6,10 +6,10 @@
 use model::Answer;
 use model::Class;
 use model::Config;
-use model::Numbered;
 use model::Request;
 use model::Resources;
 use model::Team;
+use model::VersionedConfig;
 use shard::CancelFilter;
 use shard::Input;
 use shard::Ledger;
@@ -27,7 +27,7 @@
 use store::Host;
 use store::HostState;
 use worker::AttemptId;
-use worker::Claimed;
+use worker::ClaimReply;
 use worker::End;
 use worker::EndResult;
 use worker::Task;
@@ -161,7 +161,7 @@
 
     /// A worker accepts the claim.
     pub(crate) fn claim(&mut self, name: &str, run: &str, slots: u32, tasks: Vec<Task>) -> Seen {
-        let claimed = Claimed {
+        let claimed = ClaimReply {
             incarnation: run.to_owned(),
             turn: 1,
             capacity: room(slots),
@@ -277,7 +277,7 @@
         queue: 100,
     };
     config.teams.insert(TEAM.to_owned(), team);
-    let numbered = Numbered {
+    let numbered = VersionedConfig {
         version: 1,
         patch_id: "first".to_owned(),
         config,
--- a/crates/shard/tests/world/facts.rs
+++ b/crates/shard/tests/world/facts.rs
@@ -5,10 +5,10 @@
 
 use model::Class;
 use model::Config;
-use model::Numbered;
 use model::Request;
 use model::Resources;
 use model::Team;
+use model::VersionedConfig;
 use shard::Ledger;
 use shard::Machine;
 use shard::MachineFacts;
@@ -93,7 +93,7 @@
             queue: 100,
         },
     );
-    let numbered = Numbered {
+    let numbered = VersionedConfig {
         version: 1,
         patch_id: "first".to_owned(),
         config,
--- a/crates/shard/tests/world/workers.rs
+++ b/crates/shard/tests/world/workers.rs
@@ -6,7 +6,7 @@
 
 use shard::Input;
 use shard::NotStarted;
-use worker::Claimed;
+use worker::ClaimReply;
 use worker::EndResult;
 use worker::Task;
 
@@ -114,7 +114,7 @@
         let state = &mut self.workers[worker];
         let again = state.epoch == self.epoch;
         state.epoch = self.epoch;
-        let claimed = Claimed {
+        let claimed = ClaimReply {
             incarnation: format!("run-{}", state.run),
             turn: 1,
             capacity: capacity(),
--- a/crates/site/src/advice.rs
+++ b/crates/site/src/advice.rs
@@ -11,9 +11,9 @@
 use hyper::StatusCode;
 use serde_json::Value;
 use serde_json::json;
-use web::Asked;
 use web::Handler;
-use web::Whole;
+use web::HttpRequest;
+use web::HttpResponse;
 
 use crate::WorkerStand;
 
@@ -78,7 +78,7 @@
 }
 
 impl Handler for AdviceStand {
-    async fn handle(&self, asked: Asked) -> Whole {
+    async fn handle(&self, asked: HttpRequest) -> HttpResponse {
         if asked.path == "/-/machines" {
             let body = self.machines();
             self.lists.fetch_add(1, Ordering::Relaxed);
--- a/crates/site/src/door.rs
+++ b/crates/site/src/door.rs
@@ -12,9 +12,9 @@
 
 use serde_json::Value;
 use tokio::sync::watch;
-use web::Asked;
 use web::Handler;
-use web::Whole;
+use web::HttpRequest;
+use web::HttpResponse;
 
 use crate::Restart;
 use crate::WorkerPlace;
@@ -77,7 +77,7 @@
         self.trapped.subscribe()
     }
 
-    async fn spring(&self, asked: &Asked) {
+    async fn spring(&self, asked: &HttpRequest) {
         if !acknowledges(asked) || !self.trap.swap(false, Ordering::Relaxed) {
             return;
         }
@@ -99,13 +99,13 @@
 }
 
 /// Whether an order acknowledges ends.
-fn acknowledges(asked: &Asked) -> bool {
+fn acknowledges(asked: &HttpRequest) -> bool {
     let body: Value = serde_json::from_slice(&asked.body).unwrap_or_default();
     body["seen_upto"].as_u64().is_some_and(|seen| seen > 0)
 }
 
 impl Handler for WorkerDoor {
-    async fn handle(&self, asked: Asked) -> Whole {
+    async fn handle(&self, asked: HttpRequest) -> HttpResponse {
         if self.closed.load(Ordering::Relaxed) {
             std::future::pending::<()>().await;
         }
--- a/crates/site/src/place.rs
+++ b/crates/site/src/place.rs
@@ -10,9 +10,9 @@
 use hyper::StatusCode;
 use serde_json::json;
 use tokio::sync::watch;
-use web::Asked;
 use web::Handler;
-use web::Whole;
+use web::HttpRequest;
+use web::HttpResponse;
 
 use crate::AdviceStand;
 use crate::RunLog;
@@ -200,7 +200,7 @@
 }
 
 impl Handler for WorkerPlace {
-    async fn handle(&self, asked: Asked) -> Whole {
+    async fn handle(&self, asked: HttpRequest) -> HttpResponse {
         let current = self.current();
         let meant = asked.headers.get(INCARNATION);
         let meant = meant.and_then(|value| value.to_str().ok());
--- a/crates/site/src/script.rs
+++ b/crates/site/src/script.rs
@@ -4,7 +4,7 @@
 
 use hyper::StatusCode;
 use serde_json::json;
-use web::Whole;
+use web::HttpResponse;
 
 /// What the store does to one transaction.
 #[derive(Clone, Copy, Debug)]
@@ -29,7 +29,7 @@
 }
 
 impl Act {
-    pub(crate) async fn answer(self) -> Whole {
+    pub(crate) async fn answer(self) -> HttpResponse {
         tokio::time::sleep(self.after).await;
         match self.answer {
             Answer::Status(status) => {
--- a/crates/site/src/store.rs
+++ b/crates/site/src/store.rs
@@ -18,9 +18,9 @@
 use serde_json::Value;
 use serde_json::json;
 use tokio::sync::watch;
-use web::Asked;
 use web::Handler;
-use web::Whole;
+use web::HttpRequest;
+use web::HttpResponse;
 
 use crate::Act;
 
@@ -208,7 +208,7 @@
         self.lock().version
     }
 
-    fn transact(&self, body: &Value) -> Whole {
+    fn transact(&self, body: &Value) -> HttpResponse {
         let mut rows = self.lock();
         for expect in list(body, "precondition") {
             let found = rows.live.get(&name_of(expect)).map_or(0, |row| row.1);
@@ -230,7 +230,7 @@
         web::json(StatusCode::OK, &json!({"ver": version, "now_ms": 0}))
     }
 
-    fn read(&self, asked: &Asked) -> Whole {
+    fn read(&self, asked: &HttpRequest) -> HttpResponse {
         let text = |name: &str| asked.parameter(name).unwrap_or_default();
         let (table, part, from) = (text("table"), text("part"), text("from"));
         let limit = text("limit").parse().unwrap_or(500);
@@ -248,7 +248,7 @@
         web::json(StatusCode::OK, &body)
     }
 
-    fn parts(&self, asked: &Asked) -> Whole {
+    fn parts(&self, asked: &HttpRequest) -> HttpResponse {
         let table = asked.parameter("table").unwrap_or_default();
         let rows = self.lock();
         let names = rows.live.keys().filter(|name| name.0 == table);
@@ -256,7 +256,7 @@
         web::json(StatusCode::OK, &json!({"parts": parts, "has_more": false}))
     }
 
-    async fn feed(&self, asked: &Asked) -> Whole {
+    async fn feed(&self, asked: &HttpRequest) -> HttpResponse {
         let number = |name: &str| asked.parameter(name).and_then(|text| text.parse().ok());
         let table = asked.parameter("table").unwrap_or_default();
         let after: u64 = number("after").unwrap_or(0);
@@ -281,7 +281,7 @@
 
     /// Changes of a table after a version; nothing if there are none, unless
     /// `empty` asks for an empty answer.
-    fn changes(&self, table: &str, after: u64, empty: bool) -> Option<Whole> {
+    fn changes(&self, table: &str, after: u64, empty: bool) -> Option<HttpResponse> {
         let rows = self.lock();
         if after < rows.forgotten {
             return Some(web::error(StatusCode::GONE, "forgotten"));
@@ -315,7 +315,7 @@
 }
 
 impl Handler for StoreStand {
-    async fn handle(&self, asked: Asked) -> Whole {
+    async fn handle(&self, asked: HttpRequest) -> HttpResponse {
         let faults = self.lock().faults;
         if faults.down {
             return web::error(StatusCode::SERVICE_UNAVAILABLE, "try later");
@@ -395,7 +395,7 @@
 }
 
 /// Whether a call is for rows of a part.
-fn names_part(asked: &Asked, part: &str) -> bool {
+fn names_part(asked: &HttpRequest, part: &str) -> bool {
     if asked.path != "/-/rows-tx" {
         return asked.parameter("part").as_deref() == Some(part);
     }
@@ -439,7 +439,7 @@
 }
 
 impl Handler for StoreDoor {
-    async fn handle(&self, asked: Asked) -> Whole {
+    async fn handle(&self, asked: HttpRequest) -> HttpResponse {
         self.pass().await;
         if self.refuses.load(Ordering::Relaxed) {
             return web::error(StatusCode::SERVICE_UNAVAILABLE, "try later");
--- a/crates/site/src/worker.rs
+++ b/crates/site/src/worker.rs
@@ -12,9 +12,9 @@
 use hyper::StatusCode;
 use serde_json::Value;
 use serde_json::json;
-use web::Asked;
 use web::Handler;
-use web::Whole;
+use web::HttpRequest;
+use web::HttpResponse;
 
 use crate::Deed;
 use crate::LatePlan;
@@ -329,12 +329,12 @@
             .push(Deed::Ended(self.id.clone(), task, run.number, how));
     }
 
-    fn refuse(&self, reason: &str) -> Whole {
+    fn refuse(&self, reason: &str) -> HttpResponse {
         let body = json!({"clock_ms": self.clock(), "reason": reason});
         web::json(StatusCode::CONFLICT, &body)
     }
 
-    fn start(&self, state: &mut State, body: &Value) -> Whole {
+    fn start(&self, state: &mut State, body: &Value) -> HttpResponse {
         let task = body["task"].as_str().unwrap_or_default().to_owned();
         let run = body["run"].as_u64().unwrap_or(0);
         let lease = body["deadline_ms"].as_u64().unwrap_or(0);
@@ -364,7 +364,7 @@
         web::json(StatusCode::OK, &json!({"clock_ms": self.clock()}))
     }
 
-    fn stop(&self, state: &mut State, body: &Value) -> Whole {
+    fn stop(&self, state: &mut State, body: &Value) -> HttpResponse {
         let task = body["task"].as_str().unwrap_or_default();
         let run = body["run"].as_u64().unwrap_or(0);
         let over = state.over.entry(task.to_owned()).or_default();
@@ -409,7 +409,7 @@
         (body, !state.ended.is_empty())
     }
 
-    async fn wait_end(&self, body: &Value) -> Whole {
+    async fn wait_end(&self, body: &Value) -> HttpResponse {
         let wait = Duration::from_millis(body["wait_ms"].as_u64().unwrap_or(0));
         let until = Instant::now() + wait;
         loop {
@@ -431,7 +431,7 @@
     }
 
     /// Takes the fence; nothing if the order may be carried out.
-    fn fence(&self, state: &mut State, body: &Value) -> Option<Whole> {
+    fn fence(&self, state: &mut State, body: &Value) -> Option<HttpResponse> {
         let fence = body["fencing_token"].as_u64().unwrap_or(0);
         if fence < state.fence {
             return Some(self.refuse("fence"));
@@ -442,7 +442,7 @@
 
     /// Carries out an order. Nothing for a hold that is not refused: its
     /// answer may have to wait.
-    fn obey(&self, state: &mut State, path: &str, body: &Value) -> Option<Whole> {
+    fn obey(&self, state: &mut State, path: &str, body: &Value) -> Option<HttpResponse> {
         if let Some(refused) = self.fence(state, body) {
             return Some(refused);
         }
@@ -455,7 +455,7 @@
 }
 
 impl Handler for WorkerStand {
-    async fn handle(&self, asked: Asked) -> Whole {
+    async fn handle(&self, asked: HttpRequest) -> HttpResponse {
         let body: Value = serde_json::from_slice(&asked.body).unwrap_or_default();
         let (whole, lost) = {
             let mut state = self.lock();
--- a/crates/store/src/commit.rs
+++ b/crates/store/src/commit.rs
@@ -1,51 +1,52 @@
-//! Shapes of rows and transactions, as they travel over HTTP.
+//! Rows and transactions of the table, in their JSON representation.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Number of a row's latest write; 0 stands for a row that does not exist.
+/// Version number of a row, assigned by its latest write; 0 stands for a row
+/// that does not exist.
 pub type RowVersion = u64;
 
-/// A stored row.
+/// A row of the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// Key, unique in the table.
+    /// Key of the row, unique in the table.
     pub key: String,
-    /// Number of the latest write, never used twice for one key.
+    /// Version assigned by the latest write; never reused for the same key.
     pub version: RowVersion,
-    /// Content.
+    /// Content of the row.
     pub value: String,
 }
 
-/// Condition of a transaction.
+/// Condition of a transaction on the version of one row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Check {
     /// Key of the row.
     pub key: String,
-    /// Version that the row must have; 0 if it must not exist.
+    /// Version that the row must have; 0 if the row must not exist.
     pub version: RowVersion,
 }
 
-/// Change of one row.
+/// Write or deletion of one row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Write {
     /// Key of the row.
     pub key: String,
-    /// New content; none deletes the row.
+    /// New content of the row; none deletes the row.
     pub value: Option<String>,
 }
 
-/// A transaction: all writes happen if all checks hold, else none does.
+/// A transaction: if all checks hold, all writes are applied; otherwise none.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Commit {
-    /// Conditions.
+    /// Conditions on row versions.
     pub checks: Vec<Check>,
-    /// Changes.
+    /// Writes and deletions to apply.
     pub writes: Vec<Write>,
 }
 
 impl Commit {
-    /// Adds a condition.
+    /// Adds a condition on the version of a row.
     #[must_use]
     pub fn check(mut self, key: impl Into<String>, version: RowVersion) -> Commit {
         let key = key.into();
@@ -53,7 +54,7 @@
         self
     }
 
-    /// Adds a write.
+    /// Adds a write of a row.
     #[must_use]
     pub fn put(mut self, key: impl Into<String>, value: impl Into<String>) -> Commit {
         self.writes.push(Write {
@@ -63,7 +64,7 @@
         self
     }
 
-    /// Adds a deletion.
+    /// Adds the deletion of a row.
     #[must_use]
     pub fn delete(mut self, key: impl Into<String>) -> Commit {
         self.writes.push(Write {
@@ -74,20 +75,21 @@
     }
 }
 
-/// What became of a transaction.
+/// Outcome of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Committed {
-    /// Done; the new versions stand in the order of the writes.
+pub enum CommitOutcome {
+    /// The writes were applied; holds the new row versions in the order of the
+    /// writes.
     Done(Vec<RowVersion>),
-    /// A condition did not hold; nothing changed.
+    /// A condition did not hold; nothing was written.
     Conflict(Conflict),
 }
 
-/// The first condition that did not hold.
+/// The first condition of a transaction that did not hold.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Conflict {
     /// Key of the row.
     pub key: String,
-    /// Version that it has.
+    /// Actual version of the row.
     pub found: RowVersion,
 }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,20 +1,20 @@
-//! Errors of the platform's service.
+//! Errors of calls to the platform's services.
 
 use snafu::Snafu;
 
-/// Why a call to the platform's service has no result.
+/// Error of a call to one of the platform's services.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum StoreError {
-    /// Nothing was sent or the service refused it: it has no effect.
+    /// The call was not sent, or the service refused it; it had no effect.
     #[snafu(display("the platform's service is unavailable: {reason}"))]
     Unavailable {
-        /// Text of the cause.
+        /// Description of the cause.
         reason: String,
     },
-    /// The answer was lost: it may have taken effect.
+    /// The reply was lost; the call may have taken effect.
     #[snafu(display("the answer of the platform's service was lost: {reason}"))]
     Unknown {
-        /// Text of the cause.
+        /// Description of the cause.
         reason: String,
     },
 }
--- a/crates/store/src/hosts.rs
+++ b/crates/store/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The platform's host list: which workers live and which are leaving.
+//! The platform's host list, with the live and the leaving workers.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -15,46 +15,46 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
-    /// Takes work.
+    /// Accepts tasks.
     Live,
-    /// Is going away; gets nothing new.
+    /// Is about to leave the cell; receives no new tasks.
     Leaving,
 }
 
-/// One worker of the host list.
+/// A worker in the host list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
     /// Name of the worker.
     pub id: WorkerId,
-    /// Where it listens.
+    /// Address on which the worker listens.
     pub address: SocketAddr,
-    /// Failure domain that it stands in.
+    /// Failure domain of the worker.
     pub domain: String,
-    /// Rack that it stands in, unique in the cell.
+    /// Rack of the worker; its name is unique in the cell.
     pub rack: String,
-    /// Whether it stays.
+    /// Whether the worker is live or leaving.
     pub state: HostState,
 }
 
 /// The platform's host list.
 pub trait HostList: Clone + Send + Sync + 'static {
-    /// Reads the whole list, which lags behind the truth.
+    /// Reads the whole list, which may lag behind the actual state of the hosts.
     fn hosts(&self) -> impl Future<Output = Result<Vec<Host>, StoreError>> + Send;
 }
 
-/// Client of the host list over HTTP.
+/// HTTP client of the host list.
 #[derive(Clone, Debug)]
-pub struct HttpHosts {
+pub struct HttpHostList {
     client: Client,
     server: SocketAddr,
     timeout: Duration,
 }
 
-impl HttpHosts {
-    /// A client of the list at `server`; a call lasts `timeout` at most.
+impl HttpHostList {
+    /// Creates a client of the list at `server`, with a timeout for each call.
     #[must_use]
-    pub fn new(server: SocketAddr, timeout: Duration) -> HttpHosts {
-        HttpHosts {
+    pub fn new(server: SocketAddr, timeout: Duration) -> HttpHostList {
+        HttpHostList {
             client: Client::new(timeout),
             server,
             timeout,
@@ -62,7 +62,7 @@
     }
 }
 
-impl HostList for HttpHosts {
+impl HostList for HttpHostList {
     async fn hosts(&self) -> Result<Vec<Host>, StoreError> {
         let path = "/v1/hosts";
         let reply = self.client.get(self.server, path, self.timeout).await?;
--- a/crates/store/src/http_table.rs
+++ b/crates/store/src/http_table.rs
@@ -1,4 +1,4 @@
-//! Client of the transactional table over HTTP.
+//! HTTP client of the transactional table.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,13 +9,13 @@
 use web::encode;
 
 use crate::Commit;
-use crate::Committed;
+use crate::CommitOutcome;
 use crate::PAGE_ROWS;
 use crate::Row;
 use crate::StoreError;
 use crate::Table;
 
-/// Client of the transactional table.
+/// HTTP client of the transactional table.
 #[derive(Clone, Debug)]
 pub struct HttpTable {
     client: Client,
@@ -24,7 +24,7 @@
 }
 
 impl HttpTable {
-    /// A client of the table at `server`; a call lasts `timeout` at most.
+    /// Creates a client of the table at `server`, with a timeout for each call.
     #[must_use]
     pub fn new(server: SocketAddr, timeout: Duration) -> HttpTable {
         HttpTable {
@@ -36,13 +36,14 @@
 
     async fn read(&self, path: &str) -> Result<Reply, StoreError> {
         let reply = self.client.get(self.server, path, self.timeout).await?;
-        refuse_status(&reply)?;
+        check_status(&reply)?;
         Ok(reply)
     }
 }
 
-/// The service answers an error status only when nothing took effect.
-fn refuse_status(reply: &Reply) -> Result<(), StoreError> {
+/// Maps an error status to `Unavailable`: the service replies with an error
+/// status only if the call had no effect.
+fn check_status(reply: &Reply) -> Result<(), StoreError> {
     if reply.status == StatusCode::OK {
         return Ok(());
     }
@@ -63,20 +64,20 @@
             let prefix = encode(prefix);
             let path = format!("/v1/range?prefix={prefix}&after={after}&limit={PAGE_ROWS}");
             let page: Vec<Row> = self.read(&path).await?.json(self.server)?;
-            let last = page.len() < PAGE_ROWS;
+            let last_page = page.len() < PAGE_ROWS;
             rows.extend(page);
-            if last {
+            if last_page {
                 return Ok(rows);
             }
         }
     }
 
-    async fn commit(&self, commit: &Commit) -> Result<Committed, StoreError> {
-        let sent = self
+    async fn commit(&self, commit: &Commit) -> Result<CommitOutcome, StoreError> {
+        let call = self
             .client
             .post(self.server, "/v1/commit", commit, self.timeout);
-        let reply = sent.await?;
-        refuse_status(&reply)?;
+        let reply = call.await?;
+        check_status(&reply)?;
         Ok(reply.json(self.server)?)
     }
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,5 +1,5 @@
-//! The platform's service: transactional table, object store and host list.
-//! A trait for each and a client that speaks HTTP.
+//! The platform's services: transactional table, object store and host list.
+//! Each has a trait and an HTTP client.
 
 mod commit;
 mod error;
--- a/crates/store/src/objects.rs
+++ b/crates/store/src/objects.rs
@@ -1,4 +1,4 @@
-//! Client of the object store over HTTP.
+//! The object store: trait and HTTP client.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -13,32 +13,32 @@
 use crate::StoreError;
 
 /// The platform's object store.
-pub trait Objects: Clone + Send + Sync + 'static {
-    /// Stores an object, whole.
+pub trait ObjectStore: Clone + Send + Sync + 'static {
+    /// Writes a whole object.
     fn put(&self, name: &str, body: Vec<u8>)
     -> impl Future<Output = Result<(), StoreError>> + Send;
 
-    /// Reads an object.
+    /// Reads an object; none if it does not exist.
     fn fetch(&self, name: &str)
     -> impl Future<Output = Result<Option<Vec<u8>>, StoreError>> + Send;
 
-    /// Names of the objects that begin with `prefix`, sorted.
+    /// Lists the names of all objects that begin with `prefix`, sorted.
     fn list(&self, prefix: &str) -> impl Future<Output = Result<Vec<String>, StoreError>> + Send;
 }
 
-/// Client of the object store.
+/// HTTP client of the object store.
 #[derive(Clone, Debug)]
-pub struct HttpObjects {
+pub struct HttpObjectStore {
     client: Client,
     server: SocketAddr,
     timeout: Duration,
 }
 
-impl HttpObjects {
-    /// A client of the store at `server`; a call lasts `timeout` at most.
+impl HttpObjectStore {
+    /// Creates a client of the store at `server`, with a timeout for each call.
     #[must_use]
-    pub fn new(server: SocketAddr, timeout: Duration) -> HttpObjects {
-        HttpObjects {
+    pub fn new(server: SocketAddr, timeout: Duration) -> HttpObjectStore {
+        HttpObjectStore {
             client: Client::new(timeout),
             server,
             timeout,
@@ -50,19 +50,19 @@
     }
 }
 
-fn unexpected(status: StatusCode) -> StoreError {
+fn unexpected_status(status: StatusCode) -> StoreError {
     let reason = format!("object store: status {status}");
     StoreError::Unavailable { reason }
 }
 
-impl Objects for HttpObjects {
+impl ObjectStore for HttpObjectStore {
     async fn put(&self, name: &str, body: Vec<u8>) -> Result<(), StoreError> {
         let path = format!("/v1/object/{}", encode(name));
         let call = self.call(Method::PUT, &path).bytes(body.into());
         let reply = self.client.send(call).await?;
         match reply.status {
             StatusCode::OK => Ok(()),
-            status => Err(unexpected(status)),
+            status => Err(unexpected_status(status)),
         }
     }
 
@@ -72,7 +72,7 @@
         match reply.status {
             StatusCode::OK => Ok(Some(reply.body.to_vec())),
             StatusCode::NOT_FOUND => Ok(None),
-            status => Err(unexpected(status)),
+            status => Err(unexpected_status(status)),
         }
     }
 
@@ -81,7 +81,7 @@
         let reply = self.client.send(self.call(Method::GET, &path)).await?;
         match reply.status {
             StatusCode::OK => Ok(reply.json(self.server)?),
-            status => Err(unexpected(status)),
+            status => Err(unexpected_status(status)),
         }
     }
 }
--- a/crates/web/src/client.rs
+++ b/crates/web/src/client.rs
@@ -24,10 +24,10 @@
 use crate::Traffic;
 
 /// Largest body that a client reads, in bytes.
-pub const REPLY_BYTES: usize = 64 * 1024 * 1024;
+pub const MAX_REPLY_BYTES: usize = 64 * 1024 * 1024;
 
 /// Connections kept open to one server while idle.
-const IDLE_CONNECTIONS: usize = 16;
+const MAX_IDLE_CONNECTIONS: usize = 16;
 
 /// Why a call has no usable reply.
 #[derive(Debug, Snafu)]
@@ -65,7 +65,7 @@
     /// Whether the server's side ended the call, rather than silence: its
     /// process has ended, or refuses connections.
     #[must_use]
-    pub fn broken(&self) -> bool {
+    pub fn closed_by_server(&self) -> bool {
         matches!(self, CallError::Lost { reason, .. } if reason != TIMEOUT)
     }
 }
@@ -113,7 +113,7 @@
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(connect));
         let inner = HyperClient::builder(TokioExecutor::new())
-            .pool_max_idle_per_host(IDLE_CONNECTIONS)
+            .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS)
             .build(connector);
         Client {
             inner,
@@ -162,7 +162,7 @@
     /// See [`CallError`].
     pub async fn send(&self, call: Call) -> Result<Reply, CallError> {
         let server = call.server;
-        let begin = Instant::now();
+        let started = Instant::now();
         self.traffic.sent(call.body.len());
         let reply = match tokio::time::timeout(call.timeout, self.exchange(call)).await {
             Ok(reply) => reply,
@@ -172,7 +172,7 @@
             }),
         };
         match &reply {
-            Ok(reply) => self.traffic.answered(reply.body.len(), begin.elapsed()),
+            Ok(reply) => self.traffic.answered(reply.body.len(), started.elapsed()),
             Err(_) => self.traffic.lost(),
         }
         reply
@@ -180,7 +180,7 @@
 
     async fn exchange(&self, call: Call) -> Result<Reply, CallError> {
         let server = call.server;
-        let lost = |reason: String| CallError::Lost { server, reason };
+        let call_lost = |reason: String| CallError::Lost { server, reason };
         let request = call.into_request()?;
         let response = match self.inner.request(request).await {
             Ok(response) => response,
@@ -190,14 +190,14 @@
                     reason: error.to_string(),
                 });
             }
-            Err(error) => return Err(lost(error.to_string())),
+            Err(error) => return Err(call_lost(error.to_string())),
         };
         let status = response.status();
-        let limited = Limited::new(response.into_body(), REPLY_BYTES);
+        let limited = Limited::new(response.into_body(), MAX_REPLY_BYTES);
         let body = limited
             .collect()
             .await
-            .map_err(|error| lost(error.to_string()))?;
+            .map_err(|error| call_lost(error.to_string()))?;
         Ok(Reply {
             status,
             body: body.to_bytes(),
@@ -283,10 +283,10 @@
 
 /// Encodes a piece of a path or query, so that any byte survives.
 #[must_use]
-pub fn encode(piece: &str) -> String {
+pub fn encode(part: &str) -> String {
     use std::fmt::Write;
-    let mut out = String::with_capacity(piece.len());
-    for byte in piece.bytes() {
+    let mut out = String::with_capacity(part.len());
+    for byte in part.bytes() {
         if byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'.' | b'_' | b'~' | b'/') {
             out.push(char::from(byte));
         } else {
@@ -298,22 +298,22 @@
 
 /// Reverses [`encode`]; malformed escapes stay as they are.
 #[must_use]
-pub fn decode(piece: &str) -> String {
-    let bytes = piece.as_bytes();
+pub fn decode(part: &str) -> String {
+    let bytes = part.as_bytes();
     let mut out = Vec::with_capacity(bytes.len());
-    let mut at = 0;
-    while at < bytes.len() {
+    let mut index = 0;
+    while index < bytes.len() {
         let hex = bytes
-            .get(at + 1..at + 3)
+            .get(index + 1..index + 3)
             .and_then(|pair| std::str::from_utf8(pair).ok());
         match hex.and_then(|pair| u8::from_str_radix(pair, 16).ok()) {
-            Some(byte) if bytes[at] == b'%' => {
+            Some(byte) if bytes[index] == b'%' => {
                 out.push(byte);
-                at += 3;
+                index += 3;
             }
             _ => {
-                out.push(bytes[at]);
-                at += 1;
+                out.push(bytes[index]);
+                index += 1;
             }
         }
     }
--- a/crates/web/src/server.rs
+++ b/crates/web/src/server.rs
@@ -24,18 +24,18 @@
 use tokio::sync::Semaphore;
 use tokio::sync::watch;
 
+use crate::HttpResponse;
 use crate::Limits;
-use crate::Whole;
 use crate::decode;
 use crate::error;
 
 /// Wait after a failed accept (such as too many open files), so that the
 /// accept loop does not spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// A whole request.
 #[derive(Debug)]
-pub struct Asked {
+pub struct HttpRequest {
     /// HTTP method.
     pub method: Method,
     /// Path, decoded, without the query.
@@ -53,7 +53,7 @@
     pub body: Bytes,
 }
 
-impl Asked {
+impl HttpRequest {
     /// Value of a query parameter.
     #[must_use]
     pub fn parameter(&self, name: &str) -> Option<String> {
@@ -68,7 +68,7 @@
 /// Answers whole requests.
 pub trait Handler: Send + Sync + 'static {
     /// Answers one request.
-    fn handle(&self, asked: Asked) -> impl Future<Output = Whole> + Send;
+    fn handle(&self, http_request: HttpRequest) -> impl Future<Output = HttpResponse> + Send;
 }
 
 /// Serves connections until `stop` turns true, then lets the requests in
@@ -79,36 +79,36 @@
     limits: Limits,
     mut stop: watch::Receiver<bool>,
 ) {
-    let slots = Arc::new(Semaphore::new(limits.connections));
-    let mut open = tokio::task::JoinSet::new();
+    let permits = Arc::new(Semaphore::new(limits.connections));
+    let mut connection_tasks = tokio::task::JoinSet::new();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            Some(_) = open.join_next() => continue,
-            () = stopped(&mut stop) => break,
+            Some(_) = connection_tasks.join_next() => continue,
+            () = wait_for_stop(&mut stop) => break,
         };
         let Ok((stream, _)) = accepted else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let Ok(slot) = slots.clone().try_acquire_owned() else {
+        let Ok(permit) = permits.clone().try_acquire_owned() else {
             log::debug!("connection refused: {} are open", limits.connections);
             continue;
         };
         let handler = handler.clone();
         let stop = stop.clone();
-        open.spawn(async move {
+        connection_tasks.spawn(async move {
             serve_connection(stream, handler, limits, stop).await;
-            drop(slot);
+            drop(permit);
         });
     }
     drop(listener);
-    while open.join_next().await.is_some() {}
+    while connection_tasks.join_next().await.is_some() {}
 }
 
 /// Waits for the stop; a vanished sender counts as one.
-async fn stopped(stop: &mut watch::Receiver<bool>) {
-    let _ = stop.wait_for(|stopped| *stopped).await;
+async fn wait_for_stop(stop: &mut watch::Receiver<bool>) {
+    let _ = stop.wait_for(|stopping| *stopping).await;
 }
 
 async fn serve_connection<H: Handler>(
@@ -130,7 +130,7 @@
     tokio::pin!(connection);
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
-        () = stopped(&mut stop) => {
+        () = wait_for_stop(&mut stop) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
@@ -140,7 +140,11 @@
     }
 }
 
-async fn answer<H: Handler>(request: Request<Incoming>, handler: &H, limits: Limits) -> Whole {
+async fn answer<H: Handler>(
+    request: Request<Incoming>,
+    handler: &H,
+    limits: Limits,
+) -> HttpResponse {
     let (head, body) = request.into_parts();
     let body = if let Ok(body) = Limited::new(body, limits.body_bytes).collect().await {
         body.to_bytes()
@@ -164,7 +168,7 @@
         .and_then(|value| value.split(':').next())
         .unwrap_or_default()
         .to_ascii_lowercase();
-    let asked = Asked {
+    let http_request = HttpRequest {
         method: head.method,
         path: decode(head.uri.path()),
         query: head.uri.query().unwrap_or_default().to_owned(),
@@ -173,5 +177,5 @@
         headers: head.headers,
         body,
     };
-    handler.handle(asked).await
+    handler.handle(http_request).await
 }
--- a/crates/worker/src/client.rs
+++ b/crates/worker/src/client.rs
@@ -11,9 +11,9 @@
 use web::StatusCode;
 
 use crate::Claim;
-use crate::Claimed;
+use crate::ClaimReply;
 use crate::Poll;
-use crate::Polled;
+use crate::PollReply;
 use crate::Refusal;
 use crate::Start;
 use crate::Stop;
@@ -29,13 +29,13 @@
     },
     /// It was certainly not asked.
     #[snafu(display("the worker was not reached: {reason}"))]
-    Unreached {
+    Unreachable {
         /// Text of the cause.
         reason: String,
     },
     /// It may have done it.
     #[snafu(display("the worker's answer was lost: {reason}"))]
-    Lost {
+    NoReply {
         /// Text of the cause.
         reason: String,
     },
@@ -45,8 +45,8 @@
     fn from(error: CallError) -> WorkerError {
         let reason = error.to_string();
         match error {
-            CallError::Connect { .. } => WorkerError::Unreached { reason },
-            CallError::Lost { .. } | CallError::Garbled { .. } => WorkerError::Lost { reason },
+            CallError::Connect { .. } => WorkerError::Unreachable { reason },
+            CallError::Lost { .. } | CallError::Garbled { .. } => WorkerError::NoReply { reason },
         }
     }
 }
@@ -72,7 +72,11 @@
     ///
     /// # Errors
     /// See [`WorkerError`].
-    pub async fn claim(&self, worker: SocketAddr, claim: &Claim) -> Result<Claimed, WorkerError> {
+    pub async fn claim(
+        &self,
+        worker: SocketAddr,
+        claim: &Claim,
+    ) -> Result<ClaimReply, WorkerError> {
         self.call(worker, "/v1/claim", claim, self.timeout).await
     }
 
@@ -96,7 +100,7 @@
     ///
     /// # Errors
     /// See [`WorkerError`].
-    pub async fn poll(&self, worker: SocketAddr, poll: &Poll) -> Result<Polled, WorkerError> {
+    pub async fn poll(&self, worker: SocketAddr, poll: &Poll) -> Result<PollReply, WorkerError> {
         let wait = Duration::from_millis(poll.wait_millis);
         self.call(worker, "/v1/poll", poll, self.timeout + wait)
             .await
@@ -119,7 +123,7 @@
             StatusCode::CONFLICT => Err(WorkerError::Refused {
                 refusal: reply.json(worker)?,
             }),
-            status => Err(WorkerError::Lost {
+            status => Err(WorkerError::NoReply {
                 reason: format!("status {status}: {}", reply.text()),
             }),
         }
--- a/crates/worker/src/message.rs
+++ b/crates/worker/src/message.rs
@@ -13,7 +13,7 @@
 pub type AttemptId = String;
 
 /// Number of a poll's reply; the next poll acknowledges it.
-pub type Turn = u64;
+pub type ReplyNumber = u64;
 
 /// Who may use a worker. Fences are ordered by assignment, then epoch; a
 /// worker refuses whatever carries an older fence than the newest it saw.
@@ -40,11 +40,11 @@
 
 /// What a worker answers to a claim that it accepts.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Claimed {
+pub struct ClaimReply {
     /// Run of the worker; it changes when the worker forgets its tasks.
     pub incarnation: Incarnation,
     /// Number of this reply.
-    pub turn: Turn,
+    pub turn: ReplyNumber,
     /// All that the worker has.
     pub capacity: Resources,
     /// Tasks that run, and ended ones that nobody has acknowledged.
@@ -104,7 +104,7 @@
     /// that was delayed past a restart cannot run.
     pub run: Incarnation,
     /// Newest reply of the worker that the owner had when it decided.
-    pub turn: Turn,
+    pub turn: ReplyNumber,
     /// Id of the start.
     pub attempt: AttemptId,
     /// Key of its request.
@@ -138,7 +138,7 @@
     /// Reply that this poll acknowledges; the worker counts the new lease
     /// from the moment it sent that reply. A poll that was delayed on its way
     /// can so never extend a lease beyond what its sender allows for.
-    pub turn: Turn,
+    pub turn: ReplyNumber,
     /// Ended attempts that the worker may forget.
     pub ended: Vec<AttemptId>,
     /// How long the worker may hold the reply back, in milliseconds.
@@ -147,9 +147,9 @@
 
 /// Reply to a poll.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Polled {
+pub struct PollReply {
     /// Number of this reply.
-    pub turn: Turn,
+    pub turn: ReplyNumber,
     /// Run of the worker.
     pub incarnation: Incarnation,
     /// Ended tasks that are not acknowledged.
