--- a/crates/entry/src/api.rs
+++ b/crates/entry/src/api.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface, described in docs/API.md.
+//! Handlers of the HTTP API, which is described in docs/API.md.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -45,51 +45,53 @@
 use crate::Role;
 use crate::Tokens;
 
-/// Longest time that a submission waits for its final answer, unless the
-/// caller names a shorter one.
+/// Maximum time that a submission waits for its final answer; also the default
+/// unless the caller requests a shorter time.
 const MAX_PATIENCE: Duration = Duration::from_mins(5);
 
-/// Patience of a submission that does not wait for the answer.
+/// Default waiting time of a submission that does not wait for the final answer.
 const DETACHED_PATIENCE: Duration = Duration::from_secs(10);
 
-/// Most events in one reply.
+/// Maximum number of events read from memory for one reply.
 const MAX_EVENTS: usize = 10_000;
 
-/// Newest objects of the stored timeline that one reply takes in.
+/// Maximum number of timeline objects read for one reply, newest first.
 const MAX_TIMELINE_OBJECTS: usize = 200;
 
-/// Versions in one reply of the history.
+/// Maximum number of versions in one reply of the configuration history.
 const HISTORY_VERSIONS: u64 = 20;
 
-/// When a caller with too many requests in flight may come back, in ms.
+/// Delay after which a caller with too many requests in flight may retry, in
+/// milliseconds.
 const RETRY_MILLIS: u64 = 200;
 
-/// Everything that the interface needs.
+/// Handler of the HTTP API, with all its dependencies.
 #[derive(Debug)]
 pub struct Api<T, O> {
-    /// Brings calls to the owners of shards.
+    /// Forwards calls to the owners of shards.
     pub router: Router,
-    /// The platform's table, for the configuration.
+    /// The platform's table, which stores the configuration.
     pub table: T,
-    /// The platform's object store, for the timeline.
+    /// The platform's object store, which stores the timeline.
     pub objects: O,
-    /// Who may call.
+    /// Tokens that the process accepts.
     pub tokens: Tokens,
-    /// Requests in flight.
+    /// Limit on the requests in flight of each team.
     pub in_flight: InFlightLimit,
-    /// Metrics.
+    /// Metrics of the process.
     pub metrics: Metrics,
-    /// Events.
+    /// Events of the process.
     pub timeline: Arc<Timeline>,
-    /// The host list.
+    /// Latest host list read from the platform; none before the first read.
     pub hosts: watch::Receiver<Hosts>,
-    /// Tells the keeper of a new configuration.
+    /// Sends new configuration versions to the keeper task, which manages the
+    /// process's lease and shards.
     pub keeper: mpsc::Sender<KeeperOrder>,
-    /// Right to act.
+    /// Open while the process has the right to act.
     pub gate: Arc<Gate>,
-    /// Turns true when a planned stop begins.
+    /// Becomes true when a planned stop begins.
     pub stopping: watch::Receiver<bool>,
-    /// Turns true when callers that still wait are sent to other processes.
+    /// Becomes true when waiting callers must be redirected to other processes.
     pub redirect_callers: watch::Receiver<bool>,
 }
 
@@ -102,7 +104,7 @@
     }
 }
 
-/// Why a call is refused.
+/// Status and reason of a refused call.
 #[derive(Debug)]
 struct ApiError {
     status: StatusCode,
@@ -116,7 +118,7 @@
     }
 }
 
-/// A reply, or why there is none.
+/// Response to a call, or the error to respond with.
 type ApiResult = Result<HttpResponse, ApiError>;
 
 impl<T: Table, O: ObjectStore> Api<T, O> {
@@ -329,7 +331,8 @@
         }
     }
 
-    /// The newest stored events of all processes, and this one's own.
+    /// Returns the newest stored events of all processes, together with the events
+    /// in this process's memory.
     async fn stored_events(&self, http_request: &HttpRequest) -> ApiResult {
         self.operator(http_request)?;
         let unavailable =
@@ -357,8 +360,8 @@
     }
 }
 
-/// Events in one stored object, one a line; a line that cannot be read is
-/// left out.
+/// Parses the events of a stored object, one per line; skips lines that cannot
+/// be parsed.
 fn parse_events(body: &[u8]) -> Vec<Event> {
     let lines = body.split(|byte| *byte == b'\n');
     lines
--- a/crates/entry/src/auth.rs
+++ b/crates/entry/src/auth.rs
@@ -1,4 +1,4 @@
-//! Bearer tokens, kept as hashes and compared in constant time.
+//! Bearer tokens, stored as hashes and compared in constant time.
 
 use model::TeamId;
 use model::digest;
@@ -6,52 +6,52 @@
 use serde::Serialize;
 use subtle::ConstantTimeEq;
 
-/// What the holder of a token may do.
+/// Permissions of the holder of a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Submits and reads the work of its own team.
+    /// May submit, read and cancel requests of its own team.
     Caller,
-    /// Reads and patches the configuration, sees the whole cell.
+    /// May also patch the configuration and read the state of the whole cell.
     Operator,
 }
 
-/// One token, as the settings hold it.
+/// A token, as configured in the settings.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Token {
-    /// Hex SHA-256 of the token.
+    /// Hexadecimal SHA-256 of the token.
     pub sha256: String,
-    /// What its holder may do.
+    /// Role of the token's holder.
     pub role: Role,
-    /// Team of its holder.
+    /// Team of the token's holder.
     pub team: TeamId,
 }
 
-/// Who makes a request.
+/// The authenticated sender of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Caller {
-    /// Team.
+    /// Team of the caller.
     pub team: TeamId,
-    /// Role.
+    /// Role of the caller.
     pub role: Role,
 }
 
-/// All tokens of a process.
+/// All tokens that a process accepts.
 #[derive(Clone, Debug)]
 pub struct Tokens {
     tokens: Vec<Token>,
 }
 
 impl Tokens {
-    /// The tokens of the settings.
+    /// Creates the set from the tokens in the settings.
     #[must_use]
     pub fn new(tokens: Vec<Token>) -> Tokens {
         Tokens { tokens }
     }
 
-    /// Who holds `token`. All hashes are compared, each in constant time, so
-    /// that the time taken tells nothing about them.
+    /// Returns the holder of `token`. Compares all hashes, each in constant time,
+    /// so that the duration reveals nothing about them.
     #[must_use]
     pub fn caller(&self, token: &str) -> Option<Caller> {
         let hash = digest(token);
@@ -77,7 +77,7 @@
     use model::digest;
 
     #[test]
-    fn only_a_known_token_names_a_caller() {
+    fn only_a_configured_token_identifies_a_caller() {
         let tokens = Tokens::new(vec![Token {
             sha256: digest("secret"),
             role: Role::Caller,
--- a/crates/entry/src/body.rs
+++ b/crates/entry/src/body.rs
@@ -1,4 +1,4 @@
-//! JSON bodies of the HTTP interface.
+//! JSON bodies of the HTTP API.
 
 use model::Answer;
 use model::Family;
@@ -8,16 +8,16 @@
 use shard::MemberView;
 use shard::View;
 
-/// An answer as callers see it.
+/// Answer to a request, as returned to callers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerBody {
-    /// Number of the result code.
+    /// Numeric value of the result code.
     pub number: u16,
     /// Family of the result code.
     pub family: Family,
     /// Length of the output, in bytes.
     pub length: usize,
-    /// The answer.
+    /// Fields of the answer itself.
     #[serde(flatten)]
     pub answer: Answer,
 }
@@ -33,59 +33,60 @@
     }
 }
 
-/// A cancel call.
+/// Body of a cancel call; sets either `id` or `label`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CancelBody {
-    /// One request.
+    /// Id of the request to cancel.
     #[serde(default)]
     pub id: Option<String>,
-    /// All requests of the team with this label.
+    /// Label; all requests of the team with this label are cancelled.
     #[serde(default)]
     pub label: Option<String>,
 }
 
-/// Result of a cancel call.
+/// Body of the reply to a cancel call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CancelledBody {
-    /// Requests that are cancelled, or were told to stop.
+    /// Number of requests that were cancelled in the queue or asked to stop.
     pub cancelled: u32,
 }
 
-/// The configuration and where it is in force.
+/// The newest configuration, and the version that is in force everywhere.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ConfigBody {
-    /// Newest version.
+    /// Version of the newest document.
     pub version: Version,
-    /// Version in force on every process that may act.
+    /// Oldest version in force among all processes that may act.
     pub everywhere: Version,
-    /// Newest document.
+    /// Content of the newest document.
     pub config: model::Config,
 }
 
-/// The cell as this process sees it.
+/// State of the cell, as known to this process.
 #[derive(Clone, Debug, Serialize)]
 pub struct CellBody {
-    /// Processes.
+    /// Member processes of the cell.
     pub members: Vec<MemberView>,
-    /// Shards.
+    /// Shards and their owners.
     pub shards: Vec<ShardBody>,
-    /// Whether the table answers.
+    /// Whether the table is reachable.
     pub reachable: bool,
-    /// Milliseconds since members and owners were read; none before that.
+    /// Milliseconds since members and owners were last read from the table; none
+    /// before the first read.
     pub age_millis: Option<u128>,
 }
 
-/// Owner of one shard.
+/// A shard and its owner.
 #[derive(Clone, Debug, Serialize)]
 pub struct ShardBody {
-    /// Number.
+    /// Index of the shard.
     pub shard: u16,
-    /// Process run that owns it.
+    /// Incarnation of the process that owns the shard.
     pub owner: String,
-    /// Epoch.
+    /// Ownership epoch of the shard.
     pub epoch: u64,
-    /// Whether this process runs it.
+    /// Whether the shard runs in this process.
     pub local: bool,
 }
 
--- a/crates/entry/src/in_flight.rs
+++ b/crates/entry/src/in_flight.rs
@@ -1,5 +1,5 @@
-//! Bounds the requests in flight of each team at this process, so that one
-//! that floods it cannot take the others' places.
+//! Limits the requests in flight of each team at this process, so that one team
+//! cannot exhaust the capacity for the others.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::sync::Semaphore;
 
-/// Requests in flight by team; clones share them.
+/// Limit on the requests in flight of each team; clones share the counts.
 #[derive(Clone, Debug)]
 pub struct InFlightLimit {
     limit: usize,
@@ -18,7 +18,7 @@
 }
 
 impl InFlightLimit {
-    /// At most `most` requests in flight for each team.
+    /// Creates a limit of `limit` requests in flight for each team.
     #[must_use]
     pub fn new(limit: usize) -> InFlightLimit {
         InFlightLimit {
@@ -27,7 +27,8 @@
         }
     }
 
-    /// A place for one request, held until dropped; none when all are taken.
+    /// Returns a permit for one request, which is released when dropped; none if
+    /// the team has reached its limit.
     pub fn try_acquire(&self, team: &str) -> Option<OwnedSemaphorePermit> {
         let mut teams = self.teams.lock().unwrap_or_else(PoisonError::into_inner);
         let permits = teams
@@ -36,7 +37,7 @@
         permits.clone().try_acquire_owned().ok()
     }
 
-    /// Requests in flight of all teams.
+    /// Number of requests in flight of all teams together.
     #[must_use]
     pub fn count(&self) -> usize {
         let teams = self.teams.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,4 +1,4 @@
-//! HTTP interface to callers and operators: authentication, limits, routing.
+//! HTTP API for callers and operators: authentication, limits and routing.
 
 mod api;
 mod auth;
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of one process, listed in docs/METRICS.md.
+//! Metrics of a process, as listed in docs/METRICS.md.
 
 use model::Answer;
 use prometheus::CounterVec;
@@ -12,12 +12,12 @@
 use prometheus::TextEncoder;
 use shard::View;
 
-/// Bounds of the waiting time histogram, in seconds.
+/// Bucket boundaries of the waiting time histogram, in seconds.
 const WAIT_BUCKETS: [f64; 12] = [
     0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 1.0, 5.0, 30.0, 300.0,
 ];
 
-/// Metrics of one process.
+/// Registry and metrics of a process.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -33,10 +33,10 @@
 }
 
 impl Metrics {
-    /// All metrics at zero.
+    /// Registers all metrics, with their values at zero.
     ///
     /// # Errors
-    /// A name is taken twice or malformed.
+    /// A metric name is malformed or registered twice.
     pub fn new() -> Result<Metrics, prometheus::Error> {
         let gauge = |name: &str, help: &str| IntGauge::new(name, help);
         let metrics = Metrics {
@@ -89,7 +89,7 @@
         self.registry.register(Box::new(self.lost.clone()))
     }
 
-    /// Counts an answer.
+    /// Counts an answer and, if a task was started, records its waiting time.
     pub fn count(&self, answer: &Answer, class: &str) {
         let code: &'static str = answer.code.into();
         self.answers.with_label_values(&[code, class]).inc();
@@ -101,12 +101,13 @@
         }
     }
 
-    /// Takes in how many events were dropped before they were stored.
+    /// Sets the number of events that were dropped before they were stored.
     pub fn set_lost(&self, events: u64) {
         self.lost.set(i64::try_from(events).unwrap_or(i64::MAX));
     }
 
-    /// Text for a scrape.
+    /// Updates the gauges and returns all metrics in the Prometheus text format;
+    /// `lease` is the remaining time of the lease in seconds.
     #[must_use]
     pub fn render(&self, view: &View, lease: f64) -> String {
         let live = view.members.iter().filter(|member| member.live).count();
@@ -121,7 +122,7 @@
         self.age.set(age);
         let mut text = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut text) {
-            log::error!("metrics: {error}");
+            log::error!("cannot encode metrics: {error}");
         }
         String::from_utf8_lossy(&text).into_owned()
     }
--- a/crates/entry/tests/docs.rs
+++ b/crates/entry/tests/docs.rs
@@ -1,11 +1,11 @@
-//! The table of metrics lists exactly those that a process shows.
+//! Checks that docs/METRICS.md lists exactly the metrics that a process exports.
 
 use entry::Metrics;
 use model::Answer;
 use model::Code;
 use shard::View;
 
-const PAGE: &str = include_str!("../../../docs/METRICS.md");
+const DOCS_PAGE: &str = include_str!("../../../docs/METRICS.md");
 
 #[test]
 fn the_table_lists_each_metric() {
@@ -19,8 +19,11 @@
     let shown = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
     let shown: Vec<&str> = shown.filter_map(|line| line.split(' ').next()).collect();
     for name in &shown {
-        assert!(PAGE.contains(&format!("| `{name}` |")), "{name}");
+        assert!(DOCS_PAGE.contains(&format!("| `{name}` |")), "{name}");
     }
-    let rows = PAGE.lines().filter(|line| line.starts_with("| `")).count();
+    let rows = DOCS_PAGE
+        .lines()
+        .filter(|line| line.starts_with("| `"))
+        .count();
     assert_eq!(rows, shown.len());
 }
--- a/crates/event/src/hlc.rs
+++ b/crates/event/src/hlc.rs
@@ -28,11 +28,11 @@
     /// Advances the clock past the timestamp of a received message, so that all
     /// following events are stamped later than every event before the message
     /// was sent.
-    pub fn merge(&self, seen: Stamp) -> Stamp {
+    pub fn merge(&self, received: Stamp) -> Stamp {
         let wall = wall_millis() << COUNTER_BITS;
         let mut last = self.last.load(Ordering::Relaxed);
         loop {
-            let next = wall.max(last + 1).max(seen + 1);
+            let next = wall.max(last + 1).max(received + 1);
             match self
                 .last
                 .compare_exchange_weak(last, next, Ordering::Relaxed, Ordering::Relaxed)
--- a/crates/event/tests/docs.rs
+++ b/crates/event/tests/docs.rs
@@ -3,11 +3,11 @@
 use event::Kind;
 use strum::IntoEnumIterator;
 
-const PAGE: &str = include_str!("../../../docs/EVENTS.md");
+const DOCS_PAGE: &str = include_str!("../../../docs/EVENTS.md");
 
 #[test]
 fn the_docs_list_each_event_kind_with_its_number() {
-    let rows: Vec<&str> = PAGE
+    let rows: Vec<&str> = DOCS_PAGE
         .lines()
         .filter(|line| line.starts_with("| "))
         .skip(1)
--- a/crates/event/tests/timeline.rs
+++ b/crates/event/tests/timeline.rs
@@ -5,8 +5,8 @@
 use event::RING_CAPACITY;
 use event::Timeline;
 
-fn fill(timeline: &Timeline, events: usize) {
-    for _ in 0..events {
+fn record_events(timeline: &Timeline, count: usize) {
+    for _ in 0..count {
         timeline.record(Event::new(Kind::TaskPlaced));
     }
 }
@@ -17,11 +17,11 @@
 #[test]
 fn events_that_were_dropped_before_they_were_stored_are_counted() {
     let timeline = Timeline::new("a-1");
-    fill(&timeline, 10);
+    record_events(&timeline, 10);
     let last = timeline.events_after(0, 10).last().map(|event| event.stamp);
 
     timeline.mark_stored(last.expect("ten events"));
-    fill(&timeline, RING_CAPACITY + 5);
+    record_events(&timeline, RING_CAPACITY + 5);
 
     assert_eq!(timeline.lost(), 5);
 }
@@ -29,14 +29,14 @@
 #[test]
 fn events_that_were_stored_are_not_lost() {
     let timeline = Timeline::new("a-1");
-    fill(&timeline, RING_CAPACITY);
+    record_events(&timeline, RING_CAPACITY);
     let last = timeline
         .events_after(0, RING_CAPACITY)
         .last()
         .map(|event| event.stamp);
 
     timeline.mark_stored(last.expect("a full ring"));
-    fill(&timeline, 100);
+    record_events(&timeline, 100);
 
     assert_eq!(timeline.lost(), 0);
 }
--- a/crates/model/tests/docs.rs
+++ b/crates/model/tests/docs.rs
@@ -3,11 +3,11 @@
 use model::Code;
 use strum::IntoEnumIterator;
 
-const PAGE: &str = include_str!("../../../docs/CODES.md");
+const DOCS_PAGE: &str = include_str!("../../../docs/CODES.md");
 
 #[test]
 fn the_table_lists_each_code_with_number_and_family() {
-    let rows: Vec<&str> = PAGE
+    let rows: Vec<&str> = DOCS_PAGE
         .lines()
         .filter(|line| {
             line.split('|')
--- a/crates/peer/src/endpoint.rs
+++ b/crates/peer/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One process's endpoint: calls others and serves their calls.
+//! QUIC endpoint of a process: calls other processes and serves their calls.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -29,21 +29,22 @@
 use crate::encode;
 use crate::tls;
 
-/// Silence after which a connection counts as dead. Calls that wait on it
-/// then fail, so their callers can turn to the next owner.
+/// Time without received packets after which a connection is closed. Pending
+/// calls on it then fail, so that their callers can try the next owner.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Interval of keep-alive packets on a quiet connection.
+/// Interval of keep-alive packets on an idle connection.
 const KEEP_ALIVE: Duration = Duration::from_millis(600);
 
-/// Longest wait for a new connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Most calls in flight on one connection. The library keeps a table of that
-/// size for each; with 16,384 a connection took 2.4 MiB.
+/// Maximum number of calls in flight on one connection. The QUIC library
+/// allocates a table of this size per connection; with 16,384 entries each
+/// connection took 2.4 MiB.
 const MAX_STREAMS: u32 = 2048;
 
-/// Endpoint of one process; clones share it.
+/// QUIC endpoint of one process; clones share it.
 #[derive(Clone, Debug)]
 pub struct PeerEndpoint {
     endpoint: Endpoint,
@@ -52,10 +53,10 @@
 }
 
 impl PeerEndpoint {
-    /// Binds the socket and loads the keys.
+    /// Loads the keys and binds the socket.
     ///
     /// # Errors
-    /// The keys are unusable or the address cannot be bound.
+    /// The keys cannot be loaded or the address cannot be bound.
     pub fn open(
         listen: SocketAddr,
         keys: &KeyFiles,
@@ -82,7 +83,8 @@
     /// Calls another process and waits for its reply.
     ///
     /// # Errors
-    /// See [`PeerError`]; only `Unreached` says that nothing was received.
+    /// See [`PeerError`]; only `Unreachable` guarantees that the peer did not
+    /// receive the call.
     pub async fn call<Q, R>(
         &self,
         peer: SocketAddr,
@@ -176,7 +178,7 @@
             tokio::spawn(async move {
                 match incoming.await {
                     Ok(connection) => peer_endpoint.serve_connection(connection, service).await,
-                    Err(error) => log::debug!("peer refused: {error}"),
+                    Err(error) => log::debug!("incoming peer connection failed: {error}"),
                 }
             });
         }
@@ -188,7 +190,7 @@
             let service = service.clone();
             tokio::spawn(async move {
                 if let Err(reason) = peer_endpoint.serve_call(send, receive, service).await {
-                    log::debug!("call dropped: {reason}");
+                    log::debug!("peer call failed: {reason}");
                 }
             });
         }
@@ -218,7 +220,7 @@
         send.finish().map_err(|error| error.to_string())
     }
 
-    /// Closes all connections and waits until the others were told.
+    /// Closes all connections and waits until the peers were notified.
     pub async fn close(self) {
         self.endpoint.close(VarInt::from_u32(0), b"stopped");
         self.endpoint.wait_idle().await;
--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -5,45 +5,45 @@
 
 use snafu::Snafu;
 
-/// Why a call has no reply.
+/// Error of a call to another process.
 #[derive(Debug, Snafu)]
 pub enum PeerError {
-    /// Nothing was sent.
+    /// The call was not sent.
     #[snafu(display("cannot reach {peer}: {reason}"))]
     Unreachable {
         /// Address of the other process.
         peer: SocketAddr,
-        /// Text of the cause.
+        /// Description of the cause.
         reason: String,
     },
-    /// The other process may have received it.
+    /// No valid reply was received; the other process may have received the call.
     #[snafu(display("no reply from {peer}: {reason}"))]
     NoReply {
         /// Address of the other process.
         peer: SocketAddr,
-        /// Text of the cause.
+        /// Description of the cause.
         reason: String,
     },
 }
 
-/// Why the transport cannot be opened.
+/// Error while the endpoint is opened or key files are generated.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum OpenError {
     /// A key file cannot be read or written.
     #[snafu(display("{}: {source}", path.display()))]
     File {
-        /// The file.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// Error of the system.
+        /// Error returned by the operating system.
         source: std::io::Error,
     },
-    /// A key file does not hold what it should.
+    /// A key or certificate is invalid or cannot be generated.
     #[snafu(display("{}: {reason}", path.display()))]
     Key {
-        /// The file.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// What is wrong.
+        /// Description of the error.
         reason: String,
     },
     /// The socket cannot be bound.
@@ -51,7 +51,7 @@
     Bind {
         /// Address to listen on.
         address: SocketAddr,
-        /// Error of the system.
+        /// Error returned by the operating system.
         source: std::io::Error,
     },
 }
--- a/crates/peer/src/keys.rs
+++ b/crates/peer/src/keys.rs
@@ -1,4 +1,4 @@
-//! The cell's own certificate authority and the key files of a process.
+//! Certificate authority of the cell, and the key files of a process.
 
 use std::fs;
 use std::io::Write;
@@ -17,25 +17,26 @@
 use crate::OpenError;
 use crate::error::FileSnafu;
 
-/// Name in every certificate of a cell; addresses are IP numbers that change
-/// with each replaced host, so membership is what a certificate proves.
+/// Subject name in every certificate of a cell. A certificate proves membership
+/// in the cell, not an address, because IP addresses change when hosts are
+/// replaced.
 pub const CELL_NAME: &str = "clovermount.cell";
 
-/// File with the authority's certificate.
+/// File name of the authority's certificate.
 pub const AUTHORITY_FILE: &str = "ca.pem";
 
-/// File with a process's certificate.
+/// File name of the process certificate.
 pub const CERTIFICATE_FILE: &str = "cert.pem";
 
-/// File with a process's private key.
+/// File name of the private key of the process.
 pub const KEY_FILE: &str = "key.pem";
 
-/// Makes a new authority and one certificate signed by it, as three files in
-/// `folder`. The authority's private key is forgotten: to replace keys, make
-/// a new set.
+/// Generates an authority and a process certificate signed by it, and writes
+/// certificates and process key as three files to `folder`. The private key of
+/// the authority is not saved; to replace keys, generate a complete new set.
 ///
 /// # Errors
-/// A file exists already or cannot be written, or a key cannot be made.
+/// A file already exists or cannot be written, or a key cannot be generated.
 pub fn generate_keys(folder: &Path) -> Result<(), OpenError> {
     let key_error = |error: rcgen::Error| OpenError::Key {
         path: folder.to_owned(),
@@ -62,6 +63,8 @@
     CertifiedIssuer::self_signed(root, KeyPair::generate()?)
 }
 
+/// Writes a new file, on Unix readable only by its owner; fails if the file
+/// already exists.
 fn write_new(path: &Path, text: &str) -> Result<(), OpenError> {
     let mut options = fs::OpenOptions::new();
     options.write(true).create_new(true);
@@ -71,15 +74,15 @@
     file.write_all(text.as_bytes()).context(FileSnafu { path })
 }
 
-/// Where a process finds its keys.
+/// Location of the key files of a process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyFiles {
-    /// Folder with the three files.
+    /// Folder that contains the three key files.
     pub folder: PathBuf,
 }
 
 impl KeyFiles {
-    /// Path of one of the files.
+    /// Path of the key file with the given name.
     #[must_use]
     pub fn path(&self, name: &str) -> PathBuf {
         self.folder.join(name)
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,5 +1,5 @@
-//! Calls between the processes of one cell: QUIC with mutual TLS, one stream
-//! a call. Whoever has no certificate of the cell's authority gets nowhere.
+//! Calls between the processes of a cell over QUIC with mutual TLS, one stream
+//! per call. Peers without a certificate from the cell's authority are rejected.
 
 mod endpoint;
 mod error;
--- a/crates/peer/src/service.rs
+++ b/crates/peer/src/service.rs
@@ -1,17 +1,17 @@
-//! What a process offers to the others.
+//! Interface of a process to its peers.
 
 use std::future::Future;
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Answers the calls of other processes.
+/// Handles the calls of other processes.
 pub trait Service: Clone + Send + Sync + 'static {
-    /// What may be asked.
+    /// Type of the requests.
     type Request: DeserializeOwned + Serialize + Send + Sync;
-    /// What comes back.
+    /// Type of the replies.
     type Reply: Serialize + DeserializeOwned + Send + Sync;
 
-    /// Answers one call.
+    /// Handles one call.
     fn answer(&self, request: Self::Request) -> impl Future<Output = Self::Reply> + Send;
 }
--- a/crates/peer/src/tls.rs
+++ b/crates/peer/src/tls.rs
@@ -1,4 +1,4 @@
-//! TLS settings of both sides: mutual, with the cell's authority only.
+//! Settings for mutual TLS, with the cell's authority as the only trusted root.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -17,13 +17,13 @@
 use crate::KeyFiles;
 use crate::OpenError;
 
-/// TLS settings of both sides.
+/// TLS settings for incoming (server) and outgoing (client) connections.
 pub(crate) struct Tls {
     pub(crate) server: QuicServerConfig,
     pub(crate) client: QuicClientConfig,
 }
 
-/// Reads the key files and builds both sides' settings.
+/// Reads the key files and builds the TLS settings.
 pub(crate) fn load(files: &KeyFiles) -> Result<Tls, OpenError> {
     let path = files.path(AUTHORITY_FILE);
     let mut roots = RootCertStore::empty();
--- a/crates/web/src/client.rs
+++ b/crates/web/src/client.rs
@@ -1,4 +1,4 @@
-//! HTTP client with a timeout on every call and a bound on every body.
+//! HTTP client with a timeout for every call and a size limit for every reply.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,67 +23,67 @@
 
 use crate::Traffic;
 
-/// Largest body that a client reads, in bytes.
+/// Maximum size of a reply body, in bytes.
 pub const MAX_REPLY_BYTES: usize = 64 * 1024 * 1024;
 
-/// Connections kept open to one server while idle.
+/// Maximum number of idle connections kept open to one server.
 const MAX_IDLE_CONNECTIONS: usize = 16;
 
-/// Why a call has no usable reply.
+/// Error of a call without a usable reply.
 #[derive(Debug, Snafu)]
 pub enum CallError {
-    /// Nothing was sent: the server cannot be reached.
+    /// The connection to the server failed; nothing was sent.
     #[snafu(display("cannot connect to {server}: {reason}"))]
     Connect {
         /// Address of the server.
         server: SocketAddr,
-        /// Text of the cause.
+        /// Description of the cause.
         reason: String,
     },
-    /// It may have been sent; no whole reply came in time.
+    /// The call may have been sent, but no complete reply was received in time.
     #[snafu(display("no reply from {server}: {reason}"))]
     Lost {
         /// Address of the server.
         server: SocketAddr,
-        /// Text of the cause.
+        /// Description of the cause.
         reason: String,
     },
-    /// The reply is not what the protocol says.
+    /// The reply, or the call itself, is malformed.
     #[snafu(display("bad reply from {server}: {reason}"))]
     Garbled {
         /// Address of the server.
         server: SocketAddr,
-        /// Text of the cause.
+        /// Description of the cause.
         reason: String,
     },
 }
 
-/// Reason of a call that was given up for want of a reply in time.
+/// Reason in [`CallError::Lost`] if the call timed out.
 const TIMEOUT: &str = "timeout";
 
 impl CallError {
-    /// Whether the server's side ended the call, rather than silence: its
-    /// process has ended, or refuses connections.
+    /// Whether the connection failed during the call, as opposed to a timeout:
+    /// the server process has ended or refuses connections.
     #[must_use]
     pub fn closed_by_server(&self) -> bool {
         matches!(self, CallError::Lost { reason, .. } if reason != TIMEOUT)
     }
 }
 
-/// A whole reply.
+/// A complete reply.
 #[derive(Debug)]
 pub struct Reply {
     /// HTTP status.
     pub status: StatusCode,
-    /// Body, complete.
+    /// Complete body.
     pub body: Bytes,
 }
 
 impl Reply {
-    /// Parses the body as JSON.
+    /// Parses the body as JSON; `server` is used in the error message.
     ///
     /// # Errors
-    /// The body is not the expected JSON.
+    /// The body is not valid JSON of the expected type.
     pub fn json<T: DeserializeOwned>(&self, server: SocketAddr) -> Result<T, CallError> {
         serde_json::from_slice(&self.body).map_err(|error| CallError::Garbled {
             server,
@@ -91,14 +91,14 @@
         })
     }
 
-    /// Body as text, for error messages.
+    /// Returns the body as text, for error messages.
     #[must_use]
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 }
 
-/// Client with a connection pool; clones share it.
+/// HTTP client with a connection pool; clones share the pool.
 #[derive(Clone, Debug)]
 pub struct Client {
     inner: HyperClient<HttpConnector, Full<Bytes>>,
@@ -106,7 +106,7 @@
 }
 
 impl Client {
-    /// A client whose connection attempts last `connect` at most.
+    /// Creates a client with `connect` as the timeout for opening connections.
     #[must_use]
     pub fn new(connect: Duration) -> Client {
         let mut connector = HttpConnector::new();
@@ -121,13 +121,13 @@
         }
     }
 
-    /// Counts of the calls of this client and its clones.
+    /// Statistics of the calls of this client and its clones.
     #[must_use]
     pub fn traffic(&self) -> &Traffic {
         &self.traffic
     }
 
-    /// Sends a request without a body.
+    /// Sends a GET request.
     ///
     /// # Errors
     /// See [`CallError`].
@@ -141,7 +141,7 @@
         self.send(call).await
     }
 
-    /// Sends `body` as JSON.
+    /// Sends a POST request with `body` as JSON.
     ///
     /// # Errors
     /// See [`CallError`].
@@ -156,7 +156,7 @@
         self.send(call).await
     }
 
-    /// Sends a prepared call and reads the whole reply.
+    /// Sends a call and reads the complete reply.
     ///
     /// # Errors
     /// See [`CallError`].
@@ -205,7 +205,7 @@
     }
 }
 
-/// One call, prepared.
+/// A call to be sent with [`Client::send`].
 #[derive(Debug)]
 pub struct Call {
     method: Method,
@@ -218,7 +218,7 @@
 }
 
 impl Call {
-    /// A call without a body.
+    /// Creates a call without a body.
     #[must_use]
     pub fn new(method: Method, server: SocketAddr, path: &str, timeout: Duration) -> Call {
         Call {
@@ -232,21 +232,21 @@
         }
     }
 
-    /// Sets a JSON body.
+    /// Sets the body to `body` as JSON.
     #[must_use]
     pub fn json<T: Serialize>(mut self, body: &T) -> Call {
         self.body = serde_json::to_vec(body).unwrap_or_default().into();
         self
     }
 
-    /// Sets a body as it is.
+    /// Sets the body to the given bytes.
     #[must_use]
     pub fn bytes(mut self, body: Bytes) -> Call {
         self.body = body;
         self
     }
 
-    /// Sets a bearer token.
+    /// Sets the bearer token.
     #[must_use]
     pub fn token(mut self, token: &str) -> Call {
         self.token = Some(token.to_owned());
@@ -281,7 +281,7 @@
     }
 }
 
-/// Encodes a piece of a path or query, so that any byte survives.
+/// Percent-encodes a part of a path or query. Slashes stay as they are.
 #[must_use]
 pub fn encode(part: &str) -> String {
     use std::fmt::Write;
@@ -296,7 +296,7 @@
     out
 }
 
-/// Reverses [`encode`]; malformed escapes stay as they are.
+/// Decodes percent-encoded text; malformed escapes stay as they are.
 #[must_use]
 pub fn decode(part: &str) -> String {
     let bytes = part.as_bytes();
@@ -326,7 +326,7 @@
     use super::encode;
 
     #[test]
-    fn encoding_round_trips() {
+    fn decoding_restores_the_encoded_text() {
         let text = "a b/ü?=%2";
 
         assert_eq!(decode(&encode(text)), text);
--- a/crates/web/src/lib.rs
+++ b/crates/web/src/lib.rs
@@ -1,5 +1,5 @@
-//! HTTP client and server helpers over hyper, shared by all crates that
-//! speak to callers, to the platform and to workers.
+//! HTTP client and server on top of hyper, shared by all crates that communicate
+//! with callers, the platform or workers.
 
 mod client;
 mod limits;
--- a/crates/web/src/limits.rs
+++ b/crates/web/src/limits.rs
@@ -1,17 +1,17 @@
-//! Bounds that a server puts on its clients.
+//! Limits that a server imposes on its clients.
 
 use std::time::Duration;
 
-/// What one client connection, and all together, may take.
+/// Limits per request, per connection and for all connections together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Largest head of a request, in bytes.
+    /// Maximum size of the request line and headers, in bytes.
     pub head_bytes: usize,
-    /// Longest wait for the head of the next request on a connection.
+    /// Timeout for the head of the next request on a connection.
     pub idle: Duration,
-    /// Most open connections.
+    /// Maximum number of open connections.
     pub connections: usize,
 }
 
--- a/crates/web/src/server.rs
+++ b/crates/web/src/server.rs
@@ -1,4 +1,5 @@
-//! HTTP/1 server: one task a connection, bounded, with a graceful stop.
+//! HTTP/1 server with one async task per connection, a limit on open connections
+//! and a graceful stop.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -29,32 +30,32 @@
 use crate::decode;
 use crate::error;
 
-/// Wait after a failed accept (such as too many open files), so that the
-/// accept loop does not spin.
+/// Delay after a failed accept, for example because of too many open files, so
+/// that the accept loop does not spin.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// A whole request.
+/// A complete request.
 #[derive(Debug)]
 pub struct HttpRequest {
     /// HTTP method.
     pub method: Method,
-    /// Path, decoded, without the query.
+    /// Decoded path, without the query.
     pub path: String,
-    /// Raw query; empty when there is none.
+    /// Undecoded query; empty if there is none.
     pub query: String,
     /// Bearer token, if one was sent.
     pub token: Option<String>,
-    /// Value of the `Host` header without a port, in lower case; empty when
-    /// there is none.
+    /// Value of the `Host` header without the port, in lower case; empty if there
+    /// is none.
     pub host: String,
     /// All headers.
     pub headers: HeaderMap,
-    /// Body, complete.
+    /// Complete body.
     pub body: Bytes,
 }
 
 impl HttpRequest {
-    /// Value of a query parameter.
+    /// Decoded value of a query parameter.
     #[must_use]
     pub fn parameter(&self, name: &str) -> Option<String> {
         self.query
@@ -65,14 +66,14 @@
     }
 }
 
-/// Answers whole requests.
+/// Handles requests.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request.
+    /// Handles one request and returns the response.
     fn handle(&self, http_request: HttpRequest) -> impl Future<Output = HttpResponse> + Send;
 }
 
-/// Serves connections until `stop` turns true, then lets the requests in
-/// progress finish and returns.
+/// Serves connections until `stop` becomes true, then waits for the requests in
+/// progress to finish and returns.
 pub async fn serve<H: Handler>(
     listener: TcpListener,
     handler: Arc<H>,
@@ -92,7 +93,10 @@
             continue;
         };
         let Ok(permit) = permits.clone().try_acquire_owned() else {
-            log::debug!("connection refused: {} are open", limits.connections);
+            log::debug!(
+                "connection refused: limit of {} open connections reached",
+                limits.connections
+            );
             continue;
         };
         let handler = handler.clone();
@@ -106,7 +110,7 @@
     while connection_tasks.join_next().await.is_some() {}
 }
 
-/// Waits for the stop; a vanished sender counts as one.
+/// Waits until `stop` becomes true or its sender is dropped.
 async fn wait_for_stop(stop: &mut watch::Receiver<bool>) {
     let _ = stop.wait_for(|stopping| *stopping).await;
 }
@@ -136,7 +140,7 @@
         }
     };
     if let Err(error) = ended {
-        log::debug!("connection ended: {error}");
+        log::debug!("connection closed with error: {error}");
     }
 }
 
--- a/crates/web/src/traffic.rs
+++ b/crates/web/src/traffic.rs
@@ -1,10 +1,10 @@
-//! What a client's calls amount to.
+//! Statistics of an HTTP client's calls.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Counts of a client's calls; clones of the client share them.
+/// Counters of a client's calls; clones of the client share them.
 #[derive(Debug, Default)]
 pub struct Traffic {
     answered: AtomicU64,
@@ -14,18 +14,18 @@
     slowest: AtomicU64,
 }
 
-/// Calls since the counts were taken last.
+/// Counts since the previous [`Traffic::take`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TrafficCount {
-    /// Calls that were answered.
+    /// Calls with a complete reply.
     pub answered: u64,
-    /// Calls that got no whole answer.
+    /// Calls without a complete reply.
     pub lost: u64,
-    /// Bytes of bodies sent.
+    /// Bytes of request bodies sent.
     pub sent: u64,
-    /// Bytes of bodies received.
+    /// Bytes of reply bodies received.
     pub received: u64,
-    /// Longest time to an answer.
+    /// Longest time from request to complete reply.
     pub slowest: Duration,
 }
 
@@ -45,7 +45,7 @@
         self.lost.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Takes the counts; those of the next call begin at zero.
+    /// Returns the counts and resets them to zero.
     pub fn take(&self) -> TrafficCount {
         let take = |count: &AtomicU64| count.swap(0, Ordering::Relaxed);
         TrafficCount {
--- a/crates/worker/src/client.rs
+++ b/crates/worker/src/client.rs
@@ -1,4 +1,4 @@
-//! Client of workers over HTTP.
+//! HTTP client of workers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,25 +18,25 @@
 use crate::Start;
 use crate::Stop;
 
-/// Why a worker did not do what it was asked.
+/// Error of a call to a worker.
 #[derive(Debug, Snafu)]
 pub enum WorkerError {
-    /// The worker refused; nothing changed there.
+    /// The worker refused the call; its state did not change.
     #[snafu(display("the worker refused: {refusal:?}"))]
     Refused {
-        /// Its reason.
+        /// Reason and newest fence, as sent by the worker.
         refusal: Refusal,
     },
-    /// It was certainly not asked.
-    #[snafu(display("the worker was not reached: {reason}"))]
+    /// The call was not sent; it had no effect.
+    #[snafu(display("cannot reach the worker: {reason}"))]
     Unreachable {
-        /// Text of the cause.
+        /// Description of the cause.
         reason: String,
     },
-    /// It may have done it.
-    #[snafu(display("the worker's answer was lost: {reason}"))]
+    /// No valid reply was received; the call may have taken effect.
+    #[snafu(display("no valid reply from the worker: {reason}"))]
     NoReply {
-        /// Text of the cause.
+        /// Description of the cause.
         reason: String,
     },
 }
@@ -51,7 +51,7 @@
     }
 }
 
-/// Client of all workers; clones share its connections.
+/// HTTP client of all workers; clones share the connection pool.
 #[derive(Clone, Debug)]
 pub struct WorkerClient {
     client: Client,
@@ -59,7 +59,7 @@
 }
 
 impl WorkerClient {
-    /// A client whose calls last `timeout` at most.
+    /// Creates a client with a timeout for each call.
     #[must_use]
     pub fn new(timeout: Duration) -> WorkerClient {
         WorkerClient {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Takes a worker over.
+    /// Claims a worker for the owner of a shard.
     ///
     /// # Errors
     /// See [`WorkerError`].
@@ -80,7 +80,7 @@
         self.call(worker, "/v1/claim", claim, self.timeout).await
     }
 
-    /// Starts a task; a repeated start of the same attempt changes nothing.
+    /// Starts a task; repeating the start of an attempt has no effect.
     ///
     /// # Errors
     /// See [`WorkerError`].
@@ -88,7 +88,7 @@
         self.call(worker, "/v1/start", start, self.timeout).await
     }
 
-    /// Stops a task; its end arrives by poll.
+    /// Stops a task; its end is reported in the reply to a poll.
     ///
     /// # Errors
     /// See [`WorkerError`].
@@ -96,7 +96,7 @@
         self.call(worker, "/v1/stop", stop, self.timeout).await
     }
 
-    /// Waits for ended tasks and renews all leases.
+    /// Waits for tasks to end and renews the lease of all running tasks.
     ///
     /// # Errors
     /// See [`WorkerError`].
--- a/crates/worker/src/lib.rs
+++ b/crates/worker/src/lib.rs
@@ -1,5 +1,5 @@
-//! Protocol of a worker, which is the last judge of what runs on it, and the
-//! client for it.
+//! Worker protocol and client. The worker itself decides which starts it accepts,
+//! based on fence, incarnation, lease and free resources.
 
 mod client;
 mod message;
--- a/crates/worker/src/message.rs
+++ b/crates/worker/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between the owner of a shard and a worker, as JSON over HTTP.
+//! Messages between the owner of a shard and a worker, sent as JSON over HTTP.
 
 use model::Epoch;
 use model::Incarnation;
@@ -8,176 +8,185 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Id of one start: request key, attempt and member. A worker starts each
-/// attempt at most once, however often it is asked.
+/// Id of one start of a task, built from request key, attempt and member. A
+/// worker starts each attempt at most once, even if the start message repeats.
 pub type AttemptId = String;
 
-/// Number of a poll's reply; the next poll acknowledges it.
+/// Sequence number of a worker's reply to a claim or poll; the next poll
+/// acknowledges it.
 pub type ReplyNumber = u64;
 
-/// Who may use a worker. Fences are ordered by assignment, then epoch; a
-/// worker refuses whatever carries an older fence than the newest it saw.
+/// Fencing token of a shard's owner. Fences are ordered by assignment, then by
+/// epoch; a worker refuses messages with an older fence than the newest that it
+/// has received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fence {
-    /// How often the worker was assigned to a shard.
+    /// Number of times the worker has been assigned to a shard.
     pub assigned: u64,
-    /// Epoch of the shard that it is assigned to.
+    /// Epoch of the shard that the worker is assigned to.
     pub epoch: Epoch,
 }
 
-/// Takes the worker over for one owner. A claim renews no lease, so that one
-/// that was delayed on its way cannot let a task run on that its owner has
-/// given up; the poll that acknowledges the reply does.
+/// Claims a worker for the owner of a shard. A claim does not renew the lease of
+/// the running tasks; only the poll that acknowledges the reply does. Otherwise a
+/// claim delayed in the network could keep a task running that its owner already
+/// regards as lost.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Claim {
-    /// Fence of the claimant.
+    /// Fence of the claiming owner.
     pub fence: Fence,
-    /// Shard that it owns.
+    /// Shard of the claiming owner.
     pub shard: ShardId,
-    /// How long tasks run on without a poll, in milliseconds.
+    /// Duration of the lease: how long tasks continue without an acknowledging
+    /// poll, in milliseconds.
     pub lease_millis: u64,
 }
 
-/// What a worker answers to a claim that it accepts.
+/// Reply to an accepted claim.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ClaimReply {
-    /// Run of the worker; it changes when the worker forgets its tasks.
+    /// Incarnation of the worker; changes with each restart, when the worker loses
+    /// its tasks.
     pub incarnation: Incarnation,
-    /// Number of this reply.
+    /// Sequence number of this reply.
     pub turn: ReplyNumber,
-    /// All that the worker has.
+    /// Total resources of the worker.
     pub capacity: Resources,
-    /// Tasks that run, and ended ones that nobody has acknowledged.
+    /// Running tasks, and ended tasks that no poll has acknowledged yet.
     pub tasks: Vec<Task>,
 }
 
-/// A task as its worker sees it.
+/// State of a task, as reported by its worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Task {
-    /// Id of the start.
+    /// Id of the attempt.
     pub attempt: AttemptId,
-    /// Key of its request.
+    /// Key of the request that the task belongs to.
     pub request: RequestId,
-    /// What it holds while it runs.
+    /// Resources that the task holds while it runs.
     pub needs: Resources,
-    /// How it ended; none while it runs.
+    /// How the task ended; none while it runs.
     pub end: Option<End>,
 }
 
 /// How a task ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct End {
-    /// What became of it.
+    /// Result of the task.
     pub result: EndResult,
-    /// What it wrote.
+    /// Output of the task.
     pub output: String,
-    /// Hex SHA-256 of `output`.
+    /// Hexadecimal SHA-256 of `output`.
     pub digest: String,
 }
 
-/// What became of a task.
+/// Result of an ended task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndResult {
-    /// Ended by itself, with success.
+    /// The task ended by itself and succeeded.
     Succeeded,
-    /// Ended by itself, with failure.
+    /// The task ended by itself and failed.
     Failed,
-    /// Stopped on request.
+    /// The task was stopped on request of the owner.
     Stopped,
-    /// Stopped because nobody renewed its lease.
+    /// The worker stopped the task because its lease expired.
     LeaseOver,
-    /// Written out on request; `output` names the checkpoint.
+    /// The task wrote a checkpoint on request and was stopped; `output` names the
+    /// checkpoint.
     Checkpointed,
 }
 
-/// Starts one task, at most once for each attempt, however many copies of the
-/// message arrive and however late. For that the worker remembers an attempt,
-/// carried out or refused, for one lease after it is over; and it refuses a
-/// start whose `turn` it sent longer ago than one lease, so that no copy can
-/// arrive after it was forgotten. No clocks of two hosts are compared.
+/// Starts one task, at most once per attempt, even if the message is duplicated
+/// or delayed. To ensure this, the worker remembers each ended or refused attempt
+/// for the duration of one lease, and refuses a start if it sent the reply `turn`
+/// longer ago than that; so no copy can arrive after the attempt was forgotten.
+/// This does not compare the clocks of two hosts.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Start {
-    /// Fence of the owner.
+    /// Fence of the sending owner.
     pub fence: Fence,
-    /// Run of the worker that was claimed; another run refuses, so a start
-    /// that was delayed past a restart cannot run.
+    /// Incarnation of the worker that was claimed. Any other incarnation refuses
+    /// the start, so a start delayed past a restart of the worker cannot run.
     pub run: Incarnation,
-    /// Newest reply of the worker that the owner had when it decided.
+    /// Number of the newest reply that the owner had received from the worker
+    /// when it decided to start the task.
     pub turn: ReplyNumber,
-    /// Id of the start.
+    /// Id of the attempt.
     pub attempt: AttemptId,
-    /// Key of its request.
+    /// Key of the request that the task belongs to.
     pub request: RequestId,
-    /// What it holds while it runs.
+    /// Resources that the task holds while it runs.
     pub needs: Resources,
-    /// Handed to the task.
+    /// Payload, passed to the task.
     pub payload: String,
-    /// Declared run time, in milliseconds.
+    /// Run time declared by the caller, in milliseconds.
     pub run_millis: u64,
-    /// Checkpoint to go on from; empty to begin anew.
+    /// Checkpoint to resume from; empty to start from the beginning.
     pub checkpoint: String,
 }
 
-/// Stops one task. If its start has not arrived, it is refused when it does.
+/// Stops one task. If the start has not arrived yet, the worker refuses it when
+/// it arrives.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Stop {
-    /// Fence of the owner.
+    /// Fence of the sending owner.
     pub fence: Fence,
-    /// Id of the start.
+    /// Id of the attempt.
     pub attempt: AttemptId,
-    /// Whether its state is written out first.
+    /// Whether the task writes a checkpoint before it is stopped.
     pub checkpoint: bool,
 }
 
-/// Waits for tasks that end, and renews the leases of all that run.
+/// Waits for tasks to end and renews the lease of all running tasks.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Poll {
-    /// Fence of the owner.
+    /// Fence of the sending owner.
     pub fence: Fence,
-    /// Reply that this poll acknowledges; the worker counts the new lease
-    /// from the moment it sent that reply. A poll that was delayed on its way
-    /// can so never extend a lease beyond what its sender allows for.
+    /// Number of the reply that this poll acknowledges. The worker counts the
+    /// new lease from the time at which it sent that reply, so a poll delayed in
+    /// the network cannot extend the lease beyond the expiry that the owner
+    /// assumes.
     pub turn: ReplyNumber,
-    /// Ended attempts that the worker may forget.
+    /// Ended attempts that the owner has recorded and the worker may forget.
     pub ended: Vec<AttemptId>,
-    /// How long the worker may hold the reply back, in milliseconds.
+    /// Maximum time for which the worker may delay the reply, in milliseconds.
     pub wait_millis: u64,
 }
 
 /// Reply to a poll.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PollReply {
-    /// Number of this reply.
+    /// Sequence number of this reply.
     pub turn: ReplyNumber,
-    /// Run of the worker.
+    /// Incarnation of the worker.
     pub incarnation: Incarnation,
-    /// Ended tasks that are not acknowledged.
+    /// Ended tasks that no poll has acknowledged yet.
     pub ended: Vec<Task>,
-    /// What all tasks together really use, which lags.
+    /// Measured resource usage of all tasks; lags behind the current usage.
     pub usage: Resources,
 }
 
-/// Body of every refusal.
+/// Body of a reply that refuses a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: RefusalReason,
-    /// Newest fence that the worker saw.
+    /// Newest fence that the worker has received.
     pub fence: Fence,
 }
 
-/// Why a worker refuses.
+/// Reason why a worker refuses a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// A newer fence holds the worker.
+    /// The worker has received a newer fence.
     Fenced,
-    /// The fence was not claimed (the worker has restarted).
+    /// The worker was not claimed with this fence, because it has restarted.
     Unclaimed,
-    /// The lease of all tasks is over, or the start names a reply that was
-    /// sent longer ago than a lease.
+    /// The lease of the worker's tasks has expired, or the start names a reply
+    /// that was sent longer ago than the duration of the lease.
     LeaseOver,
-    /// The task does not fit beside those that run.
+    /// The task does not fit into the worker's free resources.
     Full,
 }
