--- a/crates/entry/tests/docs.rs
+++ b/crates/entry/tests/docs.rs
@@ -8,7 +8,7 @@
 const DOCS_PAGE: &str = include_str!("../../../docs/METRICS.md");
 
 #[test]
-fn the_table_lists_each_metric() {
+fn the_docs_list_each_metric() {
     let metrics = Metrics::new().expect("metrics");
     let mut answer = Answer::without_output("a", Code::Ok, "");
     answer.worker = "w".to_owned();
--- a/crates/event/src/hlc.rs
+++ b/crates/event/src/hlc.rs
@@ -38,7 +38,7 @@
                 .compare_exchange_weak(last, next, Ordering::Relaxed, Ordering::Relaxed)
             {
                 Ok(_) => return next,
-                Err(now) => last = now,
+                Err(current) => last = current,
             }
         }
     }
--- a/crates/model/src/code.rs
+++ b/crates/model/src/code.rs
@@ -52,7 +52,8 @@
     TaskStopped = 201,
     /// The request is malformed.
     Invalid = 300,
-    /// The request needs more than any host offers or any limit of the cell allows.
+    /// The request can never run: no host is large enough, or a limit of the cell
+    /// is too low.
     NeverFits = 301,
     /// The queue of the request's class or team is full.
     QueueFull = 302,
--- a/crates/model/tests/docs.rs
+++ b/crates/model/tests/docs.rs
@@ -6,7 +6,7 @@
 const DOCS_PAGE: &str = include_str!("../../../docs/CODES.md");
 
 #[test]
-fn the_table_lists_each_code_with_number_and_family() {
+fn the_docs_list_each_code_with_number_and_family() {
     let rows: Vec<&str> = DOCS_PAGE
         .lines()
         .filter(|line| {
--- a/crates/web/src/traffic.rs
+++ b/crates/web/src/traffic.rs
@@ -34,11 +34,11 @@
         self.sent.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    pub(crate) fn answered(&self, bytes: usize, took: Duration) {
+    pub(crate) fn answered(&self, bytes: usize, elapsed: Duration) {
         self.answered.fetch_add(1, Ordering::Relaxed);
         self.received.fetch_add(bytes as u64, Ordering::Relaxed);
-        let took = u64::try_from(took.as_millis()).unwrap_or(u64::MAX);
-        self.slowest.fetch_max(took, Ordering::Relaxed);
+        let elapsed = u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX);
+        self.slowest.fetch_max(elapsed, Ordering::Relaxed);
     }
 
     pub(crate) fn lost(&self) {
--- a/crates/worker/src/message.rs
+++ b/crates/worker/src/message.rs
@@ -148,7 +148,7 @@
     /// the network cannot extend the lease beyond the expiry that the owner
     /// assumes.
     pub turn: ReplyNumber,
-    /// Ended attempts that the owner has recorded and the worker may forget.
+    /// Ended attempts that the owner acknowledges and the worker may forget.
     pub ended: Vec<AttemptId>,
     /// Maximum time for which the worker may delay the reply, in milliseconds.
     pub wait_millis: u64,
