--- a/crates/bench/benches/main/cell.rs
+++ b/crates/bench/benches/main/cell.rs
@@ -35,7 +35,7 @@
     while cell.configure().await.is_err() {
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    cell.settled(SETTLE).await.expect("settled");
+    cell.wait_ready(SETTLE).await.expect("settled");
     cell
 }
 
@@ -47,6 +47,6 @@
         count: rate * seconds,
         request,
         servers,
-        patience: Duration::from_mins(1),
+        answer_timeout: Duration::from_mins(1),
     }
 }
--- a/crates/bench/benches/main/control.rs
+++ b/crates/bench/benches/main/control.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use fake::Cell;
-use fake::lookup;
+use fake::lookup_request;
 use fake::run_load;
 use model::Request;
 
@@ -20,7 +20,7 @@
 const TICKS: f64 = 100.0;
 
 fn lookups(number: u32) -> Request {
-    lookup(&format!("lookup-{number}"))
+    lookup_request(&format!("lookup-{number}"))
 }
 
 /// Processor time, in seconds, and memory, in MiB, of a process.
--- a/crates/bench/benches/main/faults.rs
+++ b/crates/bench/benches/main/faults.rs
@@ -7,10 +7,10 @@
 use fake::Cell;
 use fake::CellPlan;
 use fake::Outcome;
-use fake::begin_load;
-use fake::confirmation;
-use fake::lookup;
-use fake::restock;
+use fake::confirmation_request;
+use fake::lookup_request;
+use fake::restock_request;
+use fake::spawn_load;
 use fake::verify;
 use hdrhistogram::Histogram;
 use model::Request;
@@ -31,12 +31,12 @@
 use crate::figures::waits;
 
 fn lookups(number: u32) -> Request {
-    lookup(&format!("lookup-{number}"))
+    lookup_request(&format!("lookup-{number}"))
 }
 
 fn mixed(number: u32) -> Request {
     match number % 4 {
-        0 => confirmation(&format!("confirm-{number}")),
+        0 => confirmation_request(&format!("confirm-{number}")),
         _ => lookups(number),
     }
 }
@@ -56,7 +56,7 @@
         let mut cell = open_cell().await;
         let plan = load(&cell, 400, 8, lookups);
         let began = cell.platform.log.now();
-        let task = begin_load(&cell.caller, plan);
+        let task = spawn_load(&cell.caller, plan);
         tokio::time::sleep(Duration::from_secs(2)).await;
         cell.members[round].kill();
         let outcomes = task.await.expect("load");
@@ -77,11 +77,11 @@
     let mut cell = open_cell().await;
     let plan = load(&cell, 2000, 8, lookups);
     let began = cell.platform.log.now();
-    let task = begin_load(&cell.caller, plan);
+    let task = spawn_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(3)).await;
     cell.members[3].signal(Signal::SIGTERM);
     let stop = Instant::now();
-    let ended = cell.members[3].ended(Duration::from_mins(1)).await;
+    let ended = cell.members[3].wait_exit(Duration::from_mins(1)).await;
     print("handover.stopped", millis(stop.elapsed()), "ms");
     print(
         "handover.clean",
@@ -122,7 +122,7 @@
 async fn pause_once(name: &str, cell: &Cell, pause: Duration) {
     let plan = load(cell, 400, 10, mixed);
     let began = cell.platform.log.now();
-    let task = begin_load(&cell.caller, plan);
+    let task = spawn_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(2)).await;
     cell.members[1].signal(Signal::SIGSTOP);
     tokio::time::sleep(pause).await;
@@ -142,15 +142,15 @@
     let plan = load(&cell, 200, 45, lookups);
     let durable = load(&cell, 50, 45, |number| Request {
         deadline_millis: 5000,
-        ..confirmation(&format!("confirm-{number}"))
+        ..confirmation_request(&format!("confirm-{number}"))
     });
-    let lookups = begin_load(&cell.caller, plan);
-    let confirmations = begin_load(&cell.caller, durable);
+    let lookups = spawn_load(&cell.caller, plan);
+    let confirmations = spawn_load(&cell.caller, durable);
     tokio::time::sleep(Duration::from_secs(5)).await;
-    cell.platform.set_down(true);
+    cell.platform.set_outage(true);
     tokio::time::sleep(Duration::from_secs(30)).await;
     let before = cell.platform.table.counts();
-    cell.platform.set_down(false);
+    cell.platform.set_outage(false);
     tokio::time::sleep(Duration::from_secs(3)).await;
     let after = cell.platform.table.counts();
     let outcomes = lookups.await.expect("load");
@@ -210,17 +210,17 @@
 pub(crate) async fn run_drain() {
     let cell = open_cell().await;
     let plan = load(&cell, 1000, 8, lookups);
-    let task = begin_load(&cell.caller, plan);
+    let task = spawn_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(2)).await;
     let leaving = cell.platform.workers[9].id.clone();
     let marked = cell.platform.log.now();
-    cell.platform.hosts.leave(&leaving);
+    cell.platform.hosts.mark_leaving(&leaving);
     let outcomes = task.await.expect("load");
     let runs = cell.platform.log.runs();
     let last = runs
         .iter()
         .filter(|run| run.worker == leaving)
-        .map(|run| run.from)
+        .map(|run| run.started_at)
         .max();
     let last = last.unwrap_or_default().saturating_sub(marked);
     print("drain.last_start", millis(last), "ms");
@@ -238,9 +238,9 @@
         let server = cell.http(usize::try_from(number % 8).unwrap_or_default());
         let request = Request {
             label: "day".to_owned(),
-            ..restock(&format!("day-{number}"), Duration::from_mins(1))
+            ..restock_request(&format!("day-{number}"), Duration::from_mins(1))
         };
-        calls.spawn(async move { client.detach(server, &request).await });
+        calls.spawn(async move { client.submit_detached(server, &request).await });
         if number % 500 == 499 {
             while calls.join_next().await.is_some() {}
         }
@@ -260,7 +260,7 @@
     let writes = u32::try_from(after.writes - before.writes).unwrap_or(u32::MAX);
     print("cancelwave.writes", f64::from(writes), "rows");
     let runs = cell.platform.log.runs();
-    let late = runs.iter().filter(|run| run.from > returned).count();
+    let late = runs.iter().filter(|run| run.started_at > returned).count();
     print("cancelwave.started_after", count(late), "count");
     cell.close();
 }
--- a/crates/bench/benches/main/figures.rs
+++ b/crates/bench/benches/main/figures.rs
@@ -37,7 +37,7 @@
 ) -> HashMap<Class, Histogram<u64>> {
     let mut starts: HashMap<&str, Duration> = HashMap::new();
     for run in runs {
-        starts.entry(&run.request).or_insert(run.from);
+        starts.entry(&run.request).or_insert(run.started_at);
     }
     let mut classes: HashMap<Class, Histogram<u64>> = HashMap::new();
     for outcome in outcomes {
@@ -45,7 +45,7 @@
         let Some(start) = starts.get(key.as_str()) else {
             continue;
         };
-        let wait = start.saturating_sub(load_began + outcome.sent);
+        let wait = start.saturating_sub(load_began + outcome.sent_at);
         let histogram = classes
             .entry(outcome.request.class)
             .or_insert_with(new_histogram);
@@ -84,7 +84,7 @@
             .map(|body| (body.answer.code, &body.answer.reason));
         println!(
             "# {} {answer:?} after {:?}",
-            outcome.request.id, outcome.took
+            outcome.request.id, outcome.latency
         );
     }
     print(&format!("{name}.requests"), count(outcomes.len()), "count");
--- a/crates/bench/benches/main/path.rs
+++ b/crates/bench/benches/main/path.rs
@@ -1,8 +1,8 @@
 //! `path` and `durable`: waiting from request to start under an open-loop
 //! load through 8 processes and 48 workers.
 
-use fake::confirmation;
-use fake::lookup;
+use fake::confirmation_request;
+use fake::lookup_request;
 use fake::run_load;
 use fake::verify;
 use model::Class;
@@ -26,12 +26,12 @@
     };
     Request {
         class,
-        ..lookup(&format!("lookup-{number}"))
+        ..lookup_request(&format!("lookup-{number}"))
     }
 }
 
 fn confirmations(number: u32) -> Request {
-    confirmation(&format!("confirm-{number}"))
+    confirmation_request(&format!("confirm-{number}"))
 }
 
 /// Idempotent interactive work at growing rates.
@@ -53,7 +53,7 @@
 pub(crate) async fn run_spill() {
     measure("spill.one_shard", 200, |number| Request {
         run_millis: 300,
-        ..lookup(&fake::id_in_shard(&format!("hot-{number}"), 3, 16))
+        ..lookup_request(&fake::id_in_shard(&format!("hot-{number}"), 3, 16))
     })
     .await;
 }
--- a/crates/bench/benches/main/slopes.rs
+++ b/crates/bench/benches/main/slopes.rs
@@ -84,7 +84,7 @@
 fn records(requests: u32) -> Vec<Record> {
     let request = |number: u32| Request {
         team: "stores".to_owned(),
-        ..fake::restock(&format!("restock-{number}"), Duration::from_secs(1))
+        ..fake::restock_request(&format!("restock-{number}"), Duration::from_secs(1))
     };
     let accept = |number| {
         Record::Accept(Accepted {
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -12,10 +12,10 @@
 use fake::CellPlan;
 use fake::LoadPlan;
 use fake::Outcome;
-use fake::begin_load;
-use fake::confirmation;
-use fake::lookup;
-use fake::restock;
+use fake::confirmation_request;
+use fake::lookup_request;
+use fake::restock_request;
+use fake::spawn_load;
 use fake::verify;
 use model::Class;
 use model::Family;
@@ -106,7 +106,7 @@
             Err(_) => tokio::time::sleep(Duration::from_millis(100)).await,
         }
     }
-    cell.settled_through(&cell.members, SETTLE).await
+    cell.wait_ready_through(&cell.members, SETTLE).await
 }
 
 fn start_load(cell: &Cell) -> tokio::task::JoinHandle<Vec<Outcome>> {
@@ -116,19 +116,19 @@
         count: COUNT,
         request: mixed,
         servers,
-        patience: Duration::from_secs(40),
+        answer_timeout: Duration::from_secs(40),
     };
-    begin_load(&cell.caller, plan)
+    spawn_load(&cell.caller, plan)
 }
 
 /// Every class of work.
 fn mixed(number: u32) -> Request {
     match number % 20 {
-        0 | 1 => restock(&format!("restock-{number}"), Duration::from_millis(800)),
-        2..=5 => confirmation(&format!("confirm-{number}")),
+        0 | 1 => restock_request(&format!("restock-{number}"), Duration::from_millis(800)),
+        2..=5 => confirmation_request(&format!("confirm-{number}")),
         6 => Request {
             class: Class::Urgent,
-            ..lookup(&format!("urgent-{number}"))
+            ..lookup_request(&format!("urgent-{number}"))
         },
         7 if number % 100 == 7 => Request {
             class: Class::Gang,
@@ -140,9 +140,9 @@
                 ..Resources::default()
             },
             payload: String::new(),
-            ..restock(&format!("gang-{number}"), Duration::from_millis(500))
+            ..restock_request(&format!("gang-{number}"), Duration::from_millis(500))
         },
-        _ => lookup(&format!("lookup-{number}")),
+        _ => lookup_request(&format!("lookup-{number}")),
     }
 }
 
@@ -152,7 +152,7 @@
     tokio::time::sleep(Duration::from_secs(2)).await;
     wrong.extend(race(cell).await?);
     let leaving = &cell.platform.workers[7].id;
-    cell.platform.hosts.leave(leaving);
+    cell.platform.hosts.mark_leaving(leaving);
     let quiet = cell.platform.log.now() + Duration::from_secs(2);
     println!("worker {leaving} is leaving");
     wrong.extend(withdraw(cell).await?);
@@ -164,7 +164,7 @@
     let runs = cell.platform.log.runs();
     let late = runs
         .iter()
-        .filter(|run| run.worker == *leaving && run.from > quiet)
+        .filter(|run| run.worker == *leaving && run.started_at > quiet)
         .count();
     if late > 0 {
         wrong.push(format!("{late} tasks started on a leaving worker"));
@@ -197,9 +197,9 @@
         let (client, server) = (cell.caller.clone(), cell.http(0));
         let request = Request {
             label: "day".to_owned(),
-            ..restock(&format!("day-{number}"), Duration::from_secs(20))
+            ..restock_request(&format!("day-{number}"), Duration::from_secs(20))
         };
-        calls.spawn(async move { client.detach(server, &request).await });
+        calls.spawn(async move { client.submit_detached(server, &request).await });
     }
     calls.join_all().await;
     let cancelled = cell.caller.cancel_label(cell.http(1), "day").await?;
@@ -239,8 +239,8 @@
     let mut steps: Vec<(Duration, i64)> = Vec::new();
     for run in cell.platform.log.runs() {
         let watts = i64::from(run.needs.power_watts);
-        steps.push((run.from, watts));
-        steps.extend(run.until.map(|until| (until, -watts)));
+        steps.push((run.started_at, watts));
+        steps.extend(run.ended_at.map(|until| (until, -watts)));
     }
     steps.sort();
     let mut used = 0;
--- a/crates/cli/src/replay.rs
+++ b/crates/cli/src/replay.rs
@@ -167,7 +167,7 @@
     }
 }
 
-async fn call(api: Api, request: Request, sent: Duration) -> Outcome {
+async fn call(api: Api, request: Request, sent_at: Duration) -> Outcome {
     let start = Instant::now();
     let api = Arc::new(api);
     let answer = api
@@ -176,8 +176,8 @@
     Outcome {
         request,
         answer: answer.ok().filter(|body| body.answer.code.is_final()),
-        sent,
-        took: start.elapsed(),
+        sent_at,
+        latency: start.elapsed(),
         calls: 1,
     }
 }
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -26,7 +26,7 @@
     while cell.configure().await.is_err() {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    cell.settled_through(&cell.members, Duration::from_secs(30))
+    cell.wait_ready_through(&cell.members, Duration::from_secs(30))
         .await
         .expect("settled");
     (cell, processes)
--- a/crates/daemon/tests/damage.rs
+++ b/crates/daemon/tests/damage.rs
@@ -7,7 +7,7 @@
 
 use fake::Cell;
 use fake::id_in_shard;
-use fake::restock;
+use fake::restock_request;
 
 use crate::support::open_cell;
 use crate::support::start;
@@ -31,7 +31,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_damaged_journal_row_is_named_and_left_alone() {
     let mut cell = open_cell(1).await;
-    let request = restock(&id_in_shard("kept", SHARD, 16), Duration::from_millis(10));
+    let request = restock_request(&id_in_shard("kept", SHARD, 16), Duration::from_millis(10));
     let wait = Duration::from_secs(10);
     let answer = cell
         .caller
@@ -42,11 +42,11 @@
     cell.members[0].kill();
     let row = cell.platform.table.rows("journal/0005/").remove(0);
 
-    cell.platform.table.damage(&row.key, "{\"format\":9,");
+    cell.platform.table.overwrite(&row.key, "{\"format\":9,");
     start(&mut cell, 0);
     let named = wait_for_log(&cell, 0, &row.key).await;
     let left = cell.platform.table.rows(&row.key).remove(0);
-    cell.platform.table.damage(&row.key, &row.value);
+    cell.platform.table.overwrite(&row.key, &row.value);
     let again = cell
         .caller
         .submit(cell.http(0), &request, wait)
--- a/crates/daemon/tests/foreign_table.rs
+++ b/crates/daemon/tests/foreign_table.rs
@@ -14,7 +14,7 @@
 
 use fake::Cell;
 use fake::RelayPlan;
-use fake::begin_load;
+use fake::spawn_load;
 use nix::sys::signal::Signal;
 
 use crate::support::check_all_succeeded;
@@ -26,13 +26,13 @@
 /// The table's address of a process leads to another cell's table.
 async fn lead_to(cell: &Cell, other: &Cell) {
     let table = &other.members[0].table;
-    table.set(RelayPlan {
+    table.set_plan(RelayPlan {
         cut: true,
         ..RelayPlan::default()
     });
     tokio::time::sleep(Duration::from_millis(100)).await;
-    table.set(RelayPlan {
-        instead: Some(cell.platform.table_address),
+    table.set_plan(RelayPlan {
+        redirect: Some(cell.platform.table_address),
         ..RelayPlan::default()
     });
 }
@@ -45,11 +45,11 @@
     lead_to(&cell, &other).await;
     let plan = plan_for(&cell, 60, 600, mixed);
 
-    let load = begin_load(&cell.caller, plan);
+    let load = spawn_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(4)).await;
     let leases = cell.platform.table.rows("cell/lease/");
     cell.members[2].signal(Signal::SIGTERM);
-    let ended = cell.members[2].ended(Duration::from_secs(30)).await;
+    let ended = cell.members[2].wait_exit(Duration::from_secs(30)).await;
     let outcomes = load.await.expect("load");
 
     assert_eq!(ended, Some(true), "{}", cell.log(2));
@@ -68,14 +68,14 @@
     lead_to(&other, &cell).await;
     tokio::time::sleep(Duration::from_secs(4)).await;
 
-    cell.members[0].table.set(RelayPlan {
+    cell.members[0].table.set_plan(RelayPlan {
         cut: true,
         ..RelayPlan::default()
     });
     tokio::time::sleep(Duration::from_millis(100)).await;
-    cell.members[0].table.set(RelayPlan::default());
+    cell.members[0].table.set_plan(RelayPlan::default());
 
-    cell.settled(Duration::from_secs(30))
+    cell.wait_ready(Duration::from_secs(30))
         .await
         .expect("it serves again");
     cell.close();
--- a/crates/daemon/tests/guards.rs
+++ b/crates/daemon/tests/guards.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use fake::Cell;
-use fake::begin_load;
-use fake::confirmation;
+use fake::confirmation_request;
+use fake::spawn_load;
 use fake::verify;
 use model::Request;
 
@@ -18,7 +18,7 @@
 const LATE: Duration = Duration::from_secs(7);
 
 fn confirmations(number: u32) -> Request {
-    confirmation(&format!("confirm-{number}"))
+    confirmation_request(&format!("confirm-{number}"))
 }
 
 /// Kills a process while its starts are on the way to the workers, which get
@@ -26,13 +26,13 @@
 async fn kill_with_late_starts(cell: &mut Cell) -> Vec<String> {
     let plan = plan_for(cell, 60, 60, confirmations);
     for worker in &cell.platform.workers {
-        worker.set(|manner| manner.late_starts = LATE);
+        worker.update(|manner| manner.start_delay = LATE);
     }
-    let load = begin_load(&cell.caller, plan);
+    let load = spawn_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(1)).await;
     cell.members[0].kill();
     for worker in &cell.platform.workers {
-        worker.set(|manner| manner.late_starts = Duration::ZERO);
+        worker.update(|manner| manner.start_delay = Duration::ZERO);
     }
     let outcomes = load.await.expect("load");
     tokio::time::sleep(LATE).await;
@@ -57,14 +57,14 @@
 async fn without_the_fence_the_checker_sees_confirmations_run_twice() {
     let mut cell = open_cell(3).await;
     for worker in &cell.platform.workers {
-        worker.set(|manner| manner.unfenced = true);
+        worker.update(|manner| manner.ignore_fence = true);
     }
 
     let wrong = kill_with_late_starts(&mut cell).await;
 
     let again = wrong
         .iter()
-        .filter(|text| text.starts_with("RanAgain"))
+        .filter(|text| text.starts_with("RepeatedRun"))
         .count();
     assert!(again > 0, "the checker saw nothing: {wrong:?}");
     cell.close();
--- a/crates/daemon/tests/link.rs
+++ b/crates/daemon/tests/link.rs
@@ -45,7 +45,7 @@
     async fn handle(&self, asked: Asked) -> Whole {
         let poll = serde_json::from_slice::<Poll>(&asked.body);
         let late = poll.is_ok_and(|poll| poll.fence.epoch == self.epoch);
-        while late && self.worker.running() > 0 {
+        while late && self.worker.running_count() > 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         self.worker.handle(asked).await
@@ -174,7 +174,7 @@
 
     let end = end.expect("the end was never reported").expect("link");
     assert_eq!(end.request, "stores/r1");
-    assert_eq!(worker.running(), 0);
+    assert_eq!(worker.running_count(), 0);
     opened.close();
     stop.send_replace(true);
 }
--- a/crates/daemon/tests/partitions.rs
+++ b/crates/daemon/tests/partitions.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use fake::UdpPlan;
-use fake::begin_load;
 use fake::run_load;
+use fake::spawn_load;
 
 use crate::support::check_rules;
 use crate::support::mixed;
@@ -23,19 +23,19 @@
 async fn a_one_way_partition_ends_in_a_stable_state() {
     let cell = open_cell(3).await;
     let mut plan = plan_for(&cell, 80, 640, mixed);
-    plan.patience = Duration::from_secs(25);
+    plan.answer_timeout = Duration::from_secs(25);
     wait_balanced(&cell).await;
     let before = owners(&cell);
 
-    let load = begin_load(&cell.caller, plan);
+    let load = spawn_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(1)).await;
-    cell.members[0].peer.set(UdpPlan {
-        drop_in: 1.0,
+    cell.members[0].peer.set_plan(UdpPlan {
+        inbound_loss: 1.0,
         ..UdpPlan::default()
     });
     tokio::time::sleep(Duration::from_secs(5)).await;
     let during = owners(&cell);
-    cell.members[0].peer.set(UdpPlan::default());
+    cell.members[0].peer.set_plan(UdpPlan::default());
     let outcomes = load.await.expect("load");
 
     assert_eq!(before, during, "shards moved");
@@ -50,9 +50,9 @@
 async fn each_caller_gets_its_own_answer_through_a_bad_network() {
     let cell = open_cell(3).await;
     for member in &cell.members {
-        member.peer.set(UdpPlan {
-            drop_in: 0.1,
-            drop_out: 0.1,
+        member.peer.set_plan(UdpPlan {
+            inbound_loss: 0.1,
+            outbound_loss: 0.1,
             jitter: Duration::from_millis(30),
         });
     }
--- a/crates/daemon/tests/patches.rs
+++ b/crates/daemon/tests/patches.rs
@@ -9,7 +9,7 @@
 use fake::Run;
 use fake::check_capacity;
 use fake::count_families;
-use fake::lookup;
+use fake::lookup_request;
 use fake::run_load;
 use model::Family;
 use model::Request;
@@ -87,7 +87,7 @@
     cell.platform
         .table
         .faults
-        .set(|faults| faults.lost_answers = 3);
+        .update(|faults| faults.lost_replies = 3);
     let _ = cell.operator.patch(cell.http(0), &mine).await;
     let again = cell
         .operator
@@ -179,7 +179,7 @@
     assert!(everywhere(&cell, 1, 3).await);
     let plan = plan_for(&cell, 200, 100, |number| Request {
         run_millis: 100,
-        ..lookup(&format!("small-{number}"))
+        ..lookup_request(&format!("small-{number}"))
     });
 
     let outcomes = run_load(&cell.caller, plan).await;
--- a/crates/daemon/tests/path.rs
+++ b/crates/daemon/tests/path.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use fake::lookup;
+use fake::lookup_request;
 
 use crate::support::open_cell;
 
@@ -13,7 +13,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_is_the_same_through_every_process() {
     let cell = open_cell(3).await;
-    let request = lookup("bearing-1");
+    let request = lookup_request("bearing-1");
 
     let first = cell
         .caller
--- a/crates/daemon/tests/soak/field.rs
+++ b/crates/daemon/tests/soak/field.rs
@@ -299,8 +299,8 @@
                 self.wait_begun(at).await;
                 self.hosts[at].signal(Signal::SIGHUP);
             }
-            Event::StoreWay(at, plan) => self.hosts[at].store_way.set(plan),
-            Event::WorkerWay(at, plan) => self.worker_ways[at].set(plan),
+            Event::StoreWay(at, plan) => self.hosts[at].store_way.set_plan(plan),
+            Event::WorkerWay(at, plan) => self.worker_ways[at].set_plan(plan),
             Event::Store(faults) => self.store.set_faults(faults),
             Event::Forget => self.store.forget(),
             Event::LoseStarts(at, count) => self.workers[at].current().lose_starts(count),
@@ -329,10 +329,10 @@
     pub async fn heal(&mut self) {
         self.store.set_faults(StoreFaults::default());
         for way in &self.worker_ways {
-            way.set(RelayPlan::default());
+            way.set_plan(RelayPlan::default());
         }
         for at in 0..HOSTS {
-            self.hosts[at].store_way.set(RelayPlan::default());
+            self.hosts[at].store_way.set_plan(RelayPlan::default());
             self.hosts[at].signal(Signal::SIGCONT);
             self.start(at).await;
         }
--- a/crates/daemon/tests/soak/plan.rs
+++ b/crates/daemon/tests/soak/plan.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fake::Mute;
+use fake::Discard;
 use fake::RelayPlan;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -218,8 +218,8 @@
 }
 
 fn broken_way(random: &mut StdRng) -> RelayPlan {
-    let mute = |mute: Mute| RelayPlan {
-        mute,
+    let discard = |discard: Discard| RelayPlan {
+        discard,
         ..RelayPlan::default()
     };
     match random.random_range(0..5) {
@@ -231,9 +231,9 @@
             delay: Duration::from_millis(300),
             ..RelayPlan::default()
         },
-        2 => mute(Mute::Requests),
-        3 => mute(Mute::Answers),
-        _ => mute(Mute::Both),
+        2 => discard(Discard::Requests),
+        3 => discard(Discard::Replies),
+        _ => discard(Discard::Both),
     }
 }
 
--- a/crates/daemon/tests/store_faults.rs
+++ b/crates/daemon/tests/store_faults.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use fake::RelayPlan;
-use fake::begin_load;
-use fake::confirmation;
+use fake::confirmation_request;
 use fake::count_families;
-use fake::lookup;
+use fake::lookup_request;
+use fake::spawn_load;
 use model::Family;
 use model::Request;
 
@@ -24,13 +24,13 @@
 const OUTAGE: Duration = Duration::from_secs(6);
 
 fn lookups(number: u32) -> Request {
-    lookup(&format!("lookup-{number}"))
+    lookup_request(&format!("lookup-{number}"))
 }
 
 fn hasty(number: u32) -> Request {
     Request {
         deadline_millis: 1500,
-        ..confirmation(&format!("confirm-{number}"))
+        ..confirmation_request(&format!("confirm-{number}"))
     }
 }
 
@@ -45,11 +45,11 @@
     let before = owners(&cell);
     let plan = plan_for(&cell, 100, 1000, lookups);
 
-    let load = begin_load(&cell.caller, plan);
+    let load = spawn_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(1)).await;
-    cell.platform.set_down(true);
+    cell.platform.set_outage(true);
     tokio::time::sleep(OUTAGE).await;
-    cell.platform.set_down(false);
+    cell.platform.set_outage(false);
     let outcomes = load.await.expect("load");
 
     check_rules(&cell, &outcomes);
@@ -68,10 +68,10 @@
     let cell = open_cell(3).await;
     let plan = plan_for(&cell, 20, 80, hasty);
 
-    cell.platform.set_down(true);
-    let load = begin_load(&cell.caller, plan);
+    cell.platform.set_outage(true);
+    let load = spawn_load(&cell.caller, plan);
     tokio::time::sleep(OUTAGE).await;
-    cell.platform.set_down(false);
+    cell.platform.set_outage(false);
     let outcomes = load.await.expect("load");
     tokio::time::sleep(Duration::from_secs(3)).await;
 
@@ -92,13 +92,13 @@
     let cell = open_cell(3).await;
     let plan = plan_for(&cell, 100, 800, mixed);
 
-    let load = begin_load(&cell.caller, plan);
+    let load = spawn_load(&cell.caller, plan);
     for _ in 0..12 {
         tokio::time::sleep(Duration::from_millis(500)).await;
         cell.platform
             .table
             .faults
-            .set(|faults| faults.lost_answers = 2);
+            .update(|faults| faults.lost_replies = 2);
     }
     let outcomes = load.await.expect("load");
 
@@ -115,16 +115,16 @@
     let cell = open_cell(3).await;
     let plan = plan_for(&cell, 100, 1000, mixed);
 
-    let load = begin_load(&cell.caller, plan);
+    let load = spawn_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(1)).await;
     let cut = RelayPlan {
         cut: true,
         ..RelayPlan::default()
     };
-    cell.members[0].table.set(cut);
+    cell.members[0].table.set_plan(cut);
     tokio::time::sleep(OUTAGE).await;
     let owned = owners(&cell);
-    cell.members[0].table.set(RelayPlan::default());
+    cell.members[0].table.set_plan(RelayPlan::default());
     let outcomes = load.await.expect("load");
 
     let alone = owned
@@ -144,12 +144,12 @@
     let mut cell = open_cell(3).await;
     let plan = plan_for(&cell, 100, 600, mixed);
 
-    let load = begin_load(&cell.caller, plan);
+    let load = spawn_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(2)).await;
     cell.platform
         .table
         .faults
-        .set(|faults| faults.lost_answers = 3);
+        .update(|faults| faults.lost_replies = 3);
     tokio::time::sleep(Duration::from_millis(100)).await;
     cell.members[1].kill();
     let outcomes = load.await.expect("load");
@@ -166,13 +166,13 @@
     let mut cell = open_cell(3).await;
     let plan = plan_for(&cell, 100, 900, mixed);
 
-    let load = begin_load(&cell.caller, plan);
+    let load = spawn_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(1)).await;
-    cell.platform.set_down(true);
+    cell.platform.set_outage(true);
     tokio::time::sleep(Duration::from_secs(1)).await;
     cell.members[2].kill();
     tokio::time::sleep(Duration::from_secs(3)).await;
-    cell.platform.set_down(false);
+    cell.platform.set_outage(false);
     let outcomes = load.await.expect("load");
 
     check_rules(&cell, &outcomes);
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -9,10 +9,10 @@
 use fake::CellPlan;
 use fake::LoadPlan;
 use fake::Outcome;
-use fake::confirmation;
+use fake::confirmation_request;
 use fake::count_families;
-use fake::lookup;
-use fake::restock;
+use fake::lookup_request;
+use fake::restock_request;
 use fake::verify;
 use model::Family;
 use model::Request;
@@ -43,7 +43,7 @@
     for _ in 0..200 {
         match cell.configure().await {
             Ok(()) => {
-                cell.settled(SETTLE).await.expect("settled");
+                cell.wait_ready(SETTLE).await.expect("settled");
                 return cell;
             }
             Err(error) => last = error,
@@ -102,7 +102,7 @@
         count,
         request,
         servers: cell.members.iter().map(fake::Member::http).collect(),
-        patience: Duration::from_secs(40),
+        answer_timeout: Duration::from_secs(40),
     }
 }
 
@@ -128,8 +128,8 @@
 /// Lookups, confirmations and restocks in turn.
 pub fn mixed(number: u32) -> Request {
     match number % 4 {
-        0 => confirmation(&format!("confirm-{number}")),
-        1 => restock(&format!("restock-{number}"), Duration::from_millis(300)),
-        _ => lookup(&format!("lookup-{number}")),
+        0 => confirmation_request(&format!("confirm-{number}")),
+        1 => restock_request(&format!("restock-{number}"), Duration::from_millis(300)),
+        _ => lookup_request(&format!("lookup-{number}")),
     }
 }
--- a/crates/daemon/tests/takeover.rs
+++ b/crates/daemon/tests/takeover.rs
@@ -8,10 +8,10 @@
 use fake::Cell;
 use fake::LoadPlan;
 use fake::Outcome;
-use fake::begin_load;
 use fake::count_families;
-use fake::restock;
+use fake::restock_request;
 use fake::run_load;
+use fake::spawn_load;
 use fake::verify;
 use model::Family;
 use model::Request;
@@ -35,7 +35,7 @@
     let mut cell = open_cell(3).await;
     let plan = plan_for(&cell, 100, 600, mixed);
 
-    let load = begin_load(&cell.caller, plan);
+    let load = spawn_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(2)).await;
     cell.members[1].kill();
     let outcomes = load.await.expect("load");
@@ -60,7 +60,7 @@
     let cell = open_cell(3).await;
     let plan = plan_for(&cell, 100, 800, mixed);
 
-    let load = begin_load(&cell.caller, plan);
+    let load = spawn_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(2)).await;
     cell.members[0].signal(Signal::SIGSTOP);
     tokio::time::sleep(Duration::from_secs(4)).await;
@@ -79,10 +79,10 @@
     let mut cell = open_cell(3).await;
     let plan = plan_for(&cell, 100, 600, mixed);
 
-    let load = begin_load(&cell.caller, plan);
+    let load = spawn_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(2)).await;
     cell.members[2].signal(Signal::SIGTERM);
-    let ended = cell.members[2].ended(Duration::from_secs(30)).await;
+    let ended = cell.members[2].wait_exit(Duration::from_secs(30)).await;
     let outcomes = load.await.expect("load");
 
     assert_eq!(ended, Some(true), "{}", cell.log(2));
@@ -100,7 +100,7 @@
         count: 3,
         request: mixed,
         servers: vec![fake::free_address()],
-        patience: Duration::from_millis(200),
+        answer_timeout: Duration::from_millis(200),
     };
 
     let outcomes = run_load(&client, plan).await;
@@ -118,13 +118,13 @@
     let mut cell = open_cell(3).await;
     let plan = plan_for(&cell, 60, 1500, mixed);
 
-    let load = begin_load(&cell.caller, plan);
+    let load = spawn_load(&cell.caller, plan);
     for index in 0..3 {
         cell.members[index].signal(Signal::SIGTERM);
-        let ended = cell.members[index].ended(Duration::from_secs(30)).await;
+        let ended = cell.members[index].wait_exit(Duration::from_secs(30)).await;
         assert_eq!(ended, Some(true), "{}", cell.log(index));
         start(&mut cell, index);
-        cell.settled(Duration::from_secs(30))
+        cell.wait_ready(Duration::from_secs(30))
             .await
             .expect("settled");
     }
@@ -136,7 +136,7 @@
 }
 
 fn restocks(number: u32) -> Request {
-    restock(&format!("restock-{number}"), Duration::from_secs(1))
+    restock_request(&format!("restock-{number}"), Duration::from_secs(1))
 }
 
 // Restocks that ran while their shard was handed over got no answer, and the
@@ -148,11 +148,11 @@
 async fn tasks_that_end_while_their_shard_is_handed_over_are_answered() {
     let cell = open_cell(3).await;
     for worker in &cell.platform.workers {
-        worker.set(|manner| manner.latency = Duration::from_millis(250));
+        worker.update(|manner| manner.latency = Duration::from_millis(250));
     }
     let mut plan = plan_for(&cell, 80, 480, restocks);
     plan.servers.remove(0);
-    plan.patience = Duration::from_secs(20);
+    plan.answer_timeout = Duration::from_secs(20);
     let client = cell.caller.clone();
 
     let load = tokio::spawn(async move { run_load(&client, plan).await });
@@ -173,7 +173,7 @@
 /// Submits a task of a minute through a process and waits until it runs.
 async fn submit_long(cell: &Cell, index: usize) -> JoinHandle<Result<AnswerBody, CallError>> {
     let (client, server) = (cell.caller.clone(), cell.http(index));
-    let request = restock("long", Duration::from_mins(1));
+    let request = restock_request("long", Duration::from_mins(1));
     let patience = Duration::from_mins(2);
     let caller = tokio::spawn(async move { client.submit(server, &request, patience).await });
     let runs = || cell.platform.log.runs();
@@ -194,7 +194,7 @@
     let caller = submit_long(&cell, 1).await;
 
     cell.members[1].signal(Signal::SIGTERM);
-    let ended = cell.members[1].ended(Duration::from_secs(25)).await;
+    let ended = cell.members[1].wait_exit(Duration::from_secs(25)).await;
 
     assert_eq!(ended, Some(true), "{}", cell.log(1));
     let answer = caller.await.expect("caller").expect("a whole answer");
@@ -215,14 +215,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_does_not_wait_for_the_table() {
     let mut cell = open_cell(2).await;
-    cell.platform.set_down(true);
+    cell.platform.set_outage(true);
 
     cell.members[1].signal(Signal::SIGTERM);
-    let ended = cell.members[1].ended(Duration::from_secs(25)).await;
-    cell.platform.set_down(false);
+    let ended = cell.members[1].wait_exit(Duration::from_secs(25)).await;
+    cell.platform.set_outage(false);
 
     assert_eq!(ended, Some(true), "{}", cell.log(1));
-    let served = cell.settled(Duration::from_secs(30)).await;
+    let served = cell.wait_ready(Duration::from_secs(30)).await;
     assert_eq!(served, Ok(()), "{}", cell.log(0));
     cell.close();
 }
--- a/crates/daemon/tests/workers.rs
+++ b/crates/daemon/tests/workers.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use fake::Cell;
-use fake::begin_load;
 use fake::count_families;
-use fake::lookup;
-use fake::restock;
+use fake::lookup_request;
+use fake::restock_request;
 use fake::run_load;
+use fake::spawn_load;
 use model::Class;
 use model::Family;
 use model::Request;
@@ -21,17 +21,17 @@
 use crate::support::plan_for;
 
 fn lookups(number: u32) -> Request {
-    lookup(&format!("lookup-{number}"))
+    lookup_request(&format!("lookup-{number}"))
 }
 
 fn long_restocks(number: u32) -> Request {
-    restock(&format!("long-{number}"), Duration::from_secs(6))
+    restock_request(&format!("long-{number}"), Duration::from_secs(6))
 }
 
 /// Workers with work, the busiest first.
 fn busiest(cell: &Cell) -> Vec<fake::FakeWorker> {
     let mut workers = cell.platform.workers.clone();
-    workers.sort_by_cached_key(|worker| std::cmp::Reverse(worker.running()));
+    workers.sort_by_cached_key(|worker| std::cmp::Reverse(worker.running_count()));
     workers
 }
 
@@ -44,20 +44,20 @@
     let plan = plan_for(&cell, 150, 900, lookups);
     let leaving = cell.platform.workers[5].id.clone();
 
-    let load = begin_load(&cell.caller, plan);
+    let load = spawn_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(1)).await;
-    cell.platform.hosts.leave(&leaving);
+    cell.platform.hosts.mark_leaving(&leaving);
     let quiet = cell.platform.log.now() + Duration::from_secs(2);
     let outcomes = load.await.expect("load");
 
     let runs = cell.platform.log.runs();
     let before = runs
         .iter()
-        .filter(|run| run.worker == leaving && run.from < quiet)
+        .filter(|run| run.worker == leaving && run.started_at < quiet)
         .count();
     let late = runs
         .iter()
-        .filter(|run| run.worker == leaving && run.from >= quiet)
+        .filter(|run| run.worker == leaving && run.started_at >= quiet)
         .count();
     assert!(before > 0, "the worker was never used");
     assert_eq!(late, 0);
@@ -73,10 +73,10 @@
     let cell = open_cell(2).await;
     let plan = plan_for(&cell, 100, 60, long_restocks);
 
-    let load = begin_load(&cell.caller, plan);
+    let load = spawn_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(3)).await;
     let worker = busiest(&cell).remove(0);
-    cell.platform.hosts.leave(&worker.id);
+    cell.platform.hosts.mark_leaving(&worker.id);
     let outcomes = load.await.expect("load");
 
     let runs = cell.platform.log.runs();
@@ -98,7 +98,7 @@
     let cell = open_cell(2).await;
     let plan = plan_for(&cell, 150, 900, mixed);
 
-    let load = begin_load(&cell.caller, plan);
+    let load = spawn_load(&cell.caller, plan);
     for round in 0..5 {
         tokio::time::sleep(Duration::from_millis(800)).await;
         for worker in busiest(&cell).iter().take(3 + round) {
@@ -120,15 +120,15 @@
     let cell = open_cell(2).await;
     let plan = plan_for(&cell, 60, 120, long_restocks);
 
-    let load = begin_load(&cell.caller, plan);
+    let load = spawn_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(2)).await;
     let still: Vec<fake::FakeWorker> = busiest(&cell).into_iter().take(4).collect();
     for worker in &still {
-        worker.set(|manner| manner.paused = true);
+        worker.update(|manner| manner.paused = true);
     }
     tokio::time::sleep(Duration::from_secs(14)).await;
     for worker in &still {
-        worker.set(|manner| manner.paused = false);
+        worker.update(|manner| manner.paused = false);
     }
     let outcomes = load.await.expect("load");
 
@@ -145,7 +145,7 @@
     let plan = plan_for(&cell, 200, 1200, lookups);
     let client = cell.caller.clone();
     for index in [3, 20, 40] {
-        cell.platform.workers[index].set(|manner| manner.fails = true);
+        cell.platform.workers[index].update(|manner| manner.fails = true);
     }
 
     let outcomes = run_load(&client, plan).await;
@@ -168,10 +168,10 @@
         submits.spawn(async move {
             let request = Request {
                 label: "day".to_owned(),
-                ..restock(&format!("day-{number}"), Duration::from_secs(30))
+                ..restock_request(&format!("day-{number}"), Duration::from_secs(30))
             };
             client
-                .detach(server, &request)
+                .submit_detached(server, &request)
                 .await
                 .is_ok_and(|answer| answer.number == 500)
         });
@@ -196,7 +196,7 @@
     // it is stopped at once.
     let late = started
         .iter()
-        .filter(|run| run.from > returned && run.request.contains("day-"));
+        .filter(|run| run.started_at > returned && run.request.contains("day-"));
     let ran_on = late.filter(|run| run.result != Some(worker::EndResult::Stopped));
     assert_eq!(ran_on.count(), 0);
     cell.close();
@@ -212,7 +212,7 @@
         class: Class::Gang,
         members: 4,
         run_millis: 300,
-        ..lookup(&format!("gang-{number}"))
+        ..lookup_request(&format!("gang-{number}"))
     };
     let plan = plan_for(&cell, 20, 60, gangs);
 
@@ -240,7 +240,7 @@
     let plan = plan_for(&cell, 200, 600, |number| Request {
         run_millis: 300,
         deadline_millis: 2000,
-        ..lookup(&fake::id_in_shard(&format!("hot-{number}"), 3, 16))
+        ..lookup_request(&fake::id_in_shard(&format!("hot-{number}"), 3, 16))
     });
 
     let outcomes = run_load(&cell.caller, plan).await;
@@ -262,11 +262,11 @@
 async fn a_request_is_not_called_running_before_its_worker_said_so() {
     let cell = open_cell(1).await;
     for worker in &cell.platform.workers {
-        worker.set(|manner| manner.late_starts = Duration::from_secs(3));
+        worker.update(|manner| manner.start_delay = Duration::from_secs(3));
     }
-    let request = restock("late", Duration::from_secs(1));
+    let request = restock_request("late", Duration::from_secs(1));
 
-    let accepted = cell.caller.detach(cell.http(0), &request).await;
+    let accepted = cell.caller.submit_detached(cell.http(0), &request).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     let status = cell.caller.status(cell.http(0), "late").await;
 
--- a/crates/fake/src/cell.rs
+++ b/crates/fake/src/cell.rs
@@ -120,7 +120,7 @@
     }
 
     /// Waits until it has ended by itself; whether it ended with success.
-    pub async fn ended(&mut self, timeout: Duration) -> Option<bool> {
+    pub async fn wait_exit(&mut self, timeout: Duration) -> Option<bool> {
         let until = Instant::now() + timeout;
         let child = self.child.as_mut()?;
         while Instant::now() < until {
@@ -324,16 +324,16 @@
     ///
     /// # Errors
     /// It took longer than `timeout`.
-    pub async fn settled(&self, timeout: Duration) -> Result<(), String> {
+    pub async fn wait_ready(&self, timeout: Duration) -> Result<(), String> {
         let running = self.members.iter().filter(|member| member.child.is_some());
-        self.settled_through(running, timeout).await
+        self.wait_ready_through(running, timeout).await
     }
 
     /// The same, asking through the given processes.
     ///
     /// # Errors
     /// It took longer than `timeout`.
-    pub async fn settled_through(
+    pub async fn wait_ready_through(
         &self,
         members: impl IntoIterator<Item = &Member>,
         timeout: Duration,
@@ -356,7 +356,7 @@
             );
             let answer = self
                 .caller
-                .submit(http, &crate::lookup(&id), Duration::from_secs(3))
+                .submit(http, &crate::lookup_request(&id), Duration::from_secs(3))
                 .await;
             if matches!(&answer, Ok(body) if body.number == 100) {
                 return Ok(());
--- a/crates/fake/src/checker.rs
+++ b/crates/fake/src/checker.rs
@@ -13,28 +13,28 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// A worker held more than it has.
-    Overfull {
+    OverCapacity {
         /// Worker.
         worker: WorkerId,
         /// When, since the log began.
         at: Duration,
     },
     /// Two attempts of one request ran at the same time.
-    TwoPlaces {
+    ConcurrentAttempts {
         /// Key of the request.
         request: String,
         /// Both attempts.
         attempts: [String; 2],
     },
     /// A request that must run at most once ran again.
-    RanAgain {
+    RepeatedRun {
         /// Key of the request.
         request: String,
         /// Number of its runs.
         runs: usize,
     },
     /// A request ran although its caller was told that it did not.
-    NotRunRan {
+    RanDespiteNotRun {
         /// Key of the request.
         request: String,
     },
@@ -46,8 +46,8 @@
     let mut by_worker: HashMap<&str, Vec<(Duration, bool, &Run)>> = HashMap::new();
     for run in runs {
         let steps = by_worker.entry(&run.worker).or_default();
-        steps.push((run.from, true, run));
-        if let Some(until) = run.until {
+        steps.push((run.started_at, true, run));
+        if let Some(until) = run.ended_at {
             steps.push((until, false, run));
         }
     }
@@ -64,7 +64,7 @@
             };
             if !held.fits(&capacity) {
                 let worker = worker.to_owned();
-                violations.push(Violation::Overfull { worker, at });
+                violations.push(Violation::OverCapacity { worker, at });
                 break;
             }
         }
@@ -75,7 +75,7 @@
 /// Requests of which two attempts overlapped in time. Members of one attempt
 /// may overlap.
 #[must_use]
-pub fn check_one_place(runs: &[Run]) -> Vec<Violation> {
+pub fn check_overlaps(runs: &[Run]) -> Vec<Violation> {
     let mut violations = Vec::new();
     for (request, runs) in by_request(runs) {
         for (index, first) in runs.iter().enumerate() {
@@ -85,7 +85,7 @@
             if let Some(second) = clash {
                 let attempts = [first.attempt.clone(), second.attempt.clone()];
                 let request = request.to_owned();
-                violations.push(Violation::TwoPlaces { request, attempts });
+                violations.push(Violation::ConcurrentAttempts { request, attempts });
             }
         }
     }
@@ -95,7 +95,7 @@
 fn clashes(first: &Run, second: &Run) -> bool {
     let same_member = first.attempt == second.attempt;
     let same_attempt = attempt_of(&first.attempt) == attempt_of(&second.attempt);
-    let before = |a: &Run, b: &Run| a.until.is_some_and(|until| until <= b.from);
+    let before = |a: &Run, b: &Run| a.ended_at.is_some_and(|until| until <= b.started_at);
     (same_member || !same_attempt) && !before(first, second) && !before(second, first)
 }
 
@@ -113,7 +113,7 @@
     for request in once {
         let count = runs.get(request.as_str()).map_or(0, Vec::len);
         if count > 1 {
-            violations.push(Violation::RanAgain {
+            violations.push(Violation::RepeatedRun {
                 request: request.clone(),
                 runs: count,
             });
@@ -130,7 +130,7 @@
     not_run
         .iter()
         .filter(|request| runs.contains_key(request.as_str()))
-        .map(|request| Violation::NotRunRan {
+        .map(|request| Violation::RanDespiteNotRun {
             request: request.clone(),
         })
         .collect()
--- a/crates/fake/src/client.rs
+++ b/crates/fake/src/client.rs
@@ -82,7 +82,7 @@
     ///
     /// # Errors
     /// No whole answer came.
-    pub async fn detach(
+    pub async fn submit_detached(
         &self,
         server: SocketAddr,
         request: &Request,
@@ -163,7 +163,7 @@
 
 /// A short request that may run twice.
 #[must_use]
-pub fn lookup(id: &str) -> Request {
+pub fn lookup_request(id: &str) -> Request {
     Request {
         id: id.to_owned(),
         team: String::new(),
@@ -186,21 +186,21 @@
 
 /// A restock: batch work that is recorded before it starts.
 #[must_use]
-pub fn restock(id: &str, run: Duration) -> Request {
+pub fn restock_request(id: &str, run: Duration) -> Request {
     Request {
         class: Class::Batch,
         run_millis: u64::try_from(run.as_millis()).unwrap_or(u64::MAX),
         label: "restock".to_owned(),
         deadline_millis: 60_000,
-        ..lookup(id)
+        ..lookup_request(id)
     }
 }
 
 /// A confirmation: short, but it must not run twice.
 #[must_use]
-pub fn confirmation(id: &str) -> Request {
+pub fn confirmation_request(id: &str) -> Request {
     Request {
         idempotent: false,
-        ..lookup(id)
+        ..lookup_request(id)
     }
 }
--- a/crates/fake/src/faults.rs
+++ b/crates/fake/src/faults.rs
@@ -18,7 +18,7 @@
     /// Whether each call is refused.
     pub down: bool,
     /// How many of the next calls take effect, but get no answer.
-    pub lost_answers: u32,
+    pub lost_replies: u32,
 }
 
 /// Faults of a stand-in, shared with whoever sets them.
@@ -29,7 +29,7 @@
 
 impl Faults {
     /// Changes the plan.
-    pub fn set(&self, change: impl FnOnce(&mut FaultPlan)) {
+    pub fn update(&self, change: impl FnOnce(&mut FaultPlan)) {
         change(&mut self.plan.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
@@ -47,8 +47,8 @@
     pub(crate) async fn after(&self) {
         let lost = {
             let mut plan = self.plan.lock().unwrap_or_else(PoisonError::into_inner);
-            let lost = plan.lost_answers > 0;
-            plan.lost_answers = plan.lost_answers.saturating_sub(1);
+            let lost = plan.lost_replies > 0;
+            plan.lost_replies = plan.lost_replies.saturating_sub(1);
             lost
         };
         if lost {
--- a/crates/fake/src/hosts.rs
+++ b/crates/fake/src/hosts.rs
@@ -13,7 +13,7 @@
 use web::StatusCode;
 use web::Whole;
 
-/// Changes of the list, with the time from which they are seen.
+/// Changes of the list, with the time from which they are visible.
 type Changes = Vec<(Instant, Vec<Host>)>;
 
 /// Stand-in of the platform's host list.
@@ -44,7 +44,7 @@
     }
 
     /// Marks a worker as leaving.
-    pub fn leave(&self, id: &str) {
+    pub fn mark_leaving(&self, id: &str) {
         self.change(|hosts| {
             for host in hosts.iter_mut().filter(|host| host.id == id) {
                 host.state = HostState::Leaving;
@@ -62,18 +62,18 @@
         self.change(|hosts| hosts.push(host));
     }
 
-    /// The list as it is seen now.
+    /// The list as it is visible now.
     #[must_use]
-    pub fn seen(&self) -> Vec<Host> {
+    pub fn visible(&self) -> Vec<Host> {
         let changes = self.changes.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
-        let seen = changes.iter().rev().find(|(from, _)| *from <= now);
-        seen.map(|(_, hosts)| hosts.clone()).unwrap_or_default()
+        let visible = changes.iter().rev().find(|(from, _)| *from <= now);
+        visible.map(|(_, hosts)| hosts.clone()).unwrap_or_default()
     }
 }
 
 impl Handler for FakeHosts {
     async fn handle(&self, _asked: Asked) -> Whole {
-        web::json(StatusCode::OK, &self.seen())
+        web::json(StatusCode::OK, &self.visible())
     }
 }
--- a/crates/fake/src/lib.rs
+++ b/crates/fake/src/lib.rs
@@ -2,7 +2,6 @@
 //! fault-injecting relay, and a harness that starts a whole cell. Only tests,
 //! benches and the demo use them.
 
-mod bucket;
 mod cell;
 mod checker;
 mod client;
@@ -12,11 +11,12 @@
 mod objects;
 mod platform;
 mod relay;
+mod relay_handle;
 mod run_log;
 mod table;
+mod token_bucket;
 mod udp_relay;
 mod verify;
-mod way;
 mod worker;
 
 pub use cell::*;
@@ -28,9 +28,9 @@
 pub use objects::*;
 pub use platform::*;
 pub use relay::*;
+pub use relay_handle::RelayHandle;
 pub use run_log::*;
 pub use table::*;
 pub use udp_relay::*;
 pub use verify::*;
-pub use way::Way;
 pub use worker::*;
--- a/crates/fake/src/load.rs
+++ b/crates/fake/src/load.rs
@@ -1,4 +1,4 @@
-//! Open-loop load on a cell: requests are sent at a steady rate, whatever
+//! Open-loop load on a cell: requests are sent_at at a steady rate, whatever
 //! becomes of the earlier ones, and retried as a careful caller would.
 
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 /// Pause of a caller before it asks again through another process.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// What is sent, and how.
+/// What is sent_at, and how.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
     /// Requests a second.
@@ -29,7 +29,7 @@
     /// Processes, asked in turn.
     pub servers: Vec<SocketAddr>,
     /// How long a caller asks again for a final answer.
-    pub patience: Duration,
+    pub answer_timeout: Duration,
 }
 
 /// What became of one request.
@@ -37,12 +37,12 @@
 pub struct Outcome {
     /// The request.
     pub request: Request,
-    /// Final answer; none if there was none within the patience.
+    /// Final answer; none if there was none within the answer_timeout.
     pub answer: Option<AnswerBody>,
-    /// When it was first sent, since the load began.
-    pub sent: Duration,
+    /// When it was first sent_at, since the load began.
+    pub sent_at: Duration,
     /// Time until its final answer.
-    pub took: Duration,
+    pub latency: Duration,
     /// Calls made for it.
     pub calls: u32,
 }
@@ -73,22 +73,22 @@
 
 /// Sends all requests while something else goes on.
 #[must_use]
-pub fn begin_load(client: &CellClient, plan: LoadPlan) -> JoinHandle<Vec<Outcome>> {
+pub fn spawn_load(client: &CellClient, plan: LoadPlan) -> JoinHandle<Vec<Outcome>> {
     let client = client.clone();
     tokio::spawn(async move { run_load(&client, plan).await })
 }
 
 async fn call(client: &CellClient, plan: &LoadPlan, number: u32, began: Instant) -> Outcome {
     let request = (plan.request)(number);
-    let sent = began.elapsed();
+    let sent_at = began.elapsed();
     let start = Instant::now();
     let mut calls = 0;
     let mut answer = None;
-    while start.elapsed() < plan.patience && answer.is_none() {
+    while start.elapsed() < plan.answer_timeout && answer.is_none() {
         let turn = usize::try_from(number + calls).unwrap_or_default();
         let server = plan.servers[turn % plan.servers.len()];
         calls += 1;
-        let left = plan.patience.saturating_sub(start.elapsed());
+        let left = plan.answer_timeout.saturating_sub(start.elapsed());
         match client.submit(server, &request, left).await {
             Ok(body) if body.answer.code.is_final() => answer = Some(body),
             _ => tokio::time::sleep(RETRY_PAUSE).await,
@@ -97,8 +97,8 @@
     Outcome {
         request,
         answer,
-        sent,
-        took: start.elapsed(),
+        sent_at,
+        latency: start.elapsed(),
         calls,
     }
 }
--- a/crates/fake/src/objects.rs
+++ b/crates/fake/src/objects.rs
@@ -34,7 +34,7 @@
     }
 
     /// Overwrites an object, as a fault of the platform would.
-    pub fn damage(&self, name: &str, body: &[u8]) {
+    pub fn overwrite(&self, name: &str, body: &[u8]) {
         let mut objects = self.objects.lock().unwrap_or_else(PoisonError::into_inner);
         objects.insert(name.to_owned(), body.to_vec());
     }
@@ -54,7 +54,7 @@
         }
         let name = asked.path.trim_start_matches("/v1/object/").to_owned();
         if asked.method == Method::PUT {
-            self.damage(&name, &asked.body);
+            self.overwrite(&name, &asked.body);
             return web::text(StatusCode::OK, "");
         }
         if asked.path == "/v1/objects" {
--- a/crates/fake/src/platform.rs
+++ b/crates/fake/src/platform.rs
@@ -35,9 +35,9 @@
     /// Rates of the table.
     pub rates: TableRates,
     /// Latency of the table.
-    pub latency: Duration,
+    pub table_latency: Duration,
     /// Lag of the host list.
-    pub lag: Duration,
+    pub host_lag: Duration,
 }
 
 impl Default for PlatformPlan {
@@ -56,8 +56,8 @@
                 .map(str::to_owned)
                 .to_vec(),
             rates: TableRates::default(),
-            latency: Duration::from_millis(5),
-            lag: Duration::from_millis(200),
+            table_latency: Duration::from_millis(5),
+            host_lag: Duration::from_millis(200),
         }
     }
 }
@@ -99,7 +99,7 @@
         for index in 0..plan.workers {
             let worker = FakeWorker::new(&format!("w{index:04}"), plan.capacity, log.clone());
             let address = serve(worker.clone(), &stopped).await?;
-            tokio::spawn(worker.clone().watch_leases());
+            tokio::spawn(worker.clone().enforce_lease());
             let rack = index / RACK_WORKERS;
             let racks = plan.workers.div_ceil(RACK_WORKERS);
             let domain = rack * plan.domains.len() / racks.max(1);
@@ -113,9 +113,11 @@
             workers.push(worker);
         }
         let table = FakeTable::new(plan.rates);
-        table.faults.set(|faults| faults.latency = plan.latency);
+        table
+            .faults
+            .update(|faults| faults.latency = plan.table_latency);
         let objects = FakeObjects::default();
-        let hosts = FakeHosts::new(hosts, plan.lag);
+        let hosts = FakeHosts::new(hosts, plan.host_lag);
         Ok(Platform {
             table_address: serve(table.clone(), &stopped).await?,
             table,
@@ -137,9 +139,9 @@
     }
 
     /// Sets table and object store down, or up again.
-    pub fn set_down(&self, down: bool) {
-        self.table.faults.set(|faults| faults.down = down);
-        self.objects.faults.set(|faults| faults.down = down);
+    pub fn set_outage(&self, down: bool) {
+        self.table.faults.update(|faults| faults.down = down);
+        self.objects.faults.update(|faults| faults.down = down);
     }
 
     /// Stops all stand-ins.
--- a/crates/fake/src/relay.rs
+++ b/crates/fake/src/relay.rs
@@ -10,32 +10,32 @@
 use tokio::net::tcp::OwnedReadHalf;
 use tokio::net::tcp::OwnedWriteHalf;
 
-use crate::way::Passage;
-use crate::way::Way;
+use crate::relay_handle::RelayContext;
+use crate::relay_handle::RelayHandle;
 
 use crate::loopback;
 
 /// Which bytes a relay swallows; connections stay open.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mute {
+pub enum Discard {
     /// None.
     #[default]
     Nothing,
     /// Those towards the server: it hears nothing.
     Requests,
     /// Those towards the client: what was asked for is done and not answered.
-    Answers,
+    Replies,
     /// All: a connection gone silent.
     Both,
 }
 
-impl Mute {
-    fn requests(self) -> bool {
-        matches!(self, Mute::Requests | Mute::Both)
+impl Discard {
+    fn drops_requests(self) -> bool {
+        matches!(self, Discard::Requests | Discard::Both)
     }
 
-    fn answers(self) -> bool {
-        matches!(self, Mute::Answers | Mute::Both)
+    fn drops_replies(self) -> bool {
+        matches!(self, Discard::Replies | Discard::Both)
     }
 }
 
@@ -45,39 +45,39 @@
     /// Nothing passes; what is sent meanwhile is lost, connections break.
     pub cut: bool,
     /// What is swallowed.
-    pub mute: Mute,
+    pub discard: Discard,
     /// Delay in each direction.
     pub delay: Duration,
     /// Another server has the address now: new connections lead there.
-    pub instead: Option<SocketAddr>,
+    pub redirect: Option<SocketAddr>,
 }
 
 /// Relay for TCP towards one server; a cut breaks the connections that are open.
-pub type Relay = Way<RelayPlan>;
+pub type Relay = RelayHandle<RelayPlan>;
 
-impl Way<RelayPlan> {
+impl RelayHandle<RelayPlan> {
     /// Opens a relay on a free loopback port towards `server`.
     ///
     /// # Errors
     /// No port can be bound.
     pub async fn open(server: SocketAddr) -> std::io::Result<Relay> {
         let listener = TcpListener::bind((loopback(), 0)).await?;
-        let (relay, passage) = Way::begin(listener.local_addr()?);
-        tokio::spawn(accept(listener, server, passage));
+        let (relay, context) = RelayHandle::with_context(listener.local_addr()?);
+        tokio::spawn(accept(listener, server, context));
         Ok(relay)
     }
 }
 
-async fn accept(listener: TcpListener, server: SocketAddr, passage: Passage<RelayPlan>) {
+async fn accept(listener: TcpListener, server: SocketAddr, context: RelayContext<RelayPlan>) {
     while let Ok((client, _)) = listener.accept().await {
-        if !passage.now().cut {
-            tokio::spawn(connect(client, server, passage.clone()));
+        if !context.current_plan().cut {
+            tokio::spawn(connect(client, server, context.clone()));
         }
     }
 }
 
-async fn connect(client: TcpStream, server: SocketAddr, passage: Passage<RelayPlan>) {
-    let server = passage.now().instead.unwrap_or(server);
+async fn connect(client: TcpStream, server: SocketAddr, context: RelayContext<RelayPlan>) {
+    let server = context.current_plan().redirect.unwrap_or(server);
     let Ok(upstream) = TcpStream::connect(server).await else {
         return;
     };
@@ -86,35 +86,35 @@
     let (client_in, client_out) = client.into_split();
     let (server_in, server_out) = upstream.into_split();
     tokio::select! {
-        () = copy(client_in, server_out, passage.clone(), Mute::requests) => {}
-        () = copy(server_in, client_out, passage, Mute::answers) => {}
+        () = copy(client_in, server_out, context.clone(), Discard::drops_requests) => {}
+        () = copy(server_in, client_out, context, Discard::drops_replies) => {}
     }
 }
 
 async fn copy(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut passage: Passage<RelayPlan>,
-    muted: fn(Mute) -> bool,
+    mut context: RelayContext<RelayPlan>,
+    discards: fn(Discard) -> bool,
 ) {
     let mut buffer = vec![0; 64 * 1024];
     loop {
         let read = tokio::select! {
             read = from.read(&mut buffer) => read,
-            _ = passage.plan.wait_for(|plan| plan.cut) => return,
+            _ = context.plan.wait_for(|plan| plan.cut) => return,
         };
         let Ok(count @ 1..) = read else {
             return;
         };
-        passage.count(count);
-        let delay = passage.now().delay;
+        context.count_bytes(count);
+        let delay = context.current_plan().delay;
         if !delay.is_zero() {
             tokio::time::sleep(delay).await;
         }
-        if muted(passage.now().mute) {
+        if discards(context.current_plan().discard) {
             continue;
         }
-        if passage.now().cut || to.write_all(&buffer[..count]).await.is_err() {
+        if context.current_plan().cut || to.write_all(&buffer[..count]).await.is_err() {
             return;
         }
     }
--- a/crates/fake/src/way.rs
+++ b/crates/fake/src/relay_handle.rs
@@ -9,31 +9,31 @@
 
 /// A relay towards one server; its plan says what becomes of what passes.
 #[derive(Debug)]
-pub struct Way<P> {
+pub struct RelayHandle<P> {
     address: SocketAddr,
     bytes: Arc<AtomicU64>,
     plan: watch::Sender<P>,
 }
 
-impl<P: Default> Way<P> {
+impl<P: Default> RelayHandle<P> {
     /// A relay whose clients come to `address`, and what its tasks see of it.
-    pub(crate) fn begin(address: SocketAddr) -> (Way<P>, Passage<P>) {
-        let (plan, seen) = watch::channel(P::default());
+    pub(crate) fn with_context(address: SocketAddr) -> (RelayHandle<P>, RelayContext<P>) {
+        let (plan, changes) = watch::channel(P::default());
         let bytes = Arc::new(AtomicU64::new(0));
-        let passage = Passage {
-            plan: seen,
+        let context = RelayContext {
+            plan: changes,
             bytes: bytes.clone(),
         };
-        let way = Way {
+        let handle = RelayHandle {
             address,
             bytes,
             plan,
         };
-        (way, passage)
+        (handle, context)
     }
 }
 
-impl<P> Way<P> {
+impl<P> RelayHandle<P> {
     /// Where clients reach it.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
@@ -47,27 +47,27 @@
     }
 
     /// Changes the plan.
-    pub fn set(&self, plan: P) {
+    pub fn set_plan(&self, plan: P) {
         self.plan.send_replace(plan);
     }
 }
 
 /// What a task of a relay sees of it.
 #[derive(Clone, Debug)]
-pub(crate) struct Passage<P> {
+pub(crate) struct RelayContext<P> {
     /// The plan, and its changes.
     pub(crate) plan: watch::Receiver<P>,
     bytes: Arc<AtomicU64>,
 }
 
-impl<P: Copy> Passage<P> {
+impl<P: Copy> RelayContext<P> {
     /// The plan as it is now.
-    pub(crate) fn now(&self) -> P {
+    pub(crate) fn current_plan(&self) -> P {
         *self.plan.borrow()
     }
 
     /// Counts what was received.
-    pub(crate) fn count(&self, bytes: usize) {
+    pub(crate) fn count_bytes(&self, bytes: usize) {
         self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 }
--- a/crates/fake/src/run_log.rs
+++ b/crates/fake/src/run_log.rs
@@ -23,9 +23,9 @@
     /// What it held.
     pub needs: Resources,
     /// When it started, since the log began.
-    pub from: Duration,
+    pub started_at: Duration,
     /// When it ended; none while it runs.
-    pub until: Option<Duration>,
+    pub ended_at: Option<Duration>,
     /// How it ended.
     pub result: Option<EndResult>,
 }
@@ -83,8 +83,8 @@
             attempt: start.attempt.clone(),
             request: own_key(&start.request).to_owned(),
             needs: start.needs,
-            from: self.now(),
-            until: None,
+            started_at: self.now(),
+            ended_at: None,
             result: None,
         });
     }
@@ -92,10 +92,11 @@
     pub(crate) fn end(&self, worker: &str, attempt: &str, result: EndResult) {
         let now = self.now();
         let mut runs = self.runs.lock().unwrap_or_else(PoisonError::into_inner);
-        let open =
-            |run: &&mut Run| run.worker == worker && run.attempt == attempt && run.until.is_none();
+        let open = |run: &&mut Run| {
+            run.worker == worker && run.attempt == attempt && run.ended_at.is_none()
+        };
         if let Some(run) = runs.iter_mut().rev().find(open) {
-            run.until = Some(now);
+            run.ended_at = Some(now);
             run.result = Some(result);
         }
     }
--- a/crates/fake/src/table.rs
+++ b/crates/fake/src/table.rs
@@ -16,7 +16,7 @@
 use web::Whole;
 
 use crate::Faults;
-use crate::bucket::Bucket;
+use crate::token_bucket::TokenBucket;
 
 /// Rows that count as one read in a range.
 const ROWS_A_READ: usize = 10;
@@ -56,8 +56,8 @@
 struct State {
     rows: BTreeMap<String, Row>,
     version: RowVersion,
-    writes: Bucket,
-    reads: Bucket,
+    writes: TokenBucket,
+    reads: TokenBucket,
     counts: TableCounts,
     /// A guard that a test may take out, to see its checker fail.
     unchecked: Vec<String>,
@@ -78,8 +78,8 @@
         let state = State {
             rows: BTreeMap::new(),
             version: 0,
-            writes: Bucket::new(rates.writes),
-            reads: Bucket::new(rates.reads),
+            writes: TokenBucket::new(rates.writes),
+            reads: TokenBucket::new(rates.reads),
             counts: TableCounts::default(),
             unchecked: Vec::new(),
         };
@@ -106,13 +106,13 @@
     }
 
     /// Overwrites a row, as a fault of the platform would.
-    pub fn damage(&self, key: &str, value: &str) {
+    pub fn overwrite(&self, key: &str, value: &str) {
         let mut state = self.lock();
         state.put(key, value.to_owned());
     }
 
     /// Ignores conditions on keys with this prefix from now on.
-    pub fn take_out_checks(&self, prefix: &str) {
+    pub fn ignore_checks(&self, prefix: &str) {
         self.lock().unchecked.push(prefix.to_owned());
     }
 
@@ -168,7 +168,7 @@
 
 impl State {
     fn count_reads(&mut self, reads: usize) -> bool {
-        if !self.reads.take(reads) {
+        if !self.reads.try_take(reads) {
             self.counts.refused += 1;
             return false;
         }
@@ -196,7 +196,7 @@
                 return Some(Committed::Conflict(Conflict { key, found }));
             }
         }
-        if !self.writes.take(commit.writes.len()) {
+        if !self.writes.try_take(commit.writes.len()) {
             self.counts.refused += 1;
             return None;
         }
--- a/crates/fake/src/bucket.rs
+++ b/crates/fake/src/token_bucket.rs
@@ -4,26 +4,26 @@
 
 /// Token bucket that refuses when empty; it holds one second's worth.
 #[derive(Debug)]
-pub(crate) struct Bucket {
+pub(crate) struct TokenBucket {
     rate: f64,
     tokens: f64,
-    filled: Instant,
+    refilled: Instant,
 }
 
-impl Bucket {
-    pub(crate) fn new(rate: u32) -> Bucket {
-        Bucket {
+impl TokenBucket {
+    pub(crate) fn new(rate: u32) -> TokenBucket {
+        TokenBucket {
             rate: f64::from(rate),
             tokens: f64::from(rate),
-            filled: Instant::now(),
+            refilled: Instant::now(),
         }
     }
 
-    pub(crate) fn take(&mut self, amount: usize) -> bool {
+    pub(crate) fn try_take(&mut self, amount: usize) -> bool {
         let now = Instant::now();
-        let earned = now.duration_since(self.filled).as_secs_f64() * self.rate;
+        let earned = now.duration_since(self.refilled).as_secs_f64() * self.rate;
         self.tokens = (self.tokens + earned).min(self.rate);
-        self.filled = now;
+        self.refilled = now;
         let amount = f64::from(u32::try_from(amount).unwrap_or(u32::MAX));
         if self.tokens < amount {
             return false;
--- a/crates/fake/src/udp_relay.rs
+++ b/crates/fake/src/udp_relay.rs
@@ -11,8 +11,8 @@
 use rand::rngs::StdRng;
 use tokio::net::UdpSocket;
 
-use crate::way::Passage;
-use crate::way::Way;
+use crate::relay_handle::RelayContext;
+use crate::relay_handle::RelayHandle;
 
 use crate::loopback;
 
@@ -20,30 +20,35 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct UdpPlan {
     /// Share of datagrams that are dropped on the way to the server.
-    pub drop_in: f64,
-    /// Share of datagrams that are dropped on the way back.
-    pub drop_out: f64,
+    pub inbound_loss: f64,
+    /// Share of datagrams that are dropped on the way return_path.
+    pub outbound_loss: f64,
     /// Longest random delay; unlike delays reorder.
     pub jitter: Duration,
 }
 
 /// Relay for UDP towards one server.
-pub type UdpRelay = Way<UdpPlan>;
+pub type UdpRelay = RelayHandle<UdpPlan>;
 
-impl Way<UdpPlan> {
+impl RelayHandle<UdpPlan> {
     /// Opens a relay on a free loopback port towards `server`.
     ///
     /// # Errors
     /// No port can be bound.
     pub async fn open(server: SocketAddr, seed: u64) -> std::io::Result<UdpRelay> {
         let socket = Arc::new(UdpSocket::bind((loopback(), 0)).await?);
-        let (relay, passage) = Way::begin(socket.local_addr()?);
-        tokio::spawn(run(socket, server, passage, seed));
+        let (relay, context) = RelayHandle::with_context(socket.local_addr()?);
+        tokio::spawn(run(socket, server, context, seed));
         Ok(relay)
     }
 }
 
-async fn run(socket: Arc<UdpSocket>, server: SocketAddr, passage: Passage<UdpPlan>, seed: u64) {
+async fn run(
+    socket: Arc<UdpSocket>,
+    server: SocketAddr,
+    context: RelayContext<UdpPlan>,
+    seed: u64,
+) {
     let mut clients: HashMap<SocketAddr, Arc<UdpSocket>> = HashMap::new();
     let mut random = StdRng::seed_from_u64(seed);
     let mut buffer = vec![0; 64 * 1024];
@@ -56,21 +61,21 @@
                 continue;
             }
             let upstream = Arc::new(upstream);
-            let back = Back {
+            let return_path = ReturnPath {
                 from: upstream.clone(),
                 to: socket.clone(),
                 client,
-                passage: passage.clone(),
+                context: context.clone(),
             };
-            tokio::spawn(back.run(seed ^ u64::from(client.port())));
+            tokio::spawn(return_path.run(seed ^ u64::from(client.port())));
             e.insert(upstream);
         }
         let Some(upstream) = clients.get(&client).cloned() else {
             continue;
         };
-        passage.count(count);
-        let now = passage.now();
-        if random.random_bool(now.drop_in.clamp(0.0, 1.0)) {
+        context.count_bytes(count);
+        let now = context.current_plan();
+        if random.random_bool(now.inbound_loss.clamp(0.0, 1.0)) {
             continue;
         }
         let datagram = buffer[..count].to_vec();
@@ -86,27 +91,27 @@
     }
 }
 
-/// Way back to one client.
-struct Back {
+/// RelayHandle return_path to one client.
+struct ReturnPath {
     from: Arc<UdpSocket>,
     to: Arc<UdpSocket>,
     client: SocketAddr,
-    passage: Passage<UdpPlan>,
+    context: RelayContext<UdpPlan>,
 }
 
-impl Back {
+impl ReturnPath {
     async fn run(self, seed: u64) {
         let mut random = StdRng::seed_from_u64(seed);
         let mut buffer = vec![0; 64 * 1024];
         loop {
             let Ok(count) = self.from.recv(&mut buffer).await else {
-                // The server is gone for now; it may come back.
+                // The server is gone for now; it may come return_path.
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 continue;
             };
-            self.passage.count(count);
-            let now = self.passage.now();
-            if random.random_bool(now.drop_out.clamp(0.0, 1.0)) {
+            self.context.count_bytes(count);
+            let now = self.context.current_plan();
+            if random.random_bool(now.outbound_loss.clamp(0.0, 1.0)) {
                 continue;
             }
             let _ = self.to.send_to(&buffer[..count], self.client).await;
--- a/crates/fake/src/verify.rs
+++ b/crates/fake/src/verify.rs
@@ -12,7 +12,7 @@
 use crate::check_at_most_once;
 use crate::check_capacity;
 use crate::check_not_run;
-use crate::check_one_place;
+use crate::check_overlaps;
 
 /// Everything that is wrong, in words; empty when all holds.
 #[must_use]
@@ -30,7 +30,7 @@
         .cloned()
         .collect();
     wrong.extend(
-        check_one_place(&durable_runs)
+        check_overlaps(&durable_runs)
             .iter()
             .map(|v| format!("{v:?}")),
     );
--- a/crates/fake/src/worker/manner.rs
+++ b/crates/fake/src/worker/behaviour.rs
@@ -7,7 +7,7 @@
 
 /// How a worker behaves.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Manner {
+pub struct Behaviour {
     /// Every task fails at once.
     pub fails: bool,
     /// Every reply is late by this.
@@ -17,7 +17,7 @@
     pub paused: bool,
     /// Starts are late on their way by this; they arrive even when their
     /// sender is gone.
-    pub late_starts: Duration,
+    pub start_delay: Duration,
     /// A guard taken out: any fence is accepted.
-    pub unfenced: bool,
+    pub ignore_fence: bool,
 }
--- a/crates/fake/src/worker/fake_worker.rs
+++ b/crates/fake/src/worker/fake_worker.rs
@@ -23,8 +23,8 @@
 use worker::Stop;
 use worker::Task;
 
+use super::Behaviour;
 use super::FAIL_PAYLOAD;
-use super::Manner;
 use super::state::Running;
 use super::state::State;
 use crate::RunLog;
@@ -59,14 +59,14 @@
     }
 
     /// Changes how it behaves.
-    pub fn set(&self, change: impl FnOnce(&mut Manner)) {
-        change(&mut self.lock().manner);
+    pub fn update(&self, change: impl FnOnce(&mut Behaviour)) {
+        change(&mut self.lock().behaviour);
     }
 
     /// Forgets everything and stops all tasks, as a restart does.
     pub fn restart(&self) {
         let mut state = self.lock();
-        for task in state.running() {
+        for task in state.running_tasks() {
             self.log.end(&self.id, &task.attempt, EndResult::Stopped);
         }
         state.restart(&self.id);
@@ -74,13 +74,13 @@
 
     /// Tasks that run now.
     #[must_use]
-    pub fn running(&self) -> usize {
-        self.lock().running().count()
+    pub fn running_count(&self) -> usize {
+        self.lock().running_tasks().count()
     }
 
     pub(super) fn claim(&self, claim: &Claim) -> Result<Claimed, Refusal> {
         let mut state = self.lock();
-        if claim.fence < state.fence && !state.manner.unfenced {
+        if claim.fence < state.fence && !state.behaviour.ignore_fence {
             return Err(state.refusal(RefusalReason::Fenced));
         }
         state.fence = claim.fence;
@@ -118,7 +118,7 @@
             .tasks
             .insert(start.attempt.clone(), Running { task, told: 0 });
         self.log.start(&self.id, start);
-        let fails = state.manner.fails || start.payload == FAIL_PAYLOAD;
+        let fails = state.behaviour.fails || start.payload == FAIL_PAYLOAD;
         drop(state);
         let worker = self.clone();
         let start = start.clone();
@@ -191,7 +191,7 @@
             news.as_mut().enable();
             {
                 let mut state = self.lock();
-                if state.fence != poll.fence && !state.manner.unfenced {
+                if state.fence != poll.fence && !state.behaviour.ignore_fence {
                     return Err(state.refusal(RefusalReason::Fenced));
                 }
                 let fresh = state.has_news(poll.turn);
--- a/crates/fake/src/worker/handler.rs
+++ b/crates/fake/src/worker/handler.rs
@@ -20,9 +20,9 @@
 impl Handler for FakeWorker {
     async fn handle(&self, asked: Asked) -> Whole {
         loop {
-            let manner = self.lock().manner;
-            if !manner.paused {
-                tokio::time::sleep(manner.latency).await;
+            let behaviour = self.lock().behaviour;
+            if !behaviour.paused {
+                tokio::time::sleep(behaviour.latency).await;
                 break;
             }
             tokio::time::sleep(PAUSED_TICK).await;
@@ -52,7 +52,7 @@
 
 impl FakeWorker {
     async fn start_late(&self, start: Start) -> Whole {
-        let late = self.lock().manner.late_starts;
+        let late = self.lock().behaviour.start_delay;
         if late.is_zero() {
             return reply(self.start(&start));
         }
--- a/crates/fake/src/worker/lease.rs
+++ b/crates/fake/src/worker/lease.rs
@@ -16,7 +16,7 @@
 
 impl FakeWorker {
     /// Ends tasks whose lease is over, for as long as the worker exists.
-    pub async fn watch_leases(self) {
+    pub async fn enforce_lease(self) {
         loop {
             tokio::time::sleep(LEASE_TICK).await;
             let mut state = self.lock();
--- a/crates/fake/src/worker/mod.rs
+++ b/crates/fake/src/worker/mod.rs
@@ -1,11 +1,11 @@
 //! Stand-in of a worker.
 
+mod behaviour;
 mod fake_worker;
 mod handler;
 mod lease;
-mod manner;
 mod state;
 
+pub use self::behaviour::Behaviour;
+pub use self::behaviour::FAIL_PAYLOAD;
 pub use self::fake_worker::FakeWorker;
-pub use self::manner::FAIL_PAYLOAD;
-pub use self::manner::Manner;
--- a/crates/fake/src/worker/state.rs
+++ b/crates/fake/src/worker/state.rs
@@ -17,7 +17,7 @@
 use worker::Task;
 use worker::Turn;
 
-use super::Manner;
+use super::Behaviour;
 
 /// A task, and whether its end was told.
 #[derive(Debug)]
@@ -47,7 +47,7 @@
     pub(super) tasks: HashMap<AttemptId, Running>,
     /// Attempts that are over: when, and whether they were carried out.
     closed: HashMap<AttemptId, Closed>,
-    pub(super) manner: Manner,
+    pub(super) behaviour: Behaviour,
 }
 
 impl State {
@@ -63,7 +63,7 @@
             sent: VecDeque::new(),
             tasks: HashMap::new(),
             closed: HashMap::new(),
-            manner: Manner::default(),
+            behaviour: Behaviour::default(),
         }
     }
 
@@ -83,7 +83,7 @@
     }
 
     /// Tasks that run now.
-    pub(super) fn running(&self) -> impl Iterator<Item = &Task> {
+    pub(super) fn running_tasks(&self) -> impl Iterator<Item = &Task> {
         let tasks = self.tasks.values().map(|running| &running.task);
         tasks.filter(|task| task.end.is_none())
     }
@@ -120,7 +120,7 @@
     }
 
     pub(super) fn refuses(&self, start: &Start, capacity: &Resources) -> Option<RefusalReason> {
-        if start.fence != self.fence && !self.manner.unfenced {
+        if start.fence != self.fence && !self.behaviour.ignore_fence {
             return Some(RefusalReason::Fenced);
         }
         if !self.claimed || start.run != self.run {
@@ -136,14 +136,14 @@
             return Some(RefusalReason::LeaseOver);
         }
         let held = self
-            .running()
+            .running_tasks()
             .fold(Resources::default(), |sum, task| sum.plus(&task.needs));
         let fits = held.plus(&start.needs).fits(capacity);
         (!fits).then_some(RefusalReason::Full)
     }
 
     pub(super) fn take_poll(&mut self, poll: &Poll) -> Result<(), Refusal> {
-        if poll.fence != self.fence && !self.manner.unfenced {
+        if poll.fence != self.fence && !self.behaviour.ignore_fence {
             return Err(self.refusal(RefusalReason::Fenced));
         }
         if !self.claimed {
