--- a/crates/fake/src/cell.rs
+++ b/crates/fake/src/cell.rs
@@ -1,5 +1,5 @@
-//! A whole cell: the stand-ins, relays in front of each process, and the
-//! settings of the processes. Tests start real processes with it.
+//! Harness for a whole cell: the stand-ins, the relays in front of each process
+//! and the settings files. Tests use it to start real processes.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -41,25 +41,25 @@
 use crate::TEAM;
 use crate::UdpRelay;
 
-/// First port that is tried; below the range that the system gives to
-/// outgoing connections.
+/// First port that is tried; below the ephemeral port range, from which the
+/// system assigns ports to outgoing connections.
 const FIRST_PORT: u16 = 20_000;
 
-/// Number of ports that are tried.
-const PORTS: u16 = 12_000;
+/// Number of consecutive ports that are tried.
+const PORT_COUNT: u16 = 12_000;
 
-/// Shape of a cell.
+/// Parameters of a cell.
 #[derive(Clone, Debug)]
 pub struct CellPlan {
-    /// Number of processes.
+    /// Number of entry processes.
     pub processes: usize,
     /// Number of shards.
     pub shards: u16,
-    /// Time limits of ownership.
+    /// Lease settings of the processes.
     pub lease: LeaseSettings,
-    /// The platform.
+    /// Parameters of the platform.
     pub platform: PlatformPlan,
-    /// Seed of the relays.
+    /// Seed for the random faults of the relays.
     pub seed: u64,
 }
 
@@ -75,33 +75,33 @@
     }
 }
 
-/// One process of a cell.
+/// One entry process of a cell.
 #[derive(Debug)]
 pub struct Member {
-    /// Its settings.
+    /// Settings of the process.
     pub settings: Settings,
-    /// Relay between it and the table.
+    /// Relay between the process and the table.
     pub table: Relay,
-    /// Relay between the other processes and it.
+    /// Relay between the other processes and the peer port of this one.
     pub peer: UdpRelay,
     file: PathBuf,
     child: Option<Child>,
 }
 
 impl Member {
-    /// Where callers reach it.
+    /// Address for callers.
     #[must_use]
     pub fn http(&self) -> SocketAddr {
         self.settings.http.listen
     }
 
-    /// Number of its process while it runs.
+    /// Id of the operating system process; `None` if it does not run.
     #[must_use]
     pub fn process_id(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// Sends a signal to it.
+    /// Sends a signal to the process if it runs.
     pub fn signal(&self, signal: Signal) {
         let Some(child) = &self.child else {
             return;
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Kills it without warning.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -119,11 +119,12 @@
         }
     }
 
-    /// Waits until it has ended by itself; whether it ended with success.
+    /// Waits until the process has exited by itself; returns whether it exited
+    /// with success, or `None` if it still runs after `timeout`.
     pub async fn wait_exit(&mut self, timeout: Duration) -> Option<bool> {
-        let until = Instant::now() + timeout;
+        let deadline = Instant::now() + timeout;
         let child = self.child.as_mut()?;
-        while Instant::now() < until {
+        while Instant::now() < deadline {
             if let Ok(Some(status)) = child.try_wait() {
                 self.child = None;
                 return Some(status.success());
@@ -134,32 +135,32 @@
     }
 }
 
-/// A test that fails does not get to close its cell, and its processes would
-/// run on: one such joined the cell of a later test, whose table had the port of
-/// its own, and owned shards there that nobody could reach.
+/// Kills the process, since a failing test does not close its cell. A process
+/// left running once joined the cell of a later test, whose table had got the
+/// port of the former table, and owned shards there that nobody could reach.
 impl Drop for Member {
     fn drop(&mut self) {
         self.kill();
     }
 }
 
-/// A whole cell.
+/// A cell with its stand-ins and processes.
 #[derive(Debug)]
 pub struct Cell {
-    /// The stand-ins.
+    /// The stand-in services and workers.
     pub platform: Platform,
-    /// The processes.
+    /// The entry processes, running or not.
     pub members: Vec<Member>,
-    /// Client of a caller.
+    /// Client with the token of a caller.
     pub caller: CellClient,
-    /// Client of an operator.
+    /// Client with the token of an operator.
     pub operator: CellClient,
     folder: TempDir,
     plan: CellPlan,
 }
 
 impl Cell {
-    /// Starts the stand-ins and writes the settings; no process runs yet.
+    /// Starts the stand-ins and writes the settings files, but starts no process.
     ///
     /// # Errors
     /// A port cannot be bound or a file cannot be written.
@@ -182,7 +183,7 @@
         Ok(cell)
     }
 
-    /// Adds a process that does not run yet; returns its index.
+    /// Adds a process without starting it; returns its index.
     ///
     /// # Errors
     /// A port cannot be bound or a file cannot be written.
@@ -253,11 +254,11 @@
         }
     }
 
-    /// Starts a process from the given program; its arguments come before
-    /// `--settings FILE`.
+    /// Starts a process as `program arguments --settings FILE`. Its standard
+    /// error is appended to a log file.
     ///
     /// # Errors
-    /// It cannot be started.
+    /// The log file cannot be opened or the program cannot be started.
     pub fn start(
         &mut self,
         index: usize,
@@ -281,29 +282,29 @@
         Ok(())
     }
 
-    /// Where callers reach a process.
+    /// Address of a process for callers.
     #[must_use]
     pub fn http(&self, index: usize) -> SocketAddr {
         self.members[index].http()
     }
 
-    /// Log of a process so far.
+    /// Reads the log of a process so far.
     #[must_use]
     pub fn log(&self, index: usize) -> String {
         let file = self.members[index].file.with_extension("log");
         std::fs::read_to_string(file).unwrap_or_default()
     }
 
-    /// Makes version 1 of the configuration, with room for everything.
+    /// Creates version 1 of the configuration, with limits that no test reaches.
     ///
     /// # Errors
-    /// The patch was refused, or no answer came.
+    /// The patch was refused or no complete reply arrived.
     pub async fn configure(&self) -> Result<(), String> {
-        let most = json!({
+        let unlimited = json!({
             "cpu_milli": 100_000_000, "memory_mib": 100_000_000, "accelerators": 100_000,
             "slots": 100_000, "power_watts": 100_000_000,
         });
-        let teams = json!({ TEAM: { "quota": most, "queue": 100_000 } });
+        let teams = json!({ TEAM: { "quota": unlimited, "queue": 100_000 } });
         let patch = Patch {
             id: "first".to_owned(),
             version: 0,
@@ -319,38 +320,43 @@
         Err(reply.text())
     }
 
-    /// Waits until each shard has a live owner, that serves it, with workers:
-    /// a lookup of each shard is answered through each running process.
+    /// Waits until each shard has an owner that serves it and has workers: a
+    /// lookup in each shard must succeed through each running process.
     ///
     /// # Errors
-    /// It took longer than `timeout`.
+    /// A shard was not ready within `timeout`.
     pub async fn wait_ready(&self, timeout: Duration) -> Result<(), String> {
         let running = self.members.iter().filter(|member| member.child.is_some());
         self.wait_ready_through(running, timeout).await
     }
 
-    /// The same, asking through the given processes.
+    /// Like [`Cell::wait_ready`], but sends the lookups to the given processes.
     ///
     /// # Errors
-    /// It took longer than `timeout`.
+    /// A shard was not ready within `timeout`.
     pub async fn wait_ready_through(
         &self,
         members: impl IntoIterator<Item = &Member>,
         timeout: Duration,
     ) -> Result<(), String> {
-        let until = Instant::now() + timeout;
+        let deadline = Instant::now() + timeout;
         for member in members {
             for shard in 0..self.plan.shards {
-                self.wait_shard(member.http(), shard, until).await?;
+                self.wait_shard(member.http(), shard, deadline).await?;
             }
         }
         Ok(())
     }
 
-    async fn wait_shard(&self, http: SocketAddr, shard: u16, until: Instant) -> Result<(), String> {
-        for round in 0u32.. {
+    async fn wait_shard(
+        &self,
+        http: SocketAddr,
+        shard: u16,
+        deadline: Instant,
+    ) -> Result<(), String> {
+        for try_number in 0u32.. {
             let id = id_in_shard(
-                &format!("probe-{round}-{}", http.port()),
+                &format!("probe-{try_number}-{}", http.port()),
                 shard,
                 self.plan.shards,
             );
@@ -361,7 +367,7 @@
             if matches!(&answer, Ok(body) if body.number == 100) {
                 return Ok(());
             }
-            if Instant::now() > until {
+            if Instant::now() > deadline {
                 return Err(format!("shard {shard} through {http}: {answer:?}"));
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -369,7 +375,7 @@
         Ok(())
     }
 
-    /// Kills all processes and stops the stand-ins.
+    /// Kills all processes and stops the stand-in services and workers.
     pub fn close(mut self) {
         for member in &mut self.members {
             member.kill();
@@ -378,26 +384,26 @@
     }
 }
 
-/// An id that begins with `prefix` and belongs to `shard`.
+/// Finds a request id that starts with `prefix` and belongs to `shard`.
 #[must_use]
 pub fn id_in_shard(prefix: &str, shard: u16, shards: u16) -> String {
     let ids = (0u32..).map(|number| format!("{prefix}-{number}"));
-    let mut fitting = ids.filter(|id| {
+    let mut matching = ids.filter(|id| {
         let key = model::request_key(TEAM, id);
         TeamShards::new(TEAM, shards, shards).home(&key) == shard
     });
-    fitting.next().unwrap_or_default()
+    matching.next().unwrap_or_default()
 }
 
-/// A loopback address whose port is free for TCP and UDP.
+/// Returns a loopback address whose port is free for both TCP and UDP.
 #[must_use]
 pub fn free_address() -> SocketAddr {
-    static NEXT: AtomicU16 = AtomicU16::new(0);
-    let process = u16::try_from(std::process::id() % u32::from(PORTS)).unwrap_or_default();
-    for _ in 0..PORTS {
-        let step = NEXT.fetch_add(1, Ordering::Relaxed);
-        // Spread the processes of a test run over the range.
-        let port = FIRST_PORT + (process.wrapping_mul(97).wrapping_add(step) % PORTS);
+    static NEXT_OFFSET: AtomicU16 = AtomicU16::new(0);
+    let process = u16::try_from(std::process::id() % u32::from(PORT_COUNT)).unwrap_or_default();
+    for _ in 0..PORT_COUNT {
+        let offset = NEXT_OFFSET.fetch_add(1, Ordering::Relaxed);
+        // Different test processes start at different ports of the range.
+        let port = FIRST_PORT + (process.wrapping_mul(97).wrapping_add(offset) % PORT_COUNT);
         let address = SocketAddr::from((loopback(), port));
         if TcpListener::bind(address).is_ok() && UdpSocket::bind(address).is_ok() {
             return address;
@@ -406,9 +412,9 @@
     SocketAddr::from((loopback(), 0))
 }
 
-/// Loopback address of this test's process, from its id. A test that is killed
-/// cannot end its processes; they look for their table at its address, where no
-/// later test has one, though ports are used again.
+/// Loopback address derived from the id of this test process. A killed test
+/// leaves its entry processes running; they keep calling their table at this
+/// address, which no later test uses, even if it gets the same port.
 #[must_use]
 pub fn loopback() -> Ipv4Addr {
     let [_, high, middle, low] = std::process::id().to_be_bytes();
--- a/crates/fake/src/checker.rs
+++ b/crates/fake/src/checker.rs
@@ -1,5 +1,5 @@
-//! Judges a run log against what must always hold. It reads what the workers
-//! logged, never what the product says.
+//! Checks a run log against the guarantees of the scheduler. It relies only on
+//! what the workers recorded, never on what the scheduler reports.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,60 +9,60 @@
 
 use crate::Run;
 
-/// Something that must never happen, but did.
+/// Violation of a guarantee of the scheduler.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// A worker held more than it has.
+    /// The tasks that ran on a worker needed more than its capacity.
     OverCapacity {
-        /// Worker.
+        /// Id of the worker.
         worker: WorkerId,
-        /// When, since the log began.
+        /// Time of the violation since the log began.
         at: Duration,
     },
-    /// Two attempts of one request ran at the same time.
+    /// Two attempts of one request ran at the same time, on any workers.
     ConcurrentAttempts {
         /// Key of the request.
         request: String,
-        /// Both attempts.
+        /// Ids of both attempts.
         attempts: [String; 2],
     },
-    /// A request that must run at most once ran again.
+    /// A request that must run at most once ran more than once.
     RepeatedRun {
         /// Key of the request.
         request: String,
-        /// Number of its runs.
+        /// Number of runs of the request.
         runs: usize,
     },
-    /// A request ran although its caller was told that it did not.
+    /// A request ran although the answer to its caller was "not run".
     RanDespiteNotRun {
         /// Key of the request.
         request: String,
     },
 }
 
-/// Workers that held more than `capacity` at some time.
+/// Finds workers on which the running tasks exceeded `capacity` at any time.
 #[must_use]
 pub fn check_capacity(runs: &[Run], capacity: Resources) -> Vec<Violation> {
     let mut by_worker: HashMap<&str, Vec<(Duration, bool, &Run)>> = HashMap::new();
     for run in runs {
-        let steps = by_worker.entry(&run.worker).or_default();
-        steps.push((run.started_at, true, run));
-        if let Some(until) = run.ended_at {
-            steps.push((until, false, run));
+        let changes = by_worker.entry(&run.worker).or_default();
+        changes.push((run.started_at, true, run));
+        if let Some(end) = run.ended_at {
+            changes.push((end, false, run));
         }
     }
     let mut violations = Vec::new();
-    for (worker, mut steps) in by_worker {
-        // At the same instant ends come before starts.
-        steps.sort_by_key(|(at, starts, _)| (*at, *starts));
-        let mut held = Resources::default();
-        for (at, starts, run) in steps {
-            held = if starts {
-                held.plus(&run.needs)
+    for (worker, mut changes) in by_worker {
+        // Ends sort before starts of the same instant.
+        changes.sort_by_key(|(at, is_start, _)| (*at, *is_start));
+        let mut booked = Resources::default();
+        for (at, is_start, run) in changes {
+            booked = if is_start {
+                booked.plus(&run.needs)
             } else {
-                held.minus(&run.needs)
+                booked.minus(&run.needs)
             };
-            if !held.fits(&capacity) {
+            if !booked.fits(&capacity) {
                 let worker = worker.to_owned();
                 violations.push(Violation::OverCapacity { worker, at });
                 break;
@@ -72,17 +72,17 @@
     violations
 }
 
-/// Requests of which two attempts overlapped in time. Members of one attempt
-/// may overlap.
+/// Finds requests of which two attempts ran at the same time. Members of one
+/// gang attempt may do so.
 #[must_use]
 pub fn check_overlaps(runs: &[Run]) -> Vec<Violation> {
     let mut violations = Vec::new();
     for (request, runs) in by_request(runs) {
         for (index, first) in runs.iter().enumerate() {
-            let clash = runs[index + 1..]
+            let conflict = runs[index + 1..]
                 .iter()
-                .find(|second| clashes(first, second));
-            if let Some(second) = clash {
+                .find(|second| overlap(first, second));
+            if let Some(second) = conflict {
                 let attempts = [first.attempt.clone(), second.attempt.clone()];
                 let request = request.to_owned();
                 violations.push(Violation::ConcurrentAttempts { request, attempts });
@@ -92,25 +92,25 @@
     violations
 }
 
-fn clashes(first: &Run, second: &Run) -> bool {
+fn overlap(first: &Run, second: &Run) -> bool {
     let same_member = first.attempt == second.attempt;
-    let same_attempt = attempt_of(&first.attempt) == attempt_of(&second.attempt);
-    let before = |a: &Run, b: &Run| a.ended_at.is_some_and(|until| until <= b.started_at);
-    (same_member || !same_attempt) && !before(first, second) && !before(second, first)
+    let same_attempt = without_member(&first.attempt) == without_member(&second.attempt);
+    let ended_before = |a: &Run, b: &Run| a.ended_at.is_some_and(|end| end <= b.started_at);
+    (same_member || !same_attempt) && !ended_before(first, second) && !ended_before(second, first)
 }
 
-fn attempt_of(attempt: &str) -> &str {
+fn without_member(attempt: &str) -> &str {
     attempt
         .rsplit_once('.')
         .map_or(attempt, |(attempt, _)| attempt)
 }
 
-/// Requests out of `once` that ran more than once.
+/// Finds requests of `at_most_once` that ran more than once.
 #[must_use]
-pub fn check_at_most_once(runs: &[Run], once: &[String]) -> Vec<Violation> {
+pub fn check_at_most_once(runs: &[Run], at_most_once: &[String]) -> Vec<Violation> {
     let runs = by_request(runs);
     let mut violations = Vec::new();
-    for request in once {
+    for request in at_most_once {
         let count = runs.get(request.as_str()).map_or(0, Vec::len);
         if count > 1 {
             violations.push(Violation::RepeatedRun {
@@ -122,8 +122,8 @@
     violations
 }
 
-/// Requests out of `not_run`, of which the caller was told that they did not
-/// run, that did.
+/// Finds requests that ran although they are listed in `not_run`: those whose
+/// callers got the answer "not run".
 #[must_use]
 pub fn check_not_run(runs: &[Run], not_run: &[String]) -> Vec<Violation> {
     let runs = by_request(runs);
--- a/crates/fake/src/client.rs
+++ b/crates/fake/src/client.rs
@@ -1,4 +1,4 @@
-//! Client of a cell, as a caller or operator would write one.
+//! HTTP client for callers and operators of a cell, as a user would write it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,16 +18,16 @@
 use web::Method;
 use web::Reply;
 
-/// Token of the callers in a test cell.
+/// Bearer token of the caller role in a test cell.
 pub const CALLER_TOKEN: &str = "caller-token";
 
-/// Token of the operators in a test cell.
+/// Bearer token of the operator role in a test cell.
 pub const OPERATOR_TOKEN: &str = "operator-token";
 
-/// Team of both.
+/// Team that both tokens belong to.
 pub const TEAM: &str = "stores";
 
-/// Client of a cell; clones share its connections.
+/// Client of a cell; clones share its connection pool.
 #[derive(Clone, Debug)]
 pub struct CellClient {
     client: Client,
@@ -35,7 +35,7 @@
 }
 
 impl CellClient {
-    /// A client that holds `token`.
+    /// Creates a client that authenticates with `token`.
     #[must_use]
     pub fn new(token: &str) -> CellClient {
         CellClient {
@@ -44,10 +44,10 @@
         }
     }
 
-    /// Makes a call and returns the whole reply.
+    /// Sends a call and returns the complete reply.
     ///
     /// # Errors
-    /// No whole reply came.
+    /// No complete reply arrived.
     pub async fn call(
         &self,
         method: Method,
@@ -63,10 +63,10 @@
         self.client.send(call).await
     }
 
-    /// Submits a request and waits for its answer, at most `timeout`.
+    /// Submits a request and waits for its answer, up to `timeout`.
     ///
     /// # Errors
-    /// No whole answer came.
+    /// No complete answer arrived.
     pub async fn submit(
         &self,
         server: SocketAddr,
@@ -78,10 +78,10 @@
             .await
     }
 
-    /// Submits a request and returns as soon as it is accepted.
+    /// Submits a request and returns as soon as the cell has accepted it.
     ///
     /// # Errors
-    /// No whole answer came.
+    /// No complete answer arrived.
     pub async fn submit_detached(
         &self,
         server: SocketAddr,
@@ -104,10 +104,11 @@
         self.client.send(call).await?.json(server)
     }
 
-    /// Asks how a request stands; none when nobody knows it.
+    /// Reads the current answer of a request; `None` if the cell does not know
+    /// the request.
     ///
     /// # Errors
-    /// No whole answer came.
+    /// No complete answer arrived.
     pub async fn status(
         &self,
         server: SocketAddr,
@@ -122,10 +123,10 @@
         reply.json(server).map(Some)
     }
 
-    /// Cancels all requests of the team with a label.
+    /// Cancels all requests of the team with `label`; returns their number.
     ///
     /// # Errors
-    /// No whole answer came.
+    /// No complete answer arrived.
     pub async fn cancel_label(&self, server: SocketAddr, label: &str) -> Result<u32, CallError> {
         let body = CancelBody {
             id: None,
@@ -139,19 +140,20 @@
         Ok(reply.json::<CancelledBody>(server)?.cancelled)
     }
 
-    /// Sends a patch; the reply tells whether it was accepted.
+    /// Sends a patch of the configuration; the status of the reply shows whether
+    /// it was accepted.
     ///
     /// # Errors
-    /// No whole answer came.
+    /// No complete answer arrived.
     pub async fn patch(&self, server: SocketAddr, patch: &Patch) -> Result<Reply, CallError> {
         let call = Call::new(Method::POST, server, "/v1/config", Duration::from_secs(10));
         self.client.send(call.token(&self.token).json(patch)).await
     }
 
-    /// Reads the configuration.
+    /// Reads the newest version of the configuration.
     ///
     /// # Errors
-    /// No whole answer came.
+    /// No complete answer arrived.
     pub async fn config(&self, server: SocketAddr) -> Result<ConfigBody, CallError> {
         let timeout = Duration::from_secs(5);
         let reply = self
@@ -161,7 +163,7 @@
     }
 }
 
-/// A short request that may run twice.
+/// Creates a lookup: a short, idempotent interactive request.
 #[must_use]
 pub fn lookup_request(id: &str) -> Request {
     Request {
@@ -184,7 +186,7 @@
     }
 }
 
-/// A restock: batch work that is recorded before it starts.
+/// Creates a restock: a batch request, which the cell records before it starts.
 #[must_use]
 pub fn restock_request(id: &str, run: Duration) -> Request {
     Request {
@@ -196,7 +198,7 @@
     }
 }
 
-/// A confirmation: short, but it must not run twice.
+/// Creates a confirmation: a short request that must run at most once.
 #[must_use]
 pub fn confirmation_request(id: &str) -> Request {
     Request {
--- a/crates/fake/src/faults.rs
+++ b/crates/fake/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that can be set on a stand-in of the platform while it runs.
+//! Faults that tests inject into a stand-in service while it runs.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -7,34 +7,35 @@
 use web::StatusCode;
 use web::Whole;
 
-/// Longer than any client of the platform waits.
-const NEVER: Duration = Duration::from_secs(20);
+/// Delay of a lost reply: longer than any client waits for a reply.
+const LOST_REPLY_DELAY: Duration = Duration::from_secs(20);
 
-/// Faults of a stand-in.
+/// Faults of a stand-in service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FaultPlan {
-    /// Added to each call.
+    /// Delay before each call takes effect.
     pub latency: Duration,
-    /// Whether each call is refused.
+    /// Refuses all calls.
     pub down: bool,
-    /// How many of the next calls take effect, but get no answer.
+    /// Number of upcoming commits that take effect without a reply in time.
     pub lost_replies: u32,
 }
 
-/// Faults of a stand-in, shared with whoever sets them.
+/// Faults of a stand-in service, shared with the test that sets them.
 #[derive(Debug, Default)]
 pub struct Faults {
     plan: Mutex<FaultPlan>,
 }
 
 impl Faults {
-    /// Changes the plan.
+    /// Changes the fault plan.
     pub fn update(&self, change: impl FnOnce(&mut FaultPlan)) {
         change(&mut self.plan.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
-    /// Applied before a call takes effect.
-    pub(crate) async fn before(&self) -> Option<Whole> {
+    /// Injects the faults that come before a call takes effect; returns the
+    /// refusal if the service is down.
+    pub(crate) async fn before_call(&self) -> Option<Whole> {
         let plan = *self.plan.lock().unwrap_or_else(PoisonError::into_inner);
         if !plan.latency.is_zero() {
             tokio::time::sleep(plan.latency).await;
@@ -43,8 +44,8 @@
         plan.down.then(refusal)
     }
 
-    /// Applied after a call took effect.
-    pub(crate) async fn after(&self) {
+    /// Delays the reply of a call that took effect if its reply is to be lost.
+    pub(crate) async fn after_call(&self) {
         let lost = {
             let mut plan = self.plan.lock().unwrap_or_else(PoisonError::into_inner);
             let lost = plan.lost_replies > 0;
@@ -52,7 +53,7 @@
             lost
         };
         if lost {
-            tokio::time::sleep(NEVER).await;
+            tokio::time::sleep(LOST_REPLY_DELAY).await;
         }
     }
 }
--- a/crates/fake/src/hosts.rs
+++ b/crates/fake/src/hosts.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform's host list, which lags.
+//! Stand-in for the platform's host list, whose changes become visible late.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -13,10 +13,10 @@
 use web::StatusCode;
 use web::Whole;
 
-/// Changes of the list, with the time from which they are visible.
+/// Versions of the list, each with the time from which it is visible.
 type Changes = Vec<(Instant, Vec<Host>)>;
 
-/// Stand-in of the platform's host list.
+/// Stand-in for the platform's host list; clones share the list.
 #[derive(Clone, Debug)]
 pub struct FakeHosts {
     changes: Arc<Mutex<Changes>>,
@@ -24,7 +24,7 @@
 }
 
 impl FakeHosts {
-    /// A list that shows each change after `lag`.
+    /// Creates a list whose changes become visible after `lag`.
     #[must_use]
     pub fn new(hosts: Vec<Host>, lag: Duration) -> FakeHosts {
         FakeHosts {
@@ -52,28 +52,28 @@
         });
     }
 
-    /// Takes a worker off the list.
+    /// Removes a worker from the list.
     pub fn remove(&self, id: &str) {
         self.change(|hosts| hosts.retain(|host| host.id != id));
     }
 
-    /// Puts a worker on the list.
+    /// Adds a worker to the list.
     pub fn add(&self, host: Host) {
         self.change(|hosts| hosts.push(host));
     }
 
-    /// The list as it is visible now.
+    /// Returns the list that is visible now.
     #[must_use]
     pub fn visible(&self) -> Vec<Host> {
         let changes = self.changes.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
-        let visible = changes.iter().rev().find(|(from, _)| *from <= now);
-        visible.map(|(_, hosts)| hosts.clone()).unwrap_or_default()
+        let current = changes.iter().rev().find(|(from, _)| *from <= now);
+        current.map(|(_, hosts)| hosts.clone()).unwrap_or_default()
     }
 }
 
 impl Handler for FakeHosts {
-    async fn handle(&self, _asked: Asked) -> Whole {
+    async fn handle(&self, _request: Asked) -> Whole {
         web::json(StatusCode::OK, &self.visible())
     }
 }
--- a/crates/fake/src/load.rs
+++ b/crates/fake/src/load.rs
@@ -1,5 +1,5 @@
-//! Open-loop load on a cell: requests are sent_at at a steady rate, whatever
-//! becomes of the earlier ones, and retried as a careful caller would.
+//! Open-loop load on a cell: requests are sent at a fixed rate, independent of
+//! the answers to earlier ones, and each is retried until its final answer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,41 +14,41 @@
 
 use crate::CellClient;
 
-/// Pause of a caller before it asks again through another process.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before a caller retries a request through the next process.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What is sent_at, and how.
+/// Parameters of a load.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
-    /// Requests a second.
+    /// Requests sent per second.
     pub rate: u32,
-    /// Number of requests.
+    /// Total number of requests.
     pub count: u32,
-    /// Makes the request with a number.
+    /// Creates the request with the given sequence number.
     pub request: fn(u32) -> Request,
-    /// Processes, asked in turn.
+    /// Addresses of the entry processes, used in turn.
     pub servers: Vec<SocketAddr>,
-    /// How long a caller asks again for a final answer.
+    /// Time during which a caller retries until it has a final answer.
     pub answer_timeout: Duration,
 }
 
-/// What became of one request.
+/// Result of one request.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// The request.
+    /// The request that was sent.
     pub request: Request,
-    /// Final answer; none if there was none within the answer_timeout.
+    /// Final answer; `None` if there was none within the time limit.
     pub answer: Option<AnswerBody>,
-    /// When it was first sent_at, since the load began.
+    /// Time of the first call since the start of the load.
     pub sent_at: Duration,
-    /// Time until its final answer.
+    /// Time from the first call to the final answer or the time limit.
     pub latency: Duration,
-    /// Calls made for it.
+    /// Number of calls made for the request.
     pub calls: u32,
 }
 
 impl Outcome {
-    /// Family of the final answer, pending without one.
+    /// Family of the final answer; pending if there is none.
     #[must_use]
     pub fn family(&self) -> Family {
         self.answer
@@ -57,41 +57,46 @@
     }
 }
 
-/// Sends all requests and waits for what becomes of them.
+/// Sends all requests and waits for their outcomes.
 pub async fn run_load(client: &CellClient, plan: LoadPlan) -> Vec<Outcome> {
     let plan = Arc::new(plan);
-    let began = Instant::now();
+    let load_start = Instant::now();
     let mut callers = JoinSet::new();
     for number in 0..plan.count {
-        let due = began + Duration::from_secs_f64(f64::from(number) / f64::from(plan.rate));
+        let due = load_start + Duration::from_secs_f64(f64::from(number) / f64::from(plan.rate));
         tokio::time::sleep_until(due.into()).await;
         let (client, plan) = (client.clone(), plan.clone());
-        callers.spawn(async move { call(&client, &plan, number, began).await });
+        callers.spawn(async move { send_request(&client, &plan, number, load_start).await });
     }
     callers.join_all().await
 }
 
-/// Sends all requests while something else goes on.
+/// Runs the load in a background task.
 #[must_use]
 pub fn spawn_load(client: &CellClient, plan: LoadPlan) -> JoinHandle<Vec<Outcome>> {
     let client = client.clone();
     tokio::spawn(async move { run_load(&client, plan).await })
 }
 
-async fn call(client: &CellClient, plan: &LoadPlan, number: u32, began: Instant) -> Outcome {
+async fn send_request(
+    client: &CellClient,
+    plan: &LoadPlan,
+    number: u32,
+    load_start: Instant,
+) -> Outcome {
     let request = (plan.request)(number);
-    let sent_at = began.elapsed();
+    let sent_at = load_start.elapsed();
     let start = Instant::now();
     let mut calls = 0;
     let mut answer = None;
     while start.elapsed() < plan.answer_timeout && answer.is_none() {
-        let turn = usize::try_from(number + calls).unwrap_or_default();
-        let server = plan.servers[turn % plan.servers.len()];
+        let index = usize::try_from(number + calls).unwrap_or_default();
+        let server = plan.servers[index % plan.servers.len()];
         calls += 1;
-        let left = plan.answer_timeout.saturating_sub(start.elapsed());
-        match client.submit(server, &request, left).await {
+        let remaining = plan.answer_timeout.saturating_sub(start.elapsed());
+        match client.submit(server, &request, remaining).await {
             Ok(body) if body.answer.code.is_final() => answer = Some(body),
-            _ => tokio::time::sleep(RETRY_PAUSE).await,
+            _ => tokio::time::sleep(RETRY_DELAY).await,
         }
     }
     Outcome {
--- a/crates/fake/src/objects.rs
+++ b/crates/fake/src/objects.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the object store.
+//! Stand-in for the object store.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,16 +13,16 @@
 
 use crate::Faults;
 
-/// Stand-in of the object store.
+/// In-memory stand-in for the object store; clones share the objects.
 #[derive(Clone, Debug, Default)]
 pub struct FakeObjects {
     objects: Arc<Mutex<BTreeMap<String, Vec<u8>>>>,
-    /// Faults.
+    /// Faults that tests inject into calls.
     pub faults: Arc<Faults>,
 }
 
 impl FakeObjects {
-    /// Names of all objects that begin with `prefix`.
+    /// Names of all objects that start with `prefix`, in order.
     #[must_use]
     pub fn names(&self, prefix: &str) -> Vec<String> {
         let objects = self.objects.lock().unwrap_or_else(PoisonError::into_inner);
@@ -33,13 +33,13 @@
             .collect()
     }
 
-    /// Overwrites an object, as a fault of the platform would.
+    /// Creates or overwrites an object. Tests use it to corrupt stored objects.
     pub fn overwrite(&self, name: &str, body: &[u8]) {
         let mut objects = self.objects.lock().unwrap_or_else(PoisonError::into_inner);
         objects.insert(name.to_owned(), body.to_vec());
     }
 
-    /// An object as it is stored.
+    /// Returns the stored content of an object.
     #[must_use]
     pub fn body(&self, name: &str) -> Option<Vec<u8>> {
         let objects = self.objects.lock().unwrap_or_else(PoisonError::into_inner);
@@ -48,17 +48,17 @@
 }
 
 impl Handler for FakeObjects {
-    async fn handle(&self, asked: Asked) -> Whole {
-        if let Some(refusal) = self.faults.before().await {
+    async fn handle(&self, request: Asked) -> Whole {
+        if let Some(refusal) = self.faults.before_call().await {
             return refusal;
         }
-        let name = asked.path.trim_start_matches("/v1/object/").to_owned();
-        if asked.method == Method::PUT {
-            self.overwrite(&name, &asked.body);
+        let name = request.path.trim_start_matches("/v1/object/").to_owned();
+        if request.method == Method::PUT {
+            self.overwrite(&name, &request.body);
             return web::text(StatusCode::OK, "");
         }
-        if asked.path == "/v1/objects" {
-            let prefix = asked.parameter("prefix").unwrap_or_default();
+        if request.path == "/v1/objects" {
+            let prefix = request.parameter("prefix").unwrap_or_default();
             return web::json(StatusCode::OK, &self.names(&prefix));
         }
         match self.body(&name) {
--- a/crates/fake/src/platform.rs
+++ b/crates/fake/src/platform.rs
@@ -1,4 +1,4 @@
-//! All stand-ins of one cell, each on a loopback port of its own.
+//! All stand-in services and workers of one cell, each on its own loopback port.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,28 +20,29 @@
 use crate::TableRates;
 use crate::loopback;
 
-/// Workers in one rack.
-const RACK_WORKERS: usize = 8;
+/// Number of workers per rack.
+const WORKERS_PER_RACK: usize = 8;
 
-/// Shape of the platform of one cell.
+/// Parameters of the platform of one cell.
 #[derive(Clone, Debug)]
 pub struct PlatformPlan {
     /// Number of workers.
     pub workers: usize,
-    /// What each worker has.
+    /// Capacity of each worker.
     pub capacity: Resources,
-    /// Names of the failure domains; racks are dealt to them in order.
+    /// Names of the failure domains; each gets a contiguous range of the racks.
     pub domains: Vec<String>,
-    /// Rates of the table.
+    /// Rate limits of the table.
     pub rates: TableRates,
-    /// Latency of the table.
+    /// Latency of each call to the table.
     pub table_latency: Duration,
-    /// Lag of the host list.
+    /// Delay until a change of the host list is visible.
     pub host_lag: Duration,
 }
 
 impl Default for PlatformPlan {
-    /// The stores order desk of the brief.
+    /// Platform of the example site, an order desk of stores: 48 workers in 3
+    /// failure domains.
     fn default() -> Self {
         PlatformPlan {
             workers: 48,
@@ -62,46 +63,46 @@
     }
 }
 
-/// All stand-ins of one cell.
+/// All stand-in services and workers of one cell.
 #[derive(Debug)]
 pub struct Platform {
-    /// The table.
+    /// The transactional table.
     pub table: FakeTable,
-    /// Where it listens.
+    /// Address of the table.
     pub table_address: SocketAddr,
     /// The object store.
     pub objects: FakeObjects,
-    /// Where it listens.
+    /// Address of the object store.
     pub objects_address: SocketAddr,
     /// The host list.
     pub hosts: FakeHosts,
-    /// Where it listens.
+    /// Address of the host list.
     pub hosts_address: SocketAddr,
-    /// The workers.
+    /// The workers, ordered by id.
     pub workers: Vec<FakeWorker>,
-    /// What really ran.
+    /// Run log of all workers.
     pub log: RunLog,
-    /// What each worker has.
+    /// Capacity of each worker.
     pub capacity: Resources,
     stop: watch::Sender<bool>,
 }
 
 impl Platform {
-    /// Starts all stand-ins.
+    /// Starts all stand-in services and workers.
     ///
     /// # Errors
     /// No port can be bound.
     pub async fn open(plan: &PlatformPlan) -> std::io::Result<Platform> {
-        let (stop, stopped) = watch::channel(false);
+        let (stop, stop_receiver) = watch::channel(false);
         let log = RunLog::default();
         let mut workers = Vec::new();
         let mut hosts = Vec::new();
         for index in 0..plan.workers {
             let worker = FakeWorker::new(&format!("w{index:04}"), plan.capacity, log.clone());
-            let address = serve(worker.clone(), &stopped).await?;
+            let address = serve(worker.clone(), &stop_receiver).await?;
             tokio::spawn(worker.clone().enforce_lease());
-            let rack = index / RACK_WORKERS;
-            let racks = plan.workers.div_ceil(RACK_WORKERS);
+            let rack = index / WORKERS_PER_RACK;
+            let racks = plan.workers.div_ceil(WORKERS_PER_RACK);
             let domain = rack * plan.domains.len() / racks.max(1);
             hosts.push(Host {
                 id: worker.id.clone(),
@@ -119,11 +120,11 @@
         let objects = FakeObjects::default();
         let hosts = FakeHosts::new(hosts, plan.host_lag);
         Ok(Platform {
-            table_address: serve(table.clone(), &stopped).await?,
+            table_address: serve(table.clone(), &stop_receiver).await?,
             table,
-            objects_address: serve(objects.clone(), &stopped).await?,
+            objects_address: serve(objects.clone(), &stop_receiver).await?,
             objects,
-            hosts_address: serve(hosts.clone(), &stopped).await?,
+            hosts_address: serve(hosts.clone(), &stop_receiver).await?,
             hosts,
             workers,
             log,
@@ -132,19 +133,19 @@
         })
     }
 
-    /// A worker by its name.
+    /// Finds a worker by its id.
     #[must_use]
     pub fn worker(&self, id: &str) -> Option<&FakeWorker> {
         self.workers.iter().find(|worker| worker.id == id)
     }
 
-    /// Sets table and object store down, or up again.
+    /// Makes the table and the object store refuse all calls, or accept them again.
     pub fn set_outage(&self, down: bool) {
         self.table.faults.update(|faults| faults.down = down);
         self.objects.faults.update(|faults| faults.down = down);
     }
 
-    /// Stops all stand-ins.
+    /// Stops all stand-in services and workers.
     pub fn close(self) {
         self.stop.send_replace(true);
     }
--- a/crates/fake/src/relay.rs
+++ b/crates/fake/src/relay.rs
@@ -1,4 +1,4 @@
-//! Relay for TCP that delays, swallows or cuts what passes through it.
+//! TCP relay that delays or discards data, or cuts connections.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,17 +15,17 @@
 
 use crate::loopback;
 
-/// Which bytes a relay swallows; connections stay open.
+/// Data that a relay discards while it keeps the connections open.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Discard {
-    /// None.
+    /// All data is forwarded.
     #[default]
     Nothing,
-    /// Those towards the server: it hears nothing.
+    /// Data towards the server: no request arrives.
     Requests,
-    /// Those towards the client: what was asked for is done and not answered.
+    /// Data towards the client: requests are executed, but no reply arrives.
     Replies,
-    /// All: a connection gone silent.
+    /// Data in both directions, as on a connection whose network is down.
     Both,
 }
 
@@ -39,24 +39,26 @@
     }
 }
 
-/// What a relay does to what passes.
+/// Faults that a relay injects into its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RelayPlan {
-    /// Nothing passes; what is sent meanwhile is lost, connections break.
+    /// Closes open connections, loses data in transit and closes new
+    /// connections at once.
     pub cut: bool,
-    /// What is swallowed.
+    /// Data that is discarded.
     pub discard: Discard,
-    /// Delay in each direction.
+    /// Delay of each chunk of data, in both directions.
     pub delay: Duration,
-    /// Another server has the address now: new connections lead there.
+    /// Server that new connections are forwarded to instead of the original one,
+    /// as if its address had been reassigned.
     pub redirect: Option<SocketAddr>,
 }
 
-/// Relay for TCP towards one server; a cut breaks the connections that are open.
+/// TCP relay in front of one server.
 pub type Relay = RelayHandle<RelayPlan>;
 
 impl RelayHandle<RelayPlan> {
-    /// Opens a relay on a free loopback port towards `server`.
+    /// Opens a relay on a free loopback port that forwards to `server`.
     ///
     /// # Errors
     /// No port can be bound.
--- a/crates/fake/src/relay_handle.rs
+++ b/crates/fake/src/relay_handle.rs
@@ -1,4 +1,5 @@
-//! What all relays share: a door for clients, a plan, and a count of bytes.
+//! Parts that the TCP and the UDP relay share: the address for clients, the
+//! fault plan and the count of received bytes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,7 +8,8 @@
 
 use tokio::sync::watch;
 
-/// A relay towards one server; its plan says what becomes of what passes.
+/// Handle of a running relay in front of one server. Its plan of type `P` sets
+/// the faults that the relay injects.
 #[derive(Debug)]
 pub struct RelayHandle<P> {
     address: SocketAddr,
@@ -16,12 +18,13 @@
 }
 
 impl<P: Default> RelayHandle<P> {
-    /// A relay whose clients come to `address`, and what its tasks see of it.
+    /// Creates the handle of a relay that listens on `address`, and the context
+    /// for its tasks.
     pub(crate) fn with_context(address: SocketAddr) -> (RelayHandle<P>, RelayContext<P>) {
-        let (plan, changes) = watch::channel(P::default());
+        let (plan, receiver) = watch::channel(P::default());
         let bytes = Arc::new(AtomicU64::new(0));
         let context = RelayContext {
-            plan: changes,
+            plan: receiver,
             bytes: bytes.clone(),
         };
         let handle = RelayHandle {
@@ -34,39 +37,39 @@
 }
 
 impl<P> RelayHandle<P> {
-    /// Where clients reach it.
+    /// Address that clients connect to.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Bytes received so far, both ways.
+    /// Bytes received so far, in both directions.
     #[must_use]
     pub fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
 
-    /// Changes the plan.
+    /// Replaces the fault plan; it takes effect at once, also on open connections.
     pub fn set_plan(&self, plan: P) {
         self.plan.send_replace(plan);
     }
 }
 
-/// What a task of a relay sees of it.
+/// State of a relay that its tasks share.
 #[derive(Clone, Debug)]
 pub(crate) struct RelayContext<P> {
-    /// The plan, and its changes.
+    /// Receives the current plan and its changes.
     pub(crate) plan: watch::Receiver<P>,
     bytes: Arc<AtomicU64>,
 }
 
 impl<P: Copy> RelayContext<P> {
-    /// The plan as it is now.
+    /// Returns the current plan.
     pub(crate) fn current_plan(&self) -> P {
         *self.plan.borrow()
     }
 
-    /// Counts what was received.
+    /// Adds to the count of received bytes.
     pub(crate) fn count_bytes(&self, bytes: usize) {
         self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
--- a/crates/fake/src/run_log.rs
+++ b/crates/fake/src/run_log.rs
@@ -1,4 +1,4 @@
-//! What really ran, where and when, as the workers themselves saw it.
+//! Log of the runs on the stand-in workers, recorded by the workers themselves.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -11,34 +11,35 @@
 use worker::AttemptId;
 use worker::EndResult;
 
-/// One run of one task.
+/// One run of one task on a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
-    /// Worker.
+    /// Id of the worker.
     pub worker: WorkerId,
-    /// Id of its start.
+    /// Id of the attempt that started the run.
     pub attempt: AttemptId,
-    /// Key of its request, also when another shard ran it.
+    /// Key of the request, without the suffix that names the shard it was lent to.
     pub request: String,
-    /// What it held.
+    /// Resources booked by the run.
     pub needs: Resources,
-    /// When it started, since the log began.
+    /// Start time since the log began.
     pub started_at: Duration,
-    /// When it ended; none while it runs.
+    /// End time since the log began; `None` while the run lasts.
     pub ended_at: Option<Duration>,
-    /// How it ended.
+    /// Result of the run; `None` while it lasts.
     pub result: Option<EndResult>,
 }
 
-/// Log of all workers of a cell; clones share it.
+/// Run log of all workers of a cell; clones share the entries.
 #[derive(Clone, Debug)]
 pub struct RunLog {
     origin: Instant,
     runs: Arc<Mutex<Vec<Run>>>,
 }
 
-/// Key of a request without the shard that it was lent to.
-pub(crate) fn own_key(key: &str) -> &str {
+/// Removes the suffix after `~`, which names the shard that a request was lent
+/// to, from the key of the request.
+pub(crate) fn base_key(key: &str) -> &str {
     key.split_once('~').map_or(key, |(own, _)| own)
 }
 
@@ -58,7 +59,7 @@
         self.origin.elapsed()
     }
 
-    /// All runs so far, in the order of their starts.
+    /// All runs so far, ordered by start.
     #[must_use]
     pub fn runs(&self) -> Vec<Run> {
         self.runs
@@ -67,7 +68,7 @@
             .clone()
     }
 
-    /// Runs of one request.
+    /// All runs of the request with this key.
     #[must_use]
     pub fn runs_of(&self, request: &str) -> Vec<Run> {
         let runs = self.runs();
@@ -81,7 +82,7 @@
         runs.push(Run {
             worker: worker.to_owned(),
             attempt: start.attempt.clone(),
-            request: own_key(&start.request).to_owned(),
+            request: base_key(&start.request).to_owned(),
             needs: start.needs,
             started_at: self.now(),
             ended_at: None,
--- a/crates/fake/src/table.rs
+++ b/crates/fake/src/table.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the transactional table.
+//! Stand-in for the transactional table.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,15 +18,15 @@
 use crate::Faults;
 use crate::token_bucket::TokenBucket;
 
-/// Rows that count as one read in a range.
-const ROWS_A_READ: usize = 10;
+/// Number of rows of a range query that count as one read.
+const ROWS_PER_READ: usize = 10;
 
-/// Rates of the table, for the whole cell.
+/// Rate limits of the table for the whole cell.
 #[derive(Clone, Copy, Debug)]
 pub struct TableRates {
-    /// Rows written a second.
+    /// Row writes per second.
     pub writes: u32,
-    /// Reads a second; a range counts one for each ten rows.
+    /// Reads per second; a range query counts one read for every 10 rows.
     pub reads: u32,
 }
 
@@ -39,16 +39,16 @@
     }
 }
 
-/// Calls that the table has counted.
+/// Counters of the calls to the table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TableCounts {
-    /// Rows written.
+    /// Number of rows written.
     pub writes: u64,
-    /// Transactions that took effect.
+    /// Number of transactions that took effect.
     pub commits: u64,
-    /// Reads.
+    /// Number of reads, as counted by the rate limit.
     pub reads: u64,
-    /// Calls refused for their rate.
+    /// Number of calls refused by the rate limits.
     pub refused: u64,
 }
 
@@ -59,20 +59,21 @@
     writes: TokenBucket,
     reads: TokenBucket,
     counts: TableCounts,
-    /// A guard that a test may take out, to see its checker fail.
-    unchecked: Vec<String>,
+    /// Prefixes of keys whose version checks are skipped. Tests use them to see
+    /// that their checks fail without this protection.
+    unchecked_prefixes: Vec<String>,
 }
 
-/// Stand-in of the transactional table.
+/// In-memory stand-in for the transactional table; clones share the rows.
 #[derive(Clone, Debug)]
 pub struct FakeTable {
     state: Arc<Mutex<State>>,
-    /// Faults.
+    /// Faults that tests inject into calls.
     pub faults: Arc<Faults>,
 }
 
 impl FakeTable {
-    /// An empty table with the given rates.
+    /// Creates an empty table with the given rate limits.
     #[must_use]
     pub fn new(rates: TableRates) -> FakeTable {
         let state = State {
@@ -81,7 +82,7 @@
             writes: TokenBucket::new(rates.writes),
             reads: TokenBucket::new(rates.reads),
             counts: TableCounts::default(),
-            unchecked: Vec::new(),
+            unchecked_prefixes: Vec::new(),
         };
         FakeTable {
             state: Arc::new(Mutex::new(state)),
@@ -89,13 +90,13 @@
         }
     }
 
-    /// What it has counted so far.
+    /// Returns the counters.
     #[must_use]
     pub fn counts(&self) -> TableCounts {
         self.lock().counts
     }
 
-    /// All rows whose keys begin with `prefix`.
+    /// All rows whose keys start with `prefix`, ordered by key.
     #[must_use]
     pub fn rows(&self, prefix: &str) -> Vec<Row> {
         let state = self.lock();
@@ -105,34 +106,34 @@
             .collect()
     }
 
-    /// Overwrites a row, as a fault of the platform would.
+    /// Overwrites a row without a version check. Tests use it to corrupt rows.
     pub fn overwrite(&self, key: &str, value: &str) {
         let mut state = self.lock();
         state.put(key, value.to_owned());
     }
 
-    /// Ignores conditions on keys with this prefix from now on.
+    /// Skips the version checks of keys with this prefix from now on.
     pub fn ignore_checks(&self, prefix: &str) {
-        self.lock().unchecked.push(prefix.to_owned());
+        self.lock().unchecked_prefixes.push(prefix.to_owned());
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn get(&self, asked: &Asked) -> Whole {
+    fn get(&self, request: &Asked) -> Whole {
         let mut state = self.lock();
         if !state.count_reads(1) {
-            return too_many();
+            return rate_limited();
         }
-        let key = asked.parameter("key").unwrap_or_default();
+        let key = request.parameter("key").unwrap_or_default();
         web::json(StatusCode::OK, &state.rows.get(&key))
     }
 
-    fn range(&self, asked: &Asked) -> Whole {
-        let prefix = asked.parameter("prefix").unwrap_or_default();
-        let after = asked.parameter("after").unwrap_or_default();
-        let limit = asked.parameter("limit").and_then(|l| l.parse().ok());
+    fn range(&self, request: &Asked) -> Whole {
+        let prefix = request.parameter("prefix").unwrap_or_default();
+        let after = request.parameter("after").unwrap_or_default();
+        let limit = request.parameter("limit").and_then(|l| l.parse().ok());
         let mut state = self.lock();
         let rows: Vec<Row> = state
             .rows
@@ -143,26 +144,26 @@
             .take(limit.unwrap_or(usize::MAX))
             .cloned()
             .collect();
-        if !state.count_reads(rows.len().div_ceil(ROWS_A_READ).max(1)) {
-            return too_many();
+        if !state.count_reads(rows.len().div_ceil(ROWS_PER_READ).max(1)) {
+            return rate_limited();
         }
         web::json(StatusCode::OK, &rows)
     }
 
-    fn commit(&self, asked: &Asked) -> Whole {
-        let commit: Commit = match serde_json::from_slice(&asked.body) {
+    fn commit(&self, request: &Asked) -> Whole {
+        let commit: Commit = match serde_json::from_slice(&request.body) {
             Ok(commit) => commit,
             Err(error) => return web::error(StatusCode::BAD_REQUEST, &error.to_string()),
         };
         let mut state = self.lock();
         match state.commit(commit) {
             Some(committed) => web::json(StatusCode::OK, &committed),
-            None => too_many(),
+            None => rate_limited(),
         }
     }
 }
 
-fn too_many() -> Whole {
+fn rate_limited() -> Whole {
     web::error(StatusCode::TOO_MANY_REQUESTS, "over the rate")
 }
 
@@ -190,7 +191,10 @@
     fn commit(&mut self, commit: Commit) -> Option<Committed> {
         for check in &commit.checks {
             let found = self.rows.get(&check.key).map_or(0, |row| row.version);
-            let ignored = self.unchecked.iter().any(|p| check.key.starts_with(p));
+            let ignored = self
+                .unchecked_prefixes
+                .iter()
+                .any(|p| check.key.starts_with(p));
             if found != check.version && !ignored {
                 let key = check.key.clone();
                 return Some(Committed::Conflict(Conflict { key, found }));
@@ -217,18 +221,18 @@
 }
 
 impl Handler for FakeTable {
-    async fn handle(&self, asked: Asked) -> Whole {
-        if let Some(refusal) = self.faults.before().await {
+    async fn handle(&self, request: Asked) -> Whole {
+        if let Some(refusal) = self.faults.before_call().await {
             return refusal;
         }
 
-        match asked.path.as_str() {
-            "/v1/row" => self.get(&asked),
-            "/v1/range" => self.range(&asked),
+        match request.path.as_str() {
+            "/v1/row" => self.get(&request),
+            "/v1/range" => self.range(&request),
             "/v1/commit" => {
-                let whole = self.commit(&asked);
-                self.faults.after().await;
-                whole
+                let reply = self.commit(&request);
+                self.faults.after_call().await;
+                reply
             }
             _ => web::error(StatusCode::NOT_FOUND, "no such path"),
         }
--- a/crates/fake/src/token_bucket.rs
+++ b/crates/fake/src/token_bucket.rs
@@ -1,8 +1,9 @@
-//! Rate limit of a stand-in.
+//! Rate limiter for the stand-in services.
 
 use std::time::Instant;
 
-/// Token bucket that refuses when empty; it holds one second's worth.
+/// Token bucket whose capacity is the amount earned in one second. It refuses
+/// calls when it holds too few tokens, rather than delaying them.
 #[derive(Debug)]
 pub(crate) struct TokenBucket {
     rate: f64,
--- a/crates/fake/src/udp_relay.rs
+++ b/crates/fake/src/udp_relay.rs
@@ -1,5 +1,5 @@
-//! Relay for UDP that drops, delays and reorders the datagrams of one process.
-//! Each client gets a socket of its own towards the server.
+//! UDP relay that drops, delays and reorders datagrams on their way to one
+//! process. It opens a separate socket towards the server for each client.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,22 +16,23 @@
 
 use crate::loopback;
 
-/// What a relay does to the datagrams that pass.
+/// Faults that a relay injects into the datagrams it forwards.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct UdpPlan {
-    /// Share of datagrams that are dropped on the way to the server.
+    /// Share of the datagrams towards the server that are dropped, from 0 to 1.
     pub inbound_loss: f64,
-    /// Share of datagrams that are dropped on the way return_path.
+    /// Share of the datagrams towards the clients that are dropped, from 0 to 1.
     pub outbound_loss: f64,
-    /// Longest random delay; unlike delays reorder.
+    /// Maximum random delay of a datagram towards the server. Datagrams with
+    /// different delays arrive out of order.
     pub jitter: Duration,
 }
 
-/// Relay for UDP towards one server.
+/// UDP relay in front of one server.
 pub type UdpRelay = RelayHandle<UdpPlan>;
 
 impl RelayHandle<UdpPlan> {
-    /// Opens a relay on a free loopback port towards `server`.
+    /// Opens a relay on a free loopback port that forwards to `server`.
     ///
     /// # Errors
     /// No port can be bound.
@@ -53,7 +54,7 @@
     let mut random = StdRng::seed_from_u64(seed);
     let mut buffer = vec![0; 64 * 1024];
     while let Ok((count, client)) = socket.recv_from(&mut buffer).await {
-        if let std::collections::hash_map::Entry::Vacant(e) = clients.entry(client) {
+        if let std::collections::hash_map::Entry::Vacant(vacant) = clients.entry(client) {
             let Ok(upstream) = UdpSocket::bind((loopback(), 0)).await else {
                 continue;
             };
@@ -68,30 +69,30 @@
                 context: context.clone(),
             };
             tokio::spawn(return_path.run(seed ^ u64::from(client.port())));
-            e.insert(upstream);
+            vacant.insert(upstream);
         }
         let Some(upstream) = clients.get(&client).cloned() else {
             continue;
         };
         context.count_bytes(count);
-        let now = context.current_plan();
-        if random.random_bool(now.inbound_loss.clamp(0.0, 1.0)) {
+        let plan = context.current_plan();
+        if random.random_bool(plan.inbound_loss.clamp(0.0, 1.0)) {
             continue;
         }
         let datagram = buffer[..count].to_vec();
-        let wait = now.jitter.mul_f64(random.random());
-        if wait.is_zero() {
+        let delay = plan.jitter.mul_f64(random.random());
+        if delay.is_zero() {
             let _ = upstream.send(&datagram).await;
             continue;
         }
         tokio::spawn(async move {
-            tokio::time::sleep(wait).await;
+            tokio::time::sleep(delay).await;
             let _ = upstream.send(&datagram).await;
         });
     }
 }
 
-/// RelayHandle return_path to one client.
+/// Forwards datagrams from the server back to one client.
 struct ReturnPath {
     from: Arc<UdpSocket>,
     to: Arc<UdpSocket>,
@@ -105,13 +106,13 @@
         let mut buffer = vec![0; 64 * 1024];
         loop {
             let Ok(count) = self.from.recv(&mut buffer).await else {
-                // The server is gone for now; it may come return_path.
+                // The server is not reachable; it may be started again later.
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 continue;
             };
             self.context.count_bytes(count);
-            let now = self.context.current_plan();
-            if random.random_bool(now.outbound_loss.clamp(0.0, 1.0)) {
+            let plan = self.context.current_plan();
+            if random.random_bool(plan.outbound_loss.clamp(0.0, 1.0)) {
                 continue;
             }
             let _ = self.to.send_to(&buffer[..count], self.client).await;
--- a/crates/fake/src/verify.rs
+++ b/crates/fake/src/verify.rs
@@ -1,4 +1,4 @@
-//! Judges the answers of a load together with the run log.
+//! Checks the answers to a load against the run log of the workers.
 
 use std::collections::HashMap;
 
@@ -14,50 +14,50 @@
 use crate::check_not_run;
 use crate::check_overlaps;
 
-/// Everything that is wrong, in words; empty when all holds.
+/// Describes every violated guarantee of the scheduler; empty if none is.
 #[must_use]
 pub fn verify(outcomes: &[Outcome], runs: &[Run], capacity: Resources) -> Vec<String> {
-    let mut wrong = Vec::new();
-    wrong.extend(
+    let mut violations = Vec::new();
+    violations.extend(
         check_capacity(runs, capacity)
             .iter()
             .map(|v| format!("{v:?}")),
     );
-    let durable = keys(outcomes, |outcome| outcome.request.is_durable());
+    let durable = request_keys(outcomes, |outcome| outcome.request.is_durable());
     let durable_runs: Vec<Run> = runs
         .iter()
         .filter(|run| durable.contains(&run.request))
         .cloned()
         .collect();
-    wrong.extend(
+    violations.extend(
         check_overlaps(&durable_runs)
             .iter()
             .map(|v| format!("{v:?}")),
     );
-    let once = keys(outcomes, |outcome| !outcome.request.idempotent);
-    wrong.extend(
-        check_at_most_once(runs, &once)
+    let at_most_once = request_keys(outcomes, |outcome| !outcome.request.idempotent);
+    violations.extend(
+        check_at_most_once(runs, &at_most_once)
             .iter()
             .map(|v| format!("{v:?}")),
     );
-    let not_run = keys(outcomes, |outcome| outcome.family() == Family::NotRun);
-    wrong.extend(
+    let not_run = request_keys(outcomes, |outcome| outcome.family() == Family::NotRun);
+    violations.extend(
         check_not_run(runs, &not_run)
             .iter()
             .map(|v| format!("{v:?}")),
     );
-    wrong.extend(outcomes.iter().filter_map(judge_answer));
-    wrong
+    violations.extend(outcomes.iter().filter_map(check_answer));
+    violations
 }
 
-fn keys(outcomes: &[Outcome], wanted: impl Fn(&Outcome) -> bool) -> Vec<String> {
-    let wanted = outcomes.iter().filter(|outcome| wanted(outcome));
-    wanted
+fn request_keys(outcomes: &[Outcome], selected: impl Fn(&Outcome) -> bool) -> Vec<String> {
+    let selected = outcomes.iter().filter(|outcome| selected(outcome));
+    selected
         .map(|outcome| request_key(TEAM, &outcome.request.id))
         .collect()
 }
 
-fn judge_answer(outcome: &Outcome) -> Option<String> {
+fn check_answer(outcome: &Outcome) -> Option<String> {
     let id = &outcome.request.id;
     let Some(body) = &outcome.answer else {
         return Some(format!(
@@ -71,11 +71,11 @@
     let task = format!("{}:{}", request_key(TEAM, id), outcome.request.payload);
     let expected = vec![task; usize::try_from(outcome.request.members).unwrap_or_default()];
     let expected = expected.join("\n");
-    let own = body.answer.output == expected && body.answer.is_whole();
-    (!own).then(|| format!("{id}: not its own whole answer: {:?}", body.answer.output))
+    let matches = body.answer.output == expected && body.answer.is_whole();
+    (!matches).then(|| format!("{id}: not its own whole answer: {:?}", body.answer.output))
 }
 
-/// Number of outcomes by family.
+/// Counts the outcomes by the family of their final answer.
 #[must_use]
 pub fn count_families(outcomes: &[Outcome]) -> HashMap<Family, usize> {
     let mut counts = HashMap::new();
--- a/crates/fake/src/worker/behaviour.rs
+++ b/crates/fake/src/worker/behaviour.rs
@@ -1,23 +1,24 @@
-//! How a worker behaves.
+//! Faults and delays that tests set on a stand-in worker.
 
 use std::time::Duration;
 
-/// Payload of a task that fails.
+/// Payload that makes a task fail.
 pub const FAIL_PAYLOAD: &str = "fail";
 
-/// How a worker behaves.
+/// Faults and delays of a stand-in worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Behaviour {
-    /// Every task fails at once.
+    /// Every task fails immediately after its start.
     pub fails: bool,
-    /// Every reply is late by this.
+    /// Delay before each call is handled.
     pub latency: Duration,
-    /// Requests are not read until this is taken back, as when the worker's
-    /// process is paused; its tasks run on.
+    /// Calls are not handled while this is set, as if the worker's process were
+    /// suspended; its tasks continue.
     pub paused: bool,
-    /// Starts are late on their way by this; they arrive even when their
-    /// sender is gone.
+    /// Network delay of start calls. A delayed start takes effect even if its
+    /// sender has ended or closed the connection meanwhile.
     pub start_delay: Duration,
-    /// A guard taken out: any fence is accepted.
+    /// Accepts calls with any fence. Tests use it to check that the run log
+    /// shows the violations that the fence prevents.
     pub ignore_fence: bool,
 }
--- a/crates/fake/src/worker/fake_worker.rs
+++ b/crates/fake/src/worker/fake_worker.rs
@@ -1,4 +1,5 @@
-//! The worker itself: it is claimed, starts and stops tasks, tells of ends.
+//! The stand-in worker: accepts claims, starts and stops tasks, and reports the
+//! ends of tasks in its replies to polls.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -25,24 +26,24 @@
 
 use super::Behaviour;
 use super::FAIL_PAYLOAD;
-use super::state::Running;
 use super::state::State;
+use super::state::TrackedTask;
 use crate::RunLog;
-use crate::run_log::own_key;
+use crate::run_log::base_key;
 
-/// Stand-in of a worker; clones share it.
+/// Stand-in for a worker; clones share its state.
 #[derive(Clone, Debug)]
 pub struct FakeWorker {
-    /// Name in the host list.
+    /// Id of the worker in the host list.
     pub id: WorkerId,
     capacity: Resources,
     pub(super) log: RunLog,
     state: Arc<Mutex<State>>,
-    pub(super) news: Arc<Notify>,
+    pub(super) end_notify: Arc<Notify>,
 }
 
 impl FakeWorker {
-    /// An idle worker.
+    /// Creates a worker without tasks that records its runs in `log`.
     #[must_use]
     pub fn new(id: &str, capacity: Resources, log: RunLog) -> FakeWorker {
         FakeWorker {
@@ -50,7 +51,7 @@
             capacity,
             log,
             state: Arc::new(Mutex::new(State::new(id))),
-            news: Arc::default(),
+            end_notify: Arc::default(),
         }
     }
 
@@ -58,12 +59,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes how it behaves.
+    /// Changes the faults and delays of the worker.
     pub fn update(&self, change: impl FnOnce(&mut Behaviour)) {
         change(&mut self.lock().behaviour);
     }
 
-    /// Forgets everything and stops all tasks, as a restart does.
+    /// Stops all tasks and clears the state, like a restart of the process.
     pub fn restart(&self) {
         let mut state = self.lock();
         for task in state.running_tasks() {
@@ -72,7 +73,7 @@
         state.restart(&self.id);
     }
 
-    /// Tasks that run now.
+    /// Number of tasks that are running.
     #[must_use]
     pub fn running_count(&self) -> usize {
         self.lock().running_tasks().count()
@@ -85,16 +86,16 @@
         }
         state.fence = claim.fence;
         state.claimed = true;
-        state.lease = Duration::from_millis(claim.lease_millis);
+        state.lease_duration = Duration::from_millis(claim.lease_millis);
         let turn = state.next_turn();
         Ok(Claimed {
-            incarnation: state.run.clone(),
+            incarnation: state.incarnation.clone(),
             turn,
             capacity: self.capacity,
             tasks: state
                 .tasks
                 .values()
-                .map(|running| running.task.clone())
+                .map(|tracked| tracked.task.clone())
                 .collect(),
         })
     }
@@ -104,7 +105,7 @@
         if state.has_started(&start.attempt) {
             return Ok(());
         }
-        if let Some(reason) = state.refuses(start, &self.capacity) {
+        if let Some(reason) = state.refusal_reason(start, &self.capacity) {
             state.close_attempt(start.attempt.clone(), false);
             return Err(state.refusal(reason));
         }
@@ -114,9 +115,13 @@
             needs: start.needs,
             end: None,
         };
-        state
-            .tasks
-            .insert(start.attempt.clone(), Running { task, told: 0 });
+        state.tasks.insert(
+            start.attempt.clone(),
+            TrackedTask {
+                task,
+                reported_turn: 0,
+            },
+        );
         self.log.start(&self.id, start);
         let fails = state.behaviour.fails || start.payload == FAIL_PAYLOAD;
         drop(state);
@@ -127,37 +132,37 @@
     }
 
     async fn run_task(&self, start: Start, fails: bool) {
-        let run = if fails { 0 } else { start.run_millis };
-        tokio::time::sleep(Duration::from_millis(run)).await;
+        let duration = if fails { 0 } else { start.run_millis };
+        tokio::time::sleep(Duration::from_millis(duration)).await;
         let result = if fails {
             EndResult::Failed
         } else {
             EndResult::Succeeded
         };
-        let output = format!("{}:{}", own_key(&start.request), start.payload);
+        let output = format!("{}:{}", base_key(&start.request), start.payload);
         self.finish(&start.run, &start.attempt, result, output);
     }
 
-    fn finish(&self, run: &str, attempt: &str, result: EndResult, output: String) {
+    fn finish(&self, incarnation: &str, attempt: &str, result: EndResult, output: String) {
         let mut state = self.lock();
-        if state.run != run {
+        if state.incarnation != incarnation {
             return;
         }
-        let Some(running) = state.tasks.get_mut(attempt) else {
+        let Some(tracked) = state.tasks.get_mut(attempt) else {
             return;
         };
-        if running.task.end.is_some() {
+        if tracked.task.end.is_some() {
             return;
         }
         let digest = digest(&output);
-        running.task.end = Some(End {
+        tracked.task.end = Some(End {
             result,
             output,
             digest,
         });
         self.log.end(&self.id, attempt, result);
         drop(state);
-        self.news.notify_waiters();
+        self.end_notify.notify_waiters();
     }
 
     pub(super) fn stop(&self, stop: &Stop) -> Result<(), Refusal> {
@@ -168,7 +173,7 @@
         if !state.has_started(&stop.attempt) {
             state.close_attempt(stop.attempt.clone(), false);
         }
-        let run = state.run.clone();
+        let incarnation = state.incarnation.clone();
         drop(state);
         let (result, output) = if stop.checkpoint {
             (
@@ -178,28 +183,28 @@
         } else {
             (EndResult::Stopped, String::new())
         };
-        self.finish(&run, &stop.attempt, result, output);
+        self.finish(&incarnation, &stop.attempt, result, output);
         Ok(())
     }
 
     pub(super) async fn poll(&self, poll: &Poll) -> Result<Polled, Refusal> {
-        let until = Instant::now() + Duration::from_millis(poll.wait_millis);
-        self.lock().take_poll(poll)?;
+        let deadline = Instant::now() + Duration::from_millis(poll.wait_millis);
+        self.lock().accept_poll(poll)?;
         loop {
-            let news = self.news.notified();
-            tokio::pin!(news);
-            news.as_mut().enable();
+            let wakeup = self.end_notify.notified();
+            tokio::pin!(wakeup);
+            wakeup.as_mut().enable();
             {
                 let mut state = self.lock();
                 if state.fence != poll.fence && !state.behaviour.ignore_fence {
                     return Err(state.refusal(RefusalReason::Fenced));
                 }
-                let fresh = state.has_news(poll.turn);
-                if fresh || Instant::now() >= until {
-                    return Ok(state.polled(poll.turn));
+                let unreported = state.has_new_ends(poll.turn);
+                if unreported || Instant::now() >= deadline {
+                    return Ok(state.poll_reply(poll.turn));
                 }
             }
-            let _ = tokio::time::timeout_at(until.into(), news).await;
+            let _ = tokio::time::timeout_at(deadline.into(), wakeup).await;
         }
     }
 }
--- a/crates/fake/src/worker/handler.rs
+++ b/crates/fake/src/worker/handler.rs
@@ -1,4 +1,4 @@
-//! The interface of a worker.
+//! HTTP interface of a stand-in worker.
 
 use std::time::Duration;
 
@@ -14,36 +14,36 @@
 
 use super::FakeWorker;
 
-/// Interval at which a paused worker looks whether it goes on.
-const PAUSED_TICK: Duration = Duration::from_millis(20);
+/// Interval at which a paused worker checks whether it has been resumed.
+const PAUSE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Handler for FakeWorker {
-    async fn handle(&self, asked: Asked) -> Whole {
+    async fn handle(&self, request: Asked) -> Whole {
         loop {
             let behaviour = self.lock().behaviour;
             if !behaviour.paused {
                 tokio::time::sleep(behaviour.latency).await;
                 break;
             }
-            tokio::time::sleep(PAUSED_TICK).await;
+            tokio::time::sleep(PAUSE_CHECK_INTERVAL).await;
         }
-        let body = &asked.body;
-        match asked.path.as_str() {
+        let body = &request.body;
+        match request.path.as_str() {
             "/v1/claim" => match serde_json::from_slice::<Claim>(body) {
                 Ok(claim) => reply(self.claim(&claim)),
-                Err(error) => bad(&error),
+                Err(error) => bad_request(&error),
             },
             "/v1/start" => match serde_json::from_slice::<Start>(body) {
-                Ok(start) => self.start_late(start).await,
-                Err(error) => bad(&error),
+                Ok(start) => self.start_delayed(start).await,
+                Err(error) => bad_request(&error),
             },
             "/v1/stop" => match serde_json::from_slice::<Stop>(body) {
                 Ok(stop) => reply(self.stop(&stop)),
-                Err(error) => bad(&error),
+                Err(error) => bad_request(&error),
             },
             "/v1/poll" => match serde_json::from_slice::<Poll>(body) {
                 Ok(poll) => reply(self.poll(&poll).await),
-                Err(error) => bad(&error),
+                Err(error) => bad_request(&error),
             },
             _ => web::error(StatusCode::NOT_FOUND, "no such path"),
         }
@@ -51,17 +51,17 @@
 }
 
 impl FakeWorker {
-    async fn start_late(&self, start: Start) -> Whole {
-        let late = self.lock().behaviour.start_delay;
-        if late.is_zero() {
+    async fn start_delayed(&self, start: Start) -> Whole {
+        let delay = self.lock().behaviour.start_delay;
+        if delay.is_zero() {
             return reply(self.start(&start));
         }
         let worker = self.clone();
-        let arrival = tokio::spawn(async move {
-            tokio::time::sleep(late).await;
+        let delivery = tokio::spawn(async move {
+            tokio::time::sleep(delay).await;
             worker.start(&start)
         });
-        match arrival.await {
+        match delivery.await {
             Ok(result) => reply(result),
             Err(error) => web::error(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
         }
@@ -75,6 +75,6 @@
     }
 }
 
-fn bad(error: &serde_json::Error) -> Whole {
+fn bad_request(error: &serde_json::Error) -> Whole {
     web::error(StatusCode::BAD_REQUEST, &error.to_string())
 }
--- a/crates/fake/src/worker/lease.rs
+++ b/crates/fake/src/worker/lease.rs
@@ -1,4 +1,4 @@
-//! A worker ends its tasks by itself when their lease is over.
+//! A worker ends its tasks by itself when its lease expires.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,38 +11,38 @@
 use super::state::State;
 use crate::RunLog;
 
-/// Interval at which the worker looks for leases that are over.
-const LEASE_TICK: Duration = Duration::from_millis(20);
+/// Interval at which a worker checks whether its lease has expired.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 impl FakeWorker {
-    /// Ends tasks whose lease is over, for as long as the worker exists.
+    /// Ends all running tasks whenever the lease has expired; never returns.
     pub async fn enforce_lease(self) {
         loop {
-            tokio::time::sleep(LEASE_TICK).await;
+            tokio::time::sleep(LEASE_CHECK_INTERVAL).await;
             let mut state = self.lock();
-            let over = state
-                .lease_until
-                .is_some_and(|until| Instant::now() >= until);
-            if over {
-                state.end_all(&self.log, &self.id);
+            let expired = state
+                .lease_expiry
+                .is_some_and(|expiry| Instant::now() >= expiry);
+            if expired {
+                state.expire_tasks(&self.log, &self.id);
             }
             drop(state);
-            if over {
-                self.news.notify_waiters();
+            if expired {
+                self.end_notify.notify_waiters();
             }
         }
     }
 }
 
 impl State {
-    fn end_all(&mut self, log: &RunLog, id: &str) {
-        for running in self.tasks.values_mut().filter(|r| r.task.end.is_none()) {
-            running.task.end = Some(End {
+    fn expire_tasks(&mut self, log: &RunLog, id: &str) {
+        for tracked in self.tasks.values_mut().filter(|t| t.task.end.is_none()) {
+            tracked.task.end = Some(End {
                 result: EndResult::LeaseOver,
                 output: String::new(),
                 digest: digest(""),
             });
-            log.end(id, &running.task.attempt, EndResult::LeaseOver);
+            log.end(id, &tracked.task.attempt, EndResult::LeaseOver);
         }
     }
 }
--- a/crates/fake/src/worker/mod.rs
+++ b/crates/fake/src/worker/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a worker.
+//! Stand-in for a worker.
 
 mod behaviour;
 mod fake_worker;
--- a/crates/fake/src/worker/state.rs
+++ b/crates/fake/src/worker/state.rs
@@ -1,4 +1,5 @@
-//! What a worker knows: its fence, its lease, its tasks and what it has told.
+//! State of a stand-in worker: its fence, its lease, its tasks and the replies
+//! in which their ends were reported.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -19,72 +20,74 @@
 
 use super::Behaviour;
 
-/// A task, and whether its end was told.
+/// A task that runs, or that has ended without an acknowledgement of the end.
 #[derive(Debug)]
-pub(super) struct Running {
+pub(super) struct TrackedTask {
     pub(super) task: Task,
-    /// Reply that first told of its end; 0 before.
-    pub(super) told: Turn,
+    /// Turn of the first reply that reported the end; 0 if none has.
+    pub(super) reported_turn: Turn,
 }
 
-/// An attempt that is over, remembered against late copies of its start.
+/// An attempt that must not start any more: it has ended, or its start was
+/// refused or overtaken by a stop. Kept for one lease duration, to recognise
+/// late copies of its start.
 #[derive(Clone, Copy, Debug)]
-struct Closed {
+struct ClosedAttempt {
     at: Instant,
-    carried_out: bool,
+    had_started: bool,
 }
 
-/// What a worker knows.
+/// State of a stand-in worker.
 #[derive(Debug)]
 pub(super) struct State {
-    pub(super) run: Incarnation,
+    pub(super) incarnation: Incarnation,
     pub(super) fence: Fence,
     pub(super) claimed: bool,
-    pub(super) lease: Duration,
-    pub(super) lease_until: Option<Instant>,
+    pub(super) lease_duration: Duration,
+    pub(super) lease_expiry: Option<Instant>,
     turn: Turn,
-    sent: VecDeque<(Turn, Instant)>,
-    pub(super) tasks: HashMap<AttemptId, Running>,
-    /// Attempts that are over: when, and whether they were carried out.
-    closed: HashMap<AttemptId, Closed>,
+    reply_times: VecDeque<(Turn, Instant)>,
+    pub(super) tasks: HashMap<AttemptId, TrackedTask>,
+    /// Attempts that must not start any more.
+    closed: HashMap<AttemptId, ClosedAttempt>,
     pub(super) behaviour: Behaviour,
 }
 
 impl State {
-    /// State of a worker in its first life.
+    /// Creates the state of a worker in its first incarnation.
     pub(super) fn new(id: &str) -> State {
         State {
-            run: format!("{id}-1"),
+            incarnation: format!("{id}-1"),
             fence: Fence::default(),
             claimed: false,
-            lease: Duration::ZERO,
-            lease_until: None,
+            lease_duration: Duration::ZERO,
+            lease_expiry: None,
             turn: 0,
-            sent: VecDeque::new(),
+            reply_times: VecDeque::new(),
             tasks: HashMap::new(),
             closed: HashMap::new(),
             behaviour: Behaviour::default(),
         }
     }
 
-    /// Forgets everything; a new life begins.
+    /// Clears the state and begins the next incarnation.
     pub(super) fn restart(&mut self, id: &str) {
         let number = self
-            .run
+            .incarnation
             .rsplit_once('-')
             .and_then(|(_, n)| n.parse::<u32>().ok());
-        self.run = format!("{id}-{}", number.unwrap_or_default() + 1);
+        self.incarnation = format!("{id}-{}", number.unwrap_or_default() + 1);
         self.fence = Fence::default();
         self.claimed = false;
-        self.lease_until = None;
-        self.sent.clear();
+        self.lease_expiry = None;
+        self.reply_times.clear();
         self.tasks.clear();
         self.closed.clear();
     }
 
-    /// Tasks that run now.
+    /// Tasks that have not ended.
     pub(super) fn running_tasks(&self) -> impl Iterator<Item = &Task> {
-        let tasks = self.tasks.values().map(|running| &running.task);
+        let tasks = self.tasks.values().map(|tracked| &tracked.task);
         tasks.filter(|task| task.end.is_none())
     }
 
@@ -98,51 +101,62 @@
     pub(super) fn next_turn(&mut self) -> Turn {
         self.turn += 1;
         let now = Instant::now();
-        self.sent.push_back((self.turn, now));
-        let lease = self.lease;
-        while self.sent.front().is_some_and(|(_, at)| *at + lease < now) {
-            self.sent.pop_front();
+        self.reply_times.push_back((self.turn, now));
+        let duration = self.lease_duration;
+        while self
+            .reply_times
+            .front()
+            .is_some_and(|(_, at)| *at + duration < now)
+        {
+            self.reply_times.pop_front();
         }
-        self.closed.retain(|_, closed| closed.at + lease >= now);
+        self.closed.retain(|_, closed| closed.at + duration >= now);
         self.turn
     }
 
     pub(super) fn has_started(&self, attempt: &str) -> bool {
         let closed = self.closed.get(attempt);
-        self.tasks.contains_key(attempt) || closed.is_some_and(|closed| closed.carried_out)
+        self.tasks.contains_key(attempt) || closed.is_some_and(|closed| closed.had_started)
     }
 
-    pub(super) fn close_attempt(&mut self, attempt: AttemptId, carried_out: bool) {
+    pub(super) fn close_attempt(&mut self, attempt: AttemptId, had_started: bool) {
         let at = Instant::now();
         self.closed
             .entry(attempt)
-            .or_insert(Closed { at, carried_out });
+            .or_insert(ClosedAttempt { at, had_started });
     }
 
-    pub(super) fn refuses(&self, start: &Start, capacity: &Resources) -> Option<RefusalReason> {
+    pub(super) fn refusal_reason(
+        &self,
+        start: &Start,
+        capacity: &Resources,
+    ) -> Option<RefusalReason> {
         if start.fence != self.fence && !self.behaviour.ignore_fence {
             return Some(RefusalReason::Fenced);
         }
-        if !self.claimed || start.run != self.run {
+        if !self.claimed || start.run != self.incarnation {
             return Some(RefusalReason::Unclaimed);
         }
         if self.closed.contains_key(&start.attempt) {
             return Some(RefusalReason::Full);
         }
-        if !self.sent.iter().any(|(turn, _)| *turn == start.turn) {
+        if !self.reply_times.iter().any(|(turn, _)| *turn == start.turn) {
             return Some(RefusalReason::LeaseOver);
         }
-        if self.lease_until.is_none_or(|until| Instant::now() >= until) {
+        if self
+            .lease_expiry
+            .is_none_or(|expiry| Instant::now() >= expiry)
+        {
             return Some(RefusalReason::LeaseOver);
         }
-        let held = self
+        let booked = self
             .running_tasks()
             .fold(Resources::default(), |sum, task| sum.plus(&task.needs));
-        let fits = held.plus(&start.needs).fits(capacity);
+        let fits = booked.plus(&start.needs).fits(capacity);
         (!fits).then_some(RefusalReason::Full)
     }
 
-    pub(super) fn take_poll(&mut self, poll: &Poll) -> Result<(), Refusal> {
+    pub(super) fn accept_poll(&mut self, poll: &Poll) -> Result<(), Refusal> {
         if poll.fence != self.fence && !self.behaviour.ignore_fence {
             return Err(self.refusal(RefusalReason::Fenced));
         }
@@ -154,35 +168,37 @@
                 self.close_attempt(attempt.clone(), true);
             }
         }
-        let acknowledged = self.sent.iter().find(|(turn, _)| *turn == poll.turn);
-        if let Some((_, sent)) = acknowledged {
-            let until = *sent + self.lease;
-            self.lease_until = self.lease_until.max(Some(until));
+        let acknowledged = self.reply_times.iter().find(|(turn, _)| *turn == poll.turn);
+        if let Some((_, sent_at)) = acknowledged {
+            let expiry = *sent_at + self.lease_duration;
+            self.lease_expiry = self.lease_expiry.max(Some(expiry));
         }
         Ok(())
     }
 
-    /// Ends that no acknowledged reply has told of.
-    pub(super) fn has_news(&self, acknowledged: Turn) -> bool {
-        let fresh = |running: &Running| {
-            running.task.end.is_some() && (running.told == 0 || running.told > acknowledged)
+    /// Whether a task has ended and no acknowledged reply has reported its end.
+    pub(super) fn has_new_ends(&self, acknowledged: Turn) -> bool {
+        let unreported = |tracked: &TrackedTask| {
+            tracked.task.end.is_some()
+                && (tracked.reported_turn == 0 || tracked.reported_turn > acknowledged)
         };
-        self.tasks.values().any(fresh)
+        self.tasks.values().any(unreported)
     }
 
-    pub(super) fn polled(&mut self, acknowledged: Turn) -> Polled {
+    pub(super) fn poll_reply(&mut self, acknowledged: Turn) -> Polled {
         let turn = self.next_turn();
         let mut ended = Vec::new();
-        for running in self.tasks.values_mut() {
-            let told = running.told != 0 && running.told <= acknowledged;
-            if running.task.end.is_some() && !told {
-                running.told = turn;
-                ended.push(running.task.clone());
+        for tracked in self.tasks.values_mut() {
+            let acknowledged_end =
+                tracked.reported_turn != 0 && tracked.reported_turn <= acknowledged;
+            if tracked.task.end.is_some() && !acknowledged_end {
+                tracked.reported_turn = turn;
+                ended.push(tracked.task.clone());
             }
         }
         Polled {
             turn,
-            incarnation: self.run.clone(),
+            incarnation: self.incarnation.clone(),
             ended,
             usage: Resources::default(),
         }
