--- a/crates/cli/src/api.rs
+++ b/crates/cli/src/api.rs
@@ -1,4 +1,4 @@
-//! Calls to an entry process.
+//! Client for the HTTP interface of an entry process.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,10 +14,10 @@
 use crate::error::CliError;
 use crate::error::usage;
 
-/// Longest wait for a call that waits for no task.
-const PLAIN_TIMEOUT: Duration = Duration::from_secs(15);
+/// Timeout of calls that do not wait for a task.
+const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Entry process and token.
+/// Client for one entry process, with the token of the user.
 #[derive(Clone, Debug)]
 pub(crate) struct Api {
     client: Client,
@@ -26,10 +26,11 @@
 }
 
 impl Api {
-    /// From the arguments, or else from the environment.
+    /// Creates a client for `server`, or for `CLOVERMOUNT_SERVER` if it is not
+    /// given. The token comes from `CLOVERMOUNT_TOKEN`.
     pub(crate) fn open(server: Option<SocketAddr>) -> Result<Api, CliError> {
-        let named = std::env::var("CLOVERMOUNT_SERVER").ok();
-        let server = match (server, named) {
+        let env_server = std::env::var("CLOVERMOUNT_SERVER").ok();
+        let server = match (server, env_server) {
             (Some(server), _) => server,
             (None, Some(text)) => text.parse().map_err(|_| {
                 usage(format!(
@@ -51,8 +52,8 @@
         })
     }
 
-    /// The same with another entry process.
-    pub(crate) fn at(&self, server: SocketAddr) -> Api {
+    /// Returns a client for another entry process with the same token.
+    pub(crate) fn with_server(&self, server: SocketAddr) -> Api {
         Api {
             server,
             ..self.clone()
@@ -60,9 +61,9 @@
     }
 
     pub(crate) async fn get<R: DeserializeOwned>(&self, path: &str) -> Result<R, CliError> {
-        let call = Call::new(Method::GET, self.server, path, PLAIN_TIMEOUT);
+        let call = Call::new(Method::GET, self.server, path, CALL_TIMEOUT);
         let reply = self.client.send(call.token(&self.token)).await?;
-        self.read(&reply)
+        self.parse(&reply)
     }
 
     pub(crate) async fn post<B, R>(
@@ -75,14 +76,15 @@
         B: Serialize + Sync,
         R: DeserializeOwned,
     {
-        let timeout = timeout.unwrap_or(PLAIN_TIMEOUT);
+        let timeout = timeout.unwrap_or(CALL_TIMEOUT);
         let call = Call::new(Method::POST, self.server, path, timeout);
         let reply = self.client.send(call.token(&self.token).json(body)).await?;
-        self.read(&reply)
+        self.parse(&reply)
     }
 
-    /// A reply with a result code is one, whatever its HTTP status.
-    fn read<R: DeserializeOwned>(&self, reply: &Reply) -> Result<R, CliError> {
+    /// Parses the body of a reply. A reply with a result code is no error, whatever
+    /// its HTTP status; only a body with the field `error` is a refusal.
+    fn parse<R: DeserializeOwned>(&self, reply: &Reply) -> Result<R, CliError> {
         let body: Value = reply.json(self.server)?;
         if !reply.status.is_success() && body.get("error").is_some() {
             let reason = body["error"].as_str().unwrap_or_default().to_owned();
@@ -93,7 +95,7 @@
     }
 }
 
-/// Prints a value as JSON.
+/// Prints a value as one line of JSON.
 pub(crate) fn print_json<T: Serialize>(value: &T) {
     println!("{}", serde_json::to_string(value).unwrap_or_default());
 }
--- a/crates/cli/src/cancel.rs
+++ b/crates/cli/src/cancel.rs
@@ -1,4 +1,4 @@
-//! `clovermount cancel`.
+//! `clovermount cancel`: cancels one request, or all with a label.
 
 use std::net::SocketAddr;
 
@@ -19,7 +19,7 @@
     /// entry process, as IP:PORT
     #[argh(option)]
     server: Option<SocketAddr>,
-    /// all requests with this label, in one call
+    /// cancel all requests with this label, in one call
     #[argh(option)]
     label: Option<String>,
     /// print as JSON
@@ -40,11 +40,11 @@
             id: self.id,
             label: self.label,
         };
-        let done: CancelledBody = api.post("/v1/cancel", &body, None).await?;
+        let reply: CancelledBody = api.post("/v1/cancel", &body, None).await?;
         if self.json {
-            print_json(&done);
+            print_json(&reply);
         } else {
-            println!("{} cancelled or told to stop", done.cancelled);
+            println!("{} cancelled or told to stop", reply.cancelled);
         }
         Ok(SUCCESS)
     }
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `clovermount check`.
+//! `clovermount check`: validates settings files.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -17,7 +17,7 @@
     /// settings files (YAML)
     #[argh(positional)]
     files: Vec<PathBuf>,
-    /// the files are settings of a process on the platform
+    /// the files are settings of `clovermountd --cell`
     #[argh(switch)]
     cell: bool,
 }
@@ -26,7 +26,7 @@
     pub(crate) fn run(self) -> u8 {
         let mut code = SUCCESS;
         for file in &self.files {
-            match load(file, self.cell) {
+            match load_name(file, self.cell) {
                 Ok(name) => println!("{}: ok ({name})", file.display()),
                 Err(error) => {
                     eprintln!("{error}");
@@ -38,8 +38,9 @@
     }
 }
 
-/// Name of the process in a settings file, or what is wrong with it.
-fn load(file: &Path, cell: bool) -> Result<String, String> {
+/// Loads a settings file; returns the name of its process, or the reason why
+/// the file is invalid.
+fn load_name(file: &Path, cell: bool) -> Result<String, String> {
     if cell {
         let settings = CellSettings::load(file).map_err(|error| error.to_string())?;
         return Ok(settings.node);
--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -1,4 +1,4 @@
-//! `clovermount config get|patch|history`.
+//! `clovermount config get|patch|history`: reads or patches the configuration.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -17,7 +17,7 @@
 use crate::error::usage;
 use crate::exit::SUCCESS;
 
-/// read or patch the numbered configuration
+/// read or patch the versioned configuration
 #[derive(FromArgs)]
 #[argh(subcommand, name = "config")]
 pub(crate) struct ConfigCommand {
@@ -33,7 +33,7 @@
     History(History),
 }
 
-/// print the newest version, and the version in force everywhere
+/// print the newest version, and the version that all processes have reached
 #[derive(FromArgs)]
 #[argh(subcommand, name = "get")]
 struct Get {
@@ -42,17 +42,17 @@
     server: Option<SocketAddr>,
 }
 
-/// make the next version from a numbered one (RFC 7396 merge patch)
+/// create the next version by a patch of the current one (RFC 7396 merge patch)
 #[derive(FromArgs)]
 #[argh(subcommand, name = "patch")]
 struct PatchCommand {
     /// entry process, as IP:PORT
     #[argh(option)]
     server: Option<SocketAddr>,
-    /// version that the patch is made against
+    /// version that the patch applies to
     #[argh(option)]
     version: u64,
-    /// id of the patch; send the same id again after a lost answer
+    /// id of the patch; use the same id to retry after a lost reply
     #[argh(option)]
     id: String,
     /// file with the merge patch, as JSON
@@ -95,12 +95,12 @@
     fn patch(self) -> Result<Patch, CliError> {
         let path = &self.file;
         let text = std::fs::read_to_string(path).context(FileSnafu { path })?;
-        let change: Value = serde_json::from_str(&text)
+        let merge_patch: Value = serde_json::from_str(&text)
             .map_err(|error| usage(format!("{}: {error}", path.display())))?;
         Ok(Patch {
             id: self.id,
             version: self.version,
-            patch: change,
+            patch: merge_patch,
         })
     }
 }
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,6 +1,6 @@
-//! `clovermount demo`: an embedded cell, shown at work and under a few
-//! troubles. The platform and the workers are stand-ins inside this process;
-//! the entry processes are the real ones, run as tasks.
+//! `clovermount demo`: runs an embedded cell under load and injects a few
+//! faults. The platform and the workers are stand-ins inside this process; the
+//! entry processes run the production code, as tasks of the async runtime.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -25,42 +25,45 @@
 use shard::Patch;
 
 use crate::error::CliError;
-use crate::exit::FAULT;
+use crate::exit::FAILURE;
 use crate::exit::SUCCESS;
-use crate::report::by_class;
 use crate::report::print_report;
+use crate::report::reports_by_class;
 
-/// Requests a second of the load.
-const RATE: u32 = 300;
+/// Requests of the load per second.
+const LOAD_RATE: u32 = 300;
 
-/// Requests of the load.
-const COUNT: u32 = 4500;
+/// Total requests of the load.
+const LOAD_REQUESTS: u32 = 4500;
 
-/// Restocks that are withdrawn.
-const DAY_RESTOCKS: u32 = 500;
+/// Restocks that are submitted and then cancelled by one call.
+const CANCELLED_RESTOCKS: u32 = 500;
 
-/// Longest wait for the cell to settle.
-const SETTLE: Duration = Duration::from_secs(20);
+/// Time limit for the cell to accept its configuration, and again for all its
+/// shards to be served.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// run an embedded cell with every class of work and a few troubles, and
-/// check what comes out
+/// run an embedded cell with every class of work, inject a few faults and
+/// check the results
 #[derive(FromArgs)]
 #[argh(subcommand, name = "demo")]
 pub(crate) struct Demo {
-    /// seed of what varies (default 1)
+    /// seed for random values (default 1)
     #[argh(option, default = "1")]
     seed: u64,
 }
 
 impl Demo {
     pub(crate) async fn run(self) -> Result<u8, CliError> {
-        let broken = |reason: String| CliError::Demo { reason };
+        let demo_error = |reason: String| CliError::Demo { reason };
         let plan = CellPlan {
             processes: 4,
             seed: self.seed,
             ..CellPlan::default()
         };
-        let cell = Cell::open(plan).await.map_err(|e| broken(e.to_string()))?;
+        let cell = Cell::open(plan)
+            .await
+            .map_err(|e| demo_error(e.to_string()))?;
         println!("48 workers in 3 failure domains, table at 300 writes/s and 5 ms");
         let mut processes = Vec::new();
         for member in &cell.members {
@@ -71,34 +74,34 @@
                 member.http()
             );
         }
-        settle(&cell).await.map_err(broken)?;
+        wait_configured(&cell).await.map_err(demo_error)?;
         println!("all 16 shards are owned and have workers; the load begins");
         let load = start_load(&cell);
-        let mut wrong = trouble(&cell, &mut processes).await?;
-        let outcomes = load.await.map_err(|e| broken(e.to_string()))?;
-        wrong.extend(verify(
+        let mut violations = inject_faults(&cell, &mut processes).await?;
+        let outcomes = load.await.map_err(|e| demo_error(e.to_string()))?;
+        violations.extend(verify(
             &outcomes,
             &cell.platform.log.runs(),
             cell.platform.capacity,
         ));
-        print_results(&cell, &outcomes, &mut wrong);
+        print_results(&cell, &outcomes, &mut violations);
         for process in processes {
             process.close().await;
         }
         cell.close();
-        if wrong.is_empty() {
-            println!("every stated outcome holds");
+        if violations.is_empty() {
+            println!("all checks passed");
             return Ok(SUCCESS);
         }
-        for line in &wrong {
+        for line in &violations {
             println!("BROKEN: {line}");
         }
-        Ok(FAULT)
+        Ok(FAILURE)
     }
 }
 
-async fn settle(cell: &Cell) -> Result<(), String> {
-    let until = Instant::now() + SETTLE;
+async fn wait_configured(cell: &Cell) -> Result<(), String> {
+    let until = Instant::now() + SETTLE_TIMEOUT;
     loop {
         match cell.configure().await {
             Ok(()) => break,
@@ -106,23 +109,23 @@
             Err(_) => tokio::time::sleep(Duration::from_millis(100)).await,
         }
     }
-    cell.wait_ready_through(&cell.members, SETTLE).await
+    cell.wait_ready_through(&cell.members, SETTLE_TIMEOUT).await
 }
 
 fn start_load(cell: &Cell) -> tokio::task::JoinHandle<Vec<Outcome>> {
     let servers: Vec<SocketAddr> = cell.members.iter().map(fake::Member::http).collect();
     let plan = LoadPlan {
-        rate: RATE,
-        count: COUNT,
-        request: mixed,
+        rate: LOAD_RATE,
+        count: LOAD_REQUESTS,
+        request: mixed_request,
         servers,
         answer_timeout: Duration::from_secs(40),
     };
     spawn_load(&cell.caller, plan)
 }
 
-/// Every class of work.
-fn mixed(number: u32) -> Request {
+/// Creates a request for the load, which mixes all classes of work.
+fn mixed_request(number: u32) -> Request {
     match number % 20 {
         0 | 1 => restock_request(&format!("restock-{number}"), Duration::from_millis(800)),
         2..=5 => confirmation_request(&format!("confirm-{number}")),
@@ -146,16 +149,17 @@
     }
 }
 
-/// A racing patch, a leaving worker, a withdrawn day and a planned stop.
-async fn trouble(cell: &Cell, processes: &mut Vec<Process>) -> Result<Vec<String>, CliError> {
-    let mut wrong = Vec::new();
+/// Sends two conflicting patches, marks a worker as leaving, cancels a batch of
+/// requests and stops one process as planned. Returns the violated checks.
+async fn inject_faults(cell: &Cell, processes: &mut Vec<Process>) -> Result<Vec<String>, CliError> {
+    let mut violations = Vec::new();
     tokio::time::sleep(Duration::from_secs(2)).await;
-    wrong.extend(race(cell).await?);
+    violations.extend(race_patches(cell).await?);
     let leaving = &cell.platform.workers[7].id;
     cell.platform.hosts.mark_leaving(leaving);
-    let quiet = cell.platform.log.now() + Duration::from_secs(2);
+    let start_limit = cell.platform.log.now() + Duration::from_secs(2);
     println!("worker {leaving} is leaving");
-    wrong.extend(withdraw(cell).await?);
+    violations.extend(cancel_batch(cell).await?);
     if let Some(process) = processes.pop() {
         println!("{} is stopped as planned", process.address());
         process.close().await;
@@ -164,15 +168,15 @@
     let runs = cell.platform.log.runs();
     let late = runs
         .iter()
-        .filter(|run| run.worker == *leaving && run.started_at > quiet)
+        .filter(|run| run.worker == *leaving && run.started_at > start_limit)
         .count();
     if late > 0 {
-        wrong.push(format!("{late} tasks started on a leaving worker"));
+        violations.push(format!("{late} tasks started on a leaving worker"));
     }
-    Ok(wrong)
+    Ok(violations)
 }
 
-async fn race(cell: &Cell) -> Result<Option<String>, CliError> {
+async fn race_patches(cell: &Cell) -> Result<Option<String>, CliError> {
     let patch = |id: &str, percent: u32| Patch {
         id: id.to_owned(),
         version: 1,
@@ -191,9 +195,9 @@
     Ok((accepted != 1).then(|| format!("{accepted} racing patches were accepted")))
 }
 
-async fn withdraw(cell: &Cell) -> Result<Option<String>, CliError> {
+async fn cancel_batch(cell: &Cell) -> Result<Option<String>, CliError> {
     let mut calls = tokio::task::JoinSet::new();
-    for number in 0..DAY_RESTOCKS {
+    for number in 0..CANCELLED_RESTOCKS {
         let (client, server) = (cell.caller.clone(), cell.http(0));
         let request = Request {
             label: "day".to_owned(),
@@ -203,19 +207,19 @@
     }
     calls.join_all().await;
     let cancelled = cell.caller.cancel_label(cell.http(1), "day").await?;
-    println!("{cancelled} of {DAY_RESTOCKS} restocks cancelled or told to stop by one call");
-    let short = cancelled != DAY_RESTOCKS;
-    Ok(short.then(|| format!("{cancelled} of {DAY_RESTOCKS} restocks were withdrawn")))
+    println!("{cancelled} of {CANCELLED_RESTOCKS} restocks cancelled or told to stop by one call");
+    let incomplete = cancelled != CANCELLED_RESTOCKS;
+    Ok(incomplete.then(|| format!("{cancelled} of {CANCELLED_RESTOCKS} restocks were cancelled")))
 }
 
-fn print_results(cell: &Cell, outcomes: &[Outcome], wrong: &mut Vec<String>) {
-    print_report(&by_class(outcomes));
+fn print_results(cell: &Cell, outcomes: &[Outcome], violations: &mut Vec<String>) {
+    print_report(&reports_by_class(outcomes));
     let failed = outcomes
         .iter()
         .filter(|o| o.family() != Family::Succeeded)
         .count();
     if failed > 0 {
-        wrong.push(format!("{failed} requests did not succeed"));
+        violations.push(format!("{failed} requests did not succeed"));
     }
     let counts = cell.platform.table.counts();
     let seconds = cell.platform.log.now().as_secs_f64();
@@ -226,30 +230,33 @@
         rate(counts.reads),
         counts.refused
     );
-    let (used, most) = power(cell);
-    println!("power: at most {used} W in use at one time, of {most} W that the workers have");
+    let (used, capacity_watts) = power_use(cell);
+    println!(
+        "power: at most {used} W in use at one time, of {capacity_watts} W that the workers have"
+    );
     println!(
         "checked: no worker over its capacity, no recorded work in two places, at most once \
          for non-idempotent work, every caller its own whole answer, no \"not run\" that ran"
     );
 }
 
-/// Most power in use at one time, and all that the workers have.
-fn power(cell: &Cell) -> (u64, u64) {
-    let mut steps: Vec<(Duration, i64)> = Vec::new();
+/// Returns the peak power of the running tasks and the power of all workers, in
+/// watts.
+fn power_use(cell: &Cell) -> (u64, u64) {
+    let mut changes: Vec<(Duration, i64)> = Vec::new();
     for run in cell.platform.log.runs() {
         let watts = i64::from(run.needs.power_watts);
-        steps.push((run.started_at, watts));
-        steps.extend(run.ended_at.map(|until| (until, -watts)));
+        changes.push((run.started_at, watts));
+        changes.extend(run.ended_at.map(|until| (until, -watts)));
     }
-    steps.sort();
+    changes.sort();
     let mut used = 0;
-    let mut top = 0;
-    for (_, watts) in steps {
+    let mut peak = 0;
+    for (_, watts) in changes {
         used += watts;
-        top = top.max(used);
+        peak = peak.max(used);
     }
     let workers = u64::try_from(cell.platform.workers.len()).unwrap_or_default();
     let all = u64::from(cell.platform.capacity.power_watts) * workers;
-    (u64::try_from(top).unwrap_or_default(), all)
+    (u64::try_from(peak).unwrap_or_default(), all)
 }
--- a/crates/cli/src/drain.rs
+++ b/crates/cli/src/drain.rs
@@ -1,4 +1,5 @@
-//! `clovermount drain`.
+//! `clovermount drain`: adds a worker to the drained ones of the configuration, or
+//! removes it from them.
 
 use std::net::SocketAddr;
 
@@ -12,8 +13,8 @@
 use crate::error::CliError;
 use crate::exit::SUCCESS;
 
-/// Status of a patch that another one has outrun.
-const CONFLICT: u16 = 409;
+/// HTTP status of a patch whose base version is no longer the newest.
+const CONFLICT_STATUS: u16 = 409;
 
 /// keep new work away from a worker and move its long work elsewhere
 #[derive(FromArgs)]
@@ -31,7 +32,8 @@
 }
 
 impl Drain {
-    /// Patches the newest version; when another patch comes first, anew.
+    /// Patches the newest version of the configuration; retries if another patch
+    /// was accepted first.
     pub(crate) async fn run(self) -> Result<u8, CliError> {
         let api = Api::open(self.server)?;
         loop {
@@ -52,7 +54,7 @@
                     println!("in version {}", body.version);
                     return Ok(SUCCESS);
                 }
-                Err(CliError::Refused { status, .. }) if status == CONFLICT => {}
+                Err(CliError::Refused { status, .. }) if status == CONFLICT_STATUS => {}
                 Err(error) => return Err(error),
             }
         }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,14 +1,14 @@
-//! Why a command failed.
+//! Errors of the commands.
 
 use std::path::PathBuf;
 
 use snafu::Snafu;
 
-/// Why a command failed.
+/// Reason why a command failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub(crate) enum CliError {
-    /// An argument is missing or wrong.
+    /// An argument is missing or invalid.
     #[snafu(display("{reason}"))]
     Usage { reason: String },
     /// A file cannot be read or written.
@@ -17,24 +17,24 @@
         path: PathBuf,
         source: std::io::Error,
     },
-    /// No whole reply came.
+    /// No complete reply arrived.
     #[snafu(display("{source}"), context(false))]
     Call { source: web::CallError },
     /// The entry process refused the call.
     #[snafu(display("refused ({status}): {reason}"))]
     Refused { status: u16, reason: String },
-    /// The settings are not what they should be.
+    /// The settings are invalid.
     #[snafu(display("{source}"), context(false))]
     Settings { source: daemon::DaemonError },
-    /// The keys cannot be made.
+    /// The keys cannot be created.
     #[snafu(display("{source}"), context(false))]
     Keys { source: peer::OpenError },
-    /// The embedded cell of the demo cannot be started.
-    #[snafu(display("the embedded cell: {reason}"))]
+    /// The embedded cell of the demo failed.
+    #[snafu(display("embedded cell failed: {reason}"))]
     Demo { reason: String },
 }
 
-/// A usage error.
+/// Creates a [`CliError::Usage`].
 pub(crate) fn usage(reason: impl Into<String>) -> CliError {
     let reason = reason.into();
     CliError::Usage { reason }
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -4,35 +4,36 @@
 
 use crate::error::CliError;
 
-/// It succeeded.
+/// The command succeeded.
 pub(crate) const SUCCESS: u8 = 0;
-/// A stated outcome does not hold, or the command itself failed.
-pub(crate) const FAULT: u8 = 1;
-/// An argument, file or setting is wrong.
+/// A check of `demo` or an expectation of `replay` failed, or the command could
+/// not be executed.
+pub(crate) const FAILURE: u8 = 1;
+/// An argument, file or setting is invalid.
 pub(crate) const USAGE: u8 = 2;
-/// The entry process cannot be reached, or refused the call.
+/// The entry process could not be reached or refused the call.
 pub(crate) const REFUSED: u8 = 3;
 /// The task ran and failed.
-const FAILED: u8 = 10;
-/// It was certainly not run.
+const TASK_FAILED: u8 = 10;
+/// The request certainly did not run.
 const NOT_RUN: u8 = 11;
-/// It may have run.
+/// The request may have run.
 const MAY_HAVE_RUN: u8 = 12;
-/// No final answer yet.
+/// The request has no final answer yet.
 const PENDING: u8 = 13;
 
-/// Exit code of an answer.
+/// Returns the exit code for the family of an answer.
 pub(crate) fn family_code(family: Family) -> u8 {
     match family {
         Family::Succeeded => SUCCESS,
-        Family::Failed => FAILED,
+        Family::Failed => TASK_FAILED,
         Family::NotRun => NOT_RUN,
         Family::MayHaveRun => MAY_HAVE_RUN,
         Family::Pending => PENDING,
     }
 }
 
-/// Exit code of an error.
+/// Returns the exit code for an error.
 pub(crate) fn exit_code(error: &CliError) -> u8 {
     match error {
         CliError::Usage { .. }
@@ -40,6 +41,6 @@
         | CliError::Settings { .. }
         | CliError::Keys { .. } => USAGE,
         CliError::Call { .. } | CliError::Refused { .. } => REFUSED,
-        CliError::Demo { .. } => FAULT,
+        CliError::Demo { .. } => FAILURE,
     }
 }
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -1,4 +1,4 @@
-//! `clovermount explain`: the story of one job, from the logs of all processes.
+//! `clovermount explain`: merges the log lines of all processes about one job.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -13,12 +13,12 @@
 use crate::error::usage;
 use crate::exit::SUCCESS;
 
-/// Fields that name what a line is about.
-const NAMES: [&str; 4] = ["job", "task", "step", "path"];
+/// Fields of a log line that can contain the id of a job.
+const ID_FIELDS: [&str; 4] = ["job", "task", "step", "path"];
 
-/// Fields that are shown by themselves, or tell only where in the code the
-/// line was written.
-const HIDDEN: [&str; 8] = [
+/// Fields that are not listed with the others: they are printed separately, or
+/// only locate the line in the source code.
+const HIDDEN_FIELDS: [&str; 8] = [
     "timestamp",
     "message",
     "level",
@@ -29,7 +29,7 @@
     "line",
 ];
 
-/// print what the logs of several processes tell of one job, in order of time
+/// print the log lines of several processes about one job, in order of time
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub(crate) struct Explain {
@@ -41,8 +41,8 @@
     files: Vec<PathBuf>,
 }
 
-/// A line of a log, with where it comes from.
-struct Line {
+/// A line of a log, and the process or file that it comes from.
+struct LogLine {
     time: u64,
     origin: String,
     fields: Map<String, Value>,
@@ -50,13 +50,13 @@
 
 impl Explain {
     pub(crate) fn run(self) -> Result<u8, CliError> {
-        if job_id(&self.id).is_none() {
+        if parse_id(&self.id).is_none() {
             let reason = format!("id: found {:?}, allowed: 16 hexadecimal digits", self.id);
             return Err(usage(reason));
         }
         let mut lines = Vec::new();
         if self.files.is_empty() {
-            collect(std::io::stdin().lock(), "", &self.id, &mut lines)?;
+            collect_lines(std::io::stdin().lock(), "", &self.id, &mut lines)?;
         }
         for path in &self.files {
             let file = std::fs::File::open(path).map_err(|source| CliError::File {
@@ -64,69 +64,72 @@
                 source,
             })?;
             let origin = path.display().to_string();
-            collect(file, &origin, &self.id, &mut lines)?;
+            collect_lines(file, &origin, &self.id, &mut lines)?;
         }
         lines.sort_by_key(|line| line.time);
         if lines.is_empty() {
-            return Err(usage(format!("no line tells of {}", self.id)));
+            return Err(usage(format!("no log line mentions {}", self.id)));
         }
-        let begin = lines[0].time;
+        let first_time = lines[0].time;
         for line in &lines {
-            println!("{}", show(line, begin));
+            println!("{}", format_line(line, first_time));
         }
         Ok(SUCCESS)
     }
 }
 
-fn job_id(text: &str) -> Option<&str> {
-    let plain = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-    plain.then_some(text)
+fn parse_id(text: &str) -> Option<&str> {
+    let valid = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+    valid.then_some(text)
 }
 
-/// Collects the lines that concern a job. What stands before the JSON object of
-/// a line, such as the name of a process, is kept as its origin.
-fn collect(
+/// Collects the lines that mention a job. The last word before the JSON object
+/// of a line, such as the name of a process, replaces `origin` for that line.
+fn collect_lines(
     input: impl Read,
     origin: &str,
     id: &str,
-    lines: &mut Vec<Line>,
+    lines: &mut Vec<LogLine>,
 ) -> Result<(), CliError> {
     for text in BufReader::new(input).lines() {
         let text = text.map_err(|source| CliError::File {
             path: origin.into(),
             source,
         })?;
-        let Some(at) = text.find('{') else { continue };
-        let Ok(Value::Object(fields)) = serde_json::from_str(&text[at..]) else {
+        let Some(start) = text.find('{') else {
             continue;
         };
-        if !concerns(&fields, id) {
+        let Ok(Value::Object(fields)) = serde_json::from_str(&text[start..]) else {
+            continue;
+        };
+        if !mentions(&fields, id) {
             continue;
         }
-        let before = text[..at].split_whitespace().last().unwrap_or(origin);
-        lines.push(Line {
+        let line_origin = text[..start].split_whitespace().last().unwrap_or(origin);
+        lines.push(LogLine {
             time: fields["timestamp"].as_u64().unwrap_or(0),
-            origin: before.to_owned(),
+            origin: line_origin.to_owned(),
             fields,
         });
     }
     Ok(())
 }
 
-fn concerns(fields: &Map<String, Value>, id: &str) -> bool {
-    NAMES.iter().any(|name| {
+fn mentions(fields: &Map<String, Value>, id: &str) -> bool {
+    ID_FIELDS.iter().any(|name| {
         let text = fields.get(*name).and_then(Value::as_str);
         text.is_some_and(|text| text.contains(id))
     })
 }
 
-/// One line for people: time since the first line, origin, code, message, fields.
-fn show(line: &Line, begin: u64) -> String {
+/// Formats a line as text: time since the first line, origin, code, message
+/// and the other fields.
+fn format_line(line: &LogLine, first_time: u64) -> String {
     let text = |name: &str| line.fields.get(name).and_then(Value::as_str).unwrap_or("");
     let fields: Vec<String> = line
         .fields
         .iter()
-        .filter(|(name, _)| !HIDDEN.contains(&name.as_str()))
+        .filter(|(name, _)| !HIDDEN_FIELDS.contains(&name.as_str()))
         .map(|(name, value)| match value {
             Value::String(value) => format!("{name}={value}"),
             value => format!("{name}={value}"),
@@ -138,7 +141,7 @@
         .map_or(0, |code| code.as_u64().unwrap_or(0));
     format!(
         "+{:>6} ms  {:<22} {code} {}  {}",
-        line.time - begin,
+        line.time - first_time,
         line.origin,
         text("message"),
         fields.join(" ")
--- a/crates/cli/src/hosts.rs
+++ b/crates/cli/src/hosts.rs
@@ -1,4 +1,4 @@
-//! `clovermount hosts` and `clovermount cell`.
+//! `clovermount hosts` and `clovermount cell`: show the workers and the processes.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 use crate::error::CliError;
 use crate::exit::SUCCESS;
 
-/// list the workers, as the platform's host list has them
+/// list the workers in the platform's host list
 #[derive(FromArgs)]
 #[argh(subcommand, name = "hosts")]
 pub(crate) struct HostsCommand {
@@ -23,7 +23,7 @@
     json: bool,
 }
 
-/// show the processes, and who owns which shard, as one process sees it
+/// show the processes and the owner of each shard, as one process sees them
 #[derive(FromArgs)]
 #[argh(subcommand, name = "cell")]
 pub(crate) struct CellCommand {
--- a/crates/cli/src/keys.rs
+++ b/crates/cli/src/keys.rs
@@ -1,4 +1,4 @@
-//! `clovermount keys`.
+//! `clovermount keys`: creates the TLS keys of a cell.
 
 use std::path::PathBuf;
 
@@ -7,11 +7,11 @@
 use crate::error::CliError;
 use crate::exit::SUCCESS;
 
-/// make a cell's own authority and the key files of its processes
+/// create a certificate authority for a cell and the key files of its processes
 #[derive(FromArgs)]
 #[argh(subcommand, name = "keys")]
 pub(crate) struct Keys {
-    /// folder for ca.pem, cert.pem and key.pem; it must not have them yet
+    /// folder for ca.pem, cert.pem and key.pem; it must not contain them yet
     #[argh(positional)]
     folder: PathBuf,
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The clovermount command line, for callers and operators.
+//! Command line client of clovermount, for callers and operators.
 
 mod api;
 mod cancel;
@@ -61,8 +61,8 @@
     let runtime = match tokio::runtime::Runtime::new() {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("cannot start: {error}");
-            return ExitCode::from(exit::FAULT);
+            eprintln!("cannot start the async runtime: {error}");
+            return ExitCode::from(exit::FAILURE);
         }
     };
     match runtime.block_on(run(options.command)) {
--- a/crates/cli/src/replay.rs
+++ b/crates/cli/src/replay.rs
@@ -1,5 +1,6 @@
-//! `clovermount replay`: drives a running cell from a trace, open loop, and
-//! judges what comes out against what the trace expects.
+//! `clovermount replay`: runs the steps of a trace on a running cell, at their
+//! times and independent of the answers, and compares the outcomes with the
+//! expectations of the trace.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -25,29 +26,29 @@
 use crate::error::CliError;
 use crate::error::FileSnafu;
 use crate::error::usage;
-use crate::exit::FAULT;
+use crate::exit::FAILURE;
 use crate::exit::SUCCESS;
-use crate::report::by_class;
 use crate::report::print_report;
+use crate::report::reports_by_class;
 use crate::trace::Act;
 use crate::trace::Header;
 use crate::trace::Step;
 use crate::trace::TRACE_FORMAT;
 
-/// Longest wait for one answer.
-const PATIENCE: Duration = Duration::from_mins(4);
+/// Maximum wait for one answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_mins(4);
 
-/// Steps between two lines of progress.
+/// Number of steps between two progress messages.
 const PROGRESS_STEPS: usize = 1000;
 
-/// drive a running cell from a trace and judge what comes out
+/// run a trace on a running cell and check the outcomes
 #[derive(FromArgs)]
 #[argh(subcommand, name = "replay")]
 pub(crate) struct Replay {
     /// entry processes, as IP:PORT; requests go to them in turn
     #[argh(option)]
     server: Vec<SocketAddr>,
-    /// prefix of all ids, so that a trace can be replayed again
+    /// prefix for all request ids, so that a trace can be replayed again
     #[argh(option, default = "String::new()")]
     prefix: String,
     /// trace file
@@ -55,7 +56,7 @@
     file: PathBuf,
 }
 
-/// A trace, read and checked.
+/// A parsed trace.
 struct Trace {
     header: Header,
     steps: Vec<Step>,
@@ -69,10 +70,10 @@
         } else {
             self.server.clone()
         };
-        let trace = self.read()?;
+        let trace = self.read_trace()?;
         println!("{}: {} steps", trace.header.name, trace.steps.len());
-        let outcomes = self.play(&api, &servers, &trace.steps).await?;
-        let classes = by_class(&outcomes);
+        let outcomes = self.run_steps(&api, &servers, &trace.steps).await?;
+        let classes = reports_by_class(&outcomes);
         print_report(&classes);
         let mut code = SUCCESS;
         for expect in &trace.header.expect {
@@ -83,95 +84,102 @@
             let wait = report.waits.value_at_quantile(0.99);
             let slow = expect.wait_millis > 0 && wait > expect.wait_millis;
             let holds = percent >= expect.succeeded_percent && !slow;
-            let word = if holds { "holds" } else { "BROKEN" };
+            let verdict = if holds { "holds" } else { "BROKEN" };
             println!(
-                "{word}: {} succeeded {percent} % (expected {} %), wait p99 {wait} ms (expected {})",
+                "{verdict}: {} succeeded {percent} % (expected {} %), wait p99 {wait} ms (expected {})",
                 expect.class, expect.succeeded_percent, expect.wait_millis
             );
             if !holds {
-                code = FAULT;
+                code = FAILURE;
             }
         }
         Ok(code)
     }
 
-    fn read(&self) -> Result<Trace, CliError> {
+    fn read_trace(&self) -> Result<Trace, CliError> {
         let path = &self.file;
         let text = std::fs::read_to_string(path).context(FileSnafu { path })?;
-        let bad = |line: usize, reason: String| {
+        let line_error = |line: usize, reason: String| {
             usage(format!("{}: line {}: {reason}", path.display(), line + 1))
         };
         let mut lines = text.lines().enumerate();
         let (_, first) = lines
             .next()
-            .ok_or_else(|| bad(0, "the trace is empty".to_owned()))?;
-        let header: Header = serde_json::from_str(first).map_err(|e| bad(0, e.to_string()))?;
+            .ok_or_else(|| line_error(0, "the trace is empty".to_owned()))?;
+        let header: Header =
+            serde_json::from_str(first).map_err(|e| line_error(0, e.to_string()))?;
         if header.format != TRACE_FORMAT {
             let reason = format!("format: found {}, allowed: {TRACE_FORMAT}", header.format);
-            return Err(bad(0, reason));
+            return Err(line_error(0, reason));
         }
         let mut steps = Vec::new();
         for (number, line) in lines {
-            let step: Step = serde_json::from_str(line).map_err(|e| bad(number, e.to_string()))?;
+            let step: Step =
+                serde_json::from_str(line).map_err(|e| line_error(number, e.to_string()))?;
             steps.push(step);
         }
         Ok(Trace { header, steps })
     }
 
-    async fn play(
+    async fn run_steps(
         &self,
         api: &Api,
         servers: &[SocketAddr],
         steps: &[Step],
     ) -> Result<Vec<Outcome>, CliError> {
-        let began = Instant::now();
+        let replay_start = Instant::now();
         let mut calls = JoinSet::new();
-        let mut withdrawn = Vec::new();
+        let mut cancelled_labels = Vec::new();
         for (number, step) in steps.iter().enumerate() {
-            tokio::time::sleep_until((began + Duration::from_millis(step.at)).into()).await;
-            let api = api.at(servers[number % servers.len()]);
+            tokio::time::sleep_until((replay_start + Duration::from_millis(step.at)).into()).await;
+            let api = api.with_server(servers[number % servers.len()]);
             match &step.act {
                 Act::Submit(request) => {
                     let mut request = Request::clone(request);
                     request.id.insert_str(0, &self.prefix);
                     request.sent_millis = wall_millis();
-                    calls.spawn(call(api, request, began.elapsed()));
+                    calls.spawn(submit(api, request, replay_start.elapsed()));
                 }
                 Act::Cancel(label) => {
-                    withdrawn.push(label.clone());
+                    cancelled_labels.push(label.clone());
                     let body = CancelBody {
                         id: None,
                         label: Some(label.clone()),
                     };
-                    let done: CancelledBody = api.post("/v1/cancel", &body, None).await?;
+                    let reply: CancelledBody = api.post("/v1/cancel", &body, None).await?;
                     println!(
                         "{} ms: {} requests cancelled or told to stop",
-                        step.at, done.cancelled
+                        step.at, reply.cancelled
                     );
                 }
                 Act::Patch(patch) => {
-                    let version = apply(&api, patch).await?;
+                    let version = apply_patch(&api, patch).await?;
                     println!("{} ms: configuration version {version}", step.at);
                 }
             }
             if number % PROGRESS_STEPS == PROGRESS_STEPS - 1 {
-                println!("{} ms: {} steps", began.elapsed().as_millis(), number + 1);
+                println!(
+                    "{} ms: {} steps",
+                    replay_start.elapsed().as_millis(),
+                    number + 1
+                );
             }
         }
         let mut outcomes = calls.join_all().await;
-        // What the trace itself withdrew is not judged.
+        // A cancelled request counts only if it succeeded all the same.
         outcomes.retain(|outcome| {
-            outcome.family() == Family::Succeeded || !withdrawn.contains(&outcome.request.label)
+            outcome.family() == Family::Succeeded
+                || !cancelled_labels.contains(&outcome.request.label)
         });
         Ok(outcomes)
     }
 }
 
-async fn call(api: Api, request: Request, sent_at: Duration) -> Outcome {
+async fn submit(api: Api, request: Request, sent_at: Duration) -> Outcome {
     let start = Instant::now();
     let api = Arc::new(api);
     let answer = api
-        .post::<_, AnswerBody>("/v1/requests", &request, Some(PATIENCE))
+        .post::<_, AnswerBody>("/v1/requests", &request, Some(ANSWER_TIMEOUT))
         .await;
     Outcome {
         request,
@@ -182,7 +190,7 @@
     }
 }
 
-async fn apply(api: &Api, patch: &Value) -> Result<u64, CliError> {
+async fn apply_patch(api: &Api, patch: &Value) -> Result<u64, CliError> {
     let current: ConfigBody = api.get("/v1/config").await?;
     let patch = Patch {
         id: format!("replay-{:x}", wall_millis()),
--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -1,4 +1,4 @@
-//! Figures of a load, by class.
+//! Statistics of a load, by class of request.
 
 use std::collections::BTreeMap;
 
@@ -7,30 +7,31 @@
 use model::Class;
 use model::Family;
 
-/// Largest wait that is told apart, in milliseconds.
-const LONGEST_MILLIS: u64 = 3_600_000;
+/// Upper bound of the histogram of waits, in milliseconds; longer waits count
+/// as this.
+const MAX_WAIT_MILLIS: u64 = 3_600_000;
 
-/// Figures of one class.
+/// Statistics of one class.
 #[derive(Debug)]
 pub(crate) struct ClassReport {
-    /// Waits from submission to start, in milliseconds.
+    /// Waits from submission to start, in milliseconds, of requests that started.
     pub(crate) waits: Histogram<u64>,
-    /// Requests.
+    /// Number of requests.
     pub(crate) total: u64,
-    /// Requests that succeeded.
+    /// Number of requests that succeeded.
     pub(crate) succeeded: u64,
-    /// Requests that were said not to have run.
+    /// Number of requests that were answered "not run".
     pub(crate) not_run: u64,
 }
 
-/// Figures by class.
-pub(crate) fn by_class(outcomes: &[Outcome]) -> BTreeMap<Class, ClassReport> {
+/// Computes the statistics of each class.
+pub(crate) fn reports_by_class(outcomes: &[Outcome]) -> BTreeMap<Class, ClassReport> {
     let mut classes = BTreeMap::new();
     for outcome in outcomes {
         let report = classes
             .entry(outcome.request.class)
             .or_insert_with(|| ClassReport {
-                waits: Histogram::new_with_bounds(1, LONGEST_MILLIS, 3).expect("constant bounds"),
+                waits: Histogram::new_with_bounds(1, MAX_WAIT_MILLIS, 3).expect("constant bounds"),
                 total: 0,
                 succeeded: 0,
                 not_run: 0,
@@ -50,7 +51,7 @@
     classes
 }
 
-/// Prints the figures as a table.
+/// Prints the statistics as a table.
 pub(crate) fn print_report(classes: &BTreeMap<Class, ClassReport>) {
     println!("class        requests succeeded not_run  wait ms p50     p99     max");
     for (class, report) in classes {
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -1,4 +1,4 @@
-//! `clovermount status`.
+//! `clovermount status`: prints the current answer of a request.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 use crate::exit::family_code;
 use crate::submit::print_answer;
 
-/// tell how a request stands: its answer, or what it waits for
+/// print the status of a request: its answer, or what it waits for
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 pub(crate) struct Status {
--- a/crates/cli/src/submit.rs
+++ b/crates/cli/src/submit.rs
@@ -1,4 +1,4 @@
-//! `clovermount submit`.
+//! `clovermount submit`: submits a request and prints its answer.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -19,23 +19,24 @@
 use crate::error::usage;
 use crate::exit::family_code;
 
-/// Longest wait for a final answer.
-const PATIENCE: Duration = Duration::from_mins(5);
+/// Maximum wait for a final answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_mins(5);
 
-/// Pause before the same request is sent again after a lost reply.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// Delay before the first retry after a lost reply; it grows with each retry.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Tries of one submission; they add up to one, by its id.
-const TRIES: u32 = 5;
+/// Maximum number of calls for one submission. They count as one request, since
+/// they have the same id.
+const MAX_TRIES: u32 = 5;
 
-/// submit one piece of work, wait for its answer and print it
+/// submit one request, wait for its answer and print it
 #[derive(FromArgs)]
 #[argh(subcommand, name = "submit")]
 pub(crate) struct Submit {
     /// entry process, as IP:PORT
     #[argh(option)]
     server: Option<SocketAddr>,
-    /// request as a JSON file, instead of the options below
+    /// JSON file with the request, instead of the options below
     #[argh(option)]
     file: Option<PathBuf>,
     /// id of the request; the same id is never run as two requests
@@ -68,10 +69,10 @@
     /// label for cancelling many requests in one call
     #[argh(option, default = "String::new()")]
     label: String,
-    /// text handed to the task
+    /// text that is passed to the task
     #[argh(option, default = "String::new()")]
     payload: String,
-    /// whether running it twice does no harm
+    /// the request may run more than once
     #[argh(switch)]
     idempotent: bool,
     /// return as soon as the request is accepted
@@ -136,17 +137,17 @@
     let mut tries = 0;
     loop {
         tries += 1;
-        match api.post(path, request, Some(PATIENCE)).await {
-            Err(CliError::Call { source }) if tries < TRIES => {
-                eprintln!("{source}; asking again with the same id");
-                tokio::time::sleep(RETRY_PAUSE * tries).await;
+        match api.post(path, request, Some(ANSWER_TIMEOUT)).await {
+            Err(CliError::Call { source }) if tries < MAX_TRIES => {
+                eprintln!("{source}; retrying with the same id");
+                tokio::time::sleep(RETRY_DELAY * tries).await;
             }
-            done => return done,
+            result => return result,
         }
     }
 }
 
-/// Prints an answer.
+/// Prints an answer as text or JSON.
 pub(crate) fn print_answer(body: &AnswerBody, json: bool) {
     if json {
         print_json(body);
@@ -164,7 +165,7 @@
         );
     }
     if answer.retry_millis > 0 {
-        println!("come back in {} ms", answer.retry_millis);
+        println!("retry in {} ms", answer.retry_millis);
     }
     if !answer.output.is_empty() {
         println!("{}", answer.output);
--- a/crates/cli/src/timeline.rs
+++ b/crates/cli/src/timeline.rs
@@ -1,4 +1,4 @@
-//! `clovermount timeline`.
+//! `clovermount timeline`: prints the events of all processes.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -16,7 +16,7 @@
 use crate::error::FileSnafu;
 use crate::exit::SUCCESS;
 
-/// print what happened on all processes, those that are gone included, in
+/// print the events of all processes, including those that have ended, in
 /// causal order
 #[derive(FromArgs)]
 #[argh(subcommand, name = "timeline")]
@@ -46,14 +46,14 @@
         let first = Api::open(self.server.first().copied())?;
         let mut events: Vec<Event> = first.get("/v1/timeline").await?;
         for server in self.server.iter().skip(1) {
-            let more: Vec<Event> = first.at(*server).get("/v1/events").await?;
-            events.extend(more);
+            let recent: Vec<Event> = first.with_server(*server).get("/v1/events").await?;
+            events.extend(recent);
         }
-        events.retain(|event| self.wants(event));
+        events.retain(|event| self.matches(event));
         events.sort_by(|a, b| (a.stamp, &a.process).cmp(&(b.stamp, &b.process)));
         events.dedup_by(|a, b| a.stamp == b.stamp && a.process == b.process);
         if let Some(path) = &self.trace {
-            let text = trace_file(&events).to_string();
+            let text = chrome_trace(&events).to_string();
             std::fs::write(path, text).context(FileSnafu { path })?;
             return Ok(SUCCESS);
         }
@@ -62,28 +62,28 @@
             return Ok(SUCCESS);
         }
         for event in &events {
-            println!("{}", line(event));
+            println!("{}", format_event(event));
         }
         Ok(SUCCESS)
     }
 
-    fn wants(&self, event: &Event) -> bool {
-        let ends = |text: &Option<String>, wanted: &str| {
+    fn matches(&self, event: &Event) -> bool {
+        let matches_id = |text: &Option<String>, wanted: &str| {
             text.as_ref()
                 .is_some_and(|text| text == wanted || text.ends_with(&format!("/{wanted}")))
         };
         self.request
             .as_ref()
-            .is_none_or(|wanted| ends(&event.request, wanted))
+            .is_none_or(|wanted| matches_id(&event.request, wanted))
             && self
                 .worker
                 .as_ref()
-                .is_none_or(|wanted| ends(&event.worker, wanted))
+                .is_none_or(|wanted| matches_id(&event.worker, wanted))
             && self.shard.is_none_or(|wanted| event.shard == Some(wanted))
     }
 }
 
-fn line(event: &Event) -> String {
+fn format_event(event: &Event) -> String {
     let shard = event
         .shard
         .map_or_else(|| "-".to_owned(), |shard| shard.to_string());
@@ -99,8 +99,9 @@
     )
 }
 
-/// Instant events, one row a process.
-fn trace_file(events: &[Event]) -> Value {
+/// Converts the events to the Chrome trace format, as instant events with one
+/// row per process.
+fn chrome_trace(events: &[Event]) -> Value {
     let rows: Vec<Value> = events
         .iter()
         .map(|event| {
--- a/crates/cli/src/token.rs
+++ b/crates/cli/src/token.rs
@@ -1,4 +1,4 @@
-//! `clovermount token`.
+//! `clovermount token`: generates a bearer token.
 
 use argh::FromArgs;
 use model::digest;
@@ -6,10 +6,10 @@
 
 use crate::exit::SUCCESS;
 
-/// Random bytes of a token.
+/// Number of random bytes in a token.
 const TOKEN_BYTES: usize = 32;
 
-/// make a bearer token, and the hash of it for the settings
+/// generate a bearer token, and its hash for the settings
 #[derive(FromArgs)]
 #[argh(subcommand, name = "token")]
 pub(crate) struct TokenCommand {}
--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -1,4 +1,4 @@
-//! `clovermount trace`: makes traces for `replay`. The format is described in
+//! `clovermount trace`: generates traces for `replay`. The format is described in
 //! docs/TRACES.md.
 
 use std::fmt::Write;
@@ -25,8 +25,8 @@
 /// Version of the trace format.
 pub(crate) const TRACE_FORMAT: u16 = 1;
 
-/// Label of the restocks that are withdrawn.
-const DAY: &str = "restock-day";
+/// Label of the restocks that are cancelled at the midpoint.
+const DAY_LABEL: &str = "restock-day";
 
 /// First line of a trace.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -34,71 +34,73 @@
 pub(crate) struct Header {
     /// Version of the format.
     pub(crate) format: u16,
-    /// What it shows.
+    /// Scenario that the trace shows.
     pub(crate) name: String,
-    /// What must come out.
+    /// Outcomes that the replay checks.
     pub(crate) expect: Vec<Expectation>,
 }
 
-/// An outcome that the replay is judged against.
+/// Outcome that a replay must reach for one class.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Expectation {
-    /// Class that it is about.
+    /// Class of the requests.
     pub(crate) class: Class,
-    /// Smallest share of its requests that succeed, in percent.
+    /// Minimum share of the requests that succeed, in percent.
     #[serde(default)]
     pub(crate) succeeded_percent: u64,
-    /// Largest 99th percentile of their waits, in milliseconds; 0 for none.
+    /// Maximum 99th percentile of the waits, in milliseconds; 0 for no limit.
     #[serde(default)]
     pub(crate) wait_millis: u64,
 }
 
-/// One line after the first.
+/// A step of a trace: each line after the first.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Step {
-    /// When, in milliseconds from the start.
+    /// Time of the step, in milliseconds from the start of the trace.
     pub(crate) at: u64,
-    /// What.
+    /// Action of the step.
     pub(crate) act: Act,
 }
 
-/// What a trace does.
+/// Action of a step.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Act {
     /// Submits a request.
     Submit(Box<Request>),
-    /// Withdraws all requests with a label; they are expected not to run.
+    /// Cancels all requests with a label; those that then do not succeed are left
+    /// out of the expectations.
     Cancel(String),
-    /// Patches the newest configuration.
+    /// Patches the newest version of the configuration.
     Patch(Value),
 }
 
 #[derive(Clone, Copy, Debug, EnumString)]
 #[strum(serialize_all = "kebab-case")]
 enum Scene {
-    /// A counter rush, with a day of restocks withdrawn in the middle.
+    /// A rush at the counter; all restocks of the day are cancelled at the
+    /// midpoint.
     CounterRush,
-    /// Month-end netting, with the power cap lowered in the middle.
+    /// Month-end netting; the power cap is lowered at the midpoint.
     MonthEnd,
 }
 
-/// make a trace for `replay`, the same for the same seed
+/// generate a trace for `replay`; the same seed gives the same trace
 #[derive(FromArgs)]
 #[argh(subcommand, name = "trace")]
 pub(crate) struct TraceCommand {
     /// counter-rush or month-end
     #[argh(option)]
     scene: Scene,
-    /// seed (default 1)
+    /// seed for random values (default 1)
     #[argh(option, default = "1")]
     seed: u64,
-    /// length, in seconds (default 30)
+    /// duration, in seconds (default 30)
     #[argh(option, default = "30")]
     seconds: u64,
-    /// requests a second (default 200)
+    /// requests per second (default 200)
     #[argh(option, default = "200")]
     rate: u64,
     /// file to write
@@ -110,19 +112,19 @@
     pub(crate) fn run(self) -> Result<u8, CliError> {
         let mut random = StdRng::seed_from_u64(self.seed);
         let mut text = String::new();
-        push(&mut text, &self.header());
-        let half = self.seconds * 500;
-        let mut turned = false;
+        push_line(&mut text, &self.header());
+        let midpoint = self.seconds * 500;
+        let mut midpoint_done = false;
         for number in 0..self.seconds * self.rate {
             let at = number * 1000 / self.rate;
-            if at >= half && !turned {
-                turned = true;
-                let act = self.turn();
-                push(&mut text, &Step { at, act });
+            if at >= midpoint && !midpoint_done {
+                midpoint_done = true;
+                let act = self.midpoint_act();
+                push_line(&mut text, &Step { at, act });
             }
             let request = Box::new(self.request(number, &mut random));
             let act = Act::Submit(request);
-            push(&mut text, &Step { at, act });
+            push_line(&mut text, &Step { at, act });
         }
         let path = &self.file;
         std::fs::write(path, text).context(FileSnafu { path })?;
@@ -158,17 +160,17 @@
         }
     }
 
-    /// What happens half way.
-    fn turn(&self) -> Act {
+    /// Action at the midpoint of the trace.
+    fn midpoint_act(&self) -> Act {
         match self.scene {
-            Scene::CounterRush => Act::Cancel(DAY.to_owned()),
+            Scene::CounterRush => Act::Cancel(DAY_LABEL.to_owned()),
             Scene::MonthEnd => Act::Patch(json!({ "site_watts": 24_000, "rack_watts": 24_000 })),
         }
     }
 
     fn request(&self, number: u64, random: &mut StdRng) -> Request {
-        let roll = random.random_range(0..100);
-        let (name, class, run) = match (self.scene, roll) {
+        let sample = random.random_range(0..100);
+        let (name, class, run) = match (self.scene, sample) {
             (Scene::CounterRush, 0..50) => ("bin-check", Class::Interactive, 5..20),
             (Scene::CounterRush, 50..85) => ("bearing", Class::Interactive, 20..60),
             (Scene::CounterRush, 85..90) => ("counter", Class::Urgent, 5..20),
@@ -194,7 +196,7 @@
             idempotent: name != "confirm",
             members: if class == Class::Gang { 4 } else { 1 },
             label: if name == "restock" {
-                DAY.to_owned()
+                DAY_LABEL.to_owned()
             } else {
                 String::new()
             },
@@ -204,7 +206,7 @@
     }
 }
 
-fn push<T: Serialize>(text: &mut String, line: &T) {
+fn push_line<T: Serialize>(text: &mut String, line: &T) {
     let line = serde_json::to_string(line).unwrap_or_default();
     let _ = writeln!(text, "{line}");
 }
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The command line against an embedded cell, as a new user would try it.
+//! Runs the commands of callers and operators against an embedded cell.
 
 use std::path::PathBuf;
 use std::process::Output;
@@ -49,12 +49,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_submits_asks_and_cancels() {
+async fn caller_submits_queries_and_cancels() {
     let (cell, _processes) = open_cell().await;
 
     let submitted = ["submit", "--id", "a", "--idempotent", "--run-millis", "5"];
     let submitted = run(&cell, CALLER_TOKEN, &submitted).await;
-    let asked = run(&cell, CALLER_TOKEN, &["status", "a"]).await;
+    let queried = run(&cell, CALLER_TOKEN, &["status", "a"]).await;
     let unknown = run(&cell, CALLER_TOKEN, &["status", "nobody"]).await;
     let malformed = run(
         &cell,
@@ -74,7 +74,7 @@
         "{}",
         text(&submitted)
     );
-    assert_eq!(text(&asked), text(&submitted));
+    assert_eq!(text(&queried), text(&submitted));
     assert_eq!(unknown.status.code(), Some(3), "{}", text(&unknown));
     assert_eq!(malformed.status.code(), Some(11), "{}", text(&malformed));
     assert!(
@@ -88,7 +88,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_operator_patches_drains_and_looks() {
+async fn operator_patches_drains_and_inspects() {
     let (cell, _processes) = open_cell().await;
     let folder = tempfile::tempdir().expect("folder");
     let file = folder.path().join("patch.json");
@@ -106,7 +106,7 @@
     let hosts = run(&cell, OPERATOR_TOKEN, &["hosts"]).await;
     let members = run(&cell, OPERATOR_TOKEN, &["cell"]).await;
     let timeline = run(&cell, OPERATOR_TOKEN, &["timeline", "--shard", "0"]).await;
-    let intruder = run(&cell, "guess", &["hosts"]).await;
+    let wrong_token = run(&cell, "guess", &["hosts"]).await;
 
     assert_eq!(denied.status.code(), Some(3), "{}", text(&denied));
     assert!(text(&accepted).contains("version 2"), "{}", text(&accepted));
@@ -133,12 +133,12 @@
         "{}",
         text(&timeline)
     );
-    assert_eq!(intruder.status.code(), Some(3), "{}", text(&intruder));
+    assert_eq!(wrong_token.status.code(), Some(3), "{}", text(&wrong_token));
     cell.close();
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_traces_are_replayed_and_judged() {
+async fn replay_checks_the_expectations_of_a_trace() {
     let (cell, _processes) = open_cell().await;
     let traces = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../traces");
     let file = traces.join("counter-rush-short.ndjson");
@@ -156,12 +156,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_damaged_trace_is_refused_with_its_line() {
+async fn replay_reports_the_line_of_an_invalid_step() {
     let (cell, _processes) = open_cell().await;
     let folder = tempfile::tempdir().expect("folder");
     let file = folder.path().join("bad.ndjson");
-    let bad = "{\"format\":1,\"name\":\"x\",\"expect\":[]}\n{\"at\":0,\"act\":{\"dance\":1}}\n";
-    std::fs::write(&file, bad).expect("file");
+    let trace = "{\"format\":1,\"name\":\"x\",\"expect\":[]}\n{\"at\":0,\"act\":{\"dance\":1}}\n";
+    std::fs::write(&file, trace).expect("file");
     let file = file.to_string_lossy().into_owned();
 
     let replayed = run(&cell, CALLER_TOKEN, &["replay", &file]).await;
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `clovermount explain` and `clovermount check --cell`, on files.
+//! Runs `clovermount explain` and `clovermount check --cell` on temporary files.
 
 use std::io::Write;
 use std::process::Command;
@@ -7,7 +7,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_clovermount");
 
-fn file(text: &str) -> NamedTempFile {
+fn temp_file(text: &str) -> NamedTempFile {
     let mut file = NamedTempFile::new().expect("file");
     file.write_all(text.as_bytes()).expect("written");
     file
@@ -27,28 +27,29 @@
 }
 
 #[test]
-fn the_lines_of_one_job_are_told_in_order_of_time() {
-    let owner = file(concat!(
+fn explain_prints_the_lines_of_a_job_in_order_of_time() {
+    let owner = temp_file(concat!(
         r#"{"code":350,"message":"start","task":"00000000000000a1.0.0.0","timestamp":1030}"#,
         "\nnot a line of ours\n",
         r#"{"code":350,"message":"start","task":"00000000000000a2.0.0.0","timestamp":1031}"#,
         "\n",
     ));
-    let entry =
-        file(r#"{"code":401,"message":"job accepted","job":"00000000000000a1","timestamp":1000}"#);
+    let entry = temp_file(
+        r#"{"code":401,"message":"job accepted","job":"00000000000000a1","timestamp":1000}"#,
+    );
     let paths = [owner.path(), entry.path()].map(|path| path.display().to_string());
 
-    let (code, told, _) = run(&["explain", "00000000000000a1", &paths[0], &paths[1]]);
+    let (code, stdout, _) = run(&["explain", "00000000000000a1", &paths[0], &paths[1]]);
 
-    let lines: Vec<&str> = told.lines().collect();
+    let lines: Vec<&str> = stdout.lines().collect();
     assert_eq!(code, Some(0));
-    assert_eq!(lines.len(), 2, "{told}");
-    assert!(lines[0].contains("401 job accepted"), "{told}");
-    assert!(lines[1].starts_with("+    30 ms"), "{told}");
+    assert_eq!(lines.len(), 2, "{stdout}");
+    assert!(lines[0].contains("401 job accepted"), "{stdout}");
+    assert!(lines[1].starts_with("+    30 ms"), "{stdout}");
 }
 
 #[test]
-fn a_wrong_id_is_a_clear_error() {
+fn explain_rejects_an_invalid_id() {
     let (code, _, error) = run(&["explain", "a1"]);
 
     assert_eq!(code, Some(2));
@@ -56,10 +57,10 @@
 }
 
 #[test]
-fn settings_of_the_platform_are_checked() {
-    let wrong = file("node: n\nzone: z\nip: nowhere\n");
+fn check_validates_settings_of_a_cell_process() {
+    let settings = temp_file("node: n\nzone: z\nip: nowhere\n");
 
-    let (code, _, error) = run(&["check", "--cell", &wrong.path().display().to_string()]);
+    let (code, _, error) = run(&["check", "--cell", &settings.path().display().to_string()]);
 
     assert_eq!(code, Some(2));
     assert!(error.contains("line 3"), "{error}");
