--- a/crates/cli/src/api.rs
+++ b/crates/cli/src/api.rs
@@ -12,7 +12,7 @@
 use web::Reply;
 
 use crate::error::CliError;
-use crate::error::usage;
+use crate::error::usage_error;
 
 /// Timeout of calls that do not wait for a task.
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
@@ -33,18 +33,18 @@
         let server = match (server, env_server) {
             (Some(server), _) => server,
             (None, Some(text)) => text.parse().map_err(|_| {
-                usage(format!(
+                usage_error(format!(
                     "CLOVERMOUNT_SERVER: found {text:?}, allowed: IP:PORT"
                 ))
             })?,
             (None, None) => {
-                return Err(usage(
+                return Err(usage_error(
                     "no entry process: pass --server IP:PORT or set CLOVERMOUNT_SERVER",
                 ));
             }
         };
         let token = std::env::var("CLOVERMOUNT_TOKEN")
-            .map_err(|_| usage("no token: set CLOVERMOUNT_TOKEN"))?;
+            .map_err(|_| usage_error("no token: set CLOVERMOUNT_TOKEN"))?;
         Ok(Api {
             client: Client::new(Duration::from_secs(3)),
             server,
@@ -63,7 +63,7 @@
     pub(crate) async fn get<R: DeserializeOwned>(&self, path: &str) -> Result<R, CliError> {
         let call = Call::new(Method::GET, self.server, path, CALL_TIMEOUT);
         let reply = self.client.send(call.token(&self.token)).await?;
-        self.parse(&reply)
+        self.parse_reply(&reply)
     }
 
     pub(crate) async fn post<B, R>(
@@ -79,12 +79,12 @@
         let timeout = timeout.unwrap_or(CALL_TIMEOUT);
         let call = Call::new(Method::POST, self.server, path, timeout);
         let reply = self.client.send(call.token(&self.token).json(body)).await?;
-        self.parse(&reply)
+        self.parse_reply(&reply)
     }
 
     /// Parses the body of a reply. A reply with a result code is no error, whatever
     /// its HTTP status; only a body with the field `error` is a refusal.
-    fn parse<R: DeserializeOwned>(&self, reply: &Reply) -> Result<R, CliError> {
+    fn parse_reply<R: DeserializeOwned>(&self, reply: &Reply) -> Result<R, CliError> {
         let body: Value = reply.json(self.server)?;
         if !reply.status.is_success() && body.get("error").is_some() {
             let reason = body["error"].as_str().unwrap_or_default().to_owned();
--- a/crates/cli/src/cancel.rs
+++ b/crates/cli/src/cancel.rs
@@ -9,7 +9,7 @@
 use crate::api::Api;
 use crate::api::print_json;
 use crate::error::CliError;
-use crate::error::usage;
+use crate::error::usage_error;
 use crate::exit::SUCCESS;
 
 /// cancel one request, or all requests of your team with a label
@@ -33,7 +33,7 @@
 impl Cancel {
     pub(crate) async fn run(self) -> Result<u8, CliError> {
         if self.id.is_some() == self.label.is_some() {
-            return Err(usage("pass either an id or --label"));
+            return Err(usage_error("pass either an id or --label"));
         }
         let api = Api::open(self.server)?;
         let body = CancelBody {
--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -14,7 +14,7 @@
 use crate::api::print_json;
 use crate::error::CliError;
 use crate::error::FileSnafu;
-use crate::error::usage;
+use crate::error::usage_error;
 use crate::exit::SUCCESS;
 
 /// read or patch the versioned configuration
@@ -96,7 +96,7 @@
         let path = &self.file;
         let text = std::fs::read_to_string(path).context(FileSnafu { path })?;
         let merge_patch: Value = serde_json::from_str(&text)
-            .map_err(|error| usage(format!("{}: {error}", path.display())))?;
+            .map_err(|error| usage_error(format!("{}: {error}", path.display())))?;
         Ok(Patch {
             id: self.id,
             version: self.version,
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -35,7 +35,7 @@
 }
 
 /// Creates a [`CliError::Usage`].
-pub(crate) fn usage(reason: impl Into<String>) -> CliError {
+pub(crate) fn usage_error(reason: impl Into<String>) -> CliError {
     let reason = reason.into();
     CliError::Usage { reason }
 }
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -10,7 +10,7 @@
 use serde_json::Value;
 
 use crate::error::CliError;
-use crate::error::usage;
+use crate::error::usage_error;
 use crate::exit::SUCCESS;
 
 /// Fields of a log line that can contain the id of a job.
@@ -52,7 +52,7 @@
     pub(crate) fn run(self) -> Result<u8, CliError> {
         if parse_id(&self.id).is_none() {
             let reason = format!("id: found {:?}, allowed: 16 hexadecimal digits", self.id);
-            return Err(usage(reason));
+            return Err(usage_error(reason));
         }
         let mut lines = Vec::new();
         if self.files.is_empty() {
@@ -68,7 +68,7 @@
         }
         lines.sort_by_key(|line| line.time);
         if lines.is_empty() {
-            return Err(usage(format!("no log line mentions {}", self.id)));
+            return Err(usage_error(format!("no log line mentions {}", self.id)));
         }
         let first_time = lines[0].time;
         for line in &lines {
@@ -96,16 +96,16 @@
             path: origin.into(),
             source,
         })?;
-        let Some(start) = text.find('{') else {
+        let Some(pos) = text.find('{') else {
             continue;
         };
-        let Ok(Value::Object(fields)) = serde_json::from_str(&text[start..]) else {
+        let Ok(Value::Object(fields)) = serde_json::from_str(&text[pos..]) else {
             continue;
         };
         if !mentions(&fields, id) {
             continue;
         }
-        let line_origin = text[..start].split_whitespace().last().unwrap_or(origin);
+        let line_origin = text[..pos].split_whitespace().last().unwrap_or(origin);
         lines.push(LogLine {
             time: fields["timestamp"].as_u64().unwrap_or(0),
             origin: line_origin.to_owned(),
--- a/crates/cli/src/replay.rs
+++ b/crates/cli/src/replay.rs
@@ -25,7 +25,7 @@
 use crate::api::Api;
 use crate::error::CliError;
 use crate::error::FileSnafu;
-use crate::error::usage;
+use crate::error::usage_error;
 use crate::exit::FAILURE;
 use crate::exit::SUCCESS;
 use crate::report::print_report;
@@ -100,7 +100,7 @@
         let path = &self.file;
         let text = std::fs::read_to_string(path).context(FileSnafu { path })?;
         let line_error = |line: usize, reason: String| {
-            usage(format!("{}: line {}: {reason}", path.display(), line + 1))
+            usage_error(format!("{}: line {}: {reason}", path.display(), line + 1))
         };
         let mut lines = text.lines().enumerate();
         let (_, first) = lines
--- a/crates/cli/src/submit.rs
+++ b/crates/cli/src/submit.rs
@@ -16,7 +16,7 @@
 use crate::api::print_json;
 use crate::error::CliError;
 use crate::error::FileSnafu;
-use crate::error::usage;
+use crate::error::usage_error;
 use crate::exit::family_code;
 
 /// Maximum wait for a final answer.
@@ -108,9 +108,9 @@
         if let Some(path) = self.file {
             let text = std::fs::read_to_string(&path).context(FileSnafu { path: &path })?;
             return serde_json::from_str(&text)
-                .map_err(|error| usage(format!("{}: {error}", path.display())));
+                .map_err(|error| usage_error(format!("{}: {error}", path.display())));
         }
-        let id = self.id.ok_or_else(|| usage("pass --id or --file"))?;
+        let id = self.id.ok_or_else(|| usage_error("pass --id or --file"))?;
         Ok(Request {
             id,
             team: String::new(),
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -28,7 +28,7 @@
     }
     cell.wait_ready_through(&cell.members, Duration::from_secs(30))
         .await
-        .expect("settled");
+        .expect("cell ready");
     (cell, processes)
 }
 
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -39,13 +39,13 @@
     );
     let paths = [owner.path(), entry.path()].map(|path| path.display().to_string());
 
-    let (code, stdout, _) = run(&["explain", "00000000000000a1", &paths[0], &paths[1]]);
+    let (code, printed, _) = run(&["explain", "00000000000000a1", &paths[0], &paths[1]]);
 
-    let lines: Vec<&str> = stdout.lines().collect();
+    let lines: Vec<&str> = printed.lines().collect();
     assert_eq!(code, Some(0));
-    assert_eq!(lines.len(), 2, "{stdout}");
-    assert!(lines[0].contains("401 job accepted"), "{stdout}");
-    assert!(lines[1].starts_with("+    30 ms"), "{stdout}");
+    assert_eq!(lines.len(), 2, "{printed}");
+    assert!(lines[0].contains("401 job accepted"), "{printed}");
+    assert!(lines[1].starts_with("+    30 ms"), "{printed}");
 }
 
 #[test]
