--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -74,7 +74,7 @@
                 member.http()
             );
         }
-        wait_configured(&cell).await.map_err(demo_error)?;
+        prepare_cell(&cell).await.map_err(demo_error)?;
         println!("all 16 shards are owned and have workers; the load begins");
         let load = start_load(&cell);
         let mut violations = inject_faults(&cell, &mut processes).await?;
@@ -100,7 +100,7 @@
     }
 }
 
-async fn wait_configured(cell: &Cell) -> Result<(), String> {
+async fn prepare_cell(cell: &Cell) -> Result<(), String> {
     let until = Instant::now() + SETTLE_TIMEOUT;
     loop {
         match cell.configure().await {
--- a/crates/fake/src/faults.rs
+++ b/crates/fake/src/faults.rs
@@ -7,7 +7,7 @@
 use web::StatusCode;
 use web::Whole;
 
-/// Delay of a lost reply: longer than any client waits for a reply.
+/// Delay of a lost reply: longer than any client of the platform waits.
 const LOST_REPLY_DELAY: Duration = Duration::from_secs(20);
 
 /// Faults of a stand-in service.
