--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -96,9 +96,7 @@
             path: origin.into(),
             source,
         })?;
-        let Some(pos) = text.find('{') else {
-            continue;
-        };
+        let Some(pos) = text.find('{') else { continue };
         let Ok(Value::Object(fields)) = serde_json::from_str(&text[pos..]) else {
             continue;
         };
