--- a/crates/bench/benches/days/main.rs
+++ b/crates/bench/benches/days/main.rs
@@ -8,7 +8,7 @@
 //! - `single BENCH SITE [the same]` plays each trouble that the site lists alone,
 //!   and in pairs, and prints the days that broke a rule.
 //! - `account LOG [--worth W0,W1,...]` reads what all processes logged on a day
-//!   (`run SITE DAY --log all`), and prints where jobs were lost and what
+//!   (`run SITE DAY_LABEL --log all`), and prints where jobs were lost and what
 //!   perfect knowledge could have earned.
 
 mod ablate;
--- a/crates/bench/benches/main/slopes.rs
+++ b/crates/bench/benches/main/slopes.rs
@@ -6,15 +6,15 @@
 use std::time::Instant;
 
 use model::Config;
-use model::Numbered;
 use model::Request;
 use model::Resources;
 use model::Team;
+use model::VersionedConfig;
 use sched::Weighted;
 use shard::Accepted;
 use shard::Ledger;
 use shard::Machine;
-use shard::MachineFacts;
+use shard::MachineParams;
 use shard::Record;
 use shard::Times;
 use shard::place_shards;
@@ -84,7 +84,7 @@
 fn records(requests: u32) -> Vec<Record> {
     let request = |number: u32| Request {
         team: "stores".to_owned(),
-        ..fake::restock(&format!("restock-{number}"), Duration::from_secs(1))
+        ..fake::restock_request(&format!("restock-{number}"), Duration::from_secs(1))
     };
     let accept = |number| {
         Record::Accept(Accepted {
@@ -106,11 +106,11 @@
                 for record in &records {
                     ledger.replay(record, Times::default());
                 }
-                let facts = MachineFacts {
+                let facts = MachineParams {
                     shard: 0,
                     shards: 1,
                     epoch: 2,
-                    since_millis: 1,
+                    takeover_millis: 1,
                     retention: Duration::from_mins(10),
                     missing_at: Duration::from_secs(20),
                 };
@@ -135,7 +135,7 @@
     report("journal_bytes_by_records", "B", "record", &points);
 }
 
-fn config(teams: u32) -> Arc<Numbered> {
+fn config(teams: u32) -> Arc<VersionedConfig> {
     let mut config = Config::default();
     let quota = Resources {
         cpu_milli: 1_000_000,
@@ -153,7 +153,7 @@
         let span = 16;
         config.teams.insert(name, Team { quota, span, queue });
     }
-    Arc::new(Numbered {
+    Arc::new(VersionedConfig {
         version: 1,
         patch_id: "first".to_owned(),
         config,
--- a/crates/cell/src/callers.rs
+++ b/crates/cell/src/callers.rs
@@ -15,9 +15,9 @@
 use platform::encode_status;
 use platform::encode_waiting;
 use serde::Serialize;
-use web::Asked;
 use web::Handler;
-use web::Whole;
+use web::HttpRequest;
+use web::HttpResponse;
 
 use crate::Acceptor;
 use crate::Context;
@@ -75,7 +75,7 @@
         })
     }
 
-    async fn respond(&self, request: &Asked) -> Whole {
+    async fn respond(&self, request: &HttpRequest) -> HttpResponse {
         let config = self.context.config.borrow().clone();
         let Some(config) = config else {
             return service_unavailable("no configuration yet");
@@ -102,14 +102,14 @@
 
     /// Returns 404 for an unknown queue, or 503 if the configuration is too old to tell: the
     /// queue may have been added since.
-    fn not_found(&self, response: Whole) -> Whole {
+    fn not_found(&self, response: HttpResponse) -> HttpResponse {
         if self.context.config_age() > CONFIG_MAX_AGE {
             return service_unavailable("the configuration cannot be read from this host");
         }
         response
     }
 
-    async fn state(&self, id: JobId) -> Whole {
+    async fn state(&self, id: JobId) -> HttpResponse {
         let view = self.owner.state(id).await;
         if let Ok(JobView::Job(job_status)) = view {
             count(&self.context.metrics.states, "owner");
@@ -139,7 +139,7 @@
         }
     }
 
-    async fn waiting(&self, queue: &Queue) -> Whole {
+    async fn waiting(&self, queue: &Queue) -> HttpResponse {
         let name = queue.name.as_str();
         match self.owner.waiting(name).await {
             Ok(waiting) => {
@@ -155,12 +155,12 @@
 }
 
 impl Handler for CallerHandler {
-    async fn handle(&self, request: Asked) -> Whole {
+    async fn handle(&self, request: HttpRequest) -> HttpResponse {
         self.respond(&request).await
     }
 }
 
-fn resolve<'a>(config: &'a Config, request: &Asked) -> Result<Target<'a>, Box<Whole>> {
+fn resolve<'a>(config: &'a Config, request: &HttpRequest) -> Result<Target<'a>, Box<HttpResponse>> {
     let Some(queue) = config.route(&request.host, &request.path) else {
         log::info!(
             code = 411, host = request.host.as_str(), path = request.path.as_str(),
@@ -182,14 +182,14 @@
     }
 }
 
-fn status_reply(id: JobId, job_status: JobStatus, source: &'static str) -> Whole {
+fn status_reply(id: JobId, job_status: JobStatus, source: &'static str) -> HttpResponse {
     log::debug!(code = 415, job:% = hex(id), state:% = job_status, source = source; "job status returned");
     web::json(StatusCode::OK, &encode_status(job_status))
 }
 
 /// Response 503: nothing was done. The connection is closed so that the balancer directs the
 /// caller's next request to a working host.
-pub(crate) fn service_unavailable(reason: &str) -> Whole {
+pub(crate) fn service_unavailable(reason: &str) -> HttpResponse {
     let mut response = web::error(StatusCode::SERVICE_UNAVAILABLE, reason);
     let headers = response.headers_mut();
     headers.insert(RETRY_AFTER, HeaderValue::from_static(RETRY_AFTER_SECONDS));
@@ -199,7 +199,7 @@
 
 /// Response 504: the request may have been carried out. Repeating it with the same id, at any
 /// host, creates no second job, so the connection is closed to let the caller repeat it soon.
-pub(crate) fn outcome_unknown(reason: &str) -> Whole {
+pub(crate) fn outcome_unknown(reason: &str) -> HttpResponse {
     let mut response = web::error(StatusCode::GATEWAY_TIMEOUT, reason);
     let headers = response.headers_mut();
     headers.insert(CONNECTION, HeaderValue::from_static("close"));
--- a/crates/cell/src/cancel.rs
+++ b/crates/cell/src/cancel.rs
@@ -8,7 +8,7 @@
 use platform::Transaction;
 use snafu::ResultExt;
 use snafu::Snafu;
-use web::Whole;
+use web::HttpResponse;
 
 use crate::CallerHandler;
 use crate::callers::ATTEMPT_SHARE;
@@ -57,7 +57,7 @@
 impl CallerHandler {
     /// Cancels a job. Once a reply to a write has been lost, the response may no longer be "not
     /// stored", because the store may still carry out that write.
-    pub(crate) async fn cancel(&self, queue: &Queue, id: JobId) -> Whole {
+    pub(crate) async fn cancel(&self, queue: &Queue, id: JobId) -> HttpResponse {
         let deadline = self.context.now() + caller_timeout(queue).mul_f64(ATTEMPT_SHARE);
         let mut ambiguous = false;
         let response = loop {
--- a/crates/cell/src/peers.rs
+++ b/crates/cell/src/peers.rs
@@ -16,11 +16,11 @@
 use serde::Serialize;
 use tokio::sync::oneshot;
 use tokio::sync::watch;
-use web::Asked;
 use web::Call;
 use web::CallError;
 use web::Handler;
-use web::Whole;
+use web::HttpRequest;
+use web::HttpResponse;
 
 use crate::Acceptance;
 use crate::Acceptor;
@@ -253,7 +253,7 @@
             Ok(reply) => reply,
             Err(error) => {
                 log::warn!(code = 416, owner = owner.node.as_str(), epoch = owner.epoch, error:% = error; "owner does not answer");
-                if error.broken() {
+                if error.closed_by_server() {
                     self.context.suspect_owner(owner.epoch);
                 }
                 let until = self.context.now() + OWNER_BACKOFF;
@@ -288,7 +288,7 @@
     }
 
     /// Accepts a job on behalf of a host that the store refuses.
-    async fn accept(&self, job: AcceptedJob) -> Whole {
+    async fn accept(&self, job: AcceptedJob) -> HttpResponse {
         let deadline = self.context.now() + FORWARD_TIMEOUT;
         let acceptance = self.acceptor.accept(&job, deadline).await;
         if acceptance == (Acceptance::Accepted { first: true }) {
@@ -304,7 +304,7 @@
         &self,
         make_message: impl FnOnce(oneshot::Sender<T>) -> OwnerMessage,
         timeout: Duration,
-    ) -> Whole {
+    ) -> HttpResponse {
         match self.port.ask(make_message, timeout).await {
             Some(value) => web::json(StatusCode::OK, &value),
             None => web::error(StatusCode::CONFLICT, "not the owner of the pool"),
@@ -313,7 +313,7 @@
 }
 
 impl Handler for PeerHandler {
-    async fn handle(&self, incoming: Asked) -> Whole {
+    async fn handle(&self, incoming: HttpRequest) -> HttpResponse {
         if let Some(id) = incoming.path.strip_prefix("/state/") {
             return match job::parse_job_id(id) {
                 Ok(id) => {
--- a/crates/cli/src/cancel.rs
+++ b/crates/cli/src/cancel.rs
@@ -1,4 +1,4 @@
-//! `clovermount cancel`.
+//! `clovermount cancel`: cancels one request, or all with a label.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 use crate::api::Api;
 use crate::api::print_json;
 use crate::error::CliError;
-use crate::error::usage;
+use crate::error::usage_error;
 use crate::exit::SUCCESS;
 
 /// cancel one request, or all requests of your team with a label
@@ -19,7 +19,7 @@
     /// entry process, as IP:PORT
     #[argh(option)]
     server: Option<SocketAddr>,
-    /// all requests with this label, in one call
+    /// cancel all requests with this label, in one call
     #[argh(option)]
     label: Option<String>,
     /// print as JSON
@@ -33,18 +33,18 @@
 impl Cancel {
     pub(crate) async fn run(self) -> Result<u8, CliError> {
         if self.id.is_some() == self.label.is_some() {
-            return Err(usage("pass either an id or --label"));
+            return Err(usage_error("pass either an id or --label"));
         }
         let api = Api::open(self.server)?;
         let body = CancelBody {
             id: self.id,
             label: self.label,
         };
-        let done: CancelledBody = api.post("/v1/cancel", &body, None).await?;
+        let reply: CancelledBody = api.post("/v1/cancel", &body, None).await?;
         if self.json {
-            print_json(&done);
+            print_json(&reply);
         } else {
-            println!("{} cancelled or told to stop", done.cancelled);
+            println!("{} cancelled or told to stop", reply.cancelled);
         }
         Ok(SUCCESS)
     }
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use entry::Api;
-use entry::Flight;
+use entry::InFlightLimit;
 use entry::Metrics;
 use entry::Tokens;
 use event::Event;
@@ -21,27 +21,27 @@
 use event::Timeline;
 use event::wall_millis;
 use peer::KeyFiles;
-use peer::Node;
-use shard::CELL_FACTS;
-use shard::CellFacts;
+use peer::PeerEndpoint;
+use shard::CELL_PARAMS;
 use shard::CellId;
+use shard::CellParams;
 use shard::CellService;
 use shard::Context;
 use shard::FORMAT;
-use shard::Gate;
-use shard::Keeper;
-use shard::KeeperOrder;
-use shard::KeeperPorts;
+use shard::LeaseGate;
 use shard::Pacer;
 use shard::Router;
+use shard::ShardManager;
+use shard::ShardManagerChannels;
+use shard::ShardManagerCommand;
 use shard::Timing;
 use shard::View;
 use shard::decode_row;
 use shard::encode_row;
 use shard::watch_hosts;
 use store::Commit;
-use store::HttpHosts;
-use store::HttpObjects;
+use store::HttpHostList;
+use store::HttpObjectStore;
 use store::HttpTable;
 use store::Table;
 use tokio::net::TcpListener;
@@ -75,16 +75,16 @@
 const FACTS_PAUSE: Duration = Duration::from_millis(300);
 
 /// The context of a process that talks to the platform over HTTP.
-type HttpContext = Context<HttpTable, HttpObjects, HttpHosts>;
+type HttpContext = Context<HttpTable, HttpObjectStore, HttpHostList>;
 
 /// A running process.
 #[derive(Debug)]
 pub struct Process {
     pub(crate) context: Arc<HttpContext>,
-    pub(crate) node: Node,
+    pub(crate) node: PeerEndpoint,
     address: SocketAddr,
-    pub(crate) keeper: mpsc::Sender<KeeperOrder>,
-    pub(crate) flight: Flight,
+    pub(crate) keeper: mpsc::Sender<ShardManagerCommand>,
+    pub(crate) flight: InFlightLimit,
     pub(crate) leaving: watch::Sender<bool>,
     pub(crate) stop: watch::Sender<bool>,
     pub(crate) dismiss: watch::Sender<bool>,
@@ -129,38 +129,38 @@
         let address = listener.local_addr().unwrap_or(listen);
         let (host_sender, hosts) = watch::channel(None);
         let (view_sender, view) = watch::channel(Arc::new(View::default()));
-        let (keeper, orders) = mpsc::channel(64);
+        let (keeper, commands) = mpsc::channel(64);
         let (leaving, leaving_view) = watch::channel(false);
         let (stop, stop_view) = watch::channel(false);
         let (dismiss, dismiss_view) = watch::channel(false);
-        let flight = Flight::new(settings.http.in_flight);
+        let flight = InFlightLimit::new(settings.http.in_flight);
         let hints = Arc::new(Notify::new());
-        let ports = KeeperPorts {
+        let ports = ShardManagerChannels {
             hosts: hosts.clone(),
             view: view_sender,
             hints: hints.clone(),
-            orders,
+            commands,
         };
         let api = Api {
             router: Router::new(context.node.clone(), context.shards, view.clone()),
             table: context.table.clone(),
             objects: context.objects.clone(),
             tokens: Tokens::new(settings.tokens.clone()),
-            flight: flight.clone(),
+            in_flight: flight.clone(),
             metrics: Metrics::new()?,
             timeline: context.timeline.clone(),
             hosts,
             keeper: keeper.clone(),
             gate: context.gate.clone(),
-            leaving: leaving_view,
-            dismiss: dismiss_view,
+            stopping: leaving_view,
+            redirect_callers: dismiss_view,
         };
         let service = CellService::new(&context.process, view, hints);
         let node = context.node.clone();
         let tasks = Tasks {
             hosts: tokio::spawn(watch_hosts(context.hosts.clone(), host_sender)),
             peers: tokio::spawn(async move { node.serve(service).await }),
-            keeper: tokio::spawn(Keeper::new(context.clone(), ports).run()),
+            keeper: tokio::spawn(ShardManager::new(context.clone(), ports).run()),
             upload: tokio::spawn(upload_events(
                 context.objects.clone(),
                 context.timeline.clone(),
@@ -204,7 +204,7 @@
             _ = &mut self.tasks.http => "http",
             _ = &mut self.tasks.upload => "upload",
         };
-        self.context.gate.shut();
+        self.context.gate.revoke();
         let event = Event::new(Kind::TaskCrashed).detail(task);
         self.context.timeline.record(event);
         DaemonError::Crashed { task }
@@ -226,7 +226,7 @@
     let keys = KeyFiles {
         folder: settings.peer.keys.clone(),
     };
-    let node = Node::open(settings.peer.listen, &keys, timeline.clone())?;
+    let node = PeerEndpoint::open(settings.peer.listen, &keys, timeline.clone())?;
     let timeout = Duration::from_millis(settings.platform.timeout_millis);
     Ok(Context {
         name: settings.name.clone(),
@@ -240,12 +240,12 @@
         reclaim: settings.lease.reclaim,
         timing: Timing::from(&settings.lease),
         table: HttpTable::new(settings.platform.table, timeout),
-        objects: HttpObjects::new(settings.platform.objects, timeout),
-        hosts: HttpHosts::new(settings.platform.hosts, timeout),
+        objects: HttpObjectStore::new(settings.platform.objects, timeout),
+        hosts: HttpHostList::new(settings.platform.hosts, timeout),
         workers: WorkerClient::new(WORKER_TIMEOUT),
         node,
         timeline,
-        gate: Arc::new(Gate::new()),
+        gate: Arc::new(LeaseGate::new()),
         pacer: Pacer::new(f64::from(settings.cell.write_rate) / 8.0),
     })
 }
@@ -254,18 +254,18 @@
 /// process with another number would route requests to other shards, and the
 /// same id could run twice. Gives the cell, which the first process names.
 async fn join_cell(context: &HttpContext) -> Result<CellId, DaemonError> {
-    let facts = CellFacts {
+    let facts = CellParams {
         format: FORMAT,
         shards: context.shards,
         cell: RandomState::new().build_hasher().finish(),
     };
     let commit = Commit::default()
-        .check(CELL_FACTS, 0)
-        .put(CELL_FACTS, encode_row(&facts));
+        .check(CELL_PARAMS, 0)
+        .put(CELL_PARAMS, encode_row(&facts));
     loop {
-        match context.table.get(CELL_FACTS).await {
+        match context.table.get(CELL_PARAMS).await {
             Ok(Some(row)) => {
-                let made: CellFacts = decode_row(&row)?;
+                let made: CellParams = decode_row(&row)?;
                 if (made.format, made.shards) == (facts.format, facts.shards) {
                     return Ok(made.cell);
                 }
--- a/crates/daemon/tests/link.rs
+++ b/crates/daemon/tests/link.rs
@@ -8,8 +8,8 @@
 use fake::FakeWorker;
 use fake::RunLog;
 use model::Resources;
-use shard::Gate;
 use shard::Input;
+use shard::LeaseGate;
 use shard::Link;
 use shard::LinkFacts;
 use shard::WorkerHost;
@@ -18,10 +18,10 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use tokio::sync::watch;
-use web::Asked;
 use web::Handler;
+use web::HttpRequest;
+use web::HttpResponse;
 use web::Limits;
-use web::Whole;
 use worker::Claim;
 use worker::Fence;
 use worker::Poll;
@@ -42,10 +42,10 @@
 }
 
 impl Handler for Delayed {
-    async fn handle(&self, asked: Asked) -> Whole {
+    async fn handle(&self, asked: HttpRequest) -> HttpResponse {
         let poll = serde_json::from_slice::<Poll>(&asked.body);
         let late = poll.is_ok_and(|poll| poll.fence.epoch == self.epoch);
-        while late && self.worker.running() > 0 {
+        while late && self.worker.running_count() > 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         self.worker.handle(asked).await
@@ -116,7 +116,7 @@
         rack: "r1".to_owned(),
         state: HostState::Live,
     };
-    let gate = Arc::new(Gate::new());
+    let gate = Arc::new(LeaseGate::new());
     gate.extend(Instant::now() + Duration::from_mins(1));
     let facts = LinkFacts {
         host: WorkerHost { host, assigned: 1 },
@@ -174,7 +174,7 @@
 
     let end = end.expect("the end was never reported").expect("link");
     assert_eq!(end.request, "stores/r1");
-    assert_eq!(worker.running(), 0);
+    assert_eq!(worker.running_count(), 0);
     opened.close();
     stop.send_replace(true);
 }
--- a/crates/daemon/tests/shown/cell.rs
+++ b/crates/daemon/tests/shown/cell.rs
@@ -14,7 +14,7 @@
 use shard::TableHealth;
 use shard::View;
 use shard::encode_row;
-use shard::first_config;
+use shard::initial_config;
 use web::Handler;
 use web::Method;
 
@@ -30,7 +30,7 @@
 }
 
 impl Service for Neighbour {
-    type Ask = Ask;
+    type Request = Ask;
     type Reply = Reply;
 
     async fn answer(&self, _ask: Ask) -> Reply {
@@ -44,7 +44,7 @@
 /// A table with configuration version 3.
 fn configured() -> House {
     let house = House::new();
-    let mut config = first_config();
+    let mut config = initial_config();
     config.version = 3;
     house.table.put(CONFIG_HEAD, "3");
     house.table.put(CONFIG_CURRENT, &encode_row(&config));
@@ -140,7 +140,7 @@
     let adopted = comes(&house, here).await;
 
     assert!(adopted, "{:?}", house.believes());
-    assert_eq!(house.believes().lowest_config(), 0);
+    assert_eq!(house.believes().lowest_config_version(), 0);
 }
 
 // A process said that the table answers (the gauge was 1) while it had waited
--- a/crates/daemon/tests/shown/house.rs
+++ b/crates/daemon/tests/shown/house.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use entry::Api;
-use entry::Flight;
+use entry::InFlightLimit;
 use entry::Metrics;
 use entry::Role;
 use entry::Token;
@@ -14,18 +14,18 @@
 use event::Event;
 use event::Timeline;
 use peer::KeyFiles;
-use peer::Node;
+use peer::PeerEndpoint;
 use shard::Context;
 use shard::FORMAT;
-use shard::Gate;
-use shard::Keeper;
-use shard::KeeperOrder;
-use shard::KeeperPorts;
+use shard::LeaseGate;
 use shard::LeaseRow;
 use shard::LeaseState;
 use shard::MemberRow;
 use shard::Pacer;
 use shard::Router;
+use shard::ShardManager;
+use shard::ShardManagerChannels;
+use shard::ShardManagerCommand;
 use shard::Timing;
 use shard::View;
 use shard::encode_row;
@@ -34,7 +34,7 @@
 use tempfile::TempDir;
 use tokio::sync::mpsc;
 use tokio::sync::watch;
-use web::Asked;
+use web::HttpRequest;
 use web::Method;
 use worker::WorkerClient;
 
@@ -53,7 +53,7 @@
     pub(crate) api: Api<StubTable, StubObjects>,
     keys: TempDir,
     publish: Option<watch::Sender<Arc<View>>>,
-    orders: Option<mpsc::Receiver<KeeperOrder>>,
+    orders: Option<mpsc::Receiver<ShardManagerCommand>>,
     context: Arc<Context<StubTable, StubObjects, StubHosts>>,
 }
 
@@ -61,26 +61,26 @@
     /// A process whose keeper does not run yet.
     pub(crate) fn new() -> House {
         let keys = tempfile::tempdir().expect("folder");
-        peer::make_keys(&keys.path().join("keys")).expect("keys");
+        peer::generate_keys(&keys.path().join("keys")).expect("keys");
         let table = StubTable::default();
         let timeline = Arc::new(Timeline::new("a-1"));
         let node = open_node(&keys, ([127, 0, 0, 1], 0).into(), timeline.clone());
         let (publish, view) = watch::channel(Arc::new(View::default()));
         let (keeper, orders) = mpsc::channel(4);
-        let gate = Arc::new(Gate::new());
+        let gate = Arc::new(LeaseGate::new());
         let api = Api {
             router: Router::new(node.clone(), 1, view.clone()),
             table: table.clone(),
             objects: StubObjects,
             tokens: operator(),
-            flight: Flight::new(8),
+            in_flight: InFlightLimit::new(8),
             metrics: Metrics::new().expect("metrics"),
             timeline: timeline.clone(),
             hosts: watch::channel(None).1,
             keeper,
             gate: gate.clone(),
-            leaving: watch::channel(false).1,
-            dismiss: watch::channel(false).1,
+            stopping: watch::channel(false).1,
+            redirect_callers: watch::channel(false).1,
         };
         let context = Context {
             name: "a".to_owned(),
@@ -115,7 +115,7 @@
     }
 
     /// A node of another process of the cell, and its address.
-    pub(crate) fn other_node(&self) -> (Node, SocketAddr) {
+    pub(crate) fn other_node(&self) -> (PeerEndpoint, SocketAddr) {
         let free = UdpSocket::bind(("127.0.0.1", 0)).and_then(|socket| socket.local_addr());
         let address = free.expect("a free address");
         let timeline = Arc::new(Timeline::new("b-1"));
@@ -143,13 +143,13 @@
 
     /// Starts the keeper.
     pub(crate) fn keep(&mut self) {
-        let ports = KeeperPorts {
+        let ports = ShardManagerChannels {
             hosts: watch::channel(None).1,
             view: self.publish.take().expect("a keeper that does not run"),
             hints: Arc::default(),
-            orders: self.orders.take().expect("a keeper that does not run"),
+            commands: self.orders.take().expect("a keeper that does not run"),
         };
-        tokio::spawn(Keeper::new(self.context.clone(), ports).run());
+        tokio::spawn(ShardManager::new(self.context.clone(), ports).run());
     }
 
     /// What the process believes now.
@@ -164,7 +164,7 @@
 
     /// Names of the events so far.
     pub(crate) fn events(&self) -> Vec<String> {
-        let events = self.timeline.since(0, 1000);
+        let events = self.timeline.events_after(0, 1000);
         events
             .iter()
             .map(|event: &Event| event.kind.to_string())
@@ -184,8 +184,8 @@
 }
 
 /// A call of the operator.
-pub(crate) fn call(method: Method, path: &str, body: &str) -> Asked {
-    Asked {
+pub(crate) fn call(method: Method, path: &str, body: &str) -> HttpRequest {
+    HttpRequest {
         method,
         path: path.to_owned(),
         query: String::new(),
@@ -201,11 +201,11 @@
     ([127, 0, 0, 1], 1).into()
 }
 
-fn open_node(keys: &TempDir, listen: SocketAddr, timeline: Arc<Timeline>) -> Node {
+fn open_node(keys: &TempDir, listen: SocketAddr, timeline: Arc<Timeline>) -> PeerEndpoint {
     let keys = KeyFiles {
         folder: keys.path().join("keys"),
     };
-    Node::open(listen, &keys, timeline).expect("node")
+    PeerEndpoint::open(listen, &keys, timeline).expect("node")
 }
 
 fn operator() -> Tokens {
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,13 +1,13 @@
-//! HTTP interface to callers and operators: authentication, limits, routing.
+//! HTTP API for callers and operators: authentication, limits and routing.
 
 mod api;
 mod auth;
 mod body;
-mod flight;
+mod in_flight;
 mod metrics;
 
 pub use api::*;
 pub use auth::*;
 pub use body::*;
-pub use flight::*;
+pub use in_flight::*;
 pub use metrics::*;
--- a/crates/event/tests/docs.rs
+++ b/crates/event/tests/docs.rs
@@ -1,13 +1,13 @@
-//! The catalogue of events lists exactly those that the code has.
+//! Checks that docs/EVENTS.md lists exactly the event kinds defined in the code.
 
 use event::Kind;
 use strum::IntoEnumIterator;
 
-const PAGE: &str = include_str!("../../../docs/EVENTS.md");
+const DOCS_PAGE: &str = include_str!("../../../docs/EVENTS.md");
 
 #[test]
-fn the_catalogue_lists_each_event_with_its_number() {
-    let rows: Vec<&str> = PAGE
+fn the_docs_list_each_event_kind_with_its_number() {
+    let rows: Vec<&str> = DOCS_PAGE
         .lines()
         .filter(|line| line.starts_with("| "))
         .skip(1)
--- a/crates/event/tests/timeline.rs
+++ b/crates/event/tests/timeline.rs
@@ -1,28 +1,27 @@
-//! What the timeline says of events that are no longer there.
+//! Counting of events that the timeline drops from memory.
 
 use event::Event;
 use event::Kind;
-use event::RING_EVENTS;
+use event::RING_CAPACITY;
 use event::Timeline;
 
-fn fill(timeline: &Timeline, events: usize) {
-    for _ in 0..events {
+fn record_events(timeline: &Timeline, count: usize) {
+    for _ in 0..count {
         timeline.record(Event::new(Kind::TaskPlaced));
     }
 }
 
-// A time line looked whole, and the event that explained a request was not in
-// it. The store had been slow under load, and the ring in memory had dropped
-// what was not stored yet; its comment said that this is counted, and nothing
-// counted it.
+// Guards against an uncounted loss of events: when the object store was slow
+// under load, the ring buffer dropped events that were not stored yet, and the
+// stored timeline looked complete although it had gaps.
 #[test]
 fn events_that_were_dropped_before_they_were_stored_are_counted() {
     let timeline = Timeline::new("a-1");
-    fill(&timeline, 10);
-    let last = timeline.since(0, 10).last().map(|event| event.stamp);
+    record_events(&timeline, 10);
+    let last = timeline.events_after(0, 10).last().map(|event| event.stamp);
 
-    timeline.note_stored(last.expect("ten events"));
-    fill(&timeline, RING_EVENTS + 5);
+    timeline.mark_stored(last.expect("ten events"));
+    record_events(&timeline, RING_CAPACITY + 5);
 
     assert_eq!(timeline.lost(), 5);
 }
@@ -30,14 +29,14 @@
 #[test]
 fn events_that_were_stored_are_not_lost() {
     let timeline = Timeline::new("a-1");
-    fill(&timeline, RING_EVENTS);
+    record_events(&timeline, RING_CAPACITY);
     let last = timeline
-        .since(0, RING_EVENTS)
+        .events_after(0, RING_CAPACITY)
         .last()
         .map(|event| event.stamp);
 
-    timeline.note_stored(last.expect("a full ring"));
-    fill(&timeline, 100);
+    timeline.mark_stored(last.expect("a full ring"));
+    record_events(&timeline, 100);
 
     assert_eq!(timeline.lost(), 0);
 }
--- a/crates/fake/src/hosts.rs
+++ b/crates/fake/src/hosts.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform's host list, which lags.
+//! Stand-in for the platform's host list, whose changes become visible late.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -8,15 +8,15 @@
 
 use store::Host;
 use store::HostState;
-use web::Asked;
 use web::Handler;
+use web::HttpRequest;
+use web::HttpResponse;
 use web::StatusCode;
-use web::Whole;
 
-/// Changes of the list, with the time from which they are seen.
+/// Versions of the list, each with the time from which it is visible.
 type Changes = Vec<(Instant, Vec<Host>)>;
 
-/// Stand-in of the platform's host list.
+/// Stand-in for the platform's host list; clones share the list.
 #[derive(Clone, Debug)]
 pub struct FakeHosts {
     changes: Arc<Mutex<Changes>>,
@@ -24,7 +24,7 @@
 }
 
 impl FakeHosts {
-    /// A list that shows each change after `lag`.
+    /// Creates a list whose changes become visible after `lag`.
     #[must_use]
     pub fn new(hosts: Vec<Host>, lag: Duration) -> FakeHosts {
         FakeHosts {
@@ -44,7 +44,7 @@
     }
 
     /// Marks a worker as leaving.
-    pub fn leave(&self, id: &str) {
+    pub fn mark_leaving(&self, id: &str) {
         self.change(|hosts| {
             for host in hosts.iter_mut().filter(|host| host.id == id) {
                 host.state = HostState::Leaving;
@@ -52,28 +52,28 @@
         });
     }
 
-    /// Takes a worker off the list.
+    /// Removes a worker from the list.
     pub fn remove(&self, id: &str) {
         self.change(|hosts| hosts.retain(|host| host.id != id));
     }
 
-    /// Puts a worker on the list.
+    /// Adds a worker to the list.
     pub fn add(&self, host: Host) {
         self.change(|hosts| hosts.push(host));
     }
 
-    /// The list as it is seen now.
+    /// Returns the list that is visible now.
     #[must_use]
-    pub fn seen(&self) -> Vec<Host> {
+    pub fn visible(&self) -> Vec<Host> {
         let changes = self.changes.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
-        let seen = changes.iter().rev().find(|(from, _)| *from <= now);
-        seen.map(|(_, hosts)| hosts.clone()).unwrap_or_default()
+        let current = changes.iter().rev().find(|(from, _)| *from <= now);
+        current.map(|(_, hosts)| hosts.clone()).unwrap_or_default()
     }
 }
 
 impl Handler for FakeHosts {
-    async fn handle(&self, _asked: Asked) -> Whole {
-        web::json(StatusCode::OK, &self.seen())
+    async fn handle(&self, _request: HttpRequest) -> HttpResponse {
+        web::json(StatusCode::OK, &self.visible())
     }
 }
--- a/crates/fake/src/udp_relay.rs
+++ b/crates/fake/src/udp_relay.rs
@@ -1,5 +1,5 @@
-//! Relay for UDP that drops, delays and reorders the datagrams of one process.
-//! Each client gets a socket of its own towards the server.
+//! UDP relay that drops, delays and reorders datagrams on their way to one
+//! process. It opens a separate socket towards the server for each client.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,44 +11,50 @@
 use rand::rngs::StdRng;
 use tokio::net::UdpSocket;
 
-use crate::way::Passage;
-use crate::way::Way;
+use crate::relay_handle::RelayContext;
+use crate::relay_handle::RelayHandle;
 
 use crate::loopback;
 
-/// What a relay does to the datagrams that pass.
+/// Faults that a relay injects into the datagrams it forwards.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct UdpPlan {
-    /// Share of datagrams that are dropped on the way to the server.
-    pub drop_in: f64,
-    /// Share of datagrams that are dropped on the way back.
-    pub drop_out: f64,
-    /// Longest random delay; unlike delays reorder.
+    /// Share of the datagrams towards the server that are dropped, from 0 to 1.
+    pub inbound_loss: f64,
+    /// Share of the datagrams towards the clients that are dropped, from 0 to 1.
+    pub outbound_loss: f64,
+    /// Maximum random delay of a datagram towards the server. Datagrams with
+    /// different delays arrive out of order.
     pub jitter: Duration,
 }
 
-/// Relay for UDP towards one server.
-pub type UdpRelay = Way<UdpPlan>;
+/// UDP relay in front of one server.
+pub type UdpRelay = RelayHandle<UdpPlan>;
 
-impl Way<UdpPlan> {
-    /// Opens a relay on a free loopback port towards `server`.
+impl RelayHandle<UdpPlan> {
+    /// Opens a relay on a free loopback port that forwards to `server`.
     ///
     /// # Errors
     /// No port can be bound.
     pub async fn open(server: SocketAddr, seed: u64) -> std::io::Result<UdpRelay> {
         let socket = Arc::new(UdpSocket::bind((loopback(), 0)).await?);
-        let (relay, passage) = Way::begin(socket.local_addr()?);
-        tokio::spawn(run(socket, server, passage, seed));
+        let (relay, context) = RelayHandle::with_context(socket.local_addr()?);
+        tokio::spawn(run(socket, server, context, seed));
         Ok(relay)
     }
 }
 
-async fn run(socket: Arc<UdpSocket>, server: SocketAddr, passage: Passage<UdpPlan>, seed: u64) {
+async fn run(
+    socket: Arc<UdpSocket>,
+    server: SocketAddr,
+    context: RelayContext<UdpPlan>,
+    seed: u64,
+) {
     let mut clients: HashMap<SocketAddr, Arc<UdpSocket>> = HashMap::new();
     let mut random = StdRng::seed_from_u64(seed);
     let mut buffer = vec![0; 64 * 1024];
     while let Ok((count, client)) = socket.recv_from(&mut buffer).await {
-        if let std::collections::hash_map::Entry::Vacant(e) = clients.entry(client) {
+        if let std::collections::hash_map::Entry::Vacant(vacant) = clients.entry(client) {
             let Ok(upstream) = UdpSocket::bind((loopback(), 0)).await else {
                 continue;
             };
@@ -56,57 +62,57 @@
                 continue;
             }
             let upstream = Arc::new(upstream);
-            let back = Back {
+            let return_path = ReturnPath {
                 from: upstream.clone(),
                 to: socket.clone(),
                 client,
-                passage: passage.clone(),
+                context: context.clone(),
             };
-            tokio::spawn(back.run(seed ^ u64::from(client.port())));
-            e.insert(upstream);
+            tokio::spawn(return_path.run(seed ^ u64::from(client.port())));
+            vacant.insert(upstream);
         }
         let Some(upstream) = clients.get(&client).cloned() else {
             continue;
         };
-        passage.count(count);
-        let now = passage.now();
-        if random.random_bool(now.drop_in.clamp(0.0, 1.0)) {
+        context.count_bytes(count);
+        let plan = context.current_plan();
+        if random.random_bool(plan.inbound_loss.clamp(0.0, 1.0)) {
             continue;
         }
         let datagram = buffer[..count].to_vec();
-        let wait = now.jitter.mul_f64(random.random());
-        if wait.is_zero() {
+        let delay = plan.jitter.mul_f64(random.random());
+        if delay.is_zero() {
             let _ = upstream.send(&datagram).await;
             continue;
         }
         tokio::spawn(async move {
-            tokio::time::sleep(wait).await;
+            tokio::time::sleep(delay).await;
             let _ = upstream.send(&datagram).await;
         });
     }
 }
 
-/// Way back to one client.
-struct Back {
+/// Forwards datagrams from the server back to one client.
+struct ReturnPath {
     from: Arc<UdpSocket>,
     to: Arc<UdpSocket>,
     client: SocketAddr,
-    passage: Passage<UdpPlan>,
+    context: RelayContext<UdpPlan>,
 }
 
-impl Back {
+impl ReturnPath {
     async fn run(self, seed: u64) {
         let mut random = StdRng::seed_from_u64(seed);
         let mut buffer = vec![0; 64 * 1024];
         loop {
             let Ok(count) = self.from.recv(&mut buffer).await else {
-                // The server is gone for now; it may come back.
+                // The server is not reachable; it may be started again later.
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 continue;
             };
-            self.passage.count(count);
-            let now = self.passage.now();
-            if random.random_bool(now.drop_out.clamp(0.0, 1.0)) {
+            self.context.count_bytes(count);
+            let plan = self.context.current_plan();
+            if random.random_bool(plan.outbound_loss.clamp(0.0, 1.0)) {
                 continue;
             }
             let _ = self.to.send_to(&buffer[..count], self.client).await;
--- a/crates/model/tests/docs.rs
+++ b/crates/model/tests/docs.rs
@@ -1,13 +1,13 @@
-//! The table of result codes lists exactly those that the code has.
+//! Checks that docs/CODES.md lists exactly the result codes defined in the code.
 
 use model::Code;
 use strum::IntoEnumIterator;
 
-const PAGE: &str = include_str!("../../../docs/CODES.md");
+const DOCS_PAGE: &str = include_str!("../../../docs/CODES.md");
 
 #[test]
-fn the_table_lists_each_code_with_number_and_family() {
-    let rows: Vec<&str> = PAGE
+fn the_docs_list_each_code_with_number_and_family() {
+    let rows: Vec<&str> = DOCS_PAGE
         .lines()
         .filter(|line| {
             line.split('|')
--- a/crates/shard/src/assign.rs
+++ b/crates/shard/src/assign.rs
@@ -1,5 +1,6 @@
-//! Which shard a worker belongs to. The owner of shard 0 keeps the lists in
-//! the table; each owner reads those of its own shards.
+//! Assignment of workers to shards. The owner of shard 0 maintains the worker
+//! lists of all shards in the table; every owner reads the lists of its own
+//! shards.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -9,7 +10,7 @@
 use model::ShardId;
 use model::WorkerId;
 use store::Commit;
-use store::Committed;
+use store::CommitOutcome;
 use store::Host;
 use store::RowVersion;
 use store::Table;
@@ -23,26 +24,28 @@
 use crate::encode_row;
 use crate::shard_key;
 
-/// A worker of a shard, joined from the assignment and the host list.
+/// A worker of a shard: its assignment joined with its entry in the host list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerHost {
-    /// What the host list says.
+    /// The worker's entry in the host list.
     pub host: Host,
-    /// How often it was assigned.
+    /// Assignment number, from the shard's worker list; a later assignment has
+    /// a higher number.
     pub assigned: u64,
 }
 
 impl WorkerHost {
-    /// Whether a link to `self` serves `other` as well.
+    /// Whether an open link to `self` can also serve `other`: both have the
+    /// same assignment number and address.
     #[must_use]
-    pub fn is_same_link(&self, other: &WorkerHost) -> bool {
+    pub fn shares_link_with(&self, other: &WorkerHost) -> bool {
         let address = |host: &WorkerHost| -> SocketAddr { host.host.address };
         self.assigned == other.assigned && address(self) == address(other)
     }
 }
 
-/// Joins a shard's list with the host list; workers that the host list no
-/// longer names are left out.
+/// Joins a shard's worker list with the host list. Workers missing from the
+/// host list are left out.
 #[must_use]
 pub fn join_hosts(row: &AssignRow, hosts: &[Host]) -> Vec<WorkerHost> {
     let by_id: HashMap<&WorkerId, &Host> = hosts.iter().map(|host| (&host.id, host)).collect();
@@ -55,17 +58,18 @@
     joined.collect()
 }
 
-/// Lists of all shards, as read from the table.
+/// The worker lists of all shards, with the row versions at which they were
+/// read.
 #[derive(Clone, Debug, Default)]
 pub struct Assignment {
     rows: BTreeMap<ShardId, (RowVersion, AssignRow)>,
 }
 
 impl Assignment {
-    /// Reads all lists.
+    /// Reads the worker lists of all shards.
     ///
     /// # Errors
-    /// The table fails or a list cannot be read.
+    /// The table fails or a list cannot be decoded.
     pub async fn read<T: Table>(table: &T, shards: u16) -> Result<Assignment, ShardError> {
         let mut rows = BTreeMap::new();
         for shard in 0..shards {
@@ -81,29 +85,33 @@
         Ok(Assignment { rows })
     }
 
-    /// Deals new workers to the shards that have the fewest of their rack, of
-    /// their failure domain, and at all, in that order; takes gone ones out.
-    /// Returns the shards whose lists changed.
-    pub fn deal(&mut self, hosts: &[Host]) -> Vec<ShardId> {
-        let places: HashMap<&WorkerId, &Host> = hosts.iter().map(|h| (&h.id, h)).collect();
+    /// Removes workers that left the host list and assigns new ones, each to
+    /// the shard with the fewest workers; ties go to the shard with the fewest
+    /// workers of the same rack, then of the same failure domain. Returns the
+    /// shards whose lists changed.
+    pub fn assign_workers(&mut self, hosts: &[Host]) -> Vec<ShardId> {
+        let hosts_by_id: HashMap<&WorkerId, &Host> = hosts.iter().map(|h| (&h.id, h)).collect();
         let mut changed = Vec::new();
-        let mut dealt: HashSet<WorkerId> = HashSet::new();
+        let mut assigned_ids: HashSet<WorkerId> = HashSet::new();
         for (shard, (_, row)) in &mut self.rows {
-            let before = row.workers.len();
+            let old_len = row.workers.len();
             row.workers
-                .retain(|worker| places.contains_key(&worker.worker));
-            if row.workers.len() != before {
+                .retain(|worker| hosts_by_id.contains_key(&worker.worker));
+            if row.workers.len() != old_len {
                 changed.push(*shard);
             }
             for worker in &row.workers {
-                dealt.insert(worker.worker.clone());
+                assigned_ids.insert(worker.worker.clone());
             }
         }
-        let mut fresh: Vec<&Host> = hosts.iter().filter(|h| !dealt.contains(&h.id)).collect();
-        fresh.sort_by(|a, b| (&a.domain, &a.rack, &a.id).cmp(&(&b.domain, &b.rack, &b.id)));
-        for host in fresh {
-            let shard = self.emptiest(host, &places);
-            self.add(shard, host);
+        let mut unassigned: Vec<&Host> = hosts
+            .iter()
+            .filter(|h| !assigned_ids.contains(&h.id))
+            .collect();
+        unassigned.sort_by(|a, b| (&a.domain, &a.rack, &a.id).cmp(&(&b.domain, &b.rack, &b.id)));
+        for host in unassigned {
+            let shard = self.least_loaded_shard(host, &hosts_by_id);
+            self.add_worker(shard, host);
             changed.push(shard);
         }
         changed.sort_unstable();
@@ -111,10 +119,14 @@
         changed
     }
 
-    fn emptiest(&self, host: &Host, places: &HashMap<&WorkerId, &Host>) -> ShardId {
-        let count = |row: &AssignRow, same: fn(&Host, &Host) -> bool| {
-            let known = row.workers.iter().filter_map(|w| places.get(&w.worker));
-            known.filter(|other| same(other, host)).count()
+    /// Shard that a new worker is assigned to.
+    fn least_loaded_shard(&self, host: &Host, hosts_by_id: &HashMap<&WorkerId, &Host>) -> ShardId {
+        let count = |row: &AssignRow, is_same: fn(&Host, &Host) -> bool| {
+            let shard_hosts = row
+                .workers
+                .iter()
+                .filter_map(|w| hosts_by_id.get(&w.worker));
+            shard_hosts.filter(|other| is_same(other, host)).count()
         };
         let cost = |row: &AssignRow| {
             let rack = count(row, |other, host| other.rack == host.rack);
@@ -125,10 +137,11 @@
         best.map(|(shard, _)| *shard).unwrap_or_default()
     }
 
-    fn add(&mut self, shard: ShardId, host: &Host) {
+    fn add_worker(&mut self, shard: ShardId, host: &Host) {
         if let Some((_, row)) = self.rows.get_mut(&shard) {
-            // A returning worker gets a higher number than any that it had:
-            // milliseconds since 1970 grow, and the worker refuses a lower.
+            // A worker that returns needs a higher assignment number than any
+            // it had before, since workers refuse lower ones. Milliseconds
+            // since 1970 always grow.
             row.workers.push(AssignedWorker {
                 worker: host.id.clone(),
                 assigned: event::wall_millis(),
@@ -137,8 +150,9 @@
         }
     }
 
-    /// Writes the lists of `changed`, if shard 0 still has the row version
-    /// `fence`. False when something else was written meanwhile.
+    /// Writes the lists of the `changed` shards if the row of shard 0 still has
+    /// version `fence`. Returns false if that row or one of the lists was
+    /// written by someone else meanwhile.
     ///
     /// # Errors
     /// The table fails.
@@ -163,7 +177,7 @@
                 .put(key, encode_row(&row));
         }
         let committed = table.commit(&commit).await?;
-        Ok(matches!(committed, Committed::Done(_)))
+        Ok(matches!(committed, CommitOutcome::Done(_)))
     }
 }
 
@@ -193,7 +207,7 @@
             assignment.rows.insert(shard, (0, AssignRow::default()));
         }
 
-        assignment.deal(&hosts(48));
+        assignment.assign_workers(&hosts(48));
 
         for (_, row) in assignment.rows.values() {
             assert_eq!(row.workers.len(), 3);
@@ -208,9 +222,9 @@
     fn an_unchanged_host_list_changes_nothing() {
         let mut assignment = Assignment::default();
         assignment.rows.insert(0, (0, AssignRow::default()));
-        assignment.deal(&hosts(8));
+        assignment.assign_workers(&hosts(8));
 
-        let changed = assignment.deal(&hosts(8));
+        let changed = assignment.assign_workers(&hosts(8));
 
         assert!(changed.is_empty());
     }
--- a/crates/shard/src/entry.rs
+++ b/crates/shard/src/entry.rs
@@ -1,4 +1,4 @@
-//! A request as its shard remembers it.
+//! State of a request in the ledger of its shard.
 
 use model::Answer;
 use model::Class;
@@ -8,34 +8,35 @@
 use model::Resources;
 use model::WorkerId;
 use sched::JobKey;
-use sched::Now;
+use sched::Timestamp;
 use worker::AttemptId;
 use worker::End;
 
 use crate::WaiterKey;
 
-/// What is known of one member of an attempt.
+/// State of one member of an attempt, as far as the shard knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberState {
-    /// An earlier owner recorded the intent; the worker has not been asked.
+    /// An earlier owner recorded the intent, and the worker has not been
+    /// claimed since.
     Unknown,
-    /// The start was sent, or is about to be.
+    /// The start was sent or is about to be sent; its reply is outstanding.
     Sent,
-    /// The worker runs it.
+    /// The worker has confirmed that it runs the task.
     Started,
-    /// The worker certainly never started it.
+    /// The worker has not started the task and never will.
     NotStarted,
-    /// It ended.
+    /// The worker has reported the end of the task.
     Ended(End),
-    /// It was stopped with its host, or its lease ran out: it has certainly
-    /// ended, but nobody knows how far it came.
-    Gone,
-    /// Its worker cannot be reached: it may even run.
-    Missing,
+    /// The task was stopped with its host, or its lease expired. It has
+    /// certainly ended, but its result is unknown.
+    Interrupted,
+    /// The worker cannot be reached; the task may still be running.
+    Unreachable,
 }
 
 impl MemberState {
-    /// Whether the member needs no more news.
+    /// Whether this state is final, so that no further report is awaited.
     #[must_use]
     pub fn is_settled(&self) -> bool {
         !matches!(
@@ -48,112 +49,120 @@
 /// One member of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Id of its start.
+    /// Attempt id under which the member was started.
     pub attempt: AttemptId,
-    /// Worker that it was placed on.
+    /// Worker on which the member was placed.
     pub worker: WorkerId,
-    /// Run of the worker.
-    pub run: Incarnation,
-    /// What is known of it.
+    /// Incarnation of the worker at the time of the placement.
+    pub incarnation: Incarnation,
+    /// State of the member, as far as the shard knows it.
     pub state: MemberState,
 }
 
-/// How far a request has come.
+/// Stage of a request between submission and answer.
 #[derive(Clone, Debug)]
 pub enum Stage {
-    /// In the queue.
+    /// Waiting in the queue.
     Waiting(JobKey),
-    /// Placed; its intent is on the way to the table, nothing was sent.
+    /// Placed; its intent is being written to the table and no start was sent.
     Recording(JobKey),
-    /// Another shard was asked to run it.
+    /// Offered to other shards, one of which may be running it.
     Lent,
-    /// Starts were sent, or an earlier owner may have sent them.
+    /// Starts were sent, or an earlier owner may have sent them. There is no
+    /// job until the worker of a recovered member lists its task.
     Running(Option<JobKey>),
-    /// The answer is on the way to the table.
+    /// The answer is decided but not yet final: its record may still be on the
+    /// way to the table.
     Closing(Answer),
-    /// Answered.
+    /// The answer is final.
     Done(Answer),
 }
 
-/// Who told a shard of a request.
+/// How the shard learnt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// Its caller, or an earlier owner's journal.
+    /// From its caller, or from an earlier owner's journal.
     Caller,
-    /// Only a worker's report, or the record of its end; most of the request
-    /// is unknown.
+    /// Only from a worker's report or the record of its end; most fields of
+    /// the request are unknown.
     Report,
 }
 
-/// What the attempts of a request may have done so far.
+/// Whether earlier attempts of a request ran, as far as the shard knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Past {
-    /// Nothing has started.
-    Untouched,
-    /// Something has started; how it ended is known.
-    Seen,
-    /// Something may have started whose end nobody heard of.
-    Unseen,
+pub enum RunHistory {
+    /// No attempt has started.
+    NeverStarted,
+    /// An attempt has started, and the results of all started tasks are known.
+    EndKnown,
+    /// An attempt may have started whose result is unknown.
+    EndUnknown,
 }
 
-/// How far the record of a request's acceptance has come.
+/// Whether the acceptance of a request is recorded in the table.
 #[derive(Clone, Debug)]
 pub enum Acceptance {
-    /// It is not in the table yet; these callers wait for it.
+    /// The record is not in the table yet; these callers wait for it.
     Recording(Vec<WaiterKey>),
-    /// It is in the table.
-    Safe,
+    /// The record is in the table.
+    Recorded,
 }
 
-/// A request as its shard remembers it.
+/// A request with its state in its shard.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// What was asked.
+    /// The request as submitted.
     pub request: Request,
-    /// When it was submitted.
-    pub since: Now,
-    /// Latest start.
-    pub deadline: Now,
-    /// Latest start by the wall clock, in milliseconds since 1970.
+    /// Time at which the request came to this shard.
+    pub submitted_at: Timestamp,
+    /// Latest time at which the request may start.
+    pub deadline: Timestamp,
+    /// The same deadline as wall clock time, in milliseconds since 1970.
     pub until_millis: u64,
-    /// Number of the newest attempt; 0 before the first.
+    /// Number of the newest attempt; 0 before the first one.
     pub attempt: u32,
     /// Epoch of the owner that made the newest attempt.
     pub epoch: Epoch,
     /// Members of the newest attempt.
     pub members: Vec<Member>,
-    /// How far it has come.
+    /// Stage between submission and answer.
     pub stage: Stage,
-    /// Callers that wait for the answer.
+    /// Callers that wait for the final answer.
     pub waiters: Vec<WaiterKey>,
-    /// Whether the journal has it, or will have it with the next commit.
+    /// Whether the journal contains the request, or will with the next commit.
     pub recorded: bool,
-    /// What earlier attempts may have done.
-    pub past: Past,
-    /// How far the record of its acceptance has come.
+    /// Whether earlier attempts ran.
+    pub history: RunHistory,
+    /// Whether the acceptance is recorded in the table.
     pub acceptance: Acceptance,
-    /// Whether its caller withdrew it while it ran.
+    /// Whether the caller cancelled the request while it was running.
     pub cancelled: bool,
-    /// Who told of it.
+    /// How the shard learnt of the request.
     pub origin: Origin,
-    /// Milliseconds that it had waited elsewhere before it came here.
-    pub before_millis: u64,
-    /// Milliseconds from submission until the worker said that its newest
-    /// attempt started; until it says so, to the sending of the start.
+    /// Milliseconds between the first submission and its arrival in this shard.
+    pub prior_millis: u64,
+    /// Milliseconds from submission to the start of the newest attempt: the
+    /// worker's confirmation or, until it arrives, the sending of the start.
     pub waited_millis: u64,
-    /// Ends of earlier attempts that their workers still keep.
-    pub spent: Vec<Member>,
-    /// Checkpoint of its last attempt.
+    /// Members of earlier attempts, whose results the workers still keep.
+    pub earlier_members: Vec<Member>,
+    /// Checkpoint from which the next attempt continues; empty if there is
+    /// none.
     pub checkpoint: String,
 }
 
 impl Entry {
-    /// A request that has just come in.
+    /// Creates the entry of a request that has just been submitted.
     #[must_use]
-    pub fn new(request: Request, since: Now, deadline: Now, until_millis: u64) -> Entry {
+    pub fn new(
+        request: Request,
+        submitted_at: Timestamp,
+        deadline: Timestamp,
+        until_millis: u64,
+    ) -> Entry {
         Entry {
             request,
-            since,
+            submitted_at,
             deadline,
             until_millis,
             attempt: 0,
@@ -162,20 +171,21 @@
             stage: Stage::Running(None),
             waiters: Vec::new(),
             recorded: false,
-            past: Past::Untouched,
+            history: RunHistory::NeverStarted,
             acceptance: Acceptance::Recording(Vec::new()),
             cancelled: false,
             origin: Origin::Caller,
-            before_millis: 0,
+            prior_millis: 0,
             waited_millis: 0,
-            spent: Vec::new(),
+            earlier_members: Vec::new(),
             checkpoint: String::new(),
         }
     }
 
-    /// A request that only a worker's report tells of.
+    /// Creates the entry of a request that is known only from a worker's
+    /// report.
     #[must_use]
-    pub fn orphan(key: &str, needs: Resources, now: Now) -> Entry {
+    pub fn from_report(key: &str, needs: Resources, now: Timestamp) -> Entry {
         let (team, id) = key.split_once('/').unwrap_or(("", key));
         let request = Request {
             id: id.to_owned(),
@@ -192,23 +202,23 @@
         };
         let mut entry = Entry::new(request, now, now, 0);
         entry.origin = Origin::Report;
-        entry.past = Past::Seen;
+        entry.history = RunHistory::EndKnown;
         entry
     }
 
     /// Whether `other` asks for the same work.
     #[must_use]
     pub fn is_same_work(&self, other: &Request) -> bool {
-        let mine = &self.request;
+        let own = &self.request;
         self.origin == Origin::Report
-            || (mine.class == other.class
-                && mine.needs == other.needs
-                && mine.members == other.members
-                && mine.idempotent == other.idempotent
-                && mine.payload == other.payload)
+            || (own.class == other.class
+                && own.needs == other.needs
+                && own.members == other.members
+                && own.idempotent == other.idempotent
+                && own.payload == other.payload)
     }
 
-    /// The answer, when there is one.
+    /// The final answer, if there is one.
     #[must_use]
     pub fn answer(&self) -> Option<&Answer> {
         match &self.stage {
@@ -217,39 +227,40 @@
         }
     }
 
-    /// Whether a later owner will know of it as well, or does not have to.
+    /// Whether the request is recorded in the table, or needs no record.
     #[must_use]
-    pub fn is_safe(&self) -> bool {
-        !self.recorded || matches!(self.acceptance, Acceptance::Safe)
+    pub fn survives_takeover(&self) -> bool {
+        !self.recorded || matches!(self.acceptance, Acceptance::Recorded)
     }
 
-    /// Whether some attempt may have started.
+    /// Whether an attempt may have started.
     #[must_use]
-    pub fn touched(&self) -> bool {
-        self.past != Past::Untouched
+    pub fn may_have_run(&self) -> bool {
+        self.history != RunHistory::NeverStarted
     }
 
-    /// Takes in what an attempt may have done.
-    pub(crate) fn touch(&mut self, past: Past) {
-        self.past = self.past.max(past);
+    /// Adds what is known of an attempt to the run history.
+    pub(crate) fn add_history(&mut self, history: RunHistory) {
+        self.history = self.history.max(history);
     }
 
-    /// Takes in that its attempt starts, or was sent, at `now`. What an
-    /// earlier attempt waited stays.
-    pub(crate) fn note_wait(&mut self, now: Now) {
-        if !self.touched() {
-            let here = crate::intake::millis(now.saturating_sub(self.since));
-            self.waited_millis = self.before_millis + here;
+    /// Sets the waiting time when the start is sent or confirmed at `now`,
+    /// unless an earlier attempt has already set it.
+    pub(crate) fn note_wait(&mut self, now: Timestamp) {
+        if !self.may_have_run() {
+            let local_millis = crate::intake::millis(now.saturating_sub(self.submitted_at));
+            self.waited_millis = self.prior_millis + local_millis;
         }
     }
 
-    /// Whether it is answered, or the answer is on the way to the table.
+    /// Whether the answer is decided, even if its record is not yet in the
+    /// table.
     #[must_use]
-    pub fn is_over(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         matches!(self.stage, Stage::Closing(_) | Stage::Done(_))
     }
 
-    /// Job of the core while it has one.
+    /// Job of the request in the scheduling core, if any.
     #[must_use]
     pub fn job(&self) -> Option<JobKey> {
         match self.stage {
@@ -259,7 +270,7 @@
         }
     }
 
-    /// Member by the id of its start.
+    /// Member of the newest attempt with this attempt id.
     pub fn member_mut(&mut self, attempt: &str) -> Option<&mut Member> {
         self.members
             .iter_mut()
@@ -267,15 +278,15 @@
     }
 }
 
-/// Id of the start of one member. The epoch is in it because an owner that
-/// knows nothing of an earlier one's attempts would number its own alike, and
-/// the worker would take its start for a copy of the earlier one.
+/// Attempt id of one member. It contains the epoch because an owner that does
+/// not know of a former owner's attempts would use the same numbers again, and
+/// the worker would take its start for a duplicate of the earlier one.
 #[must_use]
 pub fn attempt_id(key: &str, epoch: Epoch, attempt: u32, member: usize) -> AttemptId {
     format!("{key}#{epoch}.{attempt}.{member}")
 }
 
-/// Key of the request of a start.
+/// Request key within an attempt id.
 #[must_use]
 pub fn attempt_key(attempt: &str) -> &str {
     attempt.rsplit_once('#').map_or(attempt, |(key, _)| key)
--- a/crates/shard/src/fleet.rs
+++ b/crates/shard/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The workers of a shard: claims, losses, and what recovered intents turn
-//! out to be.
+//! The workers of a shard: changes of the worker list, claims, losses, and the
+//! resolution of intents that were recovered after a take-over.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,43 +8,45 @@
 use event::Kind;
 use model::WorkerId;
 use sched::JobKey;
-use sched::Refused;
+use sched::SubmitError;
 use sched::WorkerState;
 use store::HostState;
-use worker::Claimed;
+use worker::ClaimReply;
 use worker::Task;
 
 use crate::Entry;
 use crate::Machine;
 use crate::MemberState;
 use crate::Output;
-use crate::Past;
+use crate::RunHistory;
 use crate::Stage;
 use crate::StopMode;
 use crate::WorkerHost;
 
-/// How long a worker is left alone that has refused a start.
-const HOLD: Duration = Duration::from_millis(200);
+/// Time for which no tasks are placed on a worker that has refused a start.
+const HOLD_TIME: Duration = Duration::from_millis(200);
 
 impl Machine {
     pub(crate) fn on_workers(&mut self, workers: Vec<WorkerHost>) {
-        let mut known = std::mem::take(&mut self.workers);
+        let mut previous = std::mem::take(&mut self.workers);
         for host in workers {
-            let earlier = known.remove(&host.host.id);
-            let same = earlier.as_ref().is_some_and(|old| old.is_same_link(&host));
-            if !same {
+            let earlier = previous.remove(&host.host.id);
+            let same_link = earlier
+                .as_ref()
+                .is_some_and(|old| old.shares_link_with(&host));
+            if !same_link {
                 if earlier.is_some() || self.retiring.contains(&host.host.id) {
                     self.outputs.push(Output::Unlink(host.host.id.clone()));
                 }
                 self.outputs.push(Output::Link(host.clone()));
             }
-            let was = earlier.map(|old| old.host.state);
+            let old_state = earlier.map(|old| old.host.state);
             self.workers.insert(host.host.id.clone(), host.clone());
-            if was != Some(host.host.state) {
+            if old_state != Some(host.host.state) {
                 self.on_host_state(&host);
             }
         }
-        for id in known.into_keys() {
+        for id in previous.into_keys() {
             if let Some(worker) = self.core.worker(&id) {
                 self.core.set_state(worker, WorkerState::Leaving);
             }
@@ -52,31 +54,33 @@
         }
         let workers = &self.workers;
         self.retiring.retain(|id| !workers.contains_key(id));
-        self.count_known();
+        self.update_all_known();
     }
 
-    /// "Too large for every worker" needs to know them all. What waits and was
-    /// not refused before they were known is refused now.
-    fn count_known(&mut self) {
+    /// Updates whether all workers are known to the core. A request can be
+    /// refused as too large only when they are, so waiting requests are checked
+    /// again at that moment.
+    fn update_all_known(&mut self) {
         let core = &self.core;
-        let complete = self.workers.keys().all(|id| core.worker(id).is_some());
-        if !self.core.set_complete(complete) {
+        let all_known = self.workers.keys().all(|id| core.worker(id).is_some());
+        if !self.core.set_all_known(all_known) {
             return;
         }
         let core = &self.core;
-        let impossible = |entry: &Entry| {
+        let never_fits = |entry: &Entry| {
             matches!(entry.stage, Stage::Waiting(_)) && !core.could_hold(&Self::job_spec(entry))
         };
-        let entries = self.ledger.iter().filter(|(_, entry)| impossible(entry));
+        let entries = self.ledger.iter().filter(|(_, entry)| never_fits(entry));
         let keys: Vec<String> = entries.map(|(key, _)| key.clone()).collect();
         for key in keys {
             self.withdraw(&key);
-            self.finish_interrupted(&key, Refused::NeverFits);
+            self.finish_interrupted(&key, SubmitError::NeverFits);
         }
     }
 
-    /// A worker that left the host list keeps its link until its tasks have
-    /// ended or their lease is over; without the link nobody would notice.
+    /// Closes the links of workers that have left the host list. A link stays
+    /// open until the worker's tasks have ended or their lease has expired,
+    /// since only the link can notice that.
     pub(crate) fn unlink_retired(&mut self) {
         let retiring = std::mem::take(&mut self.retiring);
         for id in retiring {
@@ -92,11 +96,11 @@
     }
 
     fn has_open_members(&self, id: &str) -> bool {
-        let open = |entry: &Entry| {
-            let mut here = entry.members.iter().filter(|m| m.worker == id);
-            !entry.is_over() && here.any(|m| !m.state.is_settled())
+        let has_open = |entry: &Entry| {
+            let mut on_worker = entry.members.iter().filter(|m| m.worker == id);
+            !entry.is_closed() && on_worker.any(|m| !m.state.is_settled())
         };
-        self.ledger.iter().any(|(_, entry)| open(entry))
+        self.ledger.iter().any(|(_, entry)| has_open(entry))
     }
 
     fn on_host_state(&mut self, host: &WorkerHost) {
@@ -105,25 +109,26 @@
         };
         let lost = self
             .core
-            .worker_slot(worker)
-            .is_some_and(|slot| slot.state == WorkerState::Lost);
+            .worker_entry(worker)
+            .is_some_and(|w| w.state == WorkerState::Lost);
         if lost {
             return;
         }
-        self.core.set_state(worker, core_state(host.host.state));
+        self.core.set_state(worker, worker_state(host.host.state));
         if host.host.state == HostState::Leaving {
             self.event(Event::new(Kind::WorkerLeaving).worker(&host.host.id));
-            self.move_long_work(&host.host.id);
+            self.checkpoint_batch_tasks(&host.host.id);
         }
     }
 
-    /// Tasks that may wait are checkpointed and run on elsewhere.
-    fn move_long_work(&mut self, worker: &str) {
-        let movable = |entry: &Entry| entry.request.class == model::Class::Batch;
+    /// Stops batch tasks on a worker with a checkpoint, so that they continue
+    /// on another worker.
+    fn checkpoint_batch_tasks(&mut self, worker: &str) {
+        let is_batch = |entry: &Entry| entry.request.class == model::Class::Batch;
         let mut stops = Vec::new();
-        for (_, entry) in self.ledger.iter().filter(|(_, entry)| movable(entry)) {
-            let here = entry.members.iter().filter(|m| m.worker == worker);
-            for member in here.filter(|m| !m.state.is_settled()) {
+        for (_, entry) in self.ledger.iter().filter(|(_, entry)| is_batch(entry)) {
+            let on_worker = entry.members.iter().filter(|m| m.worker == worker);
+            for member in on_worker.filter(|m| !m.state.is_settled()) {
                 let attempt = member.attempt.clone();
                 stops.push(Output::Stop(
                     worker.to_owned(),
@@ -135,14 +140,15 @@
         self.outputs.extend(stops);
     }
 
-    pub(crate) fn on_claimed(&mut self, id: &str, claimed: Claimed) {
+    pub(crate) fn on_claimed(&mut self, id: &str, claimed: ClaimReply) {
         let Some(host) = self.workers.get(id).cloned() else {
             return;
         };
         let worker = self.core.add_worker(id, &host.host.rack, claimed.capacity);
-        self.core.set_state(worker, core_state(host.host.state));
-        self.count_known();
-        self.runs.insert(id.to_owned(), claimed.incarnation.clone());
+        self.core.set_state(worker, worker_state(host.host.state));
+        self.update_all_known();
+        self.incarnations
+            .insert(id.to_owned(), claimed.incarnation.clone());
         self.event(Event::new(Kind::WorkerClaimed).worker(id));
         let mut listed: HashMap<String, Task> = HashMap::new();
         for task in claimed.tasks {
@@ -150,29 +156,30 @@
         }
         self.reconcile_members(id, &claimed.incarnation, &listed);
         for task in listed.into_values() {
-            self.take_listed(id, task);
+            self.process_listed_task(id, task);
         }
         if host.host.state == HostState::Leaving {
-            self.move_long_work(id);
+            self.checkpoint_batch_tasks(id);
         }
     }
 
-    /// Members that the worker does not list. If it is still the run that the
-    /// intent names, the start never reached it, and never will: the claim
-    /// has fenced it off. If it has restarted, nobody knows.
-    fn reconcile_members(&mut self, id: &str, run: &str, listed: &HashMap<String, Task>) {
+    /// Settles members that the claimed worker does not list. If the worker is
+    /// still the incarnation that the intent names, the start has not reached
+    /// it and never will, since the claim has fenced it off. If the worker has
+    /// restarted, it is unknown whether the task ran.
+    fn reconcile_members(&mut self, id: &str, incarnation: &str, listed: &HashMap<String, Task>) {
         let mut settled = Vec::new();
-        for (key, entry) in self.ledger.iter().filter(|(_, entry)| !entry.is_over()) {
+        for (key, entry) in self.ledger.iter().filter(|(_, entry)| !entry.is_closed()) {
             for member in entry.members.iter().filter(|m| m.worker == id) {
                 if member.state.is_settled() || listed.contains_key(&member.attempt) {
                     continue;
                 }
-                let state = match (member.run == run, &member.state) {
+                let state = match (member.incarnation == incarnation, &member.state) {
                     (true, MemberState::Unknown) => MemberState::NotStarted,
-                    // The link tells what became of starts in flight.
+                    // The link reports the outcome of starts in flight.
                     (true, MemberState::Sent) => continue,
                     _ if matches!(entry.stage, Stage::Recording(_)) => continue,
-                    _ => MemberState::Gone,
+                    _ => MemberState::Interrupted,
                 };
                 settled.push((key.clone(), member.attempt.clone(), state));
             }
@@ -182,9 +189,9 @@
         }
     }
 
-    fn take_listed(&mut self, id: &str, task: Task) {
-        if !self.is_home(&task.request) {
-            self.drop_stray(id, task);
+    fn process_listed_task(&mut self, id: &str, task: Task) {
+        if !self.belongs_here(&task.request) {
+            self.drop_foreign_task(id, task);
             return;
         }
         if task.end.is_some() {
@@ -192,8 +199,8 @@
             self.on_ended(id, vec![task]);
             return;
         }
-        // A stop that was lost on its way shows as a task that runs on after
-        // its caller was told that it is cancelled; so it is sent again.
+        // If a stop was lost on its way, the worker still lists the task of a
+        // cancelled request; the stop is sent again.
         let key = &task.request;
         let cancelled = self.ledger.get(key).is_some_and(|entry| entry.cancelled);
         if !self.adopt(id, &task) || cancelled {
@@ -202,19 +209,20 @@
         }
     }
 
-    /// Whether requests with this key belong here, as far as the configuration
-    /// in force tells.
-    pub(crate) fn is_home(&self, key: &str) -> bool {
+    /// Whether requests with this key belong to this shard under the current
+    /// configuration. True if the team is not known.
+    pub(crate) fn belongs_here(&self, key: &str) -> bool {
         if let Some(shard) = model::lent_to(key) {
-            return shard == self.facts.shard;
+            return shard == self.params.shard;
         }
         let team = key.split_once('/').map_or(key, |(team, _)| team);
-        let shards = self.config().team_shards(team, self.facts.shards);
-        shards.is_none_or(|shards| shards.home(key) == self.facts.shard)
+        let shards = self.config().team_shards(team, self.params.shards);
+        shards.is_none_or(|shards| shards.home(key) == self.params.shard)
     }
 
-    /// A task of another shard, which had the worker before.
-    fn drop_stray(&mut self, id: &str, task: Task) {
+    /// Forgets or stops a task of the shard to which the worker belonged
+    /// before.
+    fn drop_foreign_task(&mut self, id: &str, task: Task) {
         if task.end.is_some() {
             self.forget_task(id, task.attempt);
         } else {
@@ -223,12 +231,13 @@
         }
     }
 
-    /// Takes a listed task into ledger and core. False: nobody wants it any
-    /// more, as when its request was answered under an earlier owner.
+    /// Adds a task listed by a worker to the ledger and the core. Returns false
+    /// if the task is no longer needed, for instance because its request was
+    /// answered under an earlier owner.
     fn adopt(&mut self, id: &str, task: &Task) -> bool {
         let key = &task.request;
         if self.ledger.get(key).is_none() && task.end.is_none() {
-            self.insert_orphan(id, task);
+            self.insert_reported(id, task);
         }
         let Some(worker) = self.core.worker(id) else {
             return false;
@@ -237,7 +246,7 @@
         let Some(entry) = self.ledger.get_mut(key) else {
             return true;
         };
-        if entry.is_over() {
+        if entry.is_closed() {
             return false;
         }
         let job = entry.job();
@@ -270,51 +279,53 @@
         };
         let spec = Self::job_spec(entry);
         let job = self.core.adopt(self.times.now, spec, worker);
-        self.keys.insert(job, key.to_owned());
+        self.request_keys.insert(job, key.to_owned());
         if let Some(entry) = self.ledger.get_mut(key) {
-            entry.touch(Past::Seen);
+            entry.add_history(RunHistory::EndKnown);
             entry.stage = Stage::Running(Some(job));
         }
     }
 
-    fn insert_orphan(&mut self, id: &str, task: &Task) {
-        let mut entry = Entry::orphan(&task.request, task.needs, self.times.now);
+    fn insert_reported(&mut self, id: &str, task: &Task) {
+        let mut entry = Entry::from_report(&task.request, task.needs, self.times.now);
         entry.attempt = 1;
         entry.members = vec![crate::Member {
             attempt: task.attempt.clone(),
             worker: id.to_owned(),
-            run: self.runs.get(id).cloned().unwrap_or_default(),
+            incarnation: self.incarnations.get(id).cloned().unwrap_or_default(),
             state: MemberState::Unknown,
         }];
         self.ledger.insert(&task.request, entry);
     }
 
-    /// Leaves a worker alone that has refused a start. Without the pause a
-    /// shard whose view of a worker is wrong would place the same job there
-    /// again at once, and be refused as fast as the network allows.
+    /// Places nothing on a worker for a short time after it has refused a
+    /// start. Without the pause, a shard with a wrong view of a worker would
+    /// place the same job there again at once, and be refused as fast as the
+    /// network allows.
     pub(crate) fn hold_worker(&mut self, id: &str) {
         let Some(worker) = self.core.worker(id) else {
             return;
         };
-        let ready = |slot: &sched::WorkerSlot| slot.state == WorkerState::Ready;
-        if self.core.worker_slot(worker).is_some_and(ready) {
+        let is_ready = |w: &sched::WorkerEntry| w.state == WorkerState::Ready;
+        if self.core.worker_entry(worker).is_some_and(is_ready) {
             self.core.set_state(worker, WorkerState::Held);
-            self.held.push((self.times.now + HOLD, id.to_owned()));
+            self.paused_workers
+                .push((self.times.now + HOLD_TIME, id.to_owned()));
         }
     }
 
     pub(crate) fn release_held(&mut self) {
         while self
-            .held
+            .paused_workers
             .first()
             .is_some_and(|(until, _)| *until <= self.times.now)
         {
-            let (_, id) = self.held.remove(0);
+            let (_, id) = self.paused_workers.remove(0);
             let Some(worker) = self.core.worker(&id) else {
                 continue;
             };
-            let held = |slot: &sched::WorkerSlot| slot.state == WorkerState::Held;
-            if self.core.worker_slot(worker).is_some_and(held) {
+            let is_held = |w: &sched::WorkerEntry| w.state == WorkerState::Held;
+            if self.core.worker_entry(worker).is_some_and(is_held) {
                 self.core.set_state(worker, WorkerState::Ready);
             }
         }
@@ -336,20 +347,21 @@
         self.event(Event::new(Kind::WorkerRefused).worker(id).detail(detail));
     }
 
-    /// What ran there may be running still, and its end will be reported to
-    /// the other shard: nobody here can tell, so nothing is run again.
-    pub(crate) fn on_worker_taken(&mut self, id: &str) {
+    /// Another shard has claimed the worker. Tasks may still run there, and
+    /// their ends will be reported to that shard only, so they are settled as
+    /// unreachable and not run again.
+    pub(crate) fn on_worker_reassigned(&mut self, id: &str) {
         self.on_worker_refused(id, "another shard holds it");
-        self.settle_all(id, &MemberState::Missing);
+        self.settle_all(id, &MemberState::Unreachable);
     }
 
-    pub(crate) fn on_lease_over(&mut self, id: &str) {
-        self.settle_all(id, &MemberState::Gone);
+    pub(crate) fn on_lease_expired(&mut self, id: &str) {
+        self.settle_all(id, &MemberState::Interrupted);
     }
 
     fn settle_all(&mut self, id: &str, state: &MemberState) {
         let mut settled = Vec::new();
-        for (key, entry) in self.ledger.iter().filter(|(_, entry)| !entry.is_over()) {
+        for (key, entry) in self.ledger.iter().filter(|(_, entry)| !entry.is_closed()) {
             if matches!(entry.stage, Stage::Recording(_)) {
                 continue;
             }
@@ -362,31 +374,31 @@
         }
     }
 
-    /// Recovered intents on workers that nobody could claim in all this time:
-    /// their callers get "may have run".
-    pub(crate) fn settle_missing(&mut self) {
-        let mut missing = Vec::new();
-        for (_, entry) in self.ledger.iter().filter(|(_, entry)| !entry.is_over()) {
+    /// Settles recovered intents on workers that could not be claimed in time.
+    /// Their callers are told that the request may have run.
+    pub(crate) fn settle_unclaimed(&mut self) {
+        let mut unclaimed = Vec::new();
+        for (_, entry) in self.ledger.iter().filter(|(_, entry)| !entry.is_closed()) {
             let unknown = entry
                 .members
                 .iter()
                 .filter(|m| m.state == MemberState::Unknown);
-            missing.extend(unknown.map(|m| m.worker.clone()));
+            unclaimed.extend(unknown.map(|m| m.worker.clone()));
         }
-        for id in missing {
+        for id in unclaimed {
             self.settle_unknown(&id);
         }
     }
 
     fn settle_unknown(&mut self, id: &WorkerId) {
-        let claimed = self.runs.contains_key(id);
+        let claimed = self.incarnations.contains_key(id);
         if !claimed {
-            self.settle_all(id, &MemberState::Missing);
+            self.settle_all(id, &MemberState::Unreachable);
         }
     }
 }
 
-fn core_state(state: HostState) -> WorkerState {
+fn worker_state(state: HostState) -> WorkerState {
     match state {
         HostState::Live => WorkerState::Ready,
         HostState::Leaving => WorkerState::Leaving,
--- a/crates/shard/src/intake.rs
+++ b/crates/shard/src/intake.rs
@@ -1,4 +1,4 @@
-//! What callers ask of a shard: submit, status, cancel.
+//! Calls to a shard: submit, status, cancel.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use model::Request;
 use model::request_key;
 use sched::JobSpec;
-use sched::Refused;
+use sched::SubmitError;
 
 use crate::Acceptance;
 use crate::Accepted;
@@ -22,11 +22,11 @@
 use crate::Stage;
 use crate::Submission;
 use crate::WaiterKey;
-use crate::machine::Pending;
-use crate::outcome::refusal_of;
+use crate::machine::PendingRecord;
+use crate::outcome::refusal_code;
 
-/// When a refused caller may come back, in milliseconds.
-const COME_BACK_MILLIS: u64 = 1000;
+/// Delay after which a caller should ask again, in milliseconds.
+const RETRY_MILLIS: u64 = 1000;
 
 impl Machine {
     pub(crate) fn on_ask(&mut self, ask: ShardAsk, waiter: WaiterKey) {
@@ -40,7 +40,7 @@
             ShardAsk::Status(key) => self.on_status(&key, waiter),
             ShardAsk::Cancel(CancelFilter::One(key)) => self.on_cancel(vec![key], waiter),
             ShardAsk::Cancel(CancelFilter::Label { team, label }) => {
-                let keys = self.labelled(&team, &label);
+                let keys = self.keys_with_label(&team, &label);
                 self.on_cancel(keys, waiter);
             }
         }
@@ -49,33 +49,39 @@
     fn on_submit(&mut self, submission: Submission, waiter: WaiterKey) {
         let key = request_key(&submission.request.team, &submission.request.id);
         if self.ledger.get(&key).is_some() {
-            self.attach(&key, &submission, waiter);
+            self.attach_to_known(&key, &submission, waiter);
             return;
         }
-        if !self.is_home(&key) {
-            // The router's configuration is older than this team.
+        if !self.belongs_here(&key) {
+            // The sender's router has an older configuration, without this
+            // team.
             self.reply(waiter, ShardReply::NotOwner);
             return;
         }
         if let Some(answer) = self.refusal(&submission.request) {
             let now = self.times.now;
             let entry = Entry::new(submission.request, now, now, 0);
-            let answer = self.make_true(&entry, answer);
+            let answer = self.qualify_not_run(&entry, answer);
             self.reply(waiter, ShardReply::Answer(answer));
             return;
         }
-        self.take(&key, submission, waiter);
+        self.accept(&key, submission, waiter);
     }
 
-    /// A retry gets the answer of the first submission.
-    pub(crate) fn attach(&mut self, key: &str, submission: &Submission, waiter: WaiterKey) {
+    /// Answers a repeated submission of a known id like the first one.
+    pub(crate) fn attach_to_known(
+        &mut self,
+        key: &str,
+        submission: &Submission,
+        waiter: WaiterKey,
+    ) {
         let Some(entry) = self.ledger.get_mut(key) else {
             return;
         };
         let id = &submission.request.id;
         if !entry.is_same_work(&submission.request) {
             let reason = "the id was used earlier for different work";
-            let answer = Answer::bare(id, Code::IdReused, reason);
+            let answer = Answer::without_output(id, Code::IdReused, reason);
             self.reply(waiter, ShardReply::Answer(answer));
             return;
         }
@@ -87,8 +93,8 @@
         } else if entry.recorded
             && let Acceptance::Recording(waiters) = &mut entry.acceptance
         {
-            // Its record may never reach the table; an "accepted" now would be
-            // followed by a request that the next owner has never heard of.
+            // The acceptance record may never reach the table. If the caller
+            // got "accepted" now, the next owner might not know the request.
             waiters.push(waiter);
         } else {
             let answer = pending_answer(id, "accepted");
@@ -96,31 +102,31 @@
         }
     }
 
-    /// Why a new request cannot be taken, if so.
+    /// The answer that refuses a new request, if it cannot be accepted.
     fn refusal(&self, request: &Request) -> Option<Answer> {
         let id = &request.id;
-        let retention = millis(self.facts.retention);
+        let retention = millis(self.params.retention);
         let oldest = self.times.wall_millis.saturating_sub(retention);
         if request.sent_millis != 0 && request.sent_millis < oldest {
             let reason =
                 format!("first sent more than {retention} ms ago; answers are forgotten by then");
-            return Some(Answer::bare(id, Code::Forgotten, reason));
+            return Some(Answer::without_output(id, Code::Forgotten, reason));
         }
-        let reason = crate::breaks_limit(self.config(), request)?;
-        Some(Answer::bare(id, Code::NeverFits, reason))
+        let reason = crate::exceeded_cell_limit(self.config(), request)?;
+        Some(Answer::without_output(id, Code::NeverFits, reason))
     }
 
-    fn take(&mut self, key: &str, submission: Submission, waiter: WaiterKey) {
+    fn accept(&mut self, key: &str, submission: Submission, waiter: WaiterKey) {
         let Submission {
             request,
             waited_millis,
             wait,
         } = submission;
-        let left = request.deadline_millis.saturating_sub(waited_millis);
-        let deadline = self.times.now + Duration::from_millis(left);
-        let until_millis = self.times.wall_millis + left;
+        let remaining_millis = request.deadline_millis.saturating_sub(waited_millis);
+        let deadline = self.times.now + Duration::from_millis(remaining_millis);
+        let until_millis = self.times.wall_millis + remaining_millis;
         let mut entry = Entry::new(request, self.times.now, deadline, until_millis);
-        entry.before_millis = waited_millis;
+        entry.prior_millis = waited_millis;
         let spec = Self::job_spec(&entry);
         let job = match self.core.submit(self.times.now, spec) {
             Ok(job) => job,
@@ -130,7 +136,7 @@
             }
         };
         entry.stage = Stage::Waiting(job);
-        self.keys.insert(job, key.to_owned());
+        self.request_keys.insert(job, key.to_owned());
         let durable = entry.request.is_durable();
         if wait {
             entry.waiters.push(waiter);
@@ -146,7 +152,7 @@
             if !wait {
                 entry.acceptance = Acceptance::Recording(vec![waiter]);
             }
-            self.append(record, Pending::Accepted(key.to_owned()));
+            self.append(record, PendingRecord::Accepted(key.to_owned()));
         } else if !wait {
             let answer = pending_answer(&entry.request.id, "accepted");
             self.reply(waiter, ShardReply::Answer(answer));
@@ -157,16 +163,17 @@
         }
     }
 
-    /// A refused id is remembered like any other: a copy of the submission
-    /// that was delayed on its way must not run after "not run" was said.
-    fn refuse(&mut self, key: &str, entry: Entry, refused: Refused, waiter: WaiterKey) {
+    /// Refuses a request. Its id is kept in the ledger like any other: a
+    /// delayed duplicate of the submission must not run after its caller was
+    /// told that it did not run.
+    fn refuse(&mut self, key: &str, entry: Entry, refused: SubmitError, waiter: WaiterKey) {
         let id = entry.request.id.clone();
-        let (code, reason) = refusal_of(refused);
-        let mut answer = Answer::bare(&id, code, reason);
+        let (code, reason) = refusal_code(refused);
+        let mut answer = Answer::without_output(&id, code, reason);
         if code == Code::QueueFull {
-            answer = answer.retry_in(COME_BACK_MILLIS);
+            answer = answer.retry_in(RETRY_MILLIS);
         }
-        let answer = self.make_true(&entry, answer);
+        let answer = self.qualify_not_run(&entry, answer);
         self.ledger.insert(key, entry);
         self.ledger.finish(key, answer.clone(), self.times.now);
         self.reply(waiter, ShardReply::Answer(answer));
@@ -180,12 +187,12 @@
             needs: request.task_needs(),
             members: request.members,
             deadline: entry.deadline,
-            run: Duration::from_millis(request.run_millis),
+            run_time: Duration::from_millis(request.run_millis),
             avoid: Vec::new(),
         }
     }
 
-    /// Takes a request that nothing was sent for out of the core.
+    /// Removes a request for which no start was sent from the scheduling core.
     pub(crate) fn withdraw(&mut self, key: &str) {
         let Some(entry) = self.ledger.get_mut(key) else {
             return;
@@ -194,7 +201,7 @@
             return;
         };
         let members = std::mem::take(&mut entry.members);
-        self.keys.remove(&job);
+        self.request_keys.remove(&job);
         if self.core.withdraw(job) {
             return;
         }
@@ -206,9 +213,9 @@
     }
 }
 
-/// An answer that is not final.
+/// Builds an answer that is not final.
 pub(crate) fn pending_answer(id: &str, reason: &str) -> Answer {
-    Answer::bare(id, Code::Pending, reason).retry_in(COME_BACK_MILLIS)
+    Answer::without_output(id, Code::Pending, reason).retry_in(RETRY_MILLIS)
 }
 
 pub(crate) fn millis(duration: Duration) -> u64 {
--- a/crates/shard/src/journal.rs
+++ b/crates/shard/src/journal.rs
@@ -1,5 +1,6 @@
-//! Writer of one shard's journal: one commit in flight, with everything that
-//! queued behind the one before, within the process's share of the writes.
+//! Writer of one shard's journal. At most one commit is in flight; records that
+//! arrive meanwhile go into the next batch. Commits are limited to the
+//! process's share of the write rate.
 
 use std::time::Duration;
 
@@ -8,7 +9,7 @@
 use model::ShardId;
 use rand::RngExt;
 use store::Commit;
-use store::Committed;
+use store::CommitOutcome;
 use store::RowVersion;
 use store::StoreError;
 use store::Table;
@@ -29,60 +30,66 @@
 use crate::segments_key;
 use crate::shard_key;
 
-/// Most records in one batch, so that a row stays small.
+/// Limit on the records in one batch, which keeps journal rows small.
 const BATCH_RECORDS: usize = 2000;
 
 /// First and longest pause between tries of a commit.
 const RETRY_FIRST: Duration = Duration::from_millis(50);
 const RETRY_LONGEST: Duration = Duration::from_secs(1);
 
-/// Orders to the writer.
+/// Commands to the journal writer.
 #[derive(Debug)]
-pub enum JournalOrder {
-    /// Commit records.
+pub enum JournalCommand {
+    /// Commit records, identified by a ticket.
     Append(Ticket, Vec<Record>),
-    /// Name new segments; the rows that they cover may be reused.
+    /// Write the new segment list to the table with the next commit; the
+    /// journal rows that its segments cover may be reused after that.
     Segments(SegmentList),
-    /// Commit what is queued, then end.
+    /// Commit the queued records, then end.
     Close,
 }
 
-/// News from the writer.
+/// Events that the journal writer reports to the shard's task.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum JournalNews {
-    /// All records up to a ticket are in the table; the last batch's number.
+pub enum JournalEvent {
+    /// All records up to this ticket are in the table; the second value is the
+    /// number of the last batch.
     Written(Ticket, Seq),
-    /// The table takes no records for now.
+    /// The table has not confirmed a commit; the writer keeps retrying.
     Stalled,
-    /// Another process owns the shard.
+    /// Another process owns the shard, or this process owns it at another
+    /// epoch. The writer has ended.
     Fenced,
 }
 
-/// Where the journal goes on.
+/// Position at which the writer continues the journal, as read by recovery.
 #[derive(Clone, Debug)]
-pub struct JournalStart {
-    /// Shard.
+pub struct JournalPosition {
+    /// The journal's shard.
     pub shard: ShardId,
-    /// Process run that writes.
+    /// Incarnation of the process that writes.
     pub process: Incarnation,
-    /// Epoch of the shard.
+    /// Epoch of this ownership of the shard.
     pub epoch: Epoch,
-    /// Version of the shard's row, on which every commit is conditional.
+    /// Version of the shard's row; every commit checks it.
     pub fence: RowVersion,
     /// Number of the next batch.
-    pub next: Seq,
-    /// Versions of the journal rows.
-    pub rows: Vec<RowVersion>,
-    /// Segments so far.
+    pub next_seq: Seq,
+    /// Versions of the journal rows; 0 for a row that was never written.
+    pub row_versions: Vec<RowVersion>,
+    /// The segment list as stored in the table.
     pub segments: SegmentList,
-    /// Version of the row that lists them.
+    /// Version of the row that holds the segment list.
     pub list_version: RowVersion,
 }
 
-/// What became of one try.
-enum Tried {
+/// Result of one try to commit.
+enum WriteOutcome {
+    /// The batch is in the table.
     Done,
-    Again,
+    /// The batch is not in the table; try again.
+    Retry,
+    /// The shard has another owner or epoch.
     Fenced,
 }
 
@@ -91,210 +98,226 @@
 pub struct Journal<T> {
     table: T,
     pacer: Pacer,
-    start: JournalStart,
-    orders: mpsc::UnboundedReceiver<JournalOrder>,
-    news: mpsc::UnboundedSender<JournalNews>,
-    listed: SegmentList,
+    position: JournalPosition,
+    commands: mpsc::UnboundedReceiver<JournalCommand>,
+    events: mpsc::UnboundedSender<JournalEvent>,
+    /// Newest segment list of the shard's task; differs from the stored one
+    /// until the next commit.
+    latest_segments: SegmentList,
+    /// Whether to end once the queued records are committed.
     closing: bool,
 }
 
 impl<T: Table> Journal<T> {
-    /// A writer that takes `orders` and reports to `news`.
+    /// A writer that receives `commands` and reports to `events`.
     #[must_use]
     pub fn new(
         table: T,
         pacer: Pacer,
-        start: JournalStart,
-        orders: mpsc::UnboundedReceiver<JournalOrder>,
-        news: mpsc::UnboundedSender<JournalNews>,
+        position: JournalPosition,
+        commands: mpsc::UnboundedReceiver<JournalCommand>,
+        events: mpsc::UnboundedSender<JournalEvent>,
     ) -> Journal<T> {
         Journal {
             table,
             pacer,
-            listed: start.segments.clone(),
-            start,
-            orders,
-            news,
+            latest_segments: position.segments.clone(),
+            position,
+            commands,
+            events,
             closing: false,
         }
     }
 
-    /// Runs until closed, fenced, or abandoned by its shard.
+    /// Runs until closed, fenced, or until the shard's task has ended.
     pub async fn run(mut self) {
         let mut records = Vec::new();
         let mut last = 0;
         loop {
             if records.is_empty() && !self.closing {
-                let Some(order) = self.orders.recv().await else {
+                let Some(command) = self.commands.recv().await else {
                     return;
                 };
-                self.take(order, &mut records, &mut last);
+                self.apply(command, &mut records, &mut last);
             }
             while records.len() < BATCH_RECORDS {
-                let Ok(order) = self.orders.try_recv() else {
+                let Ok(command) = self.commands.try_recv() else {
                     break;
                 };
-                self.take(order, &mut records, &mut last);
+                self.apply(command, &mut records, &mut last);
             }
             if records.is_empty() && self.closing {
                 return;
             }
-            if records.is_empty() && self.listed == self.start.segments {
+            if records.is_empty() && self.latest_segments == self.position.segments {
                 continue;
             }
             if !self.write(std::mem::take(&mut records)).await {
-                let _ = self.news.send(JournalNews::Fenced);
+                let _ = self.events.send(JournalEvent::Fenced);
                 return;
             }
-            let written = JournalNews::Written(last, self.start.next - 1);
-            if self.news.send(written).is_err() {
+            let written = JournalEvent::Written(last, self.position.next_seq - 1);
+            if self.events.send(written).is_err() {
                 return;
             }
         }
     }
 
-    fn take(&mut self, order: JournalOrder, records: &mut Vec<Record>, last: &mut Ticket) {
-        match order {
-            JournalOrder::Append(ticket, mut more) => {
-                records.append(&mut more);
+    /// Handles one command: collects its records and their ticket, the new
+    /// segment list, or the request to end.
+    fn apply(&mut self, command: JournalCommand, records: &mut Vec<Record>, last: &mut Ticket) {
+        match command {
+            JournalCommand::Append(ticket, mut added) => {
+                records.append(&mut added);
                 *last = ticket;
             }
-            JournalOrder::Segments(newer) => self.listed = newer,
-            JournalOrder::Close => self.closing = true,
+            JournalCommand::Segments(newer) => self.latest_segments = newer,
+            JournalCommand::Close => self.closing = true,
         }
     }
 
-    /// Writes one batch, however long it takes; false when fenced.
+    /// Commits one batch, retrying for as long as necessary. Returns false when
+    /// fenced, or when the shard's task has ended.
     async fn write(&mut self, records: Vec<Record>) -> bool {
         let batch = Batch {
             format: FORMAT,
-            seq: self.start.next,
-            epoch: self.start.epoch,
+            seq: self.position.next_seq,
+            epoch: self.position.epoch,
             records,
         };
         let mut pause = RETRY_FIRST;
         loop {
             self.pacer.take(1).await;
-            match self.attempt(&batch).await {
-                Ok(Tried::Done) => {
-                    self.start.next += 1;
+            match self.try_write(&batch).await {
+                Ok(WriteOutcome::Done) => {
+                    self.position.next_seq += 1;
                     return true;
                 }
-                Ok(Tried::Fenced) => return false,
-                Ok(Tried::Again) => {}
+                Ok(WriteOutcome::Fenced) => return false,
+                Ok(WriteOutcome::Retry) => {}
                 Err(error) => {
-                    log::debug!("journal of shard {}: {error}", self.start.shard);
-                    if self.news.send(JournalNews::Stalled).is_err() {
+                    log::debug!(
+                        "journal commit of shard {} failed: {error}",
+                        self.position.shard
+                    );
+                    if self.events.send(JournalEvent::Stalled).is_err() {
                         return false;
                     }
                 }
             }
-            // Jitter keeps the processes from returning together after an
-            // outage.
+            // Jitter spreads the retries of the processes after an outage of
+            // the table.
             let jitter = rand::rng().random_range(0.5..1.5);
             tokio::time::sleep(pause.mul_f64(jitter)).await;
             pause = (pause * 2).min(RETRY_LONGEST);
         }
     }
 
-    /// One try. A try whose answer was lost is repeated as it is: it can take
-    /// effect only once, since it names the version of the row that it
-    /// replaces, and the row itself tells whether it did.
-    async fn attempt(&mut self, batch: &Batch) -> Result<Tried, StoreError> {
-        if batch.seq > self.start.segments.covered() + JOURNAL_ROWS {
-            return self.attempt_segments().await;
+    /// Tries once to commit the batch. If the reply is lost, the same commit is
+    /// sent again: it can take effect only once, since it checks the version of
+    /// the row that it replaces, and reading the row back shows whether it did.
+    async fn try_write(&mut self, batch: &Batch) -> Result<WriteOutcome, StoreError> {
+        if batch.seq > self.position.segments.covered() + JOURNAL_ROWS {
+            return self.try_write_segments().await;
         }
-        let key = journal_key(self.start.shard, batch.seq);
-        let slot = slot_of(batch.seq);
+        let key = journal_key(self.position.shard, batch.seq);
+        let index = row_index(batch.seq);
         let mut commit = Commit::default()
-            .check(shard_key(self.start.shard), self.start.fence)
-            .check(key.clone(), self.start.rows[slot])
+            .check(shard_key(self.position.shard), self.position.fence)
+            .check(key.clone(), self.position.row_versions[index])
             .put(key.clone(), encode_row(batch));
-        let lists = self.listed != self.start.segments;
-        if lists {
-            commit = self.with_segments(commit);
+        let list_changed = self.latest_segments != self.position.segments;
+        if list_changed {
+            commit = self.add_segment_list(commit);
         }
         match self.table.commit(&commit).await? {
-            Committed::Done(versions) => {
-                self.start.rows[slot] = versions.first().copied().unwrap_or_default();
-                if lists {
-                    self.start.list_version = versions.get(1).copied().unwrap_or_default();
-                    self.start.segments = self.listed.clone();
+            CommitOutcome::Done(versions) => {
+                self.position.row_versions[index] = versions.first().copied().unwrap_or_default();
+                if list_changed {
+                    self.position.list_version = versions.get(1).copied().unwrap_or_default();
+                    self.position.segments = self.latest_segments.clone();
                 }
-                Ok(Tried::Done)
+                Ok(WriteOutcome::Done)
             }
-            Committed::Conflict(_) => self.resolve(batch, lists).await,
+            CommitOutcome::Conflict(_) => self.resolve_conflict(batch, list_changed).await,
         }
     }
 
-    fn with_segments(&self, commit: Commit) -> Commit {
-        let key = segments_key(self.start.shard);
+    /// Adds the write of the newest segment list to a commit.
+    fn add_segment_list(&self, commit: Commit) -> Commit {
+        let key = segments_key(self.position.shard);
         commit
-            .check(key.clone(), self.start.list_version)
-            .put(key, encode_row(&self.listed))
+            .check(key.clone(), self.position.list_version)
+            .put(key, encode_row(&self.latest_segments))
     }
 
-    /// Every row holds a batch that no segment covers yet: the list of
-    /// segments has to move first.
-    async fn attempt_segments(&mut self) -> Result<Tried, StoreError> {
-        if self.listed == self.start.segments {
-            while let Ok(order) = self.orders.try_recv() {
-                if let JournalOrder::Segments(newer) = order {
-                    self.listed = newer;
+    /// Every journal row holds a batch that the segment list in the table does
+    /// not cover yet. The list must be updated before a row can be reused.
+    async fn try_write_segments(&mut self) -> Result<WriteOutcome, StoreError> {
+        if self.latest_segments == self.position.segments {
+            while let Ok(command) = self.commands.try_recv() {
+                if let JournalCommand::Segments(newer) = command {
+                    self.latest_segments = newer;
                 }
             }
-            return Ok(Tried::Again);
+            return Ok(WriteOutcome::Retry);
         }
-        let fence = Commit::default().check(shard_key(self.start.shard), self.start.fence);
-        match self.table.commit(&self.with_segments(fence)).await? {
-            Committed::Done(versions) => {
-                self.start.list_version = versions.first().copied().unwrap_or_default();
-                self.start.segments = self.listed.clone();
-                Ok(Tried::Again)
+        let fence = Commit::default().check(shard_key(self.position.shard), self.position.fence);
+        match self.table.commit(&self.add_segment_list(fence)).await? {
+            CommitOutcome::Done(versions) => {
+                self.position.list_version = versions.first().copied().unwrap_or_default();
+                self.position.segments = self.latest_segments.clone();
+                Ok(WriteOutcome::Retry)
             }
-            Committed::Conflict(_) => self.refresh().await,
+            CommitOutcome::Conflict(_) => self.refresh_versions().await,
         }
     }
 
-    /// A condition did not hold: either an earlier try has taken effect, or
-    /// the shard has another owner.
-    async fn resolve(&mut self, batch: &Batch, lists: bool) -> Result<Tried, StoreError> {
-        let key = journal_key(self.start.shard, batch.seq);
+    /// A check failed: either an earlier try of the same batch has taken
+    /// effect, or the shard has another owner.
+    async fn resolve_conflict(
+        &mut self,
+        batch: &Batch,
+        list_changed: bool,
+    ) -> Result<WriteOutcome, StoreError> {
+        let key = journal_key(self.position.shard, batch.seq);
         let row = self.table.get(&key).await?;
         let version = row.as_ref().map_or(0, |row| row.version);
         let found = row.and_then(|row| decode_row::<Batch>(&row).ok());
         if found.as_ref() == Some(batch) {
-            self.start.rows[slot_of(batch.seq)] = version;
-            if lists {
-                self.start.segments = self.listed.clone();
-                self.refresh().await?;
+            self.position.row_versions[row_index(batch.seq)] = version;
+            if list_changed {
+                self.position.segments = self.latest_segments.clone();
+                self.refresh_versions().await?;
             }
-            return Ok(Tried::Done);
+            return Ok(WriteOutcome::Done);
         }
-        self.refresh().await
+        self.refresh_versions().await
     }
 
-    /// Reads the versions of the shard's row and of the list again.
-    async fn refresh(&mut self) -> Result<Tried, StoreError> {
-        let Some(row) = self.table.get(&shard_key(self.start.shard)).await? else {
-            return Ok(Tried::Fenced);
+    /// Reads the versions of the shard's row and of the segment list again.
+    async fn refresh_versions(&mut self) -> Result<WriteOutcome, StoreError> {
+        let Some(row) = self.table.get(&shard_key(self.position.shard)).await? else {
+            return Ok(WriteOutcome::Fenced);
         };
         let Ok(shard) = decode_row::<ShardRow>(&row) else {
-            return Ok(Tried::Fenced);
+            return Ok(WriteOutcome::Fenced);
         };
-        // The same process at another epoch is another writer: the shard went
-        // away and came back while this one was still busy, and what it has
-        // left would overwrite the rows of its successor.
-        if shard.owner != self.start.process || shard.epoch != self.start.epoch {
-            return Ok(Tried::Fenced);
+        // The same process at another epoch is a different writer: the shard
+        // was handed to another process and came back while this writer was
+        // still retrying. Its remaining commits would overwrite rows of its
+        // successor.
+        if shard.owner != self.position.process || shard.epoch != self.position.epoch {
+            return Ok(WriteOutcome::Fenced);
         }
-        self.start.fence = row.version;
-        let list = self.table.get(&segments_key(self.start.shard)).await?;
-        self.start.list_version = list.map_or(0, |row| row.version);
-        Ok(Tried::Again)
+        self.position.fence = row.version;
+        let list = self.table.get(&segments_key(self.position.shard)).await?;
+        self.position.list_version = list.map_or(0, |row| row.version);
+        Ok(WriteOutcome::Retry)
     }
 }
 
-fn slot_of(seq: Seq) -> usize {
+/// Index of the journal row that holds a batch.
+fn row_index(seq: Seq) -> usize {
     usize::try_from(seq % JOURNAL_ROWS).unwrap_or_default()
 }
--- a/crates/shard/src/launch.rs
+++ b/crates/shard/src/launch.rs
@@ -1,5 +1,5 @@
-//! From a placement to starts: the intent is in the table before anything is
-//! sent that must not run twice.
+//! From a placement to the starts. For a request that must not run twice, the
+//! intent is written to the table before any start is sent.
 
 use event::Event;
 use event::Kind;
@@ -13,7 +13,7 @@
 use crate::Member;
 use crate::MemberState;
 use crate::Output;
-use crate::Placed;
+use crate::Placement;
 use crate::Record;
 use crate::ShardReply;
 use crate::Stage;
@@ -21,33 +21,33 @@
 use crate::Ticket;
 use crate::attempt_id;
 use crate::intake::pending_answer;
-use crate::machine::Pending;
-use crate::outcome::stands_unrecorded;
+use crate::machine::PendingRecord;
+use crate::outcome::is_valid_without_record;
 
 impl Machine {
     pub(crate) fn start(&mut self, job: JobKey, workers: &[WorkerKey]) {
-        let Some(key) = self.keys.get(&job).cloned() else {
+        let Some(key) = self.request_keys.get(&job).cloned() else {
             return;
         };
-        let names: Vec<String> = workers
+        let worker_ids: Vec<String> = workers
             .iter()
-            .filter_map(|worker| self.core.worker_slot(*worker))
-            .map(|slot| slot.id.clone())
+            .filter_map(|worker| self.core.worker_entry(*worker))
+            .map(|w| w.id.clone())
             .collect();
         let Some(entry) = self.ledger.get_mut(&key) else {
             return;
         };
         entry.attempt += 1;
-        entry.epoch = self.facts.epoch;
+        entry.epoch = self.params.epoch;
         let (epoch, attempt) = (entry.epoch, entry.attempt);
-        let runs = &self.runs;
+        let runs = &self.incarnations;
         let member = |(index, worker): (usize, &String)| Member {
             attempt: attempt_id(&key, epoch, attempt, index),
             worker: worker.clone(),
-            run: runs.get(worker).cloned().unwrap_or_default(),
+            incarnation: runs.get(worker).cloned().unwrap_or_default(),
             state: MemberState::Sent,
         };
-        entry.members = names.iter().enumerate().map(member).collect();
+        entry.members = worker_ids.iter().enumerate().map(member).collect();
         if entry.request.is_durable() {
             entry.stage = Stage::Recording(job);
             self.record_intent(&key, attempt);
@@ -56,24 +56,24 @@
             self.send_starts(&key);
         }
         let event = Event::new(Kind::TaskPlaced).request(&key);
-        self.event(event.worker(names.first().map_or("", |name| name)));
+        self.event(event.worker(worker_ids.first().map_or("", |name| name)));
     }
 
     fn record_intent(&mut self, key: &str, attempt: u32) {
         let Some(entry) = self.ledger.get(key) else {
             return;
         };
-        let place = |member: &Member| Placed {
+        let to_placed = |member: &Member| Placement {
             worker: member.worker.clone(),
-            run: member.run.clone(),
+            run: member.incarnation.clone(),
         };
         let record = Record::Intent {
             key: key.to_owned(),
             epoch: entry.epoch,
             attempt,
-            placed: entry.members.iter().map(place).collect(),
+            placed: entry.members.iter().map(to_placed).collect(),
         };
-        self.append(record, Pending::Intent(key.to_owned(), attempt));
+        self.append(record, PendingRecord::Intent(key.to_owned(), attempt));
     }
 
     fn send_starts(&mut self, key: &str) {
@@ -85,26 +85,26 @@
         let starts: Vec<Output> = entry
             .members
             .iter()
-            .map(|member| Output::Start(member.worker.clone(), order(entry, key, member)))
+            .map(|member| Output::Start(member.worker.clone(), start_order(entry, key, member)))
             .collect();
         self.outputs.extend(starts);
     }
 
     pub(crate) fn on_written(&mut self, ticket: Ticket) {
         self.stalled = false;
-        let later = self.pending.split_off(&(ticket + 1));
-        let written = std::mem::replace(&mut self.pending, later);
+        let unwritten = self.pending.split_off(&(ticket + 1));
+        let written = std::mem::replace(&mut self.pending, unwritten);
         for pending in written.into_values().flatten() {
             self.on_record(pending);
         }
     }
 
-    fn on_record(&mut self, pending: Pending) {
+    fn on_record(&mut self, pending: PendingRecord) {
         match pending {
-            Pending::Intent(key, attempt) => self.on_intent(&key, attempt),
-            Pending::End(key) => self.close(&key),
-            Pending::Accepted(key) => self.on_accepted(&key),
-            Pending::Cancelled(withdrawn) => {
+            PendingRecord::Intent(key, attempt) => self.on_intent(&key, attempt),
+            PendingRecord::End(key) => self.close(&key),
+            PendingRecord::Accepted(key) => self.on_accepted(&key),
+            PendingRecord::Cancelled(withdrawn) => {
                 for key in withdrawn.keys {
                     self.close(&key);
                 }
@@ -113,8 +113,8 @@
         }
     }
 
-    /// The intent is safe. It may have been withdrawn meanwhile; then nothing
-    /// is sent.
+    /// The intent is in the table. Nothing is sent if the request was withdrawn
+    /// in the meantime or its deadline has passed.
     fn on_intent(&mut self, key: &str, attempt: u32) {
         if self.released {
             return;
@@ -130,7 +130,7 @@
         }
         if entry.deadline < self.times.now {
             self.withdraw(key);
-            self.finish_too_late(key);
+            self.finish_past_deadline(key);
             return;
         }
         entry.stage = Stage::Running(Some(job));
@@ -141,7 +141,7 @@
         let Some(entry) = self.ledger.get_mut(key) else {
             return;
         };
-        let recording = std::mem::replace(&mut entry.acceptance, Acceptance::Safe);
+        let recording = std::mem::replace(&mut entry.acceptance, Acceptance::Recorded);
         let answer = match entry.answer() {
             Some(answer) => answer.clone(),
             None => pending_answer(&entry.request.id, "accepted"),
@@ -154,20 +154,19 @@
         }
     }
 
-    /// The table takes no records for now: answers that wait for theirs are
-    /// given at once, as far as they are true without their record; if this
-    /// process dies before it is written, the workers still hold the ends that
-    /// were not acknowledged.
+    /// The table currently accepts no records. Answers that are valid without
+    /// their record are given at once: if this process dies before the record
+    /// is written, the workers still hold the unacknowledged results.
     pub(crate) fn on_stalled(&mut self) {
         self.stalled = true;
-        let closing = |entry: &Entry| match &entry.stage {
-            Stage::Closing(answer) => stands_unrecorded(answer.code),
+        let is_closing = |entry: &Entry| match &entry.stage {
+            Stage::Closing(answer) => is_valid_without_record(answer.code),
             _ => false,
         };
         let keys: Vec<String> = self
             .ledger
             .iter()
-            .filter(|(_, entry)| closing(entry))
+            .filter(|(_, entry)| is_closing(entry))
             .map(|(key, _)| key.clone())
             .collect();
         for key in keys {
@@ -175,23 +174,24 @@
         }
     }
 
-    /// Requests whose intent could not be recorded in time. Nothing was sent
-    /// for them, and nothing will be: the stage changes here, and a later
-    /// owner that finds the intent finds its latest start passed, too.
-    pub(crate) fn give_up_recording(&mut self) {
+    /// Answers requests whose intent could not be recorded before their
+    /// deadline. No start was or will be sent for them: their stage changes
+    /// here, and a later owner that finds the intent also finds that the
+    /// deadline has passed.
+    pub(crate) fn fail_overdue_intents(&mut self) {
         let now = self.times.now;
-        let overdue =
+        let is_overdue =
             |entry: &Entry| matches!(entry.stage, Stage::Recording(_)) && entry.deadline < now;
         let keys: Vec<String> = self
             .ledger
             .iter()
-            .filter(|(_, entry)| overdue(entry))
+            .filter(|(_, entry)| is_overdue(entry))
             .map(|(key, _)| key.clone())
             .collect();
         for key in keys {
-            let touched = self.ledger.get(&key).is_some_and(Entry::touched);
+            let may_have_run = self.ledger.get(&key).is_some_and(Entry::may_have_run);
             self.withdraw(&key);
-            if touched {
+            if may_have_run {
                 self.finish_bare(
                     &key,
                     Code::HostLost,
@@ -205,10 +205,10 @@
     }
 }
 
-fn order(entry: &Entry, key: &str, member: &Member) -> StartOrder {
+fn start_order(entry: &Entry, key: &str, member: &Member) -> StartOrder {
     StartOrder {
         attempt: member.attempt.clone(),
-        run: member.run.clone(),
+        incarnation: member.incarnation.clone(),
         request: key.to_owned(),
         needs: entry.request.task_needs(),
         payload: entry.request.payload.clone(),
--- a/crates/shard/src/lease.rs
+++ b/crates/shard/src/lease.rs
@@ -1,17 +1,17 @@
-//! This process's own lease row: one write renews it for all its shards.
+//! This process's lease row. One write renews the lease for all its shards.
 
 use std::sync::Arc;
 use std::time::Instant;
 
 use model::Version;
 use store::Commit;
-use store::Committed;
+use store::CommitOutcome;
 use store::RowVersion;
 use store::StoreError;
 use store::Table;
 
-use crate::CELL_FACTS;
-use crate::CellFacts;
+use crate::CELL_PARAMS;
+use crate::CellParams;
 use crate::Context;
 use crate::FORMAT;
 use crate::LeaseRow;
@@ -22,17 +22,17 @@
 use crate::lease_key;
 use crate::member_key;
 
-/// What came of a renewal.
+/// Result of a successful renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Renewal {
-    /// Renewed; nobody else has written the row since the last renewal.
+    /// Renewed; no other process has written the row since the last renewal.
     Held,
-    /// Another process had expired it, or removed it. It is held anew; the
-    /// shards may have been taken meanwhile.
+    /// Another process had expired the lease or removed its row. The lease is
+    /// held again, but other processes may have taken shards in between.
     Regained,
 }
 
-/// This process's own lease row.
+/// This process's lease row.
 #[derive(Debug)]
 pub struct Lease<T, O, H> {
     context: Arc<Context<T, O, H>>,
@@ -42,7 +42,7 @@
 }
 
 impl<T: Table, O, H> Lease<T, O, H> {
-    /// A lease that is not held yet.
+    /// A lease that is not yet in the table.
     #[must_use]
     pub fn new(context: Arc<Context<T, O, H>>) -> Lease<T, O, H> {
         Lease {
@@ -53,14 +53,15 @@
         }
     }
 
-    /// Version of the row as last written.
+    /// Version of the row as last written; 0 before the first renewal.
     #[must_use]
     pub fn version(&self) -> RowVersion {
         self.version
     }
 
-    /// The other processes give it no more shards, from the next renewal on.
-    pub fn leave(&mut self) {
+    /// Marks the process as leaving from the next renewal on; the other
+    /// processes then assign it no more shards.
+    pub fn mark_leaving(&mut self) {
         self.state = LeaseState::Leaving;
     }
 
@@ -70,79 +71,84 @@
         self.state == LeaseState::Leaving
     }
 
-    /// Renews the lease. A renewal that took effect counts from `began`, the
-    /// moment before it was sent: the others count from later.
+    /// Renews the lease. Also returns the moment before the successful renewal
+    /// was sent: this process counts the lease from that moment, while the
+    /// other processes count from a later one.
     ///
     /// # Errors
     /// The table fails; the renewal may have taken effect.
     pub async fn renew(&mut self, config: Version) -> Result<(Renewal, Instant), StoreError> {
-        let began = Instant::now();
+        let sent_at = Instant::now();
         self.counter += 1;
-        if self.write(config).await? {
-            return Ok((Renewal::Held, began));
+        if self.try_write(config).await? {
+            return Ok((Renewal::Held, sent_at));
         }
         let key = lease_key(&self.context.process);
         let row = self.context.table.get(&key).await?;
         if row.is_none() {
             self.check_cell().await?;
         }
-        let found = row
+        let found_lease = row
             .as_ref()
             .and_then(|row| decode_row::<LeaseRow>(row).ok());
         self.version = row.map_or(0, |row| row.version);
-        // An earlier renewal whose answer was lost stands there as written:
-        // nobody has expired the lease.
-        let own = found.is_some_and(|lease| lease.state != LeaseState::Expired);
-        let began = Instant::now();
+        // If the row is not expired, it was written by an earlier renewal whose
+        // reply was lost; no process has expired the lease.
+        let still_held = found_lease.is_some_and(|lease| lease.state != LeaseState::Expired);
+        let sent_at = Instant::now();
         self.counter += 1;
-        if !self.write(config).await? {
-            let reason = "the lease row changed twice in a moment".to_owned();
+        if !self.try_write(config).await? {
+            let reason = "the lease row was changed twice during one renewal".to_owned();
             return Err(StoreError::Unavailable { reason });
         }
-        let renewal = if own {
+        let renewal = if still_held {
             Renewal::Held
         } else {
             Renewal::Regained
         };
-        Ok((renewal, began))
+        Ok((renewal, sent_at))
     }
 
-    /// Refuses a table that another cell has made at the same address. With its row there,
-    /// this process would claim shards of that cell, whose processes cannot reach it.
+    /// Refuses a table that another cell has created at the same address. With
+    /// its lease row there, this process would claim shards of that cell, whose
+    /// processes cannot reach it.
     async fn check_cell(&self) -> Result<(), StoreError> {
-        let row = self.context.table.get(CELL_FACTS).await?;
-        let facts = row.and_then(|row| decode_row::<CellFacts>(&row).ok());
-        let found = facts.map_or(0, |facts| facts.cell);
-        if found == self.context.cell {
+        let row = self.context.table.get(CELL_PARAMS).await?;
+        let params = row.and_then(|row| decode_row::<CellParams>(&row).ok());
+        let found_lease = params.map_or(0, |params| params.cell);
+        if found_lease == self.context.cell {
             return Ok(());
         }
         let reason = format!(
-            "the table belongs to another cell: found {found:016x}, allowed {:016x}",
+            "the table belongs to another cell: found {found_lease:016x}, allowed {:016x}",
             self.context.cell
         );
         log::error!("{reason}");
         Err(StoreError::Unavailable { reason })
     }
 
-    async fn write(&mut self, config: Version) -> Result<bool, StoreError> {
+    /// Writes the lease row; the first write also adds the row of the process's
+    /// constant facts. Returns false if the row has another version.
+    async fn try_write(&mut self, config: Version) -> Result<bool, StoreError> {
         let key = lease_key(&self.context.process);
         let mut commit = Commit::default()
             .check(key.clone(), self.version)
-            .put(key, encode_row(&self.row(config)));
+            .put(key, encode_row(&self.lease_row(config)));
         if self.version == 0 {
             let member = member_key(&self.context.process);
-            commit = commit.put(member, encode_row(&self.member()));
+            commit = commit.put(member, encode_row(&self.member_row()));
         }
         match self.context.table.commit(&commit).await? {
-            Committed::Done(versions) => {
+            CommitOutcome::Done(versions) => {
                 self.version = versions.first().copied().unwrap_or_default();
                 Ok(true)
             }
-            Committed::Conflict(_) => Ok(false),
+            CommitOutcome::Conflict(_) => Ok(false),
         }
     }
 
-    fn row(&self, config: Version) -> LeaseRow {
+    /// Content of the lease row for the next write.
+    fn lease_row(&self, config: Version) -> LeaseRow {
         LeaseRow {
             format: FORMAT,
             state: self.state,
@@ -151,7 +157,8 @@
         }
     }
 
-    fn member(&self) -> MemberRow {
+    /// Row of the process's constant facts.
+    fn member_row(&self) -> MemberRow {
         MemberRow {
             format: FORMAT,
             name: self.context.name.clone(),
@@ -161,18 +168,18 @@
         }
     }
 
-    /// Gives the lease up; the others need not wait for the TTL. Whether the
-    /// table has confirmed that it is gone.
-    pub async fn give_up(&self) -> bool {
+    /// Deletes the lease row, so that the other processes need not wait for the
+    /// TTL. Returns whether the table has confirmed the deletion.
+    pub async fn remove(&self) -> bool {
         let key = lease_key(&self.context.process);
         let commit = Commit::default()
             .check(key.clone(), self.version)
             .delete(key)
             .delete(member_key(&self.context.process));
         match self.context.table.commit(&commit).await {
-            Ok(committed) => matches!(committed, Committed::Done(_)),
+            Ok(committed) => matches!(committed, CommitOutcome::Done(_)),
             Err(error) => {
-                log::debug!("lease not given up: {error}");
+                log::debug!("lease row not deleted: {error}");
                 false
             }
         }
--- a/crates/shard/src/ledger.rs
+++ b/crates/shard/src/ledger.rs
@@ -1,4 +1,5 @@
-//! All requests that a shard remembers.
+//! Requests of a shard: all that are open, and those answered within the
+//! retention period.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -6,32 +7,34 @@
 
 use model::Answer;
 use model::Epoch;
-use sched::Now;
+use sched::Timestamp;
 
 use crate::Acceptance;
 use crate::Accepted;
 use crate::Entry;
 use crate::MemberState;
-use crate::Past;
-use crate::Placed;
+use crate::Placement;
 use crate::Record;
+use crate::RunHistory;
 use crate::Stage;
 use crate::attempt_id;
 
-/// All requests that a shard remembers.
+/// Requests of a shard: all that are open, and those answered within the
+/// retention period.
 #[derive(Debug, Default)]
 pub struct Ledger {
     entries: HashMap<String, Entry>,
-    ended: VecDeque<(Now, String)>,
+    /// Answered requests with the time of the answer, oldest first.
+    answered: VecDeque<(Timestamp, String)>,
 }
 
-/// Times of one input: the monotonic one decides, the wall clock is kept for
-/// later owners, who have another monotonic clock.
+/// Times at which one input is handled. Decisions use the monotonic time; the
+/// wall clock is recorded for later owners, whose monotonic clocks differ.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Times {
-    /// Time since the shard's task began.
-    pub now: Now,
-    /// Milliseconds since 1970.
+    /// Time since this owner's shard task started.
+    pub now: Timestamp,
+    /// Wall clock, in milliseconds since 1970.
     pub wall_millis: u64,
 }
 
@@ -47,12 +50,12 @@
         self.entries.get_mut(key)
     }
 
-    /// Adds a request.
+    /// Adds a request, replacing an entry with the same key.
     pub fn insert(&mut self, key: &str, entry: Entry) {
         self.entries.insert(key.to_owned(), entry);
     }
 
-    /// Whether it remembers nothing.
+    /// Whether it holds no requests.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
@@ -68,42 +71,44 @@
         self.entries.iter_mut()
     }
 
-    /// Takes in an answer that an earlier owner recorded; the request itself
-    /// may stand in an older segment that is no longer read.
-    fn replay_end(&mut self, key: &str, answer: Answer, now: Now) {
+    /// Applies a recorded answer. The request itself may be missing: it may
+    /// have been recorded in an older segment, of which only the answers are
+    /// read.
+    fn replay_end(&mut self, key: &str, answer: Answer, now: Timestamp) {
         if !self.entries.contains_key(key) {
-            let entry = Entry::orphan(key, model::Resources::default(), now);
+            let entry = Entry::from_report(key, model::Resources::default(), now);
             self.entries.insert(key.to_owned(), entry);
         }
-        let known = self.entries.get(key).is_some_and(Entry::is_over);
-        if !known {
+        let already_over = self.entries.get(key).is_some_and(Entry::is_closed);
+        if !already_over {
             self.finish(key, answer, now);
         }
     }
 
-    /// Marks a request as answered.
-    pub fn finish(&mut self, key: &str, answer: Answer, now: Now) {
+    /// Marks a request as answered and drops its members.
+    pub fn finish(&mut self, key: &str, answer: Answer, now: Timestamp) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.stage = Stage::Done(answer);
             entry.members = Vec::new();
-            entry.spent = Vec::new();
-            self.ended.push_back((now, key.to_owned()));
+            entry.earlier_members = Vec::new();
+            self.answered.push_back((now, key.to_owned()));
         }
     }
 
-    /// Forgets answers older than the retention.
-    pub fn forget(&mut self, now: Now, retention: Duration) {
-        while let Some((at, _)) = self.ended.front() {
+    /// Removes requests that were answered longer ago than the retention
+    /// period.
+    pub fn remove_expired(&mut self, now: Timestamp, retention: Duration) {
+        while let Some((at, _)) = self.answered.front() {
             if *at + retention > now {
                 return;
             }
-            if let Some((_, key)) = self.ended.pop_front() {
+            if let Some((_, key)) = self.answered.pop_front() {
                 self.entries.remove(&key);
             }
         }
     }
 
-    /// Applies a record of an earlier owner.
+    /// Applies a record of a former owner.
     pub fn replay(&mut self, record: &Record, times: Times) {
         match record {
             Record::Accept(accepted) => self.replay_accept(accepted, times),
@@ -125,36 +130,41 @@
         }
     }
 
+    /// Applies the record of an acceptance; the time until the latest start is
+    /// converted from the wall clock.
     fn replay_accept(&mut self, accepted: &Accepted, times: Times) {
         let request = accepted.request.clone();
         let key = model::request_key(&request.team, &request.id);
         if self.entries.contains_key(&key) {
             return;
         }
-        let left = accepted.until_millis.saturating_sub(times.wall_millis);
-        let deadline = times.now + Duration::from_millis(left);
+        let remaining = accepted.until_millis.saturating_sub(times.wall_millis);
+        let deadline = times.now + Duration::from_millis(remaining);
         let mut entry = Entry::new(request, times.now, deadline, accepted.until_millis);
         entry.recorded = true;
-        entry.acceptance = Acceptance::Safe;
+        entry.acceptance = Acceptance::Recorded;
         self.entries.insert(key, entry);
     }
 
-    fn replay_intent(&mut self, key: &str, epoch: Epoch, attempt: u32, placed: &[Placed]) {
+    /// Applies the record of an intent. The states of its members are unknown
+    /// until their workers are asked.
+    fn replay_intent(&mut self, key: &str, epoch: Epoch, attempt: u32, placed: &[Placement]) {
         let Some(entry) = self.entries.get_mut(key) else {
             return;
         };
-        if entry.is_over() || attempt <= entry.attempt {
+        if entry.is_closed() || attempt <= entry.attempt {
             return;
         }
         entry.attempt = attempt;
         entry.epoch = epoch;
+        // An earlier attempt, or this one if it has ended, may have started.
         if attempt > 1 || placed.is_empty() {
-            entry.past = Past::Unseen;
+            entry.history = RunHistory::EndUnknown;
         }
-        let member = |(index, place): (usize, &Placed)| crate::Member {
+        let member = |(index, place): (usize, &Placement)| crate::Member {
             attempt: attempt_id(key, epoch, attempt, index),
             worker: place.worker.clone(),
-            run: place.run.clone(),
+            incarnation: place.run.clone(),
             state: MemberState::Unknown,
         };
         entry.members = placed.iter().enumerate().map(member).collect();
@@ -162,9 +172,9 @@
     }
 }
 
-/// Answer to a request that was withdrawn before it started.
+/// Answer to a request that was cancelled before it started.
 #[must_use]
 pub fn cancelled_answer(key: &str) -> Answer {
     let id = key.split_once('/').map_or(key, |(_, id)| id);
-    Answer::bare(id, model::Code::Cancelled, "cancelled before it started")
+    Answer::without_output(id, model::Code::Cancelled, "cancelled before it started")
 }
--- a/crates/shard/src/lend.rs
+++ b/crates/shard/src/lend.rs
@@ -1,9 +1,11 @@
-//! Requests that run in another shard, since this one has no room.
+//! Lending: requests that run in another shard because this one has no free
+//! workers.
 //!
-//! Only unrecorded (idempotent) work is lent: a loan whose answer is lost may
-//! have run, and is run again. Who lends asks few shards at random, each of
-//! which starts the work at once or refuses; so nothing is published that
-//! could be stale, and nobody queues in two places.
+//! Only unrecorded (idempotent) requests are lent: if the reply of the other
+//! shard is lost, the request may have run, and it runs again. The lending
+//! shard asks a few shards at random, each of which starts the request at once
+//! or refuses it. So no load figures that could be stale are published, and no
+//! request waits in two queues.
 
 use std::time::Duration;
 
@@ -16,20 +18,20 @@
 use crate::Loan;
 use crate::Machine;
 use crate::Output;
-use crate::Past;
+use crate::RunHistory;
 use crate::ShardReply;
 use crate::Stage;
 use crate::Submission;
 use crate::WaiterKey;
 use crate::intake::millis;
 
-/// Waiting requests that are offered to others at one tick.
-const OFFERS: usize = 32;
+/// Maximum number of waiting requests offered to other shards again per tick.
+const OFFERS_PER_TICK: usize = 32;
 
 impl Machine {
-    /// Notes an unrecorded request that may be lent if it has to wait.
+    /// Remembers an unrecorded request that may be lent if it has to wait.
     pub(crate) fn note_lendable(&mut self, key: &str) {
-        if self.facts.shards > 1 {
+        if self.params.shards > 1 {
             self.lendable.push_back(key.to_owned());
         }
     }
@@ -43,9 +45,9 @@
         }
     }
 
-    /// Offers requests again that nobody had room for.
+    /// Offers requests again for which no shard had free workers.
     pub(crate) fn lend_again(&mut self) {
-        for _ in 0..OFFERS.min(self.unlent.len()) {
+        for _ in 0..OFFERS_PER_TICK.min(self.unlent.len()) {
             let Some(key) = self.unlent.pop_front() else {
                 return;
             };
@@ -71,12 +73,12 @@
         if !self.core.lend(job) {
             return false;
         }
-        self.keys.remove(&job);
+        self.request_keys.remove(&job);
         entry.stage = Stage::Lent;
-        let here = millis(now.saturating_sub(entry.since));
+        let local_millis = millis(now.saturating_sub(entry.submitted_at));
         let submission = Submission {
             request: entry.request.clone(),
-            waited_millis: entry.before_millis + here,
+            waited_millis: entry.prior_millis + local_millis,
             wait: true,
         };
         self.outputs.push(Output::Lend(key.to_owned(), submission));
@@ -91,15 +93,15 @@
             return;
         }
         let spec = Self::job_spec(entry);
-        self.core.end_loan(&spec);
+        self.core.release_lent(&spec);
         match loan {
             Loan::Answer(answer) if answer.code.family() != Family::NotRun => {
                 self.finish_lent(key, answer);
             }
-            Loan::Answer(_) | Loan::Refused => self.take_back(key),
+            Loan::Answer(_) | Loan::Refused => self.requeue_returned(key),
             Loan::Lost => {
-                entry.touch(Past::Unseen);
-                self.take_back(key);
+                entry.add_history(RunHistory::EndUnknown);
+                self.requeue_returned(key);
             }
         }
     }
@@ -111,7 +113,7 @@
         self.finish(key, answer);
     }
 
-    fn take_back(&mut self, key: &str) {
+    fn requeue_returned(&mut self, key: &str) {
         let cancelled = self.ledger.get(key).is_some_and(|entry| entry.cancelled);
         if cancelled {
             self.finish_cancelled(key);
@@ -123,20 +125,20 @@
         }
     }
 
-    /// A request of another shard: it starts now or not at all.
+    /// Handles a request lent by another shard: it starts now or not at all.
     pub(crate) fn on_run(&mut self, submission: &Submission, waiter: WaiterKey) {
         let request = &submission.request;
-        let key = lent_key(&request_key(&request.team, &request.id), self.facts.shard);
+        let key = lent_key(&request_key(&request.team, &request.id), self.params.shard);
         if self.ledger.get(&key).is_some() {
-            self.attach(&key, submission, waiter);
+            self.attach_to_known(&key, submission, waiter);
             return;
         }
-        let left = request
+        let remaining_millis = request
             .deadline_millis
             .saturating_sub(submission.waited_millis);
-        let deadline = self.times.now + Duration::from_millis(left);
+        let deadline = self.times.now + Duration::from_millis(remaining_millis);
         let mut entry = Entry::new(request.clone(), self.times.now, deadline, 0);
-        entry.before_millis = submission.waited_millis;
+        entry.prior_millis = submission.waited_millis;
         let spec = Self::job_spec(&entry);
         let Some((job, worker)) = self.core.place_lent(self.times.now, spec) else {
             self.reply(waiter, ShardReply::Busy);
@@ -144,7 +146,7 @@
         };
         entry.stage = Stage::Waiting(job);
         entry.waiters.push(waiter);
-        self.keys.insert(job, key.clone());
+        self.request_keys.insert(job, key.clone());
         self.ledger.insert(&key, entry);
         self.start(job, &[worker]);
     }
--- a/crates/shard/src/lib.rs
+++ b/crates/shard/src/lib.rs
@@ -1,20 +1,21 @@
 //! Ownership of shards: leases, epochs, the journal, recovery, and the task
-//! that runs one shard. What must be agreed goes through the platform's
-//! table; between processes there are only routing, hints and hand-overs.
+//! that runs one shard. Processes agree only through the platform's table; the
+//! messages between them are limited to routed requests, hints and hand-overs.
 
 mod answers;
 mod assign;
 mod cancel;
+mod cell_reads;
 mod claiming;
 mod context;
 mod entry;
 mod error;
 mod fleet;
 mod gate;
+mod handover;
 mod host_watch;
 mod intake;
 mod journal;
-mod keeper;
 mod launch;
 mod lease;
 mod ledger;
@@ -25,24 +26,23 @@
 mod machine;
 mod members;
 mod message;
-mod moving;
 mod outage;
 mod outcome;
-mod owner;
 mod pacer;
 mod patch;
-mod reading;
+mod placement;
 mod record;
 mod recovery;
-mod ring;
 mod router;
 mod rows;
 mod segment;
 mod service;
+mod shard_manager;
+mod shard_task;
 mod snapshot;
-mod staffing;
-mod standing;
+mod status;
 mod view;
+mod worker_lists;
 
 pub use answers::*;
 pub use assign::*;
@@ -52,7 +52,6 @@
 pub use gate::*;
 pub use host_watch::*;
 pub use journal::*;
-pub use keeper::*;
 pub use lease::*;
 pub use ledger::*;
 pub use lender::*;
@@ -62,14 +61,15 @@
 pub use members::*;
 pub use message::*;
 pub use outage::*;
-pub use owner::*;
 pub use pacer::*;
 pub use patch::*;
+pub use placement::*;
 pub use record::*;
 pub use recovery::*;
-pub use ring::*;
 pub use router::*;
 pub use rows::*;
 pub use segment::*;
 pub use service::*;
+pub use shard_manager::*;
+pub use shard_task::*;
 pub use view::*;
--- a/crates/shard/src/limits.rs
+++ b/crates/shard/src/limits.rs
@@ -1,4 +1,4 @@
-//! A shard's part of the limits of the whole cell.
+//! Divides the limits of the cell among its shards.
 
 use std::collections::HashMap;
 
@@ -9,11 +9,12 @@
 use sched::Grants;
 use sched::TeamGrant;
 
-/// A shard's part of every limit. The parts add up to the limit at most,
-/// whichever processes own the shards, and a lower limit lowers each part.
+/// Grants of one shard: its part of every limit. The parts of all shards never
+/// exceed the limit, whichever processes own them, and a lower limit lowers
+/// each part.
 #[must_use]
 pub fn shard_grants(config: &Config, shard: ShardId, shards: u16) -> Grants {
-    let part = |all: u32| share(all, shard, shards);
+    let part = |all: u32| equal_part(all, shard, shards);
     let mut grants = Grants {
         site_watts: part(config.site_watts),
         rack_watts: part(config.rack_watts),
@@ -24,7 +25,7 @@
         let Some(index) = team_shards.index_of(shard) else {
             continue;
         };
-        let part = |all: u32| share(all, index, team_shards.span());
+        let part = |all: u32| equal_part(all, index, team_shards.span());
         let quota = model::Resources {
             cpu_milli: part(team.quota.cpu_milli),
             memory_mib: part(team.quota.memory_mib),
@@ -40,27 +41,28 @@
     grants
 }
 
-/// Part `index` of `all` in `parts` parts; they add up to `all`.
+/// Part number `index` of `all` divided into `parts` nearly equal parts, which
+/// add up to `all`.
 #[must_use]
-pub fn share(all: u32, index: u16, parts: u16) -> u32 {
+pub fn equal_part(all: u32, index: u16, parts: u16) -> u32 {
     let (index, parts) = (u32::from(index), u32::from(parts.max(1)));
     all / parts + u32::from(index < all % parts)
 }
 
-/// The limit of the whole cell that a request breaks by itself, if any.
+/// Reason why a request alone exceeds a limit of the cell, if it does.
 #[must_use]
-pub fn breaks_limit(config: &Config, request: &Request) -> Option<String> {
+pub fn exceeded_cell_limit(config: &Config, request: &Request) -> Option<String> {
     let Some(team) = config.teams.get(&request.team) else {
         return Some(format!("team {} has no quota", request.team));
     };
-    let whole = request.task_needs().times(request.members);
-    if !whole.fits(&team.quota) {
+    let total = request.task_needs().times(request.members);
+    if !total.fits(&team.quota) {
         return Some(format!(
             "more than the whole quota of team {}",
             request.team
         ));
     }
-    if whole.power_watts > config.site_watts {
+    if total.power_watts > config.site_watts {
         return Some(format!(
             "more power than the site's cap of {} W",
             config.site_watts
@@ -73,12 +75,12 @@
 
 #[cfg(test)]
 mod tests {
-    use super::share;
+    use super::equal_part;
 
     #[test]
-    fn parts_add_up_to_the_whole() {
+    fn parts_add_up_to_the_total() {
         for all in [0, 1, 15, 16, 17, 1000] {
-            let sum: u32 = (0..16).map(|index| share(all, index, 16)).sum();
+            let sum: u32 = (0..16).map(|index| equal_part(all, index, 16)).sum();
 
             assert_eq!(sum, all);
         }
--- a/crates/shard/src/link.rs
+++ b/crates/shard/src/link.rs
@@ -1,5 +1,6 @@
-//! Link of a shard to one worker: claims it, renews the lease of its tasks by
-//! polling, and sends starts and stops. The task owns all calls to the worker.
+//! Link of a shard to one worker: claims the worker, renews the lease of its
+//! tasks by polling, and sends starts and stops. All calls of the shard to the
+//! worker are made here.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -13,67 +14,68 @@
 use tokio::task::JoinSet;
 use worker::AttemptId;
 use worker::Claim;
-use worker::Claimed;
+use worker::ClaimReply;
 use worker::Fence;
 use worker::Poll;
-use worker::Polled;
+use worker::PollReply;
 use worker::RefusalReason;
+use worker::ReplyNumber;
 use worker::Start;
 use worker::Stop;
 use worker::Task;
-use worker::Turn;
 use worker::WorkerClient;
 use worker::WorkerError;
 
-use crate::Gate;
 use crate::Input;
+use crate::LeaseGate;
 use crate::NotStarted;
 use crate::StartOrder;
 use crate::StopMode;
 use crate::WorkerHost;
 
-/// How long a worker may hold a poll back.
+/// Maximum time for which a worker may delay the reply to a poll.
 const POLL_WAIT: Duration = Duration::from_secs(1);
 
-/// Silence after which nothing new is placed on a worker.
-const SILENCE: Duration = Duration::from_millis(1500);
+/// Time without a poll reply after which no new tasks are placed on a worker.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Pause before a failed call is made again.
+/// Pause before a failed call is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Pause before a refused claim is made again.
+/// Pause before a refused claim is repeated.
 const CLAIM_PAUSE: Duration = Duration::from_millis(300);
 
-/// Added to a task lease for clocks that run at unlike rates, in percent.
-const CLOCK_PERCENT: u32 = 10;
+/// Margin added to the lease for clocks that run at different rates, in
+/// percent.
+const CLOCK_MARGIN_PERCENT: u32 = 10;
 
-/// Tries of a start whose connection cannot be made.
-const CONNECT_TRIES: u32 = 2;
+/// Maximum number of attempts to connect for a start.
+const MAX_CONNECT_TRIES: u32 = 2;
 
-/// Orders to a link.
+/// Commands from the shard to a link.
 #[derive(Debug)]
 pub enum LinkOrder {
     /// Start a task.
     Start(StartOrder),
     /// Stop a task.
     Stop(AttemptId, StopMode),
-    /// Ended tasks that the worker may forget.
+    /// Let the worker forget these ended tasks.
     Forget(Vec<AttemptId>),
 }
 
-/// Fixed facts of a link.
+/// Properties of a link that do not change.
 #[derive(Clone, Debug)]
 pub struct LinkFacts {
-    /// The worker.
+    /// Worker at the other end of the link.
     pub host: WorkerHost,
-    /// Shard that it is assigned to.
+    /// Shard to which the worker is assigned.
     pub shard: ShardId,
-    /// Lease of tasks.
+    /// Duration of the lease of the worker's tasks.
     pub lease: Duration,
-    /// Client of all workers.
+    /// Client for calls to workers.
     pub client: WorkerClient,
-    /// Right to act.
-    pub gate: Arc<Gate>,
+    /// Open while the process may act as the owner.
+    pub gate: Arc<LeaseGate>,
 }
 
 /// Link of a shard to one worker.
@@ -83,25 +85,29 @@
     fence: Fence,
     orders: mpsc::UnboundedReceiver<LinkOrder>,
     owner: mpsc::UnboundedSender<Input>,
-    /// When the newest reply came that renewed, or will renew, the lease.
-    replied: Option<Instant>,
-    turn: Turn,
+    /// Arrival of the newest poll reply. The next poll acknowledges it and so
+    /// renews the lease. `None` before the first reply and after lease expiry.
+    last_reply: Option<Instant>,
+    /// Turn of the newest reply, which the next poll acknowledges.
+    turn: ReplyNumber,
+    /// Ended tasks that the next poll lets the worker forget.
     forget: Vec<AttemptId>,
+    /// Whether `WorkerLost` was reported since the newest reply.
     lost: bool,
-    /// Starts whose outcome is not known yet.
-    sent: HashSet<AttemptId>,
+    /// Starts that were sent and whose outcome is unknown.
+    unconfirmed: HashSet<AttemptId>,
 }
 
-/// How a stretch of polling ended.
-enum Ended {
-    /// Claim again.
+/// Reason why polling ended.
+enum PollEnd {
+    /// The worker has to be claimed again.
     Reclaim,
     /// The shard has closed the link.
     Closed,
 }
 
 impl Link {
-    /// A link that takes `orders` and reports to `owner`.
+    /// Creates a link that receives `orders` and reports to `owner`.
     #[must_use]
     pub fn new(
         facts: LinkFacts,
@@ -114,11 +120,11 @@
             fence,
             orders,
             owner,
-            replied: None,
+            last_reply: None,
             turn: 0,
             forget: Vec::new(),
             lost: false,
-            sent: HashSet::new(),
+            unconfirmed: HashSet::new(),
         }
     }
 
@@ -132,12 +138,12 @@
             let Some((claimed, ended)) = self.claim().await else {
                 return;
             };
-            if self.announce(claimed, ended).is_err() {
+            if self.report_claim(claimed, ended).is_err() {
                 return;
             }
-            match self.serve().await {
-                Ended::Reclaim => {}
-                Ended::Closed => return,
+            match self.poll_until_end().await {
+                PollEnd::Reclaim => {}
+                PollEnd::Closed => return,
             }
         }
     }
@@ -146,40 +152,42 @@
         self.owner.send(input).map_err(|_| ())
     }
 
-    /// Reports a claim, what has ended since, and the starts that were in
-    /// flight before it. Those that the worker does not list can never be
-    /// carried out: either the fence or the run that they name is an older
-    /// one, or their lease was over and the shard has given them up.
-    fn announce(&mut self, claimed: Claimed, ended: Vec<Task>) -> Result<(), ()> {
+    /// Reports a claim, the tasks that ended since, and the starts that were in
+    /// flight before it. Starts that the worker does not list can never be
+    /// carried out: either they name an older fence or incarnation, or their
+    /// lease has expired and the shard has settled them.
+    fn report_claim(&mut self, claimed: ClaimReply, ended: Vec<Task>) -> Result<(), ()> {
         self.lost = false;
         for task in &claimed.tasks {
-            self.sent.remove(&task.attempt);
+            self.unconfirmed.remove(&task.attempt);
         }
         self.report(Input::Claimed(self.id().clone(), claimed))?;
         self.report(Input::Ended(self.id().clone(), ended))?;
-        for attempt in std::mem::take(&mut self.sent) {
+        for attempt in std::mem::take(&mut self.unconfirmed) {
             self.report(Input::NotStarted(attempt, NotStarted::Fenced))?;
         }
         Ok(())
     }
 
-    /// Claims until the worker accepts; none when the link is closed.
-    async fn claim(&mut self) -> Option<(Claimed, Vec<Task>)> {
+    /// Repeats the claim until the worker accepts it; returns `None` when the
+    /// link is closed.
+    async fn claim(&mut self) -> Option<(ClaimReply, Vec<Task>)> {
         loop {
             if self.facts.gate.is_open() {
                 match self.try_claim().await {
                     Ok(claimed) => return Some(claimed),
-                    Err(error) => log::debug!("claim of {}: {error}", self.id()),
+                    Err(error) => log::debug!("claim of worker {} failed: {error}", self.id()),
                 }
             }
             self.check_lease().ok()?;
-            self.refuse_orders(jittered(CLAIM_PAUSE)).await.ok()?;
+            self.pause_sending(jittered(CLAIM_PAUSE)).await.ok()?;
         }
     }
 
-    /// The poll renews the lease, which the claim alone does not; it may tell
-    /// of ends of tasks that the claim lists as running.
-    async fn try_claim(&mut self) -> Result<(Claimed, Vec<Task>), WorkerError> {
+    /// Claims the worker and polls it once. The claim alone does not renew the
+    /// lease, the poll does. Its reply may report the end of tasks that the
+    /// claim lists as running.
+    async fn try_claim(&mut self) -> Result<(ClaimReply, Vec<Task>), WorkerError> {
         let claim = Claim {
             fence: self.fence,
             shard: self.facts.shard,
@@ -190,11 +198,12 @@
         self.turn = claimed.turn;
         let poll = self.poll_message(Duration::ZERO);
         let polled = self.facts.client.poll(address, &poll).await?;
-        Ok((claimed, self.take_poll(polled)))
+        Ok((claimed, self.process_reply(polled)))
     }
 
-    /// While the worker is not claimed, nothing is sent to it.
-    async fn refuse_orders(&mut self, pause: Duration) -> Result<(), ()> {
+    /// Handles commands during a pause in which nothing may be sent: starts are
+    /// reported as not sent, stops are dropped.
+    async fn pause_sending(&mut self, pause: Duration) -> Result<(), ()> {
         let until = tokio::time::sleep(pause);
         tokio::pin!(until);
         loop {
@@ -213,35 +222,36 @@
         }
     }
 
-    /// Tells the shard when the worker is silent, and when the lease of its
-    /// tasks is over. The worker counts its lease from when it sent the reply
-    /// that a poll acknowledges, which is before that reply came here: so
-    /// here it ends later, and what was decided on it is safe.
+    /// Reports to the shard when the worker has not answered for too long, and
+    /// when the lease of its tasks has expired. The worker counts the lease
+    /// from the time at which it sent the acknowledged reply, the link from the
+    /// later time at which that reply arrived. So the lease expires later here,
+    /// and the shard can rely on the tasks having stopped.
     fn check_lease(&mut self) -> Result<(), ()> {
-        let Some(replied) = self.replied else {
+        let Some(last_reply) = self.last_reply else {
             return Ok(());
         };
-        let silence = replied.elapsed();
-        if silence >= SILENCE && !self.lost {
+        let silence = last_reply.elapsed();
+        if silence >= SILENCE_TIMEOUT && !self.lost {
             self.lost = true;
             self.report(Input::WorkerLost(self.id().clone()))?;
         }
         let lease = self.facts.lease;
-        if silence >= lease + lease * CLOCK_PERCENT / 100 {
-            self.replied = None;
-            self.report(Input::LeaseOver(self.id().clone()))?;
+        if silence >= lease + lease * CLOCK_MARGIN_PERCENT / 100 {
+            self.last_reply = None;
+            self.report(Input::LeaseExpired(self.id().clone()))?;
         }
         Ok(())
     }
 
-    async fn serve(&mut self) -> Ended {
-        // Dropping the set drops the calls in flight. Their starts may still
-        // arrive; the worker refuses them once its lease is over.
+    async fn poll_until_end(&mut self) -> PollEnd {
+        // Dropping the set aborts the calls in flight. Their starts may still
+        // arrive; the worker refuses them once its lease has expired.
         let mut calls: JoinSet<Option<Input>> = JoinSet::new();
         let mut wait = POLL_WAIT;
         loop {
             let message = self.poll_message(wait);
-            let forgotten = message.ended.len();
+            let forget_count = message.ended.len();
             let client = self.facts.client.clone();
             let address = self.facts.host.host.address;
             let poll = async move { client.poll(address, &message).await };
@@ -250,64 +260,64 @@
                 tokio::select! {
                     polled = &mut poll => break polled,
                     order = self.orders.recv() => match order {
-                        None => return Ended::Closed,
+                        None => return PollEnd::Closed,
                         Some(order) => self.dispatch(order, &mut calls),
                     },
                     Some(done) = calls.join_next() => {
                         if self.on_call(done.ok().flatten()).is_err() {
-                            return Ended::Closed;
+                            return PollEnd::Closed;
                         }
                     }
                 }
             };
             match polled {
                 Ok(polled) => {
-                    self.forget.drain(..forgotten);
-                    let ended = self.take_poll(polled);
+                    self.forget.drain(..forget_count);
+                    let ended = self.process_reply(polled);
                     if self.report(Input::Ended(self.id().clone(), ended)).is_err() {
-                        return Ended::Closed;
+                        return PollEnd::Closed;
                     }
                     wait = POLL_WAIT;
                 }
                 Err(error) => {
                     if self.on_poll_error(&error).await.is_err() {
-                        return Ended::Closed;
+                        return PollEnd::Closed;
                     }
-                    if matches!(error, WorkerError::Refused { .. }) || self.replied.is_none() {
-                        return Ended::Reclaim;
+                    if matches!(error, WorkerError::Refused { .. }) || self.last_reply.is_none() {
+                        return PollEnd::Reclaim;
                     }
                     wait = Duration::ZERO;
                 }
             }
             while !self.facts.gate.is_open() {
                 if self.check_lease().is_err() {
-                    return Ended::Closed;
+                    return PollEnd::Closed;
                 }
-                if self.refuse_orders(RETRY_PAUSE).await.is_err() {
-                    return Ended::Closed;
+                if self.pause_sending(RETRY_PAUSE).await.is_err() {
+                    return PollEnd::Closed;
                 }
             }
         }
     }
 
-    fn on_call(&mut self, news: Option<Input>) -> Result<(), ()> {
-        let Some(input) = news else {
+    fn on_call(&mut self, result: Option<Input>) -> Result<(), ()> {
+        let Some(input) = result else {
             return Ok(());
         };
         if let Input::Started(attempt) | Input::NotStarted(attempt, _) = &input {
-            self.sent.remove(attempt);
+            self.unconfirmed.remove(attempt);
         }
         self.report(input)
     }
 
     async fn on_poll_error(&mut self, error: &WorkerError) -> Result<(), ()> {
-        log::debug!("poll of {}: {error}", self.id());
+        log::debug!("poll of worker {} failed: {error}", self.id());
         if let WorkerError::Refused { refusal } = error {
             self.lost = true;
             let id = self.id().clone();
             if refusal.fence.assigned > self.fence.assigned {
-                self.replied = None;
-                self.report(Input::WorkerTaken(id))?;
+                self.last_reply = None;
+                self.report(Input::WorkerReassigned(id))?;
             } else {
                 self.report(Input::WorkerRefused(id))?;
             }
@@ -326,13 +336,14 @@
         }
     }
 
-    /// Takes a reply in and hands its ends on. The next poll acknowledges the
-    /// reply, and then the worker tells of them no more: a request whose end
-    /// stayed here would wait until its worker is claimed again.
+    /// Processes a poll reply and returns the ended tasks in it. The next poll
+    /// acknowledges the reply, after which the worker does not report them
+    /// again. If the caller dropped them, their requests would wait until the
+    /// worker is claimed again.
     #[must_use]
-    fn take_poll(&mut self, polled: Polled) -> Vec<Task> {
+    fn process_reply(&mut self, polled: PollReply) -> Vec<Task> {
         self.turn = polled.turn;
-        self.replied = Some(Instant::now());
+        self.last_reply = Some(Instant::now());
         self.lost = false;
         polled.ended
     }
@@ -344,7 +355,7 @@
             LinkOrder::Start(order) => {
                 let gate = self.facts.gate.clone();
                 let start = order.fenced(self.fence, self.turn);
-                self.sent.insert(start.attempt.clone());
+                self.unconfirmed.insert(start.attempt.clone());
                 calls.spawn(async move { send_start(&client, address, &gate, start).await });
             }
             LinkOrder::Stop(attempt, mode) => {
@@ -363,27 +374,30 @@
     }
 }
 
-/// Sends one start until it is known what became of it; none when only the
-/// next claim can tell. The worker starts an attempt at most once, so repeating
-/// it is safe; after a lost answer only the worker's own answer can tell "not
-/// started", and only in the same run and under the same fence: a worker that
-/// has restarted refuses the second message, and knows nothing of the first.
+/// Repeats one start until its outcome is known; returns `None` if only the
+/// next claim can show it. The worker starts an attempt at most once, so
+/// repeating is safe. After a lost reply, only a refusal by the same
+/// incarnation under the same fence proves that the task was not started: a
+/// worker that has restarted refuses the second message without knowing of the
+/// first.
 async fn send_start(
     client: &WorkerClient,
     address: std::net::SocketAddr,
-    gate: &Gate,
+    gate: &LeaseGate,
     start: Start,
 ) -> Option<Input> {
-    let mut maybe = false;
+    let mut may_have_started = false;
     let mut tries = 0;
     loop {
         tries += 1;
-        if !gate.is_open() && !maybe {
+        if !gate.is_open() && !may_have_started {
             return Some(Input::NotStarted(start.attempt, NotStarted::Unsent));
         }
         match client.start(address, &start).await {
             Ok(()) => return Some(Input::Started(start.attempt)),
-            Err(WorkerError::Refused { refusal }) if maybe && is_other_life(refusal.reason) => {
+            Err(WorkerError::Refused { refusal })
+                if may_have_started && is_inconclusive(refusal.reason) =>
+            {
                 return None;
             }
             Err(WorkerError::Refused { refusal }) => {
@@ -393,24 +407,27 @@
                 };
                 return Some(Input::NotStarted(start.attempt, reason));
             }
-            Err(WorkerError::Unreached { .. }) if !maybe && tries >= CONNECT_TRIES => {
+            Err(WorkerError::Unreachable { .. })
+                if !may_have_started && tries >= MAX_CONNECT_TRIES =>
+            {
                 return Some(Input::NotStarted(start.attempt, NotStarted::Unsent));
             }
-            Err(WorkerError::Unreached { .. }) => {}
-            Err(WorkerError::Lost { .. }) => maybe = true,
+            Err(WorkerError::Unreachable { .. }) => {}
+            Err(WorkerError::NoReply { .. }) => may_have_started = true,
         }
         tokio::time::sleep(jittered(RETRY_PAUSE)).await;
     }
 }
 
-/// Whether a refusal tells only that the worker has restarted or was claimed by
-/// another. The poll is refused as well then, and the link claims again.
-fn is_other_life(reason: RefusalReason) -> bool {
+/// Whether a refusal may only mean that the worker has restarted or was claimed
+/// by another owner, so that the outcome of earlier tries remains unknown. The
+/// poll is refused as well then, and the link claims the worker again.
+fn is_inconclusive(reason: RefusalReason) -> bool {
     matches!(reason, RefusalReason::Fenced | RefusalReason::Unclaimed)
 }
 
-/// Sends one stop until the worker has answered it. The link ends it with the
-/// stretch of polling that it belongs to.
+/// Repeats one stop until the worker has answered. The link aborts it when
+/// polling ends.
 async fn send_stop(client: &WorkerClient, address: std::net::SocketAddr, stop: &Stop) {
     while let Err(error) = client.stop(address, stop).await {
         if matches!(error, WorkerError::Refused { .. }) {
--- a/crates/shard/src/machine.rs
+++ b/crates/shard/src/machine.rs
@@ -1,6 +1,6 @@
-//! State machine of one shard: all its rules, no I/O. The task that runs it
-//! feeds it inputs and carries out its outputs, so tests can drive it with
-//! messages that are lost, repeated or out of order.
+//! State machine of one shard: it contains all scheduling rules and does no
+//! I/O. The shard's task feeds it inputs and carries out its outputs, so tests
+//! can drive it with messages that are lost, repeated or out of order.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -12,13 +12,13 @@
 use model::Code;
 use model::Config;
 use model::Epoch;
-use model::Numbered;
 use model::ShardId;
+use model::VersionedConfig;
 use model::WorkerId;
 use sched::Core;
 use sched::Decision;
 use sched::JobKey;
-use sched::Now;
+use sched::Timestamp;
 use sched::Weighted;
 
 use crate::Entry;
@@ -35,104 +35,111 @@
 /// Interval at which quarantined workers get a probe.
 const PROBE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Fixed facts of a shard's machine.
+/// Fixed parameters of a shard's state machine.
 #[derive(Clone, Copy, Debug)]
-pub struct MachineFacts {
+pub struct MachineParams {
     /// Number of the shard.
     pub shard: ShardId,
-    /// Number of shards of the cell.
+    /// Number of shards in the cell.
     pub shards: u16,
-    /// Epoch of the owner.
+    /// Epoch of this owner.
     pub epoch: Epoch,
     /// When this owner took the shard over, in milliseconds since 1970; 0 if
-    /// there was no owner before. Of what earlier owners ran without a record
-    /// it knows only what the workers still report.
-    pub since_millis: u64,
-    /// Longest time for which answers are remembered.
+    /// the shard had no former owner. Of unrecorded requests that former owners
+    /// ran, this owner learns only what the workers still report.
+    pub takeover_millis: u64,
+    /// How long final answers are kept.
     pub retention: Duration,
-    /// When the tasks of workers that could not be claimed count as missing.
-    pub missing_at: Now,
+    /// Time at which tasks of workers that could not be claimed count as
+    /// missing.
+    pub missing_at: Timestamp,
 }
 
-/// What waits for a commit.
+/// Action that follows once its record has been committed.
 #[derive(Clone, Debug)]
-pub(crate) enum Pending {
-    /// Starts of an attempt.
+pub(crate) enum PendingRecord {
+    /// Sending the starts of an attempt: request key and attempt number.
     Intent(String, u32),
-    /// The end of a request.
+    /// Answering a request: its key.
     End(String),
-    /// The acceptance of a request.
+    /// Confirming the acceptance of a request: its key.
     Accepted(String),
-    /// The ends of a cancel call.
-    Cancelled(Withdrawn),
+    /// Answering the requests of a cancel call, and the call itself.
+    Cancelled(CancelCall),
 }
 
-/// Requests withdrawn by one cancel call.
+/// A cancel call whose record is being committed.
 #[derive(Clone, Debug)]
-pub(crate) struct Withdrawn {
-    /// Their keys.
+pub(crate) struct CancelCall {
+    /// Keys of the requests that this call cancelled.
     pub(crate) keys: Vec<String>,
-    /// All that the call cancelled or asked to stop, and those that an
-    /// earlier call had cancelled.
+    /// Number of requests that this call cancelled or asked to stop, or that an
+    /// earlier call had already cancelled.
     pub(crate) count: u32,
-    /// Who made the call.
+    /// Waiter of the call's reply.
     pub(crate) waiter: WaiterKey,
 }
 
 /// State machine of one shard.
 #[derive(Debug)]
 pub struct Machine {
-    pub(crate) facts: MachineFacts,
+    pub(crate) params: MachineParams,
     pub(crate) times: Times,
     pub(crate) core: Core<Weighted>,
     pub(crate) ledger: Ledger,
-    pub(crate) config: Arc<Numbered>,
-    pub(crate) keys: HashMap<JobKey, String>,
+    pub(crate) config: Arc<VersionedConfig>,
+    /// Request keys of the jobs in the scheduling core.
+    pub(crate) request_keys: HashMap<JobKey, String>,
     pub(crate) workers: HashMap<WorkerId, WorkerHost>,
-    /// Workers that left the host list, but may still run tasks.
+    /// Workers that left the host list but may still run tasks.
     pub(crate) retiring: Vec<WorkerId>,
-    /// Workers that have refused a start, and until when they are left alone.
-    pub(crate) held: Vec<(Now, WorkerId)>,
-    /// New requests that may be lent, and those that nobody had room for.
+    /// Workers that have refused a start, and the time until which they get no
+    /// further starts.
+    pub(crate) paused_workers: Vec<(Timestamp, WorkerId)>,
+    /// New requests that may be lent to another shard.
     pub(crate) lendable: VecDeque<String>,
+    /// Requests for which no other shard had room.
     pub(crate) unlent: VecDeque<String>,
-    pub(crate) runs: HashMap<WorkerId, model::Incarnation>,
-    pub(crate) pending: BTreeMap<Ticket, Vec<Pending>>,
+    /// Incarnations of the workers that this owner has claimed.
+    pub(crate) incarnations: HashMap<WorkerId, model::Incarnation>,
+    /// Actions that wait for the commit of their record, by ticket.
+    pub(crate) pending: BTreeMap<Ticket, Vec<PendingRecord>>,
     pub(crate) outputs: Vec<Output>,
-    /// Records that go into the next commit.
+    /// Records of the current input, appended to the journal when it has been
+    /// handled.
     pub(crate) records: Vec<Record>,
-    /// Ends since the last segment.
+    /// Records of the requests that have ended since the last segment.
     pub(crate) ended: Vec<Record>,
     next_ticket: Ticket,
-    next_probe: Now,
-    /// Whether the table takes records for now.
+    next_probe: Timestamp,
+    /// Whether the table is currently unavailable for journal commits.
     pub(crate) stalled: bool,
-    /// Whether the shard moves away.
+    /// Whether the shard is being handed over to another process.
     pub(crate) released: bool,
 }
 
 impl Machine {
-    /// A machine that goes on from what an earlier owner had recorded.
+    /// A machine that continues from the state recorded by former owners.
     #[must_use]
     pub fn new(
-        facts: MachineFacts,
+        params: MachineParams,
         ledger: Ledger,
-        config: Arc<Numbered>,
+        config: Arc<VersionedConfig>,
         times: Times,
     ) -> Machine {
         let mut machine = Machine {
-            facts,
+            params,
             times,
             core: Core::new(Weighted::default()),
             ledger,
             config,
-            keys: HashMap::new(),
+            request_keys: HashMap::new(),
             workers: HashMap::new(),
             retiring: Vec::new(),
-            held: Vec::new(),
+            paused_workers: Vec::new(),
             lendable: VecDeque::new(),
             unlent: VecDeque::new(),
-            runs: HashMap::new(),
+            incarnations: HashMap::new(),
             pending: BTreeMap::new(),
             outputs: Vec::new(),
             records: Vec::new(),
@@ -147,7 +154,8 @@
         machine
     }
 
-    /// Takes in one input; the outputs stand in the order of their causes.
+    /// Handles one input and returns the outputs in the order in which they
+    /// arose.
     pub fn handle(&mut self, times: Times, input: Input) -> Vec<Output> {
         self.times = times;
         self.release_held();
@@ -158,8 +166,8 @@
             Input::Claimed(worker, claimed) => self.on_claimed(&worker, claimed),
             Input::WorkerLost(worker) => self.on_worker_lost(&worker),
             Input::WorkerRefused(worker) => self.on_worker_refused(&worker, "to be claimed again"),
-            Input::LeaseOver(worker) => self.on_lease_over(&worker),
-            Input::WorkerTaken(worker) => self.on_worker_taken(&worker),
+            Input::LeaseExpired(worker) => self.on_lease_expired(&worker),
+            Input::WorkerReassigned(worker) => self.on_worker_reassigned(&worker),
             Input::Started(attempt) => self.on_started(&attempt),
             Input::NotStarted(attempt, reason) => self.on_not_started(&attempt, reason),
             Input::Ended(worker, tasks) => self.on_ended(&worker, tasks),
@@ -183,7 +191,7 @@
         &self.config.config
     }
 
-    /// The decision core, for metrics and tests.
+    /// The scheduling core, for metrics and tests.
     #[must_use]
     pub fn core(&self) -> &Core<Weighted> {
         &self.core
@@ -195,13 +203,14 @@
         &self.ledger
     }
 
-    /// When the next tick is due at the latest.
+    /// Latest time of the next tick: when the first queued request reaches its
+    /// deadline.
     #[must_use]
-    pub fn next_due(&self) -> Option<Now> {
+    pub fn next_due(&self) -> Option<Timestamp> {
         self.core.queues().next_deadline()
     }
 
-    fn on_config(&mut self, config: Arc<Numbered>) {
+    fn on_config(&mut self, config: Arc<VersionedConfig>) {
         if config.version < self.config.version {
             return;
         }
@@ -210,7 +219,8 @@
     }
 
     fn apply_config(&mut self) {
-        let grants = crate::shard_grants(&self.config.config, self.facts.shard, self.facts.shards);
+        let grants =
+            crate::shard_grants(&self.config.config, self.params.shard, self.params.shards);
         self.core.grant(&grants);
         self.core.set_policy(Weighted {
             pack_percent: self.config.config.pack_percent,
@@ -218,23 +228,24 @@
     }
 
     fn on_tick(&mut self) {
-        self.ledger.forget(self.times.now, self.facts.retention);
+        self.ledger
+            .remove_expired(self.times.now, self.params.retention);
         if self.times.now >= self.next_probe {
             self.next_probe = self.times.now + PROBE_INTERVAL;
             self.core.allow_probes();
         }
-        self.give_up_recording();
+        self.fail_overdue_intents();
         self.unlink_retired();
         if !self.released {
             self.lend_again();
         }
-        if self.times.now >= self.facts.missing_at {
-            self.settle_missing();
+        if self.times.now >= self.params.missing_at {
+            self.settle_unclaimed();
         }
     }
 
-    /// Callers are sent to the next owner. What runs goes on running; its
-    /// workers report to whoever claims them next.
+    /// Redirects the callers to the next owner. Running tasks go on; their
+    /// workers report to the owner that claims them next.
     fn on_release(&mut self) {
         self.released = true;
         let mut waiters = Vec::new();
@@ -259,17 +270,17 @@
     }
 
     fn expire(&mut self, job: JobKey) {
-        let Some(key) = self.keys.remove(&job) else {
+        let Some(key) = self.request_keys.remove(&job) else {
             return;
         };
-        self.finish_too_late(&key);
+        self.finish_past_deadline(&key);
     }
 
-    /// Ends a request that can't start any more. An earlier attempt counts
-    /// wherever this is noticed; left out, the caller of work that ran in part
-    /// is told "not run" and does it again.
-    pub(crate) fn finish_too_late(&mut self, key: &str) {
-        if self.ledger.get(key).is_some_and(Entry::touched) {
+    /// Ends a request that can no longer start before its deadline. If an
+    /// earlier attempt may have started, the answer must say so: with "not
+    /// run", the caller would repeat work that had partly run.
+    pub(crate) fn finish_past_deadline(&mut self, key: &str) {
+        if self.ledger.get(key).is_some_and(Entry::may_have_run) {
             let reason = "interrupted, and no room before its deadline";
             self.finish_bare(key, Code::HostLost, reason);
         } else {
@@ -277,7 +288,7 @@
         }
     }
 
-    pub(crate) fn append(&mut self, record: Record, pending: Pending) {
+    pub(crate) fn append(&mut self, record: Record, pending: PendingRecord) {
         self.records.push(record);
         self.pending
             .entry(self.next_ticket)
@@ -285,7 +296,7 @@
             .push(pending);
     }
 
-    /// One ticket for all records of one input.
+    /// Appends all records of one input under one ticket.
     fn flush_records(&mut self) {
         if self.records.is_empty() {
             return;
@@ -300,7 +311,7 @@
     }
 
     pub(crate) fn event(&mut self, event: Event) {
-        let event = event.shard(self.facts.shard);
+        let event = event.shard(self.params.shard);
         self.outputs.push(Output::Event(event));
     }
 }
--- a/crates/shard/src/members.rs
+++ b/crates/shard/src/members.rs
@@ -1,4 +1,4 @@
-//! What a process knows of the others from their lease rows.
+//! The processes of the cell, as read from their lease rows.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,137 +11,145 @@
 use crate::LeaseState;
 use crate::MemberRow;
 
-/// Another process as seen by this one.
+/// A process with a lease row, as last read.
 #[derive(Clone, Debug)]
-pub struct PeerState {
-    /// What never changes about it.
+pub struct ObservedMember {
+    /// Constant facts of the process.
     pub info: MemberRow,
-    /// Its lease.
+    /// Its lease row.
     pub lease: LeaseRow,
     /// Version of its lease row.
     pub version: RowVersion,
-    /// When a read that first showed this version had ended.
-    since: Instant,
-    /// When the newest read that showed this version began.
-    until: Instant,
+    /// End of the read that first returned this version.
+    first_seen: Instant,
+    /// Start of the newest read that returned this version.
+    last_seen: Instant,
 }
 
-impl PeerState {
-    /// Whether its lease stood still for `ttl` by this process's own
-    /// monotonic clock; no clock of another host is looked at.
+impl ObservedMember {
+    /// Whether its lease row has not changed for `ttl`, measured on this
+    /// process's monotonic clock only; clocks of other hosts are not compared.
     #[must_use]
     pub fn is_stale(&self, ttl: Duration) -> bool {
-        self.until.saturating_duration_since(self.since) >= ttl
+        self.last_seen.saturating_duration_since(self.first_seen) >= ttl
     }
 
-    /// Earliest moment at which it can count as stale.
+    /// Earliest moment at which the lease can be stale.
     #[must_use]
     pub fn stale_at(&self, ttl: Duration) -> Instant {
-        self.since + ttl
+        self.first_seen + ttl
     }
 }
 
 /// All processes that have a lease row.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
-    known: HashMap<Incarnation, PeerState>,
-    /// When the newest read ended.
-    read: Option<Instant>,
+    observed: HashMap<Incarnation, ObservedMember>,
+    /// End of the newest read.
+    last_read: Option<Instant>,
 }
 
-/// A lease as it was read.
+/// A lease row with its process, as read from the table.
 #[derive(Clone, Debug)]
-pub struct SeenLease {
-    /// Process run.
+pub struct ObservedLease {
+    /// Incarnation of the process.
     pub process: Incarnation,
-    /// Version of the row.
+    /// Version of the lease row.
     pub version: RowVersion,
-    /// The lease.
+    /// The lease row.
     pub lease: LeaseRow,
-    /// What never changes about the process.
+    /// Constant facts of the process.
     pub info: MemberRow,
 }
 
 /// One read of all lease rows.
 #[derive(Debug)]
-pub struct LeaseReading {
-    /// When the read began.
-    pub began: Instant,
-    /// When it ended.
-    pub ended: Instant,
-    /// All leases.
-    pub leases: Vec<SeenLease>,
+pub struct LeaseScan {
+    /// When the read started.
+    pub started_at: Instant,
+    /// When the read ended.
+    pub ended_at: Instant,
+    /// All leases that were read.
+    pub leases: Vec<ObservedLease>,
 }
 
 impl Members {
-    /// Takes in a read of all lease rows. After a gap of a whole `ttl` (the
-    /// table was unavailable, or this process paused) all ages begin anew:
-    /// nobody could renew during an outage, and the first process to reach
-    /// the table again must not expire all the others.
-    pub fn observe(&mut self, reading: LeaseReading, ttl: Duration) {
+    /// Applies one read of all lease rows. After a gap of at least `ttl`
+    /// between two reads (the table was unavailable, or this process was
+    /// paused), the ages of all leases start at zero again: no process could
+    /// renew during an outage, and the first process to reach the table must
+    /// not expire all others.
+    pub fn observe(&mut self, scan: LeaseScan, ttl: Duration) {
         let gap = self
-            .read
-            .is_some_and(|at| reading.began.duration_since(at) >= ttl);
-        self.read = Some(reading.ended);
+            .last_read
+            .is_some_and(|at| scan.started_at.duration_since(at) >= ttl);
+        self.last_read = Some(scan.ended_at);
         if gap {
-            self.known.clear();
+            self.observed.clear();
         }
-        let mut known = HashMap::new();
-        for seen in reading.leases {
-            let earlier = self.known.remove(&seen.process);
-            let since = match earlier {
-                Some(member) if member.version == seen.version => member.since,
-                _ => reading.ended,
+        let mut observed = HashMap::new();
+        for seen in scan.leases {
+            let previous = self.observed.remove(&seen.process);
+            let first_seen = match previous {
+                Some(member) if member.version == seen.version => member.first_seen,
+                _ => scan.ended_at,
             };
-            let member = PeerState {
+            let member = ObservedMember {
                 info: seen.info,
                 lease: seen.lease,
                 version: seen.version,
-                since,
-                until: reading.began,
+                first_seen,
+                last_seen: scan.started_at,
             };
-            known.insert(seen.process, member);
+            observed.insert(seen.process, member);
         }
-        self.known = known;
+        self.observed = observed;
     }
 
     /// When the newest read ended, if there was one.
     #[must_use]
     pub fn read_at(&self) -> Option<Instant> {
-        self.read
+        self.last_read
     }
 
-    /// A process by its run.
+    /// The process with this incarnation.
     #[must_use]
-    pub fn get(&self, process: &str) -> Option<&PeerState> {
-        self.known.get(process)
+    pub fn get(&self, process: &str) -> Option<&ObservedMember> {
+        self.observed.get(process)
     }
 
     /// All processes.
-    pub fn iter(&self) -> impl Iterator<Item = (&Incarnation, &PeerState)> {
-        self.known.iter()
+    pub fn iter(&self) -> impl Iterator<Item = (&Incarnation, &ObservedMember)> {
+        self.observed.iter()
     }
 
-    /// Processes that may take shards.
-    pub fn live(&self, ttl: Duration) -> impl Iterator<Item = (&Incarnation, &PeerState)> {
-        let lives = move |member: &PeerState| {
+    /// Processes that may take shards: their leases are live and not stale.
+    pub fn live(&self, ttl: Duration) -> impl Iterator<Item = (&Incarnation, &ObservedMember)> {
+        let is_live = move |member: &ObservedMember| {
             member.lease.state == LeaseState::Live && !member.is_stale(ttl)
         };
-        self.known.iter().filter(move |(_, member)| lives(member))
+        self.observed
+            .iter()
+            .filter(move |(_, member)| is_live(member))
     }
 
-    /// Whether an owner's shards may be taken: its lease is gone or expired.
+    /// Whether the shards of an owner may be claimed: its lease is removed or
+    /// expired.
     #[must_use]
-    pub fn is_gone(&self, process: &str) -> bool {
+    pub fn is_gone_or_expired(&self, process: &str) -> bool {
         self.get(process)
             .is_none_or(|member| member.lease.state == LeaseState::Expired)
     }
 
-    /// Earliest moment at which some lease can count as stale.
+    /// Earliest moment at which a lease that is not expired can be stale.
     #[must_use]
     pub fn next_stale(&self, ttl: Duration) -> Option<Instant> {
-        let waiting = |member: &&PeerState| member.lease.state != LeaseState::Expired;
-        let times = self.known.values().filter(waiting).map(|m| m.stale_at(ttl));
+        let not_expired = |member: &&ObservedMember| member.lease.state != LeaseState::Expired;
+        let times = self
+            .observed
+            .values()
+            .filter(not_expired)
+            .map(|m| m.stale_at(ttl));
         times.min()
     }
 }
@@ -151,9 +159,9 @@
     use std::time::Duration;
     use std::time::Instant;
 
-    use super::LeaseReading;
+    use super::LeaseScan;
     use super::Members;
-    use super::SeenLease;
+    use super::ObservedLease;
     use crate::FORMAT;
     use crate::LeaseRow;
     use crate::LeaseState;
@@ -161,7 +169,7 @@
 
     const TTL: Duration = Duration::from_secs(2);
 
-    fn reading(at: Instant, version: u64) -> LeaseReading {
+    fn scan(at: Instant, version: u64) -> LeaseScan {
         let address = ([127, 0, 0, 1], 1).into();
         let lease = LeaseRow {
             format: FORMAT,
@@ -176,56 +184,56 @@
             http: address,
             domain: "tacoma".to_owned(),
         };
-        let seen = SeenLease {
+        let seen = ObservedLease {
             process: "a-1".to_owned(),
             version,
             lease,
             info,
         };
-        LeaseReading {
-            began: at,
-            ended: at,
+        LeaseScan {
+            started_at: at,
+            ended_at: at,
             leases: vec![seen],
         }
     }
 
     #[test]
-    fn a_lease_that_stands_still_for_the_ttl_is_stale() {
+    fn a_lease_unchanged_for_the_ttl_is_stale() {
         let start = Instant::now();
         let mut members = Members::default();
 
-        members.observe(reading(start, 1), TTL);
-        members.observe(reading(start + TTL / 2, 1), TTL);
-        members.observe(reading(start + TTL, 1), TTL);
+        members.observe(scan(start, 1), TTL);
+        members.observe(scan(start + TTL / 2, 1), TTL);
+        members.observe(scan(start + TTL, 1), TTL);
 
         assert!(members.get("a-1").is_some_and(|m| m.is_stale(TTL)));
     }
 
-    // Symptom: a process that had itself been paused expired the lease of a
-    // healthy one. Sequence: it read the lease, stood still for longer than
-    // the TTL, read again. Cause: age counted from the clock alone. A renewed
-    // lease has another version, and its age begins anew with that read.
+    // Guards against a process that had itself been paused expiring the lease
+    // of a healthy one: it reads the lease, is paused for longer than the TTL,
+    // and reads again. Age must not count from the clock alone: a renewed lease
+    // has another version, and its age starts at zero with that read.
     #[test]
-    fn an_observer_that_slept_does_not_expire_a_renewed_lease() {
+    fn a_paused_observer_does_not_expire_a_renewed_lease() {
         let start = Instant::now();
         let mut members = Members::default();
 
-        members.observe(reading(start, 1), TTL);
-        members.observe(reading(start + TTL * 5, 2), TTL);
+        members.observe(scan(start, 1), TTL);
+        members.observe(scan(start + TTL * 5, 2), TTL);
 
         assert!(members.get("a-1").is_some_and(|m| !m.is_stale(TTL)));
     }
 
-    // Symptom: after an outage of the table the first process that reached it
-    // took all shards. Sequence: nobody could renew for 30 s, one process
-    // read unchanged leases. Cause: the time of the outage counted as age.
+    // Guards against the first process that reaches the table after an outage
+    // taking all shards: no process could renew for 30 s, and the leases are
+    // read unchanged. The duration of the outage must not count as age.
     #[test]
-    fn an_outage_ages_no_lease() {
+    fn an_outage_does_not_count_as_lease_age() {
         let start = Instant::now();
         let mut members = Members::default();
 
-        members.observe(reading(start, 1), TTL);
-        members.observe(reading(start + TTL * 15, 1), TTL);
+        members.observe(scan(start, 1), TTL);
+        members.observe(scan(start + TTL * 15, 1), TTL);
 
         assert!(members.get("a-1").is_some_and(|m| !m.is_stale(TTL)));
     }
--- a/crates/shard/src/outage.rs
+++ b/crates/shard/src/outage.rs
@@ -1,10 +1,11 @@
-//! Whether a process may go on past its lease while the table is unavailable.
+//! Decides whether a process may keep acting after its lease while the table is
+//! unavailable.
 //!
-//! Rule: it goes on only while some peer confirms that the table is
-//! unreachable for it too, and no peer says otherwise. A process that the
-//! table does not answer, but answers another, is the one cut off; it stops,
-//! since the others will take its shards. One that hears neither table nor
-//! peer stops as well.
+//! Rule: it continues only while at least one peer confirms that it cannot
+//! reach the table either, and no peer can reach it. If a peer reaches the
+//! table and this process does not, this process is the one that is cut off: it
+//! stops, since the others will take its shards. It also stops if it reaches
+//! neither the table nor any peer.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -12,74 +13,80 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use peer::Node;
+use peer::PeerEndpoint;
 use std::net::SocketAddr;
 
 use crate::Ask;
 use crate::Reply;
 use crate::TableHealth;
 
-/// Longest wait for a peer's word.
+/// Longest wait for a peer's reply.
 const PING_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Longest time that a process goes on without the table.
+/// Longest time that a process keeps acting without the table.
 pub const OUTAGE_LIMIT: Duration = Duration::from_mins(10);
 
-/// What the peers say about the table.
+/// The peers' combined reports on the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OutageWord {
-    /// Some peer confirms the outage, none denies it.
+pub enum OutageVerdict {
+    /// At least one peer cannot reach the table either, and no peer can.
     Confirmed,
-    /// Some peer reaches the table.
+    /// At least one peer reaches the table.
     Denied,
-    /// No peer answers.
+    /// No peer has replied.
     Silence,
 }
 
-/// Sums up what the peers said.
+/// Combines the peers' reports: whether the peer reaches the table, or none if
+/// it did not reply.
 #[must_use]
-pub fn weigh_words(words: &[Option<bool>]) -> OutageWord {
-    if words.contains(&Some(true)) {
-        return OutageWord::Denied;
+pub fn combine_reports(reports: &[Option<bool>]) -> OutageVerdict {
+    if reports.contains(&Some(true)) {
+        return OutageVerdict::Denied;
     }
-    if words.contains(&Some(false)) {
-        return OutageWord::Confirmed;
+    if reports.contains(&Some(false)) {
+        return OutageVerdict::Confirmed;
     }
-    OutageWord::Silence
+    OutageVerdict::Silence
 }
 
-/// Asks all peers whether the table answers them.
-pub async fn ask_peers(node: &Node, own: TableHealth, peers: Vec<SocketAddr>) -> OutageWord {
-    let own = Arc::new(own);
+/// Asks all peers whether they reach the table.
+pub async fn query_peers(
+    node: &PeerEndpoint,
+    own_health: TableHealth,
+    peers: Vec<SocketAddr>,
+) -> OutageVerdict {
+    let own_health = Arc::new(own_health);
     let mut calls = tokio::task::JoinSet::new();
     for peer in peers {
-        let (node, own) = (node.clone(), own.clone());
+        let (node, own_health) = (node.clone(), own_health.clone());
         calls.spawn(async move {
-            let ask = Ask::Ping(TableHealth::clone(&own));
+            let ask = Ask::Ping(TableHealth::clone(&own_health));
             match node.call::<Ask, Reply>(peer, &ask, PING_TIMEOUT).await {
                 Ok(Reply::Pong(health)) => Some(health.reachable),
                 _ => None,
             }
         });
     }
-    weigh_words(&calls.join_all().await)
+    combine_reports(&calls.join_all().await)
 }
 
-/// When the table last answered, as all tasks of a process see it at once.
+/// Time of the table's last answer, shared by all tasks of a process.
 #[derive(Debug)]
 pub struct LastAnswer {
     origin: Instant,
-    /// Milliseconds from the origin; `u64::MAX` before the first answer.
+    /// Milliseconds from the origin to the last answer; `u64::MAX` before the
+    /// first one.
     millis: AtomicU64,
 }
 
 impl LastAnswer {
-    fn note(&self) {
+    fn update(&self) {
         let millis = crate::intake::millis(self.origin.elapsed());
         self.millis.store(millis, Ordering::Release);
     }
 
-    /// Time since the answer; none before the first.
+    /// Time since the last answer; none before the first one.
     #[must_use]
     pub fn age(&self) -> Option<Duration> {
         let millis = self.millis.load(Ordering::Acquire);
@@ -97,76 +104,77 @@
     }
 }
 
-/// Keeps account of an outage.
+/// Tracks outages of the table.
 #[derive(Debug)]
-pub struct OutageWatch {
-    answered: Arc<LastAnswer>,
-    /// Whether the process goes on past its lease.
-    pub going_on: bool,
+pub struct OutageTracker {
+    last_answer: Arc<LastAnswer>,
+    /// Whether the process currently acts without a valid lease, on its peers'
+    /// confirmation of an outage.
+    pub in_outage: bool,
 }
 
-impl OutageWatch {
-    /// Begins with the table taken to be reachable.
+impl OutageTracker {
+    /// Starts with the table taken to be reachable.
     #[must_use]
-    pub fn new() -> OutageWatch {
-        let answered = LastAnswer::default();
-        answered.note();
-        OutageWatch {
-            answered: Arc::new(answered),
-            going_on: false,
+    pub fn new() -> OutageTracker {
+        let last_answer = LastAnswer::default();
+        last_answer.update();
+        OutageTracker {
+            last_answer: Arc::new(last_answer),
+            in_outage: false,
         }
     }
 
-    /// The table has answered.
-    pub fn on_answer(&self) {
-        self.answered.note();
+    /// Records that the table has answered.
+    pub fn record_answer(&self) {
+        self.last_answer.update();
     }
 
-    /// When the table last answered.
+    /// Shared handle to the time of the table's last answer.
     #[must_use]
-    pub fn answered(&self) -> Arc<LastAnswer> {
-        self.answered.clone()
+    pub fn last_answer(&self) -> Arc<LastAnswer> {
+        self.last_answer.clone()
     }
 
-    fn silence(&self) -> Duration {
-        self.answered.age().unwrap_or(Duration::MAX)
+    fn since_answer(&self) -> Duration {
+        self.last_answer.age().unwrap_or(Duration::MAX)
     }
 
-    /// Whether the table has answered within `span`.
+    /// Whether the table has answered within `period`.
     #[must_use]
-    pub fn is_reachable(&self, span: Duration) -> bool {
-        self.silence() < span
+    pub fn is_reachable(&self, period: Duration) -> bool {
+        self.since_answer() < period
     }
 
-    /// Whether the process has gone on for too long.
+    /// Whether the table has been silent for longer than `OUTAGE_LIMIT`.
     #[must_use]
     pub fn is_over_limit(&self) -> bool {
-        self.silence() > OUTAGE_LIMIT
+        self.since_answer() > OUTAGE_LIMIT
     }
 }
 
-impl Default for OutageWatch {
+impl Default for OutageTracker {
     fn default() -> Self {
-        OutageWatch::new()
+        OutageTracker::new()
     }
 }
 
 #[cfg(test)]
 mod tests {
-    use super::OutageWord;
-    use super::weigh_words;
+    use super::OutageVerdict;
+    use super::combine_reports;
 
     #[test]
     fn one_peer_that_reaches_the_table_outweighs_all_others() {
-        let word = weigh_words(&[Some(false), None, Some(true)]);
+        let verdict = combine_reports(&[Some(false), None, Some(true)]);
 
-        assert_eq!(word, OutageWord::Denied);
+        assert_eq!(verdict, OutageVerdict::Denied);
     }
 
     #[test]
-    fn silence_confirms_nothing() {
-        let word = weigh_words(&[None, None]);
+    fn no_reply_confirms_no_outage() {
+        let verdict = combine_reports(&[None, None]);
 
-        assert_eq!(word, OutageWord::Silence);
+        assert_eq!(verdict, OutageVerdict::Silence);
     }
 }
