--- a/crates/shard/src/outcome.rs
+++ b/crates/shard/src/outcome.rs
@@ -1,4 +1,4 @@
-//! From the ends of tasks to the answer of their request.
+//! Processes the start and the end of tasks, up to the answer of their request.
 
 use event::Event;
 use event::Kind;
@@ -6,29 +6,29 @@
 use model::Code;
 use model::Family;
 use sched::HealthChange;
-use sched::Refused;
+use sched::SubmitError;
 use worker::EndResult;
 use worker::Task;
 
+use crate::AttemptOutcome;
 use crate::Entry;
 use crate::Machine;
 use crate::Member;
 use crate::MemberState;
 use crate::NotStarted;
 use crate::Output;
-use crate::Past;
 use crate::Record;
+use crate::RunHistory;
 use crate::ShardReply;
 use crate::Stage;
 use crate::StopMode;
-use crate::Verdict;
 use crate::attempt_key;
 use crate::cancel::is_cancelled;
-use crate::judge;
-use crate::machine::Pending;
+use crate::evaluate_attempt;
+use crate::machine::PendingRecord;
 
-/// Most by which the clocks of a caller and of a process may differ, where
-/// the time of a first call is compared with that of a take-over.
+/// Maximum difference between the clocks of a caller and of a process, when the
+/// time of a first call is compared with that of a take-over.
 const CLOCK_SKEW_MILLIS: u64 = 2000;
 
 impl Machine {
@@ -82,18 +82,19 @@
         };
         let key = task.request;
         let Some(entry) = self.ledger.get_mut(&key) else {
-            // Its request was forgotten, or an earlier owner never told.
-            self.remember_orphan_end(&key, worker, task.needs, &end);
+            // The request has left the ledger, or an earlier owner did not
+            // record it.
+            self.record_unknown_end(&key, worker, task.needs, &end);
             self.forget_task(worker, task.attempt);
             return;
         };
-        let wanted = entry
+        let is_open = entry
             .member_mut(&task.attempt)
             .is_some_and(|m| !m.state.is_settled());
-        if !wanted {
-            // While the request is open its workers keep the ends of earlier
-            // attempts: they alone tell a later owner, which finds only the
-            // intent, that the attempt was carried out.
+        if !is_open {
+            // While the request is open, the workers keep the results of its
+            // earlier attempts. A later owner finds only the intent in the
+            // journal and learns only from them that the attempt ran.
             let answered = entry.answer().is_some();
             if answered || !entry.recorded {
                 self.forget_task(worker, task.attempt);
@@ -101,7 +102,7 @@
             return;
         }
         let cancelled = self.ledger.get(&key).is_some_and(|entry| entry.cancelled);
-        if !cancelled && let Some(succeeded) = verdict_on_worker(end.result) {
+        if !cancelled && let Some(succeeded) = worker_success(end.result) {
             self.record_health(worker, succeeded);
         }
         let event = Event::new(Kind::TaskEnded).request(&key).worker(worker);
@@ -109,24 +110,24 @@
         self.settle(&key, &task.attempt, MemberState::Ended(end));
     }
 
-    /// The worker keeps an end until its answer is recorded, so that an owner
-    /// that dies in between costs nothing.
+    /// Tells a worker to forget a task. It keeps the result until the answer is
+    /// recorded, so that nothing is lost if the owner dies before.
     pub(crate) fn forget_task(&mut self, worker: &str, attempt: String) {
         self.outputs
             .push(Output::Forget(worker.to_owned(), vec![attempt]));
     }
 
-    fn remember_orphan_end(
+    fn record_unknown_end(
         &mut self,
         key: &str,
         worker: &str,
         needs: model::Resources,
         end: &worker::End,
     ) {
-        let entry = Entry::orphan(key, needs, self.times.now);
-        let verdict = judge(&entry, &[(worker, end)]);
+        let entry = Entry::from_report(key, needs, self.times.now);
+        let outcome = evaluate_attempt(&entry, &[(worker, end)]);
         self.ledger.insert(key, entry);
-        if let Verdict::Answer(answer) = verdict {
+        if let AttemptOutcome::Answer(answer) = outcome {
             self.ledger.finish(key, answer, self.times.now);
         } else {
             self.finish_bare(key, Code::HostLost, "interrupted under an earlier owner");
@@ -134,10 +135,10 @@
     }
 
     fn record_health(&mut self, worker: &str, succeeded: bool) {
-        let Some(slot) = self.core.worker(worker) else {
+        let Some(worker_key) = self.core.worker(worker) else {
             return;
         };
-        let kind = match self.core.record_end(slot, succeeded) {
+        let kind = match self.core.record_end(worker_key, succeeded) {
             HealthChange::None => return,
             HealthChange::Quarantined => Kind::WorkerQuarantined,
             HealthChange::Restored => Kind::WorkerRestored,
@@ -145,8 +146,8 @@
         self.event(Event::new(kind).worker(worker));
     }
 
-    /// News of one member that needs no more; the request is concluded with
-    /// the last.
+    /// Sets the final state of one member. When all members are settled, the
+    /// attempt is evaluated.
     pub(crate) fn settle(&mut self, key: &str, attempt: &str, state: MemberState) {
         let Some(entry) = self.ledger.get_mut(key) else {
             return;
@@ -160,24 +161,24 @@
         }
         member.state = state;
         let worker = member.worker.clone();
-        let done = entry.members.iter().all(|member| member.state.is_settled());
+        let all_settled = entry.members.iter().all(|member| member.state.is_settled());
         if let (Some(job), Some(worker)) = (job, self.core.worker(&worker)) {
             self.core.release(job, worker);
         }
-        if done {
-            self.conclude(key);
+        if all_settled {
+            self.finish_attempt(key);
         } else {
             self.stop_broken_gang(key);
         }
     }
 
-    /// A gang that lost a member is stopped whole.
+    /// Stops all remaining members of a gang that has lost one.
     fn stop_broken_gang(&mut self, key: &str) {
         let Some(entry) = self.ledger.get(key) else {
             return;
         };
         let broken = entry.members.iter().any(|member| match &member.state {
-            MemberState::NotStarted | MemberState::Gone | MemberState::Missing => true,
+            MemberState::NotStarted | MemberState::Interrupted | MemberState::Unreachable => true,
             MemberState::Ended(end) => end.result != EndResult::Succeeded,
             _ => false,
         });
@@ -194,26 +195,26 @@
         self.outputs.extend(stops);
     }
 
-    fn conclude(&mut self, key: &str) {
+    fn finish_attempt(&mut self, key: &str) {
         let Some(entry) = self.ledger.get_mut(key) else {
             return;
         };
-        if entry.is_over() {
+        if entry.is_closed() {
             return;
         }
         if let Some(job) = entry.job() {
-            self.keys.remove(&job);
+            self.request_keys.remove(&job);
         }
         let started = |member: &Member| member.state != MemberState::NotStarted;
-        let unseen = |member: &Member| !matches!(member.state, MemberState::Ended(_));
-        if entry.members.iter().any(|m| started(m) && unseen(m)) {
-            entry.touch(Past::Unseen);
+        let end_unknown = |member: &Member| !matches!(member.state, MemberState::Ended(_));
+        if entry.members.iter().any(|m| started(m) && end_unknown(m)) {
+            entry.add_history(RunHistory::EndUnknown);
         } else if entry.members.iter().any(started) {
-            entry.touch(Past::Seen);
+            entry.add_history(RunHistory::EndKnown);
         }
-        match judge(entry, &[]) {
-            Verdict::Answer(answer) => self.finish(key, answer),
-            Verdict::Again(checkpoint) => self.requeue(key, checkpoint),
+        match evaluate_attempt(entry, &[]) {
+            AttemptOutcome::Answer(answer) => self.finish(key, answer),
+            AttemptOutcome::Retry(checkpoint) => self.requeue(key, checkpoint),
         }
     }
 
@@ -227,8 +228,8 @@
         let failed = entry.members.iter().filter(|m| m.state.is_settled());
         let failed: Vec<String> = failed.map(|m| m.worker.clone()).collect();
         let mut members = std::mem::take(&mut entry.members);
-        entry.spent.append(&mut members);
-        if entry.touched() {
+        entry.earlier_members.append(&mut members);
+        if entry.may_have_run() {
             entry.deadline = entry.deadline.max(self.times.now + crate::RESTART_GRACE);
         }
         let Some(entry) = self.ledger.get(key) else {
@@ -244,7 +245,7 @@
         }
         match self.core.submit(self.times.now, spec) {
             Ok(job) => {
-                self.keys.insert(job, key.to_owned());
+                self.request_keys.insert(job, key.to_owned());
                 if let Some(entry) = self.ledger.get_mut(key) {
                     entry.stage = Stage::Waiting(job);
                 }
@@ -253,28 +254,28 @@
         }
     }
 
-    pub(crate) fn finish_interrupted(&mut self, key: &str, refused: Refused) {
-        let touched = self.ledger.get(key).is_some_and(Entry::touched);
-        if touched {
+    pub(crate) fn finish_interrupted(&mut self, key: &str, refused: SubmitError) {
+        let may_have_run = self.ledger.get(key).is_some_and(Entry::may_have_run);
+        if may_have_run {
             self.finish_bare(
                 key,
                 Code::HostLost,
                 "interrupted, and there is no room to run it again",
             );
         } else {
-            let (code, reason) = refusal_of(refused);
+            let (code, reason) = refusal_code(refused);
             self.finish_bare(key, code, reason);
         }
     }
 
-    /// Puts requests that an earlier owner had taken back into the queue,
-    /// unless an intent tells that they may have started.
+    /// Queues requests again that an earlier owner had accepted, unless an
+    /// intent shows that they may have started.
     pub(crate) fn requeue_recovered(&mut self) {
-        let waits = |entry: &Entry| !entry.is_over() && entry.members.is_empty();
+        let never_placed = |entry: &Entry| !entry.is_closed() && entry.members.is_empty();
         let keys: Vec<String> = self
             .ledger
             .iter()
-            .filter(|(_, entry)| waits(entry))
+            .filter(|(_, entry)| never_placed(entry))
             .map(|(key, _)| key.clone())
             .collect();
         for key in keys {
@@ -284,34 +285,38 @@
 
     pub(crate) fn finish_bare(&mut self, key: &str, code: Code, reason: &str) {
         let id = key.split_once('/').map_or(key, |(_, id)| id);
-        self.finish(key, Answer::bare(id, code, reason));
+        self.finish(key, Answer::without_output(id, code, reason));
     }
 
-    /// An answer that is true of earlier owners as well. They may have run an
-    /// unrecorded request, answered it, and died; a caller that lost that
-    /// answer asks again with the time of its first call, which lies before
-    /// this owner's.
-    pub(crate) fn make_true(&self, entry: &Entry, answer: Answer) -> Answer {
+    /// Replaces a "not run" answer if an earlier owner may have run the
+    /// request. That owner may have run and answered an unrecorded request
+    /// before it died. A caller that lost the answer repeats the call with the
+    /// time of its first call, which is before the take-over by this owner.
+    pub(crate) fn qualify_not_run(&self, entry: &Entry, answer: Answer) -> Answer {
         let not_run = answer.code.family() == Family::NotRun;
         let sent = entry.request.sent_millis;
-        let margin = self.facts.since_millis + CLOCK_SKEW_MILLIS;
-        let known = entry.recorded || sent == 0 || sent > margin || self.facts.since_millis == 0;
-        if !not_run || known {
+        let latest_takeover = self.params.takeover_millis + CLOCK_SKEW_MILLIS;
+        let is_certain = entry.recorded
+            || sent == 0
+            || sent > latest_takeover
+            || self.params.takeover_millis == 0;
+        if !not_run || is_certain {
             return answer;
         }
         let reason = format!(
             "an earlier owner of its shard may have run it; now: {}",
             answer.reason
         );
-        Answer::bare(&answer.id, Code::OwnerLost, reason)
+        Answer::without_output(&answer.id, Code::OwnerLost, reason)
     }
 
-    /// Gives a request its answer: at once, or once it is recorded.
+    /// Answers a request: at once, or, if the request is recorded, after its
+    /// answer is in the table.
     pub(crate) fn finish(&mut self, key: &str, answer: Answer) {
         let Some(entry) = self.ledger.get(key) else {
             return;
         };
-        let answer = self.make_true(entry, answer);
+        let answer = self.qualify_not_run(entry, answer);
         let Some(entry) = self.ledger.get_mut(key) else {
             return;
         };
@@ -326,8 +331,8 @@
             answer,
             at_millis: self.times.wall_millis,
         };
-        self.append(record, Pending::End(key.to_owned()));
-        if self.stalled && stands_unrecorded(code) {
+        self.append(record, PendingRecord::End(key.to_owned()));
+        if self.stalled && is_valid_without_record(code) {
             self.answer_waiters(key);
         }
     }
@@ -343,14 +348,14 @@
         let ended: Vec<(String, String)> = entry
             .members
             .iter()
-            .chain(&entry.spent)
+            .chain(&entry.earlier_members)
             .filter(|member| matches!(member.state, MemberState::Ended(_)))
             .map(|member| (member.worker.clone(), member.attempt.clone()))
             .collect();
         for (worker, attempt) in ended {
             self.forget_task(&worker, attempt);
         }
-        if entry_is_recorded(self.ledger.get(key)) {
+        if is_recorded(self.ledger.get(key)) {
             self.ended.push(Record::End {
                 key: key.to_owned(),
                 answer: answer.clone(),
@@ -380,10 +385,11 @@
     }
 }
 
-/// What an end says of its worker; none if it was cut short. A task that was
-/// stopped, or whose lease ran out, proves nothing: taken for a success it
-/// brought a worker out of quarantine that still fails everything.
-fn verdict_on_worker(result: EndResult) -> Option<bool> {
+/// Whether the result of a task counts as a success of its worker; `None` if
+/// the task was interrupted. A task that was stopped, or whose lease expired,
+/// proves nothing: counted as a success, it ended the quarantine of a worker on
+/// which every task still failed.
+fn worker_success(result: EndResult) -> Option<bool> {
     match result {
         EndResult::Succeeded | EndResult::Checkpointed => Some(true),
         EndResult::Failed => Some(false),
@@ -391,25 +397,26 @@
     }
 }
 
-/// Whether an answer may be given before its record is in the table. One that
-/// says that nothing will run may not: if this owner ends first, the next one
-/// finds the request open and starts it, and the caller who was told "not run"
-/// sees it run. A latest start that has passed holds for the next owner too.
-pub(crate) fn stands_unrecorded(code: Code) -> bool {
+/// Whether an answer may be given before its record is in the table. This does
+/// not hold for answers that say that the request will not run: if this owner
+/// ends first, the next one finds the request open and starts it although its
+/// caller was told "not run". A missed deadline is an exception, since it holds
+/// for the next owner too.
+pub(crate) fn is_valid_without_record(code: Code) -> bool {
     !is_cancelled(code) && !matches!(code, Code::QueueFull | Code::NeverFits)
 }
 
-/// Code and reason of a request that the core refuses.
-pub(crate) fn refusal_of(refused: Refused) -> (Code, &'static str) {
+/// Answer code and reason for a request that the scheduling core refuses.
+pub(crate) fn refusal_code(refused: SubmitError) -> (Code, &'static str) {
     match refused {
-        Refused::NeverFits => {
+        SubmitError::NeverFits => {
             let reason = "no set of workers of its shard is large enough";
             (Code::NeverFits, reason)
         }
-        Refused::QueueFull => (Code::QueueFull, "the team's queue is full"),
+        SubmitError::QueueFull => (Code::QueueFull, "the team's queue is full"),
     }
 }
 
-fn entry_is_recorded(entry: Option<&Entry>) -> bool {
+fn is_recorded(entry: Option<&Entry>) -> bool {
     entry.is_some_and(|entry| entry.recorded)
 }
--- a/crates/shard/src/pacer.rs
+++ b/crates/shard/src/pacer.rs
@@ -1,4 +1,4 @@
-//! Keeps this process within its share of the table's write rate.
+//! Limits the writes of this process to its share of the table's write rate.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -6,10 +6,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// Writes that may be made at once after a quiet time.
+/// Number of writes that may be made at once after an idle period.
 const BURST: f64 = 4.0;
 
-/// Token bucket for writes of rows; clones share it.
+/// Token bucket for row writes; clones share the bucket.
 #[derive(Clone, Debug)]
 pub struct Pacer {
     bucket: Arc<Mutex<Bucket>>,
@@ -19,24 +19,24 @@
 struct Bucket {
     rate: f64,
     tokens: f64,
-    filled: Instant,
+    last_refill: Instant,
 }
 
 impl Pacer {
-    /// A pacer for `rate` writes a second.
+    /// Creates a pacer for `rate` writes per second.
     #[must_use]
     pub fn new(rate: f64) -> Pacer {
         let bucket = Bucket {
             rate,
             tokens: BURST,
-            filled: Instant::now(),
+            last_refill: Instant::now(),
         };
         Pacer {
             bucket: Arc::new(Mutex::new(bucket)),
         }
     }
 
-    /// Changes the rate, as when a process joined or left.
+    /// Changes the rate, for instance when a process has joined or left.
     pub fn set_rate(&self, rate: f64) {
         let mut bucket = self.bucket.lock().unwrap_or_else(PoisonError::into_inner);
         bucket.refill();
@@ -58,12 +58,13 @@
 impl Bucket {
     fn refill(&mut self) {
         let now = Instant::now();
-        let earned = now.duration_since(self.filled).as_secs_f64() * self.rate;
+        let earned = now.duration_since(self.last_refill).as_secs_f64() * self.rate;
         self.tokens = (self.tokens + earned).min(BURST);
-        self.filled = now;
+        self.last_refill = now;
     }
 
-    /// Goes into debt when there are too few tokens; the wait pays it back.
+    /// Takes tokens and returns the time to wait. The bucket may go into debt,
+    /// which is paid back during the wait.
     fn reserve(&mut self, writes: f64) -> Duration {
         self.refill();
         self.tokens -= writes;
--- a/crates/shard/src/patch.rs
+++ b/crates/shard/src/patch.rs
@@ -1,18 +1,18 @@
-//! Patches of the numbered configuration: one transaction makes the next
-//! version, so of two racing patches exactly one is accepted.
+//! Patches of the numbered configuration. Each version is created in one
+//! transaction, so that exactly one of two concurrent patches is accepted.
 
 use std::sync::Arc;
 
 use model::Config;
 use model::ConfigError;
-use model::Numbered;
 use model::Version;
+use model::VersionedConfig;
 use serde::Deserialize;
 use serde::Serialize;
 use serde_json::Value;
 use snafu::Snafu;
 use store::Commit;
-use store::Committed;
+use store::CommitOutcome;
 use store::Row;
 use store::StoreError;
 use store::Table;
@@ -23,117 +23,125 @@
 use crate::history_key;
 use crate::patch_key;
 
-/// Tries of a commit whose answer was lost.
-const TRIES: u32 = 4;
+/// Maximum number of tries of a commit whose reply is lost.
+const MAX_COMMIT_TRIES: u32 = 4;
 
-/// A patch against a numbered version.
+/// A patch of a numbered configuration version.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Patch {
-    /// Chosen by the operator; the same id is never applied twice.
+    /// Id chosen by the operator; a patch with the same id is not applied
+    /// twice.
     pub id: String,
-    /// Version that it was made against.
+    /// Version to which the patch applies.
     pub version: Version,
-    /// Merge patch (RFC 7396).
+    /// Merge patch (RFC 7396) of the configuration.
     pub patch: Value,
 }
 
-/// Why a patch was refused, or is not known to be accepted.
+/// Reason why a patch was refused, or why it is unknown whether it was applied.
 #[derive(Debug, Snafu)]
 pub enum PatchError {
-    /// Another patch came first.
+    /// The patch applies to a version that is no longer current.
     #[snafu(display("made against version {against}, but version {current} is current"))]
     Stale {
-        /// Version that it was made against.
+        /// Version to which the patch applies.
         against: Version,
-        /// Version that is current.
+        /// Current version.
         current: Version,
     },
-    /// The result would be invalid.
+    /// The patched configuration would be invalid.
     #[snafu(display("{source} (version {current} stays current)"))]
     Invalid {
-        /// What is wrong.
+        /// Problem in the patched configuration.
         source: ConfigError,
-        /// Version that is current.
+        /// Current version.
         current: Version,
     },
-    /// The patch id is unusable.
+    /// The patch id is malformed.
     #[snafu(display("id: found {found:?}, allowed: 1 to 64 letters, digits, hyphens, dots"))]
     BadId {
-        /// The id.
+        /// Id of the patch.
         found: String,
     },
-    /// The table failed before anything could take effect.
+    /// The table failed before the patch could take effect.
     #[snafu(display("this call applied nothing: {source}"))]
     Unavailable {
-        /// Its error.
+        /// Error of the table.
         source: StoreError,
     },
-    /// The answer was lost. Send the same patch with the same id again.
+    /// The table's reply was lost. The operator has to send the same patch with
+    /// the same id again.
     #[snafu(display("may have been applied; send it again with the same id: {source}"))]
     Unknown {
-        /// Its error.
+        /// Error of the table.
         source: StoreError,
     },
-    /// The stored document cannot be read; it was left as it is.
+    /// The stored document cannot be read; it was not changed.
     #[snafu(display("the stored document cannot be read: {reason}"))]
     Damaged {
-        /// What is wrong.
+        /// Row and problem.
         reason: String,
     },
 }
 
-/// Reads the newest document; version 0 before the first patch.
+/// Reads the current configuration and its row. Before the first patch that is
+/// version 0, without a row.
 ///
 /// # Errors
-/// The table fails, or the document cannot be read.
-pub async fn read_config<T: Table>(table: &T) -> Result<(Numbered, Option<Row>), PatchError> {
+/// The table fails, or the stored document cannot be read.
+pub async fn read_config<T: Table>(
+    table: &T,
+) -> Result<(VersionedConfig, Option<Row>), PatchError> {
     let row = table.get(CONFIG_CURRENT).await;
     let row = row.map_err(|source| PatchError::Unavailable { source })?;
     let numbered = match &row {
         Some(row) => parse(row)?,
-        None => first_config(),
+        None => initial_config(),
     };
     Ok((numbered, row))
 }
 
-/// The document before the first patch.
+/// The configuration before the first patch.
 #[must_use]
-pub fn first_config() -> Numbered {
-    Numbered {
+pub fn initial_config() -> VersionedConfig {
+    VersionedConfig {
         version: 0,
         patch_id: String::new(),
         config: Config::default(),
     }
 }
 
-fn parse(row: &Row) -> Result<Numbered, PatchError> {
+fn parse(row: &Row) -> Result<VersionedConfig, PatchError> {
     serde_json::from_str(&row.value).map_err(|error| PatchError::Damaged {
         reason: format!("{}: {error}", row.key),
     })
 }
 
-/// Applies a patch, or finds that it was applied before.
+/// Applies a patch; one that was applied before is not applied again.
 ///
 /// # Errors
-/// See [`PatchError`]; only `Unknown` leaves open whether it was applied.
-pub async fn apply_patch<T: Table>(table: &T, patch: &Patch) -> Result<Arc<Numbered>, PatchError> {
+/// See [`PatchError`]. Only with `Unknown` may the patch have been applied.
+pub async fn apply_patch<T: Table>(
+    table: &T,
+    patch: &Patch,
+) -> Result<Arc<VersionedConfig>, PatchError> {
     check_id(&patch.id)?;
-    let mut lost = None;
-    for _ in 0..TRIES {
+    let mut failure = None;
+    for _ in 0..MAX_COMMIT_TRIES {
         match try_patch(table, patch).await {
-            Err(PatchError::Unknown { source }) => lost = Some(source),
-            Err(PatchError::Unavailable { source }) if lost.is_some() => lost = Some(source),
+            Err(PatchError::Unknown { source }) => failure = Some(source),
+            Err(PatchError::Unavailable { source }) if failure.is_some() => failure = Some(source),
             done => return done,
         }
     }
-    let source = lost.unwrap_or(StoreError::Unavailable {
+    let source = failure.unwrap_or(StoreError::Unavailable {
         reason: "no try was made".to_owned(),
     });
     Err(PatchError::Unknown { source })
 }
 
-async fn try_patch<T: Table>(table: &T, patch: &Patch) -> Result<Arc<Numbered>, PatchError> {
+async fn try_patch<T: Table>(table: &T, patch: &Patch) -> Result<Arc<VersionedConfig>, PatchError> {
     let unavailable = |source| PatchError::Unavailable { source };
     if let Some(row) = table
         .get(&patch_key(&patch.id))
@@ -154,17 +162,17 @@
         source,
         current: current.version,
     })?;
-    let next = Numbered {
+    let next = VersionedConfig {
         version: current.version + 1,
         patch_id: patch.id.clone(),
         config,
     };
     let commit = patch_commit(&next, row.map_or(0, |row| row.version));
     match table.commit(&commit).await {
-        Ok(Committed::Done(_)) => Ok(Arc::new(next)),
-        // Either another patch won, or an earlier try of this one: the next
-        // try finds out by the id.
-        Ok(Committed::Conflict(_)) => {
+        Ok(CommitOutcome::Done(_)) => Ok(Arc::new(next)),
+        // Either another patch or an earlier try of this one was committed
+        // first; the row of the patch id shows which.
+        Ok(CommitOutcome::Conflict(_)) => {
             let row = table
                 .get(&patch_key(&patch.id))
                 .await
@@ -182,7 +190,7 @@
     }
 }
 
-fn patch_commit(next: &Numbered, current: store::RowVersion) -> Commit {
+fn patch_commit(next: &VersionedConfig, current: store::RowVersion) -> Commit {
     let text = encode_row(next);
     let version = next.version.to_string();
     Commit::default()
@@ -194,23 +202,23 @@
         .put(patch_key(&next.patch_id), version)
 }
 
-/// The document that a patch id made.
-async fn read_applied<T: Table>(table: &T, row: &Row) -> Result<Arc<Numbered>, PatchError> {
+/// Reads the configuration version that a patch id has created.
+async fn read_applied<T: Table>(table: &T, row: &Row) -> Result<Arc<VersionedConfig>, PatchError> {
     let damaged = |reason: &str| PatchError::Damaged {
         reason: format!("{}: {reason}", row.key),
     };
     let version = row.value.parse().map_err(|_| damaged("not a number"))?;
-    let made = table.get(&history_key(version)).await;
-    let made = made.map_err(|source| PatchError::Unavailable { source })?;
-    let made = made.ok_or_else(|| damaged("its version is not in the history"))?;
-    Ok(Arc::new(parse(&made)?))
+    let created = table.get(&history_key(version)).await;
+    let created = created.map_err(|source| PatchError::Unavailable { source })?;
+    let created = created.ok_or_else(|| damaged("its version is not in the history"))?;
+    Ok(Arc::new(parse(&created)?))
 }
 
 fn check_id(id: &str) -> Result<(), PatchError> {
-    let plain = id
+    let is_plain = id
         .bytes()
         .all(|b| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'.'));
-    if plain && (1..=64).contains(&id.len()) {
+    if is_plain && (1..=64).contains(&id.len()) {
         return Ok(());
     }
     Err(PatchError::BadId {
--- a/crates/shard/src/ring.rs
+++ b/crates/shard/src/placement.rs
@@ -1,27 +1,28 @@
-//! Which process should own which shard: rendezvous hashing (Thaler and
-//! Ravishankar, 1998) with a bound on the shards of one process.
+//! Placement of shards on processes: rendezvous hashing (Thaler and
+//! Ravishankar, 1998) with a limit on the shards per process.
 
 use model::ShardId;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Index of a process in the list that was given.
+/// Index of a process in the list passed to `place_shards`.
 pub type MemberIndex = usize;
 
-/// Member that should own each shard, in shard order; empty without members.
-/// The same names give the same result everywhere, whatever their order.
+/// Returns the process that should own each shard, in shard order; empty if
+/// there are no processes. The same names give the same owners in every
+/// process, whatever the order of the list.
 #[must_use]
 pub fn place_shards(names: &[String], shards: u16) -> Vec<MemberIndex> {
     if names.is_empty() {
         return Vec::new();
     }
-    let bound = usize::from(shards).div_ceil(names.len());
-    let mut held = vec![0usize; names.len()];
+    let max_shards = usize::from(shards).div_ceil(names.len());
+    let mut shard_counts = vec![0usize; names.len()];
     let mut owners = Vec::with_capacity(usize::from(shards));
     for shard in 0..shards {
-        let open = (0..names.len()).filter(|index| held[*index] < bound);
-        let best = open.max_by_key(|index| weight(&names[*index], shard));
+        let eligible = (0..names.len()).filter(|index| shard_counts[*index] < max_shards);
+        let best = eligible.max_by_key(|index| weight(&names[*index], shard));
         let index = best.unwrap_or_default();
-        held[index] += 1;
+        shard_counts[index] += 1;
         owners.push(index);
     }
     owners
@@ -44,8 +45,8 @@
         let owners = place_shards(&names(7), 16);
 
         for index in 0..7 {
-            let held = owners.iter().filter(|owner| **owner == index).count();
-            assert!(held <= 3, "process {index} holds {held}");
+            let owned = owners.iter().filter(|owner| **owner == index).count();
+            assert!(owned <= 3, "process {index} holds {owned}");
         }
     }
 
--- a/crates/shard/src/recovery.rs
+++ b/crates/shard/src/recovery.rs
@@ -1,9 +1,10 @@
-//! What a new owner reads before it serves a shard. All of it is read after
-//! the claim, so that nothing older can be committed any more.
+//! Recovery: reads the state that former owners recorded, before a new owner
+//! serves a shard. Everything is read after the claim, so that no former owner
+//! can commit to it any more.
 
 use model::Incarnation;
 use model::ShardId;
-use store::Objects;
+use store::ObjectStore;
 use store::Row;
 use store::RowVersion;
 use store::Table;
@@ -11,23 +12,23 @@
 use crate::Batch;
 use crate::FORMAT;
 use crate::JOURNAL_ROWS;
-use crate::JournalStart;
+use crate::JournalPosition;
 use crate::Ledger;
 use crate::Segment;
 use crate::SegmentList;
-use crate::SegmentName;
+use crate::SegmentRef;
 use crate::ShardError;
 use crate::Times;
 use crate::decode_row;
 use crate::journal_prefix;
 use crate::segments_key;
 
-/// A claimed shard.
+/// A shard that this process has claimed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Claim {
-    /// Shard.
+pub struct ShardClaim {
+    /// Number of the shard.
     pub shard: ShardId,
-    /// Process run that owns it.
+    /// Incarnation of the process that owns the shard.
     pub process: Incarnation,
     /// Epoch of the claim.
     pub epoch: model::Epoch,
@@ -35,26 +36,26 @@
     pub fence: RowVersion,
 }
 
-/// What earlier owners left.
+/// State of a shard recorded by its former owners.
 #[derive(Debug)]
-pub struct Recovered {
-    /// Requests.
+pub struct RecoveredShard {
+    /// Requests of the shard.
     pub ledger: Ledger,
-    /// Where the journal goes on.
-    pub start: JournalStart,
+    /// Position at which the journal continues.
+    pub position: JournalPosition,
 }
 
-/// Reads what earlier owners of a shard left.
+/// Reads the state of a shard recorded by its former owners.
 ///
 /// # Errors
-/// The platform's service fails, or something stored cannot be read; then
-/// nothing is changed.
-pub async fn recover<T: Table, O: Objects>(
+/// The table or the object store fails, or a row or segment cannot be decoded;
+/// nothing is changed then.
+pub async fn recover<T: Table, O: ObjectStore>(
     table: &T,
     objects: &O,
-    claim: &Claim,
+    claim: &ShardClaim,
     times: Times,
-) -> Result<Recovered, ShardError> {
+) -> Result<RecoveredShard, ShardError> {
     let list_row = table.get(&segments_key(claim.shard)).await?;
     let list_version = list_row.as_ref().map_or(0, |row| row.version);
     let segments = match &list_row {
@@ -67,38 +68,39 @@
     let mut ledger = Ledger::default();
     read_segments(objects, &segments, &mut ledger, times).await?;
     let rows = table.range(&journal_prefix(claim.shard)).await?;
-    let (batches, versions) = read_rows(&rows)?;
+    let (batches, versions) = read_journal_rows(&rows)?;
     let covered = segments.covered();
-    let mut last = covered;
+    let mut last_seq = covered;
     for batch in batches.iter().filter(|batch| batch.seq > covered) {
         for record in &batch.records {
             ledger.replay(record, times);
         }
-        last = batch.seq;
+        last_seq = batch.seq;
     }
-    let start = JournalStart {
+    let position = JournalPosition {
         shard: claim.shard,
         process: claim.process.clone(),
         epoch: claim.epoch,
         fence: claim.fence,
-        next: last + 1,
-        rows: versions,
+        next_seq: last_seq + 1,
+        row_versions: versions,
         segments,
         list_version,
     };
-    Ok(Recovered { ledger, start })
+    Ok(RecoveredShard { ledger, position })
 }
 
-/// Ended requests of all segments, open ones of the newest.
-async fn read_segments<O: Objects>(
+/// Reads the ended requests of all segments, and the open requests of the
+/// newest one.
+async fn read_segments<O: ObjectStore>(
     objects: &O,
     list: &SegmentList,
     ledger: &mut Ledger,
     times: Times,
 ) -> Result<(), ShardError> {
     let newest = list.segments.len().saturating_sub(1);
-    for (index, name) in list.segments.iter().enumerate() {
-        let segment = read_segment(objects, name).await?;
+    for (index, segment_ref) in list.segments.iter().enumerate() {
+        let segment = read_segment(objects, segment_ref).await?;
         if index == newest {
             for record in &segment.open {
                 ledger.replay(record, times);
@@ -111,30 +113,35 @@
     Ok(())
 }
 
-async fn read_segment<O: Objects>(objects: &O, name: &SegmentName) -> Result<Segment, ShardError> {
+/// Fetches and decodes one segment.
+async fn read_segment<O: ObjectStore>(
+    objects: &O,
+    segment_ref: &SegmentRef,
+) -> Result<Segment, ShardError> {
     let damaged = |reason: &str| ShardError::Damaged {
-        key: name.name.clone(),
+        key: segment_ref.name.clone(),
         reason: reason.to_owned(),
     };
-    let body = objects.fetch(&name.name).await?;
+    let body = objects.fetch(&segment_ref.name).await?;
     let body = body.ok_or_else(|| damaged("the object is missing"))?;
-    let value = String::from_utf8(body).map_err(|_| damaged("it is not text"))?;
+    let value = String::from_utf8(body).map_err(|_| damaged("the object is not valid UTF-8"))?;
     let row = Row {
-        key: name.name.clone(),
+        key: segment_ref.name.clone(),
         version: 0,
         value,
     };
     decode_row(&row)
 }
 
-fn read_rows(rows: &[Row]) -> Result<(Vec<Batch>, Vec<RowVersion>), ShardError> {
-    let count = usize::try_from(JOURNAL_ROWS).unwrap_or_default();
-    let mut versions = vec![0; count];
+/// Decodes the journal rows: the batches in order, and the version of each row.
+fn read_journal_rows(rows: &[Row]) -> Result<(Vec<Batch>, Vec<RowVersion>), ShardError> {
+    let row_count = usize::try_from(JOURNAL_ROWS).unwrap_or_default();
+    let mut versions = vec![0; row_count];
     let mut batches = Vec::new();
     for row in rows {
         let batch: Batch = decode_row(row)?;
-        let slot = usize::try_from(batch.seq % JOURNAL_ROWS).unwrap_or_default();
-        versions[slot] = row.version;
+        let index = usize::try_from(batch.seq % JOURNAL_ROWS).unwrap_or_default();
+        versions[index] = row.version;
         batches.push(batch);
     }
     batches.sort_by_key(|batch| batch.seq);
--- a/crates/shard/src/service.rs
+++ b/crates/shard/src/service.rs
@@ -1,4 +1,4 @@
-//! Answers the calls of other processes.
+//! Service that answers the calls of other processes.
 
 use std::sync::Arc;
 
@@ -8,15 +8,15 @@
 use tokio::sync::watch;
 
 use crate::Ask;
-use crate::OwnerMessage;
 use crate::Reply;
 use crate::Route;
 use crate::ShardAsk;
 use crate::ShardReply;
+use crate::ShardTaskMessage;
 use crate::TableHealth;
 use crate::View;
 
-/// Answers the calls of other processes.
+/// Answers calls of other processes from this process's view and shards.
 #[derive(Clone, Debug)]
 pub struct CellService {
     process: Incarnation,
@@ -25,7 +25,8 @@
 }
 
 impl CellService {
-    /// A service of the process with the given view; a hint wakes `hints`.
+    /// Creates the service of a process with its view of the cell. A hint from
+    /// another process notifies `hints`.
     #[must_use]
     pub fn new(process: &str, view: watch::Receiver<Arc<View>>, hints: Arc<Notify>) -> CellService {
         CellService {
@@ -39,26 +40,26 @@
         let route = self.view.borrow().route(shard);
         match route {
             Route::Local(owner) => ask_local(&owner, ask).await,
-            Route::Remote(_) | Route::Nowhere => ShardReply::NotOwner,
+            Route::Remote(_) | Route::Unroutable => ShardReply::NotOwner,
         }
     }
 }
 
-/// Asks a shard of this process.
+/// Sends a call to a shard that this process owns.
 pub(crate) async fn ask_local(
-    owner: &tokio::sync::mpsc::UnboundedSender<OwnerMessage>,
+    owner: &tokio::sync::mpsc::UnboundedSender<ShardTaskMessage>,
     ask: ShardAsk,
 ) -> ShardReply {
     let (sender, reply) = oneshot::channel();
-    if owner.send(OwnerMessage::Ask(ask, sender)).is_err() {
+    if owner.send(ShardTaskMessage::Ask(ask, sender)).is_err() {
         return ShardReply::NotOwner;
     }
-    // A task that ended without a reply has given the shard up.
+    // If the owner's task ended without a reply, it has released the shard.
     reply.await.unwrap_or(ShardReply::Moved)
 }
 
 impl peer::Service for CellService {
-    type Ask = Ask;
+    type Request = Ask;
     type Reply = Reply;
 
     async fn answer(&self, ask: Ask) -> Reply {
@@ -66,7 +67,7 @@
             Ask::Shard(shard, ask) => Reply::Shard(self.ask_shard(shard, ask).await),
             Ask::Ping(_) => Reply::Pong(TableHealth {
                 process: self.process.clone(),
-                reachable: self.view.borrow().reachable(),
+                reachable: self.view.borrow().table_reachable(),
             }),
             Ask::Hint(_) => {
                 self.hints.notify_one();
--- a/crates/shard/src/snapshot.rs
+++ b/crates/shard/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Content of the next segment, out of the machine's state.
+//! Builds the next segment from the state of the machine.
 
 use model::Request;
 
@@ -6,23 +6,25 @@
 use crate::Entry;
 use crate::FORMAT;
 use crate::Machine;
-use crate::Placed;
+use crate::Placement;
 use crate::Record;
 use crate::Segment;
 use crate::Seq;
 
 impl Machine {
-    /// A segment that covers all batches up to `seq`. The state may be newer
-    /// than that batch; replaying the later rows on it changes nothing.
+    /// Builds a segment that covers all batches up to `seq`. The state may be
+    /// newer than that batch; replaying the later rows on top of it changes
+    /// nothing.
     #[must_use]
-    pub fn make_segment(&mut self, seq: Seq) -> Segment {
+    pub fn build_segment(&mut self, seq: Seq) -> Segment {
         let mut open = Vec::new();
-        let wanted = |entry: &Entry| entry.recorded && entry.answer().is_none();
-        for (key, entry) in self.ledger.iter().filter(|(_, entry)| wanted(entry)) {
+        let is_open = |entry: &Entry| entry.recorded && entry.answer().is_none();
+        for (key, entry) in self.ledger.iter().filter(|(_, entry)| is_open(entry)) {
             open.push(accept_record(&entry.request, entry.until_millis));
-            // An attempt that is over has no members left. Without its intent
-            // the next owner would say "not run" of what ran in part.
-            if !entry.members.is_empty() || entry.touched() {
+            // An attempt that has ended has no members left. Its intent is kept
+            // all the same: without it, the next owner would answer "not run"
+            // for a request that had partly run.
+            if !entry.members.is_empty() || entry.may_have_run() {
                 open.push(intent_record(key, entry));
             }
         }
@@ -34,8 +36,8 @@
         }
     }
 
-    /// Puts the ends of a segment back that could not be stored.
-    pub fn return_segment(&mut self, segment: Segment) {
+    /// Restores the end records of a segment that could not be stored.
+    pub fn restore_ended(&mut self, segment: Segment) {
         let mut ended = segment.ended;
         ended.append(&mut self.ended);
         self.ended = ended;
@@ -50,9 +52,9 @@
 }
 
 fn intent_record(key: &str, entry: &Entry) -> Record {
-    let place = |member: &crate::Member| Placed {
+    let place = |member: &crate::Member| Placement {
         worker: member.worker.clone(),
-        run: member.run.clone(),
+        run: member.incarnation.clone(),
     };
     Record::Intent {
         key: key.to_owned(),
--- a/crates/shard/src/view.rs
+++ b/crates/shard/src/view.rs
@@ -1,5 +1,6 @@
-//! What a process believes about the cell, as its tasks share it. It may be
-//! out of date; whoever acts on it is corrected by the owner or the table.
+//! A process's view of the cell, shared by its tasks. It may be out of date; a
+//! call that is based on an outdated view is rejected by the owner or the
+//! table.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,105 +9,110 @@
 use std::time::Instant;
 
 use model::Incarnation;
-use model::Numbered;
 use model::ShardId;
 use model::Version;
+use model::VersionedConfig;
 use tokio::sync::mpsc;
 
 use crate::LastAnswer;
-use crate::OwnerMessage;
-use crate::keeper::UNREACHABLE;
+use crate::ShardTaskMessage;
+use crate::shard_manager::UNREACHABLE_AFTER;
 
-/// Another process, or this one.
+/// A process of the cell, possibly this one.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct MemberView {
-    /// Process run.
+    /// Incarnation of the process.
     pub process: Incarnation,
-    /// Name in its settings.
+    /// Name of the process in its settings.
     pub name: String,
-    /// Failure domain.
+    /// Failure domain of the process.
     pub domain: String,
-    /// Where the other processes reach it.
+    /// Address for calls from other processes.
     pub peer: SocketAddr,
-    /// Whether it takes shards.
+    /// Whether it takes shards: its lease is live and not stale.
     pub live: bool,
-    /// Whether its lease was expired; then it does nothing until it holds one.
+    /// Whether its lease was expired; the process does nothing until it has
+    /// renewed it.
     pub expired: bool,
-    /// Configuration version in force there.
+    /// Configuration version in force in the process.
     pub config: Version,
 }
 
-/// Where requests for a shard go.
+/// Where calls for a shard are sent.
 #[derive(Clone, Debug)]
 pub enum Route {
-    /// To a task of this process.
-    Local(mpsc::UnboundedSender<OwnerMessage>),
-    /// To another process.
+    /// To the shard's task in this process.
+    Local(mpsc::UnboundedSender<ShardTaskMessage>),
+    /// To another process, at this address.
     Remote(SocketAddr),
-    /// Nowhere for now.
-    Nowhere,
+    /// The shard has no known owner at the moment.
+    Unroutable,
 }
 
-/// What a process believes about the cell.
+/// A process's view of the cell.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// Processes, sorted by name.
+    /// Processes of the cell, sorted by name.
     pub members: Vec<MemberView>,
     /// Owner and epoch of each shard.
     pub owners: HashMap<ShardId, ShardOwner>,
-    /// Shards that this process runs.
-    pub local: HashMap<ShardId, mpsc::UnboundedSender<OwnerMessage>>,
-    /// Configuration in force here.
-    pub config: Option<Arc<Numbered>>,
-    /// When the table last answered.
-    pub answered: Arc<LastAnswer>,
-    /// When members and owners were last read.
-    pub read: Option<Instant>,
+    /// Inboxes of the shards whose tasks run in this process.
+    pub local: HashMap<ShardId, mpsc::UnboundedSender<ShardTaskMessage>>,
+    /// Configuration in force in this process.
+    pub config: Option<Arc<VersionedConfig>>,
+    /// Time of the table's last answer.
+    pub last_answer: Arc<LastAnswer>,
+    /// When members and owners were last read from the table.
+    pub last_read_at: Option<Instant>,
 }
 
 /// Owner of a shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShardOwner {
-    /// Process run.
+    /// Incarnation of the process.
     pub process: Incarnation,
-    /// Epoch.
+    /// Epoch of the ownership.
     pub epoch: model::Epoch,
 }
 
 impl View {
-    /// Where requests for a shard go.
+    /// Where calls for a shard are sent.
     #[must_use]
     pub fn route(&self, shard: ShardId) -> Route {
         if let Some(local) = self.local.get(&shard) {
             return Route::Local(local.clone());
         }
         let Some(owner) = self.owners.get(&shard) else {
-            return Route::Nowhere;
+            return Route::Unroutable;
         };
         let member = self.members.iter().find(|m| m.process == owner.process);
-        member.map_or(Route::Nowhere, |m| Route::Remote(m.peer))
+        member.map_or(Route::Unroutable, |m| Route::Remote(m.peer))
     }
 
-    /// Whether the table answers. It is asked for when it is shown: the view is
-    /// published between two calls of the table, so a "yes" in it would stand
-    /// for as long as the table leaves a call unanswered.
+    /// Whether the table answers. Computed when it is shown, not when the view
+    /// is published: the view is published between two calls of the table, so a
+    /// stored "yes" would remain for as long as the table leaves a call
+    /// unanswered.
     #[must_use]
-    pub fn reachable(&self) -> bool {
-        self.answered.age().is_some_and(|age| age < UNREACHABLE)
+    pub fn table_reachable(&self) -> bool {
+        self.last_answer
+            .age()
+            .is_some_and(|age| age < UNREACHABLE_AFTER)
     }
 
-    /// Age of what is known of members and owners; none before the first read.
+    /// Age of the members and owners in this view; none before the first read.
     #[must_use]
     pub fn age(&self) -> Option<Duration> {
-        self.read.map(|at| at.elapsed())
+        self.last_read_at.map(|at| at.elapsed())
     }
 
-    /// Lowest configuration version in force on any process that may act.
-    /// One that leaves decides for its shards until they are handed over; left
-    /// out, it would act on an older version than is said to be in force.
+    /// Lowest configuration version in force in any process whose lease is not
+    /// expired. This includes leaving processes, which decide for their shards
+    /// until these are handed over; without them, a process could act on an
+    /// older version than the one reported as in force everywhere.
     #[must_use]
-    pub fn lowest_config(&self) -> Version {
-        let acting = self.members.iter().filter(|member| !member.expired);
-        acting.map(|member| member.config).min().unwrap_or_default()
+    pub fn lowest_config_version(&self) -> Version {
+        let active = self.members.iter().filter(|member| !member.expired);
+        active.map(|member| member.config).min().unwrap_or_default()
     }
 }
--- a/crates/shard/tests/journal.rs
+++ b/crates/shard/tests/journal.rs
@@ -1,4 +1,4 @@
-//! The journal's writer against a table in memory.
+//! Tests of the journal writer against an in-memory table.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,9 +7,9 @@
 use shard::FORMAT;
 use shard::JOURNAL_ROWS;
 use shard::Journal;
-use shard::JournalNews;
-use shard::JournalOrder;
-use shard::JournalStart;
+use shard::JournalCommand;
+use shard::JournalEvent;
+use shard::JournalPosition;
 use shard::Pacer;
 use shard::Record;
 use shard::SegmentList;
@@ -17,18 +17,18 @@
 use shard::encode_row;
 use shard::shard_key;
 use store::Commit;
-use store::Committed;
+use store::CommitOutcome;
 use store::Conflict;
 use store::Row;
 use store::StoreError;
 use store::Table;
 use tokio::sync::mpsc;
 
-/// A table in memory that can lose the answers of commits.
+/// An in-memory table that can lose the replies to commits.
 #[derive(Clone, Debug, Default)]
 struct MemoryTable {
     rows: Arc<Mutex<BTreeMap<String, Row>>>,
-    lost: Arc<Mutex<u32>>,
+    lost_answers: Arc<Mutex<u32>>,
 }
 
 impl MemoryTable {
@@ -62,25 +62,25 @@
             .collect())
     }
 
-    async fn commit(&self, commit: &Commit) -> Result<Committed, StoreError> {
+    async fn commit(&self, commit: &Commit) -> Result<CommitOutcome, StoreError> {
         for check in &commit.checks {
             let found = self.get(&check.key).await?.map_or(0, |row| row.version);
             if found != check.version {
                 let key = check.key.clone();
-                return Ok(Committed::Conflict(Conflict { key, found }));
+                return Ok(CommitOutcome::Conflict(Conflict { key, found }));
             }
         }
         let mut versions = Vec::new();
         for write in &commit.writes {
             versions.push(self.put(&write.key, write.value.clone().unwrap_or_default()));
         }
-        let mut lost = self.lost.lock().expect("lost");
-        if *lost > 0 {
-            *lost -= 1;
-            let reason = "lost".to_owned();
+        let mut lost_answers = self.lost_answers.lock().expect("lost");
+        if *lost_answers > 0 {
+            *lost_answers -= 1;
+            let reason = "reply lost".to_owned();
             return Err(StoreError::Unknown { reason });
         }
-        Ok(Committed::Done(versions))
+        Ok(CommitOutcome::Done(versions))
     }
 }
 
@@ -99,91 +99,98 @@
     }]
 }
 
-/// A writer of shard 0 at epoch 1, its orders and its news.
-fn open(
+/// Starts a writer for shard 0 at epoch 1; returns its command and event
+/// channels.
+fn start_writer(
     table: &MemoryTable,
     fence: u64,
 ) -> (
-    mpsc::UnboundedSender<JournalOrder>,
-    mpsc::UnboundedReceiver<JournalNews>,
+    mpsc::UnboundedSender<JournalCommand>,
+    mpsc::UnboundedReceiver<JournalEvent>,
 ) {
-    let (orders, receiver) = mpsc::unbounded_channel();
-    let (sender, news) = mpsc::unbounded_channel();
-    let start = JournalStart {
+    let (commands, receiver) = mpsc::unbounded_channel();
+    let (sender, events) = mpsc::unbounded_channel();
+    let position = JournalPosition {
         shard: 0,
         process: "a-1".to_owned(),
         epoch: 1,
         fence,
-        next: 1,
-        rows: vec![0; usize::try_from(JOURNAL_ROWS).expect("small")],
+        next_seq: 1,
+        row_versions: vec![
+            0;
+            usize::try_from(JOURNAL_ROWS)
+                .expect("the number of rows fits in a usize")
+        ],
         segments: SegmentList::default(),
         list_version: 0,
     };
     let pacer = Pacer::new(1000.0);
-    tokio::spawn(Journal::new(table.clone(), pacer, start, receiver, sender).run());
-    (orders, news)
+    tokio::spawn(Journal::new(table.clone(), pacer, position, receiver, sender).run());
+    (commands, events)
 }
 
-// Symptom: a batch stood twice in the journal, or its owner took itself for
-// fenced. Sequence: the commit takes effect, its answer is lost, it is sent
-// again. Cause: guessing what became of it instead of reading it back.
+// Guards against a batch being written twice, or an owner taking itself for
+// fenced, when a commit takes effect but its reply is lost and the commit is
+// sent again. The writer must read the row back instead of guessing the
+// outcome.
 #[tokio::test]
-async fn a_lost_answer_is_read_back() {
+async fn a_batch_whose_reply_was_lost_is_read_back() {
     let table = MemoryTable::default();
     let fence = table.put(&shard_key(0), shard_row(1));
-    let (orders, mut news) = open(&table, fence);
-    *table.lost.lock().expect("lost") = 1;
+    let (commands, mut events) = start_writer(&table, fence);
+    *table.lost_answers.lock().expect("lost") = 1;
 
-    orders
-        .send(JournalOrder::Append(7, cancel("x")))
-        .expect("open");
+    commands
+        .send(JournalCommand::Append(7, cancel("x")))
+        .expect("the journal writer has ended");
 
-    assert_eq!(news.recv().await, Some(JournalNews::Stalled));
-    assert_eq!(news.recv().await, Some(JournalNews::Written(7, 1)));
+    assert_eq!(events.recv().await, Some(JournalEvent::Stalled));
+    assert_eq!(events.recv().await, Some(JournalEvent::Written(7, 1)));
     let rows = table.range("journal/").await.expect("rows");
     assert_eq!(rows.len(), 1);
 }
 
-// Symptom: rows of the journal were overwritten by an earlier writer of the
-// same process. Sequence: the shard went to another process and came back
-// while the earlier writer was still trying. Cause: a fence that looked at the
-// owner's name and not at the epoch.
+// Guards against journal rows being overwritten by an earlier writer of the
+// same process: the shard is handed to another process and comes back while the
+// earlier writer is still retrying. The fence must compare the epoch, not only
+// the owner.
 #[tokio::test]
 async fn a_writer_of_an_earlier_epoch_is_fenced_even_by_its_own_process() {
     let table = MemoryTable::default();
     let fence = table.put(&shard_key(0), shard_row(1));
-    let (orders, mut news) = open(&table, fence);
+    let (commands, mut events) = start_writer(&table, fence);
     table.put(&shard_key(0), shard_row(3));
 
-    orders
-        .send(JournalOrder::Append(7, cancel("x")))
-        .expect("open");
+    commands
+        .send(JournalCommand::Append(7, cancel("x")))
+        .expect("the journal writer has ended");
 
-    assert_eq!(news.recv().await, Some(JournalNews::Fenced));
+    assert_eq!(events.recv().await, Some(JournalEvent::Fenced));
     assert!(table.range("journal/").await.expect("rows").is_empty());
 }
 
-// Symptom: a batch that no segment covered was overwritten. Sequence: the
-// object store is down, the journal goes round. Cause: reusing rows by count.
+// Guards against overwriting a batch that no segment covers: the object store
+// is down while the journal has used all of its rows. Rows must not be reused
+// by count alone.
 #[tokio::test(start_paused = true)]
 async fn rows_are_not_reused_before_a_segment_covers_them() {
     let table = MemoryTable::default();
     let fence = table.put(&shard_key(0), shard_row(1));
-    let (orders, mut news) = open(&table, fence);
+    let (commands, mut events) = start_writer(&table, fence);
 
     for ticket in 1..=JOURNAL_ROWS {
-        orders
-            .send(JournalOrder::Append(ticket, cancel("x")))
-            .expect("open");
+        commands
+            .send(JournalCommand::Append(ticket, cancel("x")))
+            .expect("the journal writer has ended");
         assert_eq!(
-            news.recv().await,
-            Some(JournalNews::Written(ticket, ticket))
+            events.recv().await,
+            Some(JournalEvent::Written(ticket, ticket))
         );
     }
-    orders
-        .send(JournalOrder::Append(99, cancel("y")))
-        .expect("open");
-    let waited = tokio::time::timeout(std::time::Duration::from_secs(30), news.recv()).await;
+    commands
+        .send(JournalCommand::Append(99, cancel("y")))
+        .expect("the journal writer has ended");
+    let waited = tokio::time::timeout(std::time::Duration::from_secs(30), events.recv()).await;
 
     assert!(waited.is_err(), "{waited:?}");
     let rows = table.range("journal/").await.expect("rows");
--- a/crates/shard/tests/machine.rs
+++ b/crates/shard/tests/machine.rs
@@ -1,71 +1,73 @@
-//! Drives the state machine of a shard with arbitrary events: messages that
-//! are lost, repeated or out of order, workers that restart, owners that die.
+//! Drives a shard's state machine with arbitrary events: messages that are
+//! lost, repeated or reordered, workers that restart, and owners that crash.
 
-mod world;
+mod simulation;
 
 use bolero::check;
 
-use crate::world::Step;
-use crate::world::World;
+use crate::simulation::Simulation;
+use crate::simulation::Step;
 
-// Symptom: any of: a worker over its slots, a confirmation that ran twice,
-// "not run" said of something that ran, two answers to one call. Sequence:
-// arbitrary. Cause: a rule of the machine that holds only in order.
+// Guards against rules of the machine that hold only if events arrive in order.
+// With arbitrary steps, no worker exceeds its slots, no confirmation runs
+// twice, no request that ran is answered "not run", and no call gets two
+// answers.
 #[test]
-fn arbitrary_events_break_no_rule() {
+fn arbitrary_events_violate_no_invariant() {
     check!()
         .with_type::<Vec<Step>>()
         .with_iterations(4000)
         .with_max_len(2048)
         .for_each(|steps| {
-            let mut world = World::new();
+            let mut sim = Simulation::new();
             for step in steps {
-                world.apply(step);
-                world.check();
+                sim.apply(step);
+                sim.check_invariants();
             }
-            world.settle();
-            world.check();
+            sim.settle();
+            sim.check_invariants();
         });
 }
 
-// Symptom: a restock ran in two places. Sequence: its worker restarts and is
-// claimed again; before the shard hears of it, it places a task there, whose
-// start the new run accepts. Cause: a start that named the run which the link
-// had claimed, instead of the one that the shard had decided on.
+// Guards against a restock running in two places: its worker restarts and is
+// claimed again, and before the shard learns of it, it places a task there,
+// whose start the new incarnation accepts. The start must name the incarnation
+// that the shard decided on, not the one that the link has claimed.
 #[test]
-fn a_start_for_an_old_run_is_not_taken_by_the_new_one() {
-    let mut world = World::new();
+fn a_start_for_an_old_incarnation_is_refused_by_the_new_one() {
+    let mut sim = Simulation::new();
 
-    world.apply(&Step::Restart(0));
-    world.apply(&Step::Restart(1));
-    world.apply(&Step::Claim(0));
-    world.apply(&Step::Claim(1));
-    world.apply(&Step::Submit(1));
-    world.apply(&Step::Write);
-    world.apply(&Step::Arrive(0));
-    world.settle();
+    sim.apply(&Step::Restart(0));
+    sim.apply(&Step::Restart(1));
+    sim.apply(&Step::Claim(0));
+    sim.apply(&Step::Claim(1));
+    sim.apply(&Step::Submit(1));
+    sim.apply(&Step::Commit);
+    sim.apply(&Step::Arrive(0));
+    sim.settle();
 
-    world.check();
+    sim.check_invariants();
 }
 
-// The world itself must notice harm: with the guard of the workers taken out,
-// a take-over in between a start and its arrival runs a confirmation twice.
+// Checks that the simulation itself detects violations: with the workers' epoch
+// check disabled, a take-over between a start and its arrival runs a
+// confirmation twice.
 #[test]
 #[should_panic(expected = "ran twice")]
-fn the_world_notices_a_second_run() {
-    let mut world = World::new();
-    world.unfenced = true;
+fn the_simulation_detects_a_second_run() {
+    let mut sim = Simulation::new();
+    sim.skip_fencing = true;
 
-    world.apply(&Step::Submit(1));
-    world.apply(&Step::Write);
-    world.apply(&Step::Die);
+    sim.apply(&Step::Submit(1));
+    sim.apply(&Step::Commit);
+    sim.apply(&Step::CrashOwner);
     for worker in [0, 1] {
-        world.apply(&Step::Claim(worker));
-        world.apply(&Step::Hear(worker));
+        sim.apply(&Step::Claim(worker));
+        sim.apply(&Step::DeliverReports(worker));
     }
-    world.apply(&Step::Write);
+    sim.apply(&Step::Commit);
     for _ in 0..4 {
-        world.apply(&Step::Arrive(0));
-        world.check();
+        sim.apply(&Step::Arrive(0));
+        sim.check_invariants();
     }
 }
--- a/crates/shard/tests/world/callers.rs
+++ b/crates/shard/tests/simulation/callers.rs
@@ -1,4 +1,5 @@
-//! Callers: they submit, withdraw, and keep what they were told.
+//! Simulated callers: they submit and cancel requests, and remember the
+//! answers.
 
 use model::Family;
 use shard::Input;
@@ -7,11 +8,11 @@
 use shard::Submission;
 use shard::WaiterKey;
 
-use super::World;
-use super::facts::TEAM;
-use super::facts::request;
+use super::Simulation;
+use super::fixtures::TEAM;
+use super::fixtures::request;
 
-impl World {
+impl Simulation {
     pub(super) fn submit(&mut self, number: u8) {
         let mut request = request(number);
         let sent = self
@@ -21,8 +22,8 @@
         request.sent_millis = *sent;
         let key = model::request_key(&request.team, &request.id);
         if request.idempotent {
-            // Unrecorded work may be submitted anew after "not run": the
-            // answer speaks of the submissions before it.
+            // An unrecorded request may be submitted again after "not run":
+            // that answer covers only the earlier submissions.
             self.not_run.remove(&key);
         }
         let waiter = self.waiters.insert(key);
@@ -41,7 +42,7 @@
         self.feed(Input::Ask(ShardAsk::Cancel(filter), waiter));
     }
 
-    pub(super) fn replied(&mut self, waiter: WaiterKey, reply: &ShardReply) {
+    pub(super) fn on_reply(&mut self, waiter: WaiterKey, reply: &ShardReply) {
         let key = self.waiters.remove(waiter);
         let key = key.expect("a second reply to one call");
         if let ShardReply::Answer(answer) = reply
--- a/crates/shard/tests/world/facts.rs
+++ b/crates/shard/tests/simulation/fixtures.rs
@@ -1,17 +1,17 @@
-//! Fixed facts of the world: its requests, its workers and its limits.
+//! Fixtures of the simulation: its requests, workers and limits.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use model::Class;
 use model::Config;
-use model::Numbered;
 use model::Request;
 use model::Resources;
 use model::Team;
+use model::VersionedConfig;
 use shard::Ledger;
 use shard::Machine;
-use shard::MachineFacts;
+use shard::MachineParams;
 use shard::Times;
 use worker::End;
 use worker::EndResult;
@@ -20,7 +20,8 @@
 
 pub(crate) const TEAM: &str = "stores";
 
-/// Even requests may run twice; the others, and restocks, are recorded.
+/// Requests with even numbers are idempotent and may run twice; odd ones, and
+/// the batch request (number 4), are recorded.
 pub(crate) fn request(number: u8) -> Request {
     Request {
         id: format!("r{number}"),
@@ -46,19 +47,20 @@
     number.is_some_and(|number| number % 2 == 0)
 }
 
-pub(crate) fn run_number(run: &str) -> u32 {
-    let number = run
+/// Number in the incarnation of a simulated worker.
+pub(crate) fn incarnation_number(incarnation: &str) -> u32 {
+    let number = incarnation
         .strip_prefix("run-")
         .and_then(|number| number.parse().ok());
-    number.expect("a run of this world")
+    number.expect("an incarnation of the simulation")
 }
 
-pub(crate) fn name_of(worker: usize) -> String {
+pub(crate) fn worker_name(worker: usize) -> String {
     format!("w{worker}")
 }
 
-pub(crate) fn index_of(name: &str) -> usize {
-    name[1..].parse().expect("a worker of this world")
+pub(crate) fn worker_index(name: &str) -> usize {
+    name[1..].parse().expect("a worker of the simulation")
 }
 
 pub(crate) fn capacity() -> Resources {
@@ -77,7 +79,7 @@
 }
 
 pub(crate) fn machine(ledger: Ledger, times: Times, epoch: u64) -> Machine {
-    let most = Resources {
+    let limits = Resources {
         cpu_milli: 1000,
         memory_mib: 1000,
         accelerators: 100,
@@ -88,23 +90,23 @@
     config.teams.insert(
         TEAM.to_owned(),
         Team {
-            quota: most,
+            quota: limits,
             span: 1,
             queue: 100,
         },
     );
-    let numbered = Numbered {
+    let numbered = VersionedConfig {
         version: 1,
         patch_id: "first".to_owned(),
         config,
     };
-    let facts = MachineFacts {
+    let params = MachineParams {
         shard: 0,
         shards: 1,
         epoch,
-        since_millis: if epoch > 1 { times.wall_millis } else { 0 },
+        takeover_millis: if epoch > 1 { times.wall_millis } else { 0 },
         retention: Duration::from_mins(10),
         missing_at: times.now + Duration::from_secs(20),
     };
-    Machine::new(facts, ledger, Arc::new(numbered), times)
+    Machine::new(params, ledger, Arc::new(numbered), times)
 }
--- /dev/null
+++ b/crates/shard/tests/simulation/starts.rs
@@ -0,0 +1,70 @@
+//! Starts that are in flight to the workers.
+
+use shard::Input;
+use shard::NotStarted;
+use shard::StartOrder;
+use worker::Task;
+
+use super::SLOTS;
+use super::Simulation;
+
+/// A start in flight, with the epoch of its sender and the worker incarnation
+/// that it names.
+#[derive(Debug)]
+pub(super) struct StartInFlight {
+    pub(super) worker: usize,
+    pub(super) epoch: u64,
+    pub(super) incarnation: u32,
+    pub(super) order: StartOrder,
+}
+
+impl Simulation {
+    pub(super) fn arrive(&mut self, index: usize) {
+        if self.in_flight.is_empty() {
+            return;
+        }
+        let start = self.in_flight.remove(index % self.in_flight.len());
+        let from_current_owner = start.epoch == self.epoch;
+        let attempt = start.order.attempt.clone();
+        let worker = &mut self.workers[start.worker];
+        let fenced = start.epoch != worker.epoch && !self.skip_fencing;
+        let refused = fenced
+            || start.incarnation != worker.incarnation
+            || worker.refused_attempts.contains(&attempt)
+            || worker.running() >= SLOTS as usize;
+        if worker.tasks.contains_key(&attempt) {
+            return;
+        }
+        if refused {
+            worker.refused_attempts.insert(attempt.clone());
+        } else {
+            let task = Task {
+                attempt: attempt.clone(),
+                request: start.order.request.clone(),
+                needs: start.order.needs,
+                end: None,
+            };
+            worker.tasks.insert(attempt.clone(), task);
+            *self.starts.entry(start.order.request).or_default() += 1;
+        }
+        if from_current_owner {
+            let input = if refused {
+                Input::NotStarted(attempt, NotStarted::Full)
+            } else {
+                Input::Started(attempt)
+            };
+            self.report(start.worker, input);
+        }
+    }
+
+    pub(super) fn refuse(&mut self, index: usize) {
+        if self.in_flight.is_empty() {
+            return;
+        }
+        let start = self.in_flight.remove(index % self.in_flight.len());
+        if start.epoch == self.epoch {
+            let attempt = start.order.attempt;
+            self.report(start.worker, Input::NotStarted(attempt, NotStarted::Unsent));
+        }
+    }
+}
--- a/crates/site/src/runs.rs
+++ b/crates/site/src/runs.rs
@@ -117,7 +117,7 @@
     }
 
     /// What must never be: a task on two workers at a time, or begun again
-    /// after it was done, or after [`ATTEMPTS`] failed runs that were taken note of, or a
+    /// after it was done, or after [`MAX_ATTEMPTS`] failed runs that were taken note of, or a
     /// worker over the cores that it has.
     #[must_use]
     pub fn faults(&self) -> Vec<String> {
