--- a/crates/job/tests/crash_sim/mod.rs
+++ b/crates/job/tests/crash_sim/mod.rs
@@ -1,6 +1,6 @@
-//! Simulation of workers that are taken down by tasks. They come back after some seconds under
-//! another id, or at once under the same one, and the owner may change at any time. Starts and
-//! crashes are counted on the workers' side.
+//! Simulation of tasks that crash their workers. A worker starts again after some seconds under
+//! another id, or 0.1 s later under the same one, and the owner may change at any time. Starts
+//! and crashes are counted on the workers' side.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -31,25 +31,24 @@
 /// Simulated time per tick.
 pub const TICK: Duration = Duration::from_millis(10);
 
-/// Maximum number of starts of a task that crashes each worker: after three crashes, the platform
-/// tolerates two more.
-pub const MOST_STARTS: usize = 5;
+/// Maximum number of starts of a task that crashes each of its workers: after three crashes, the
+/// platform tolerates two more starts.
+pub const MAX_STARTS: usize = 5;
 
-/// Time from the start of such a task to the crash of its worker.
+/// Time from the start of such a task to the crash of its worker, unless a test sets another one.
 pub const CRASH_DELAY: Duration = Duration::from_millis(10);
 
 /// Time within which the job of a task that crashes its workers must fail.
 pub const FAILURE_LIMIT: Duration = Duration::from_secs(30);
 
-/// Time from a crash until the owner learns of it from the list of machines, which it requests
-/// twice a second.
+/// Time from a crash until it shows in the list of machines, which the owner reads twice a second.
 const DETECTION_DELAY: Duration = Duration::from_millis(500);
 
-/// Time from a crash until a worker comes back under another id.
-const RETURN_TIME: Duration = Duration::from_secs(3);
+/// Time from a crash until the worker starts again under another id.
+const REPLACEMENT_DELAY: Duration = Duration::from_secs(3);
 
-/// Time from a crash until a worker comes back under the same id.
-const QUICK_RETURN: Duration = Duration::from_millis(100);
+/// Time from a crash until the worker starts again under the same id.
+const RESTART_DELAY: Duration = Duration::from_millis(100);
 
 /// Duration of a write to the store.
 const SAVE_TIME: Duration = Duration::from_millis(30);
@@ -58,15 +57,16 @@
 #[derive(Debug, Default)]
 pub struct Incarnation {
     pub id: String,
-    /// Start of the incarnation, if the worker reports it.
+    /// Start time of the incarnation; `None` if the worker does not report it.
     start_time: Option<u64>,
+    /// Key in the current planner.
     pub key: Option<WorkerKey>,
     /// Number, start and end of the active run of each task.
     pub running: BTreeMap<TaskKey, (RunId, Duration, Duration)>,
     ended: Vec<EndedRun>,
     /// Time of the crash, if there was one.
     pub crashed_at: Option<Duration>,
-    /// The owner knows that the incarnation has ended.
+    /// The owner has been told that the incarnation has ended.
     end_known: bool,
     /// The worker runs but answers no calls.
     pub cut_off: bool,
@@ -79,32 +79,34 @@
     pub now: Duration,
     pub epoch: u64,
     pub planner: Planner,
-    /// All incarnations of the worker at each place, the newest last.
-    pub places: Vec<Vec<Incarnation>>,
+    /// All incarnations of the worker on each machine, the newest last.
+    pub machines: Vec<Vec<Incarnation>>,
     jobs: BTreeMap<JobId, JobSpec>,
+    /// Saved progress of each job.
     stored: BTreeMap<JobId, Progress>,
     /// Start and content of the write to the store that is in progress.
     saving: Option<(Duration, job::Batch)>,
     /// All writes to the store fail.
     pub store_down: bool,
     /// Tasks that crash their worker, with the time from start to crash.
-    pub bad: HashMap<TaskKey, Duration>,
-    /// Time and place of each start, by task.
+    pub crashers: HashMap<TaskKey, Duration>,
+    /// Time and machine of each start, by task.
     pub starts: HashMap<TaskKey, Vec<(Duration, usize)>>,
-    /// Number of workers that crashed while the task ran on them.
+    /// Number of workers that crashed while the task ran on them, by task.
     pub crashes: HashMap<TaskKey, usize>,
     /// Number of failed runs, by task.
     pub failures: HashMap<TaskKey, usize>,
-    /// Workers come back under the same id.
+    /// Crashed workers start again under the same id.
     same_ids: bool,
 }
 
 impl CrashSim {
+    /// Creates workers that start again under another id.
     pub fn new(workers: usize) -> CrashSim {
         CrashSim::create(workers, false)
     }
 
-    /// Creates workers that come back under the same id.
+    /// Creates workers that start again under the same id.
     pub fn with_same_ids(workers: usize) -> CrashSim {
         CrashSim::create(workers, true)
     }
@@ -114,19 +116,20 @@
             now: Duration::from_secs(10),
             epoch: 0,
             planner: support::planner(1),
-            places: Vec::new(),
+            machines: Vec::new(),
             jobs: BTreeMap::new(),
             stored: BTreeMap::new(),
             saving: None,
             store_down: false,
-            bad: HashMap::new(),
+            crashers: HashMap::new(),
             starts: HashMap::new(),
             crashes: HashMap::new(),
             failures: HashMap::new(),
             same_ids,
         };
-        for place in 0..workers {
-            sim.places.push(vec![Incarnation::new(place, 0, same_ids)]);
+        for machine in 0..workers {
+            sim.machines
+                .push(vec![Incarnation::new(machine, 0, same_ids)]);
         }
         sim.take_over();
         sim
@@ -142,7 +145,7 @@
             let progress = self.stored.get(&id);
             self.planner.add_job(id, spec.clone(), progress, true);
         }
-        for incarnation in self.places.iter_mut().flatten() {
+        for incarnation in self.machines.iter_mut().flatten() {
             incarnation.key = None;
             if incarnation.end_known {
                 continue;
@@ -162,9 +165,9 @@
         }
     }
 
-    /// Incarnation of each worker in the rows that the owner leaves in the store.
+    /// Returns the incarnation of each worker in the rows that the owner leaves in the store.
     fn stored_incarnations(&self) -> HashMap<String, Option<u64>> {
-        let incarnations = self.places.iter().flatten();
+        let incarnations = self.machines.iter().flatten();
         let by_worker = incarnations.filter_map(|incarnation| {
             let info = self.planner.worker_info(incarnation.key?)?;
             Some((incarnation.id.clone(), info.incarnation))
@@ -184,26 +187,26 @@
         self.submit(id, support::spec(vec![step]));
     }
 
-    /// Submits three jobs of two tasks for each worker; the first task of each job in `bad`
-    /// crashes its workers at once.
-    pub fn submit_load(&mut self, bad: &[JobId]) {
+    /// Submits three jobs of two tasks for each worker. The first task of each job in `crashers`
+    /// crashes its workers [`CRASH_DELAY`] after each start.
+    pub fn submit_load(&mut self, crashers: &[JobId]) {
         for id in 1..=self.load_jobs() {
             self.submit_tasks(id, 2, 1000 + 40 * id);
         }
-        for &id in bad {
-            self.bad.insert(support::task(id, 0, 0), CRASH_DELAY);
+        for &id in crashers {
+            self.crashers.insert(support::task(id, 0, 0), CRASH_DELAY);
         }
     }
 
-    /// Number of jobs that [`CrashSim::submit_load`] submits.
+    /// Returns the number of jobs that [`CrashSim::submit_load`] submits.
     fn load_jobs(&self) -> JobId {
-        3 * self.places.len() as JobId
+        3 * self.machines.len() as JobId
     }
 
-    /// Checks that of these jobs the bad ones have failed and the others have completed.
-    pub fn check_load(&self, bad: &[JobId]) {
+    /// Checks that of these jobs, those in `crashers` have failed and the others have completed.
+    pub fn check_load(&self, crashers: &[JobId]) {
         for id in 1..=self.load_jobs() {
-            let expected = if bad.contains(&id) {
+            let expected = if crashers.contains(&id) {
                 JobStatus::Failed
             } else {
                 JobStatus::Completed
@@ -212,20 +215,21 @@
         }
     }
 
-    /// Checks that no bad task was started more than [`MAX_STARTS`] times.
-    pub fn check_starts(&self, bad: &[JobId]) {
-        for &id in bad {
+    /// Checks that the first task of each job in `crashers` was started at most [`MAX_STARTS`]
+    /// times.
+    pub fn check_starts(&self, crashers: &[JobId]) {
+        for &id in crashers {
             let starts = self.start_count(support::task(id, 0, 0));
-            assert!(starts <= MOST_STARTS, "job {id}: {starts} starts");
+            assert!(starts <= MAX_STARTS, "job {id}: {starts} starts");
         }
     }
 
-    /// Crashes eight workers at once, four times, 4.9 s apart, and then runs for a minute.
+    /// Crashes eight workers at the same time, four times, 4.9 s apart, and then runs for a minute.
     pub fn crash_repeatedly(&mut self) {
         for _ in 0..4 {
             self.run(Duration::from_millis(900));
-            for place in 0..8 {
-                self.crash(place);
+            for machine in 0..8 {
+                self.crash(machine);
             }
             self.run(Duration::from_secs(4));
         }
@@ -262,19 +266,19 @@
         self.crashes.get(&task).copied().unwrap_or(0)
     }
 
-    /// Newest incarnation of the worker at a place.
-    pub fn incarnation(&mut self, place: usize) -> &mut Incarnation {
-        self.places[place].last_mut().expect("an incarnation")
+    /// Returns the newest incarnation of the worker on a machine.
+    pub fn incarnation(&mut self, machine: usize) -> &mut Incarnation {
+        self.machines[machine].last_mut().expect("an incarnation")
     }
 
-    /// Place at which a task is running.
-    pub fn place_of(&self, task: TaskKey) -> Option<usize> {
+    /// Returns the machine on which a task is running.
+    pub fn machine_of(&self, task: TaskKey) -> Option<usize> {
         let runs_here = |incarnations: &Vec<Incarnation>| {
             incarnations
                 .last()
                 .is_some_and(|incarnation| incarnation.runs_task(task))
         };
-        self.places.iter().position(runs_here)
+        self.machines.iter().position(runs_here)
     }
 
     /// Runs the simulation for a time.
@@ -297,10 +301,10 @@
         condition(self)
     }
 
-    /// Crashes the worker at a place, with all its runs.
-    pub fn crash(&mut self, place: usize) {
+    /// Crashes the worker on a machine, with all its runs.
+    pub fn crash(&mut self, machine: usize) {
         let now = self.now;
-        let incarnation = self.incarnation(place);
+        let incarnation = self.incarnation(machine);
         if incarnation.crashed_at.is_some() {
             return;
         }
@@ -313,9 +317,9 @@
         }
     }
 
-    /// Marks the worker at a place as draining.
-    pub fn drain(&mut self, place: usize) {
-        let incarnation = self.incarnation(place);
+    /// Marks the worker on a machine as draining.
+    pub fn drain(&mut self, machine: usize) {
+        let incarnation = self.incarnation(machine);
         incarnation.draining = true;
         let info = incarnation.info();
         self.planner.register_worker(info);
@@ -337,7 +341,7 @@
     fn end_runs(&mut self) {
         let now = self.now;
         let mut crashing = Vec::new();
-        for (place, incarnations) in self.places.iter_mut().enumerate() {
+        for (machine, incarnations) in self.machines.iter_mut().enumerate() {
             let Some(incarnation) = incarnations.last_mut() else {
                 continue;
             };
@@ -345,24 +349,24 @@
             let due_runs = due_runs.filter(|(_, (_, _, end))| *end <= now);
             let due_runs: Vec<TaskKey> = due_runs.map(|(task, _)| *task).collect();
             for task in due_runs {
-                if self.bad.contains_key(&task) {
-                    crashing.push(place);
+                if self.crashers.contains_key(&task) {
+                    crashing.push(machine);
                     break;
                 }
                 incarnation.end(task, RunEnd::Done);
             }
         }
-        for place in crashing {
-            self.crash(place);
+        for machine in crashing {
+            self.crash(machine);
         }
     }
 
     fn restart_workers(&mut self) {
-        for (place, incarnations) in self.places.iter_mut().enumerate() {
+        for (machine, incarnations) in self.machines.iter_mut().enumerate() {
             let pause = if self.same_ids {
-                QUICK_RETURN
+                RESTART_DELAY
             } else {
-                RETURN_TIME
+                REPLACEMENT_DELAY
             };
             let Some(former) = incarnations.last_mut() else {
                 continue;
@@ -372,9 +376,9 @@
                 .is_some_and(|crashed_at| crashed_at + pause <= self.now)
             {
                 let key = former.key;
-                // The list of machines never lacks an id that is in use again.
+                // An id that is in use again does not show as missing in the list of machines.
                 former.end_known |= self.same_ids;
-                let mut incarnation = Incarnation::new(place, incarnations.len(), self.same_ids);
+                let mut incarnation = Incarnation::new(machine, incarnations.len(), self.same_ids);
                 incarnation.key = self.planner.register_worker(incarnation.info());
                 // A new registration alone does not end the former incarnation.
                 let key = key.filter(|key| self.planner.worker_info(*key).is_some());
@@ -385,16 +389,16 @@
     }
 
     fn report_to_owner(&mut self) {
-        // The owner requests the list of machines only if it doubts that some worker still runs.
-        let doubtful = self.planner.unresponsive_workers();
+        // The owner looks up only these workers in the list of machines.
+        let unresponsive = self.planner.unresponsive_workers();
         for incarnation in self
-            .places
+            .machines
             .iter_mut()
             .flatten()
             .filter(|incarnation| !incarnation.end_known)
         {
             let Some(key) = incarnation.key else { continue };
-            let checked = doubtful.iter().any(|(asked_key, _)| *asked_key == key);
+            let checked = unresponsive.iter().any(|(asked_key, _)| *asked_key == key);
             match incarnation.crashed_at {
                 Some(crashed_at) if checked && crashed_at + DETECTION_DELAY <= self.now => {
                     incarnation.end_known = true;
@@ -411,11 +415,12 @@
         }
     }
 
+    /// Returns the newest incarnation on a machine if the planner knows it under this key.
     fn incarnation_of(&mut self, key: WorkerKey) -> Option<(usize, &mut Incarnation)> {
-        let mut incarnations = self.places.iter_mut().enumerate();
-        incarnations.find_map(|(place, incarnations)| {
+        let mut incarnations = self.machines.iter_mut().enumerate();
+        incarnations.find_map(|(machine, incarnations)| {
             let incarnation = incarnations.last_mut()?;
-            (incarnation.key == Some(key)).then_some((place, incarnation))
+            (incarnation.key == Some(key)).then_some((machine, incarnation))
         })
     }
 
@@ -426,7 +431,7 @@
                 worker, task, run, ..
             } => {
                 let duration = self.duration_of(task);
-                let Some((place, incarnation)) = self.incarnation_of(worker) else {
+                let Some((machine, incarnation)) = self.incarnation_of(worker) else {
                     return;
                 };
                 if incarnation.crashed_at.is_some() || incarnation.cut_off {
@@ -435,7 +440,7 @@
                     return;
                 }
                 incarnation.running.insert(task, (run, now, now + duration));
-                self.starts.entry(task).or_default().push((now, place));
+                self.starts.entry(task).or_default().push((now, machine));
                 self.check_single(task);
                 self.planner
                     .start_reply(worker, task, run, StartReply::Started);
@@ -455,7 +460,7 @@
             Command::NewIncarnation { worker } => {
                 let id = self.planner.worker_info(worker).map(|info| info.id.clone());
                 let mut incarnations = self
-                    .places
+                    .machines
                     .iter_mut()
                     .filter_map(|incarnations| incarnations.last_mut());
                 if let Some(incarnation) =
@@ -470,12 +475,13 @@
 
     fn duration_of(&self, task: TaskKey) -> Duration {
         let step = &self.jobs[&task.step.job].steps[task.step.step as usize];
-        self.bad.get(&task).copied().unwrap_or(step.estimate)
+        self.crashers.get(&task).copied().unwrap_or(step.estimate)
     }
 
+    /// Checks that a task runs on one worker only.
     fn check_single(&self, task: TaskKey) {
         let incarnations = self
-            .places
+            .machines
             .iter()
             .filter_map(|incarnations| incarnations.last());
         let running_on = incarnations
@@ -505,11 +511,11 @@
 }
 
 impl Incarnation {
-    fn new(place: usize, incarnation: usize, same_id: bool) -> Incarnation {
+    fn new(machine: usize, incarnation: usize, same_id: bool) -> Incarnation {
         let id = if same_id {
-            format!("w{place}")
+            format!("w{machine}")
         } else {
-            format!("w{place}-{incarnation}")
+            format!("w{machine}-{incarnation}")
         };
         Incarnation {
             id,
@@ -555,7 +561,7 @@
     }
 }
 
-/// All tasks that were ever started.
+/// Returns all tasks that were ever started.
 pub fn tasks(sim: &CrashSim) -> HashSet<TaskKey> {
     sim.starts.keys().copied().collect()
 }
--- a/crates/job/tests/event_sim/checks.rs
+++ b/crates/job/tests/event_sim/checks.rs
@@ -13,10 +13,10 @@
 impl EventSim {
     /// Checks the invariants for a start, whichever owner has sent it.
     pub(super) fn check(&self, sent: &SentCommand, task: TaskKey) {
-        let place = sent.worker;
+        let machine = sent.worker;
         let elsewhere = self.workers.iter().enumerate();
         let twice = elsewhere
-            .filter(|(other, worker)| *other != place && worker.runs_task(&task))
+            .filter(|(other, worker)| *other != machine && worker.runs_task(&task))
             .count();
         assert_eq!(twice, 0, "{task} runs on two workers");
         assert!(
@@ -30,17 +30,17 @@
             "{task} was started after {failures} failed runs"
         );
         let need = |task: &TaskKey| self.jobs[&task.step.job].steps[0].need;
-        let worker = &self.workers[place];
+        let worker = &self.workers[machine];
         let used = worker
             .running
             .keys()
             .chain(worker.stopping.keys())
             .map(need);
         let used = used.fold(Resources::default(), |sum, need| sum.plus(&need));
-        let cores = self.cores_for(place, sent.sent_at);
+        let cores = self.cores_for(machine, sent.sent_at);
         assert!(
             used.cpu <= cores * 1000,
-            "worker {place} is over its capacity"
+            "worker {machine} is over its capacity"
         );
         for &before in &self.jobs[&task.step.job].steps[task.step.step as usize].after {
             let spec = &self.jobs[&task.step.job].steps[before as usize];
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Whether a task, or any task of its gang, has ever ended successfully.
+    /// Returns whether a task, or any task of its gang, has ever ended successfully.
     fn ever_done(&self, task: TaskKey) -> bool {
         let gang = self.jobs[&task.step.job].steps[task.step.step as usize].gang;
         let ended = self.workers.iter().flat_map(|worker| &worker.ended);
--- a/crates/job/tests/event_sim/crashes.rs
+++ b/crates/job/tests/event_sim/crashes.rs
@@ -1,4 +1,4 @@
-//! Workers that crash and come back under another id, tasks that crash their workers, and
+//! Workers that crash and start again under another id, tasks that crash their workers, and
 //! capacities that shrink and grow.
 
 use std::collections::BTreeMap;
@@ -20,33 +20,33 @@
 use super::worker::Worker;
 use crate::support;
 
-/// Maximum number of starts of a task that crashes each worker, if no owner crashes: after three
-/// crashes, the platform tolerates two more.
-const MOST_STARTS: usize = 5;
+/// Maximum number of starts of a task that crashes each of its workers, if no owner crashes: after
+/// three crashes, the platform tolerates two more starts.
+const MAX_STARTS: usize = 5;
 
-/// Minimum number of crashes under a task after which its job may fail.
-const FEWEST_CRASHES: usize = 2;
+/// Minimum number of worker crashes during runs of a task after which its job may fail.
+const MIN_CRASHES: usize = 2;
 
 /// State of a simulation with crashes.
 #[derive(Debug, Default)]
 pub struct Faults {
-    /// Number of restarts of the worker at each place.
+    /// Number of restarts of the worker on each machine.
     incarnations: [usize; WORKERS],
-    /// Ids of incarnations that have ended without the owner knowing it.
+    /// Ids of incarnations that have crashed, until the owner is told.
     unknown: Vec<String>,
-    /// Cores of each worker, and when they last changed.
+    /// Number of cores on each machine, and when it last changed.
     cores: BTreeMap<usize, (u64, Duration)>,
     /// Number of starts of each task that crashes its workers.
-    bad_starts: BTreeMap<TaskKey, usize>,
-    /// Number of worker crashes under each task.
+    crasher_starts: BTreeMap<TaskKey, usize>,
+    /// Number of worker crashes during runs of each task.
     crashes: BTreeMap<TaskKey, usize>,
     /// Number of failed runs of each task.
     failures: BTreeMap<TaskKey, usize>,
-    /// Number of owners that crashed.
+    /// Number of take-overs.
     owners: usize,
     /// Runs that crashed workers had reported as active.
     lost: Vec<(WorkerKey, TaskKey, RunId)>,
-    /// State for workers that come back under the same id.
+    /// State of workers that start again under the same id; `None` if there are none.
     pub(super) same_ids: Option<SameIds>,
 }
 
@@ -58,79 +58,79 @@
         sim
     }
 
-    /// Carries out an event; most are events of any simulation.
+    /// Carries out an event; most kinds are those of [`EventSim::step`].
     pub fn crash_step(&mut self, event: Event) {
-        let place = usize::from(event.pick) % WORKERS;
-        // Former owners are left out here, since whom they reach is covered by other tests.
+        let machine = usize::from(event.pick) % WORKERS;
+        // Renewals by a former owner are left out, since other tests cover them.
         self.former_owner = None;
         match event.kind {
             0..200 => self.step(event),
-            200..208 if event.pick.is_multiple_of(3) => self.crash(place),
-            200..228 => self.restart_worker(place),
+            200..208 if event.pick.is_multiple_of(3) => self.crash(machine),
+            200..228 => self.restart_worker(machine),
             228..244 => self.report_crashes(),
-            _ => self.resize(place, u64::from(event.pick / 3 % 4) + 1),
+            _ => self.resize(machine, u64::from(event.pick / 3 % 4) + 1),
         }
         self.check_failed();
     }
 
-    pub(super) fn id(&self, place: usize) -> String {
+    pub(super) fn id(&self, machine: usize) -> String {
         let incarnation = self
             .faults
             .as_ref()
-            .map_or(0, |faults| faults.incarnations[place]);
+            .map_or(0, |faults| faults.incarnations[machine]);
         match incarnation {
-            _ if self.keeps_id(place) => format!("w{place}"),
-            0 => format!("w{place}"),
-            incarnation => format!("w{place}-{incarnation}"),
+            _ if self.keeps_id(machine) => format!("w{machine}"),
+            0 => format!("w{machine}"),
+            incarnation => format!("w{machine}-{incarnation}"),
         }
     }
 
-    pub(super) fn info(&self, place: usize) -> WorkerInfo {
-        let mut info = support::worker(&self.id(place));
-        info.incarnation = self.workers[place].incarnation;
-        info.capacity = support::resources(self.cores(place).0 * 1000, 64_000);
+    pub(super) fn info(&self, machine: usize) -> WorkerInfo {
+        let mut info = support::worker(&self.id(machine));
+        info.incarnation = self.workers[machine].incarnation;
+        info.capacity = support::resources(self.cores(machine).0 * 1000, 64_000);
         info
     }
 
-    /// Cores of a worker, and when they last changed.
-    fn cores(&self, place: usize) -> (u64, Duration) {
+    /// Returns the number of cores on a machine, and when it last changed.
+    fn cores(&self, machine: usize) -> (u64, Duration) {
         let changed = self
             .faults
             .as_ref()
-            .and_then(|faults| faults.cores.get(&place));
+            .and_then(|faults| faults.cores.get(&machine));
         changed.copied().unwrap_or((4, Duration::ZERO))
     }
 
-    /// Cores that a start which was sent at this time may use.
-    pub(super) fn cores_for(&self, place: usize, sent: Duration) -> u64 {
-        let (cores, since) = self.cores(place);
+    /// Returns the number of cores that a start sent at this time may use.
+    pub(super) fn cores_for(&self, machine: usize, sent: Duration) -> u64 {
+        let (cores, since) = self.cores(machine);
         if sent <= since { 4 } else { cores }
     }
 
-    /// Whether a task crashes each worker that runs it.
-    fn bad(&self, task: TaskKey) -> bool {
+    /// Returns whether a task crashes each worker that runs it.
+    fn crashes_worker(&self, task: TaskKey) -> bool {
         self.faults.is_some() && task.step.job.is_multiple_of(4) && task.index == 0
     }
 
-    /// Crashes the worker if the task is a bad one; returns its reply to the start in that case.
+    /// Crashes the worker if the task does that; returns the reply to the start in that case.
     pub(super) fn crash_on_start(
         &mut self,
-        place: usize,
+        machine: usize,
         task: TaskKey,
         run: RunId,
     ) -> Option<StartReply> {
-        if !self.bad(task) {
+        if !self.crashes_worker(task) {
             return None;
         }
         if let Some(faults) = &mut self.faults {
-            *faults.bad_starts.entry(task).or_default() += 1;
+            *faults.crasher_starts.entry(task).or_default() += 1;
         }
-        self.crash(place);
-        self.check_bad_starts(task);
+        self.crash(machine);
+        self.check_crasher_starts(task);
         let answered = !run.is_multiple_of(4);
         if answered {
             // The worker was running the task when it confirmed the start. Together with later
-            // starts of the other members, this counts as the start of a gang.
+            // starts of the other members, this counts as the start of the gang.
             self.started.insert(task.step.job);
         }
         Some(if answered {
@@ -140,14 +140,14 @@
         })
     }
 
-    pub(super) fn crash(&mut self, place: usize) {
-        if self.workers[place].down {
+    pub(super) fn crash(&mut self, machine: usize) {
+        if self.workers[machine].down {
             return;
         }
-        let (id, keeps_id) = (self.id(place), self.keeps_id(place));
-        self.keep_late_renewal(place);
-        let worker = std::mem::take(&mut self.workers[place]);
-        self.workers[place] = Worker {
+        let (id, keeps_id) = (self.id(machine), self.keeps_id(machine));
+        self.keep_late_renewal(machine);
+        let worker = std::mem::take(&mut self.workers[machine]);
+        self.workers[machine] = Worker {
             down: true,
             incarnation: worker.incarnation,
             ..Worker::default()
@@ -158,11 +158,11 @@
         if !keeps_id {
             faults.unknown.push(id);
         }
-        // The crash resets the worker's connections; some of these resets get lost.
+        // The crash resets the worker's connections; the owner does not see some of the resets.
         if !self.now.as_millis().is_multiple_of(4) {
-            self.planner.mark_unresponsive(self.keys[place]);
+            self.planner.mark_unresponsive(self.keys[machine]);
         }
-        let key = self.keys[place];
+        let key = self.keys[machine];
         let reported = worker.reported.into_iter();
         faults
             .lost
@@ -176,20 +176,20 @@
         }
     }
 
-    pub(super) fn restart_worker(&mut self, place: usize) {
-        if !std::mem::take(&mut self.workers[place].down) {
+    pub(super) fn restart_worker(&mut self, machine: usize) {
+        if !std::mem::take(&mut self.workers[machine].down) {
             return;
         }
-        if self.keeps_id(place) {
-            self.restart(place);
+        if self.keeps_id(machine) {
+            self.restart(machine);
             return;
         }
         if let Some(faults) = &mut self.faults {
-            faults.incarnations[place] += 1;
+            faults.incarnations[machine] += 1;
         }
-        let info = self.info(place);
+        let info = self.info(machine);
         self.planner.advance(self.now);
-        self.keys[place] = self
+        self.keys[machine] = self
             .planner
             .register_worker(info)
             .expect("a new incarnation");
@@ -209,20 +209,20 @@
         }
     }
 
-    fn resize(&mut self, place: usize, cores: u64) {
-        if self.workers[place].down {
+    fn resize(&mut self, machine: usize, cores: u64) {
+        if self.workers[machine].down {
             return;
         }
         if let Some(faults) = &mut self.faults {
-            faults.cores.insert(place, (cores, self.now));
+            faults.cores.insert(machine, (cores, self.now));
         }
-        self.registration_written(place);
-        let info = self.info(place);
+        self.registration_written(machine);
+        let info = self.info(machine);
         self.planner.register_worker(info);
     }
 
     /// Adds the crashed workers that still have a row to the planner of a new owner.
-    pub(super) fn recall_crashed(&mut self) {
+    pub(super) fn restore_crashed(&mut self) {
         let Some(faults) = &mut self.faults else {
             return;
         };
@@ -238,18 +238,23 @@
         }
     }
 
-    /// Runs that crashed workers had reported as active, by the worker key of the owner at that
-    /// time.
+    /// Returns the runs that crashed workers had reported as active, each with the worker's key at
+    /// that time.
     pub(super) fn lost_runs(&self) -> &[(WorkerKey, TaskKey, RunId)] {
         self.faults.as_ref().map_or(&[], |faults| &faults.lost)
     }
 
-    /// Checks the number of starts of a bad task. An owner that crashes before it has stored a
-    /// first crash forgets it, which allows one more start; nothing else does.
-    fn check_bad_starts(&self, task: TaskKey) {
+    /// Checks the number of starts of a task that crashes its workers. If an owner crashes before it
+    /// has saved a first crash, its successor does not count that crash, which allows one more
+    /// start; nothing else does.
+    fn check_crasher_starts(&self, task: TaskKey) {
         let Some(faults) = &self.faults else { return };
-        let starts = faults.bad_starts.get(&task).copied().unwrap_or_default();
-        let most = MOST_STARTS + faults.owners;
+        let starts = faults
+            .crasher_starts
+            .get(&task)
+            .copied()
+            .unwrap_or_default();
+        let most = MAX_STARTS + faults.owners;
         assert!(
             starts <= most,
             "{task}: {starts} starts, {} owners",
@@ -257,25 +262,25 @@
         );
     }
 
-    /// Checks that a job fails only if a task failed too often or workers crashed under it.
+    /// Checks that a job fails only if a task failed too often or workers crashed during its runs.
     fn check_failed(&self) {
         let Some(faults) = &self.faults else { return };
         for (&id, spec) in &self.jobs {
             if self.planner.job_status(id) != Some(JobStatus::Failed) {
                 continue;
             }
-            let of = |found: &BTreeMap<TaskKey, usize>, least: usize| {
+            let of = |found: &BTreeMap<TaskKey, usize>, min_count: usize| {
                 let mut tasks = found.iter();
-                tasks.any(|(task, count)| task.step.job == id && *count >= least)
+                tasks.any(|(task, count)| task.step.job == id && *count >= min_count)
             };
             let attempts = spec.queue.attempts as usize;
             let failed = of(&faults.failures, attempts) || self.gang_failures(id) >= attempts;
-            let crashed = of(&faults.crashes, FEWEST_CRASHES);
+            let crashed = of(&faults.crashes, MIN_CRASHES);
             assert!(failed || crashed, "job {id} has failed");
         }
     }
 
-    /// Failed runs of a job's gangs; the failure of any member counts for the gang.
+    /// Returns the number of failed runs of a job's gangs; the failure of any member counts for the gang.
     fn gang_failures(&self, id: JobId) -> usize {
         let Some(faults) = &self.faults else { return 0 };
         let gang = |task: &TaskKey| self.jobs[&id].steps[task.step.step as usize].gang;
@@ -286,13 +291,13 @@
             .sum()
     }
 
-    /// Number of jobs that failed, and of starts of bad tasks.
+    /// Returns the number of jobs that failed, and of starts of tasks that crash their workers.
     pub fn failed_jobs(&self) -> (usize, usize) {
         let Some(faults) = &self.faults else {
             return (0, 0);
         };
         let failed = self.stored.values();
         let failed = failed.filter(|progress| progress.outcome == Some(Outcome::Failed));
-        (failed.count(), faults.bad_starts.values().sum())
+        (failed.count(), faults.crasher_starts.values().sum())
     }
 }
--- a/crates/job/tests/event_sim/delivery.rs
+++ b/crates/job/tests/event_sim/delivery.rs
@@ -11,6 +11,7 @@
 use super::SentCommand;
 
 impl EventSim {
+    /// Tells the planner that a command got no reply.
     pub(super) fn lose_reply(&mut self, sent: &SentCommand) {
         let key = self.keys[sent.worker];
         match sent.command {
@@ -26,22 +27,24 @@
         }
     }
 
+    /// Delivers a late command, unless it cannot reach the worker.
     pub(super) fn deliver_late(&mut self, pick: u8) {
         if self.late.is_empty() {
             return;
         }
-        let place = usize::from(pick) % self.late.len();
-        let sent = self.late.swap_remove(place);
+        let index = usize::from(pick) % self.late.len();
+        let sent = self.late.swap_remove(index);
         if self.workers[sent.worker].cut_off || self.workers[sent.worker].down {
             return;
         }
-        // A worker that has come back under another id ignores commands to its former
+        // A worker that has started again under another id ignores commands to its former
         // incarnation.
         if self.id(sent.worker) == sent.id && self.may_arrive_late(&sent) {
             self.carry_out(&sent, false);
         }
     }
 
+    /// Carries out a command on its worker; the planner gets the reply if `answers` is set.
     pub(super) fn carry_out(&mut self, sent: &SentCommand, answers: bool) {
         let key = self.keys[sent.worker];
         let worker = &mut self.workers[sent.worker];
--- a/crates/job/tests/event_sim/former_owner.rs
+++ b/crates/job/tests/event_sim/former_owner.rs
@@ -11,8 +11,9 @@
 /// State of the former owner.
 pub struct FormerOwner {
     pub epoch: u64,
+    /// Determines until when it may renew leases.
     authority: RenewalAuthority,
-    /// When it sent the newest command that each worker accepted.
+    /// When it sent the newest command that the worker on each machine accepted.
     accepted_at: [Option<Duration>; WORKERS],
 }
 
@@ -25,20 +26,20 @@
         }
     }
 
-    /// Whether a call of the former owner reaches a worker; most do.
-    pub fn reaches(place: usize, pick: u8) -> bool {
-        !(usize::from(pick) / WORKERS + place).is_multiple_of(5)
+    /// Returns whether a call of the former owner reaches a worker; most calls do.
+    pub fn reaches(machine: usize, pick: u8) -> bool {
+        !(usize::from(pick) / WORKERS + machine).is_multiple_of(5)
     }
 
     /// Records that a worker accepts a renewal; returns the new expiry if the lease may be
     /// renewed.
-    pub fn renew(&mut self, place: usize, now: Duration) -> Option<Duration> {
+    pub fn renew(&mut self, machine: usize, now: Duration) -> Option<Duration> {
         let accepted_at = self.accepted_at;
         let until = self.authority.renewal_deadline(|worker| {
-            let place: usize = worker[1..].parse().ok()?;
-            accepted_at[place]
+            let machine: usize = worker[1..].parse().ok()?;
+            accepted_at[machine]
         });
-        self.accepted_at[place] = Some(now);
+        self.accepted_at[machine] = Some(now);
         (now < until).then(|| now + Policy::default().lease)
     }
 }
--- a/crates/job/tests/event_sim/mod.rs
+++ b/crates/job/tests/event_sim/mod.rs
@@ -1,5 +1,5 @@
-//! Simulation around the planner: workers that follow the protocol, commands that are lost or
-//! late, owners that crash, writes that fail. The invariants are checked at every start that a
+//! Simulation around the planner, with workers that follow the protocol, commands that are lost or
+//! late, owners that crash and writes that fail. The invariants are checked at every start that a
 //! worker carries out.
 
 mod checks;
@@ -49,17 +49,20 @@
 /// An event of the simulation, decoded from two arbitrary bytes.
 #[derive(Clone, Copy, Debug)]
 pub struct Event {
+    /// Selects what happens.
     pub kind: u8,
+    /// Selects the machine and the details.
     pub pick: u8,
 }
 
 /// A command that was sent to a worker.
 #[derive(Clone, Debug)]
 struct SentCommand {
+    /// Machine of the worker.
     worker: usize,
     /// Id of the worker when the command was sent.
     id: String,
-    /// Incarnation for which the command is meant, if the worker reports its incarnation.
+    /// Incarnation for which the command is meant; `None` if the worker does not report it.
     incarnation: Option<u64>,
     token: FencingToken,
     sent_at: Duration,
@@ -73,35 +76,39 @@
     now: Duration,
     epoch: u64,
     planner: Planner,
-    /// Key of each worker in the planner.
+    /// Planner key of the worker on each machine.
     keys: Vec<WorkerKey>,
     /// How often this owner has raised the fencing token of each worker.
     raised: Vec<u64>,
     workers: Vec<Worker>,
     jobs: BTreeMap<JobId, JobSpec>,
+    /// Saved progress of each job.
     stored: BTreeMap<JobId, Progress>,
-    /// Commands without a reply, which may still be carried out.
+    /// Commands that got no reply and may still be carried out.
     late: Vec<SentCommand>,
     /// Start and content of the write to the store that is in progress.
     saving: Option<(Duration, Batch)>,
+    /// Determines until when this owner may renew leases.
     authority: RenewalAuthority,
     /// Former owner that is cut off from the store and still renews leases.
     former_owner: Option<FormerOwner>,
-    /// Stored ends of successful runs.
+    /// Runs whose successful end is stored and acknowledged, by task.
     acked_done: HashMap<TaskKey, RunId>,
-    /// Stored ends of failed runs.
+    /// Runs whose failed end is stored and acknowledged, by task.
     acked_failures: HashMap<TaskKey, BTreeSet<RunId>>,
     /// Jobs of which a worker has started a task.
     started: StartedJobs,
-    /// Tasks that have ended successfully on any worker, also on one that has crashed since.
+    /// Tasks that have ended successfully on any worker, even if the worker has crashed since.
     done: HashSet<TaskKey>,
+    /// State of crashes and restarts; `None` if there are none.
     faults: Option<Faults>,
     /// Number of starts carried out by workers.
     pub starts: usize,
 }
 
+/// Names of the workers before any restart.
 fn names() -> impl Iterator<Item = String> {
-    (0..WORKERS).map(|place| format!("w{place}"))
+    (0..WORKERS).map(|machine| format!("w{machine}"))
 }
 
 impl EventSim {
@@ -150,18 +157,18 @@
         let authority = std::mem::replace(&mut self.authority, authority);
         self.former_owner = Some(FormerOwner::new(former_epoch, authority));
         self.keys = (0..WORKERS)
-            .map(|place| self.recall(place, &stored_incarnations))
+            .map(|machine| self.restore(machine, &stored_incarnations))
             .collect();
-        self.recall_crashed();
+        self.restore_crashed();
     }
 
     /// Adds a worker to the new planner from its row, and then from its registration.
-    fn recall(
+    fn restore(
         &mut self,
-        place: usize,
+        machine: usize,
         stored_incarnations: &HashMap<String, Option<u64>>,
     ) -> WorkerKey {
-        let info: WorkerInfo = self.info(place);
+        let info: WorkerInfo = self.info(machine);
         // The row holds the largest capacity that the worker has had, and its last known
         // incarnation.
         let row = WorkerInfo {
@@ -172,38 +179,39 @@
             ..support::worker(&info.id)
         };
         let key = self.planner.restore_worker(row);
-        if !self.workers[place].down {
+        if !self.workers[machine].down {
             self.planner.register_worker(info);
         }
         key.expect("a new worker")
     }
 
-    /// Sends a renewal of the former owner to a worker that its successor may not reach.
+    /// Sends a renewal from the former owner to a worker, which the successor may be unable to reach.
     fn renew_by_former(&mut self, pick: u8) {
-        let place = usize::from(pick) % WORKERS;
+        let machine = usize::from(pick) % WORKERS;
         let Some(former_owner) = &mut self.former_owner else {
             return;
         };
-        if !FormerOwner::reaches(place, pick) {
+        if !FormerOwner::reaches(machine, pick) {
             return;
         }
-        let worker = &mut self.workers[place];
+        let worker = &mut self.workers[machine];
         if worker.fence > former_owner.epoch {
             self.former_owner = None;
             return;
         }
-        let lease = former_owner.renew(place, self.now);
+        let lease = former_owner.renew(machine, self.now);
         worker.lease = lease.map_or(worker.lease, |lease| worker.lease.max(lease));
     }
 
+    /// Carries out an event, and checks the job statuses.
     pub fn step(&mut self, event: Event) {
-        let place = usize::from(event.pick) % WORKERS;
+        let machine = usize::from(event.pick) % WORKERS;
         match event.kind % 16 {
             0 => self.submit(event.pick),
-            1..=3 => self.renew_lease(place),
+            1..=3 => self.renew_lease(machine),
             4 | 5 => self.plan(event.pick),
-            6 => self.end_run(place, event.pick, RunEnd::Done),
-            7 => self.end_run(place, event.pick, RunEnd::Failed),
+            6 => self.end_run(machine, event.pick, RunEnd::Done),
+            7 => self.end_run(machine, event.pick, RunEnd::Failed),
             8 => self.begin_save(),
             9 => self.end_save(event.pick.is_multiple_of(3)),
             10 => self.advance(Duration::from_millis(u64::from(event.pick) * 20)),
@@ -217,11 +225,12 @@
             }
             12 => self.cancel(event.pick),
             13 | 14 => self.renew_by_former(event.pick),
-            _ => self.workers[place].cut_off = event.pick.is_multiple_of(2),
+            _ => self.workers[machine].cut_off = event.pick.is_multiple_of(2),
         }
         self.check_statuses();
     }
 
+    /// Advances the time, ends stopping runs, and ends all runs on workers whose lease has expired.
     fn advance(&mut self, by: Duration) {
         self.now += by;
         for worker in &mut self.workers {
@@ -232,7 +241,7 @@
                 worker.end(task, RunEnd::Stopped);
             }
             if worker.lease <= self.now {
-                worker.voided = worker.end_count;
+                worker.expired_ends = worker.end_count;
                 let active = worker.running.keys().chain(worker.stopping.keys());
                 let tasks: Vec<TaskKey> = active.copied().collect();
                 for task in tasks {
@@ -271,28 +280,29 @@
         self.planner.add_job(id, spec.clone(), None, false);
     }
 
-    /// Renews a lease: claims the worker, extends the lease and passes in the worker report.
-    fn renew_lease(&mut self, place: usize) {
+    /// Sends a renewal, which claims the worker and extends its lease, and passes in the worker
+    /// report.
+    fn renew_lease(&mut self, machine: usize) {
         self.planner.advance(self.now);
-        let key = self.keys[place];
+        let key = self.keys[machine];
         if self.planner.worker_info(key).is_none() {
             return;
         }
-        if self.workers[place].cut_off || self.workers[place].down {
+        if self.workers[machine].cut_off || self.workers[machine].down {
             self.planner.mark_unresponsive(key);
-            self.workers[place].in_contact = false;
+            self.workers[machine].in_contact = false;
             return;
         }
-        let token = self.token(place);
+        let token = self.token(machine);
         // A worker that reports its incarnation gets a lease only after it has replied, since the
         // clock of a new incarnation is unknown.
-        if self.workers[place].in_contact || self.workers[place].incarnation.is_none() {
+        if self.workers[machine].in_contact || self.workers[machine].incarnation.is_none() {
             self.planner.extend_lease(key);
-            let worker = &mut self.workers[place];
+            let worker = &mut self.workers[machine];
             worker.lease = worker.lease.max(self.now + Policy::default().lease);
         }
-        self.acknowledge(place, key);
-        let worker = &mut self.workers[place];
+        self.acknowledge(machine, key);
+        let worker = &mut self.workers[machine];
         worker.fence = worker.fence.max(token);
         worker.in_contact = self
             .planner
@@ -321,13 +331,13 @@
         };
         self.planner.apply_report(key, self.now, &worker_report);
         // The planner requests another report if this one came from an unknown incarnation.
-        if self.workers[place].in_contact {
-            let worker = &mut self.workers[place];
+        if self.workers[machine].in_contact {
+            let worker = &mut self.workers[machine];
             let running = worker.running.iter();
             worker
                 .reported
                 .extend(running.map(|(&task, &(run, _))| (task, run)));
-            self.check_reported(place);
+            self.check_reported(machine);
         }
     }
 
@@ -343,22 +353,22 @@
                 }
                 Command::Disconnect { .. } => continue,
             };
-            let Some(place) = self.keys.iter().position(|key| *key == worker) else {
+            let Some(machine) = self.keys.iter().position(|key| *key == worker) else {
                 continue;
             };
             let sent = SentCommand {
-                worker: place,
-                id: self.id(place),
-                incarnation: self.known_incarnation(place),
-                token: self.token(place),
+                worker: machine,
+                id: self.id(machine),
+                incarnation: self.known_incarnation(machine),
+                token: self.token(machine),
                 sent_at: self.now,
                 lease: self.now + Policy::default().lease,
                 command,
             };
             // Some commands get no reply, and some of those are carried out late.
             if (nth + usize::from(pick)).is_multiple_of(5)
-                || self.workers[place].cut_off
-                || self.workers[place].down
+                || self.workers[machine].cut_off
+                || self.workers[machine].down
             {
                 self.lose_reply(&sent);
                 self.late.push(sent);
@@ -369,8 +379,9 @@
         self.now += Duration::from_millis(1);
     }
 
-    fn end_run(&mut self, place: usize, pick: u8, how: RunEnd) {
-        let worker = &mut self.workers[place];
+    /// Ends a run on a machine, and with it the other members of a gang.
+    fn end_run(&mut self, machine: usize, pick: u8, how: RunEnd) {
+        let worker = &mut self.workers[machine];
         let tasks: Vec<TaskKey> = worker.running.keys().copied().collect();
         if tasks.is_empty() {
             return;
@@ -387,7 +398,7 @@
         self.started.insert(task.step.job);
         let gang = self.jobs[&task.step.job].steps[task.step.step as usize].gang;
         if gang {
-            let rest = if how == RunEnd::Done {
+            let other_end = if how == RunEnd::Done {
                 RunEnd::Done
             } else {
                 RunEnd::GangBroken
@@ -400,7 +411,7 @@
                     .copied()
                     .collect();
                 for member in members {
-                    worker.end(member, rest);
+                    worker.end(member, other_end);
                 }
             }
         }
@@ -426,20 +437,20 @@
         }
         self.planner.batch_saved(&batch);
         for (key, number) in &batch.ends {
-            if let Some(place) = self.keys.iter().position(|one| one == key) {
-                self.record_stored(place, *number);
+            if let Some(machine) = self.keys.iter().position(|one| one == key) {
+                self.record_stored(machine, *number);
             }
         }
     }
 
     /// Records the stored ends up to `number` as acknowledged, if the worker can be reached.
-    fn record_acked(&mut self, place: usize, number: u64) {
-        let worker = &mut self.workers[place];
+    fn record_acked(&mut self, machine: usize, number: u64) {
+        let worker = &mut self.workers[machine];
         if worker.cut_off {
             return;
         }
         for end in &worker.ended {
-            let counts = end.number > worker.acked.max(worker.voided) && end.number <= number;
+            let counts = end.number > worker.acked.max(worker.expired_ends) && end.number <= number;
             match end.how {
                 RunEnd::Done if counts => {
                     self.acked_done.insert(end.task, end.run);
--- a/crates/job/tests/event_sim/status.rs
+++ b/crates/job/tests/event_sim/status.rs
@@ -11,8 +11,8 @@
 use crate::support;
 
 impl EventSim {
-    /// Records a start on a worker. A gang has started when all its members run, or ran when the
-    /// owner last received a report of them.
+    /// Records a start on a worker. A gang has started when each of its members is running, or was
+    /// in a report of a crashed worker and is still booked.
     pub(super) fn record_start(&mut self, task: TaskKey, run: RunId) {
         let step = task.step;
         let spec = &self.jobs[&step.job].steps[step.step as usize];
@@ -22,6 +22,7 @@
         }
     }
 
+    /// Returns whether a worker has a run, or had it when it crashed and the planner still books it.
     fn runs(&self, task: TaskKey, run: RunId) -> bool {
         let mut active = self.workers.iter().filter_map(|one| one.running.get(&task));
         let mut lost = self.lost_runs().iter();
@@ -33,8 +34,8 @@
 
     /// Checks that no job is pending while the worker's report lists a task of it that is not in
     /// a gang. A cancelled job is exempt, since its status is final for callers.
-    pub(super) fn check_reported(&self, place: usize) {
-        for task in self.workers[place].running.keys() {
+    pub(super) fn check_reported(&self, machine: usize) {
+        for task in self.workers[machine].running.keys() {
             let spec = &self.jobs[&task.step.job];
             let gang = spec.steps[task.step.step as usize].gang;
             let status = self.planner.job_status(task.step.job);
--- a/crates/job/tests/event_sim/worker.rs
+++ b/crates/job/tests/event_sim/worker.rs
@@ -10,9 +10,10 @@
 use job::RunId;
 use job::TaskKey;
 
+/// State of a simulated worker.
 #[derive(Debug, Default)]
 pub struct Worker {
-    /// Start of this incarnation, if the worker reports it.
+    /// Start time of this incarnation; `None` if the worker does not report it.
     pub incarnation: Option<u64>,
     /// Highest fencing token that the worker has received.
     pub fence: u64,
@@ -27,18 +28,18 @@
     pub ended: Vec<EndedRun>,
     /// Number of the newest end.
     pub end_count: u64,
-    /// Highest end that the owner has acknowledged.
+    /// Number of the newest end that the owner has acknowledged.
     pub acked: u64,
-    /// The current incarnation has replied to the newest renewal, and it is the one that the
-    /// owner knows.
+    /// The worker has replied to the newest renewal, and the owner knows its current incarnation.
     pub in_contact: bool,
-    /// Ends up to this number were reported before a lease expired, so they no longer count.
-    pub voided: u64,
-    /// Highest run stopped or ended here, by task.
+    /// Number of the newest end when a lease last expired. The planner need not count ends up to
+    /// this number, since their tasks may have started elsewhere.
+    pub expired_ends: u64,
+    /// Highest number of a run that was stopped or has ended here, by task.
     pub last_ended: HashMap<TaskKey, RunId>,
     /// No call reaches the worker.
     pub cut_off: bool,
-    /// The worker has crashed and is not back yet.
+    /// The worker has crashed and has not started again.
     pub down: bool,
 }
 
@@ -47,6 +48,7 @@
         self.running.contains_key(task) || self.stopping.contains_key(task)
     }
 
+    /// Ends the run of a task, if the worker has one.
     pub fn end(&mut self, task: TaskKey, how: RunEnd) {
         let run = self.running.remove(&task);
         let Some((run, _)) = run.or_else(|| self.stopping.remove(&task)) else {
--- a/crates/job/tests/impossible.rs
+++ b/crates/job/tests/impossible.rs
@@ -31,14 +31,14 @@
     gang
 }
 
-/// A worker with a label that no other has.
+/// Creates a worker with a label that no other worker has.
 fn labelled_worker(id: &str) -> WorkerInfo {
     let mut labelled_worker = worker(id);
     labelled_worker.labels = vec!["b".to_owned()];
     labelled_worker
 }
 
-/// Adds a worker as a former owner's row describes it.
+/// Adds a worker that is known only from a row of the former owner.
 fn add_former_worker(planner: &mut Planner, info: WorkerInfo) -> job::WorkerKey {
     let id = info.id.clone();
     let registration = WorkerInfo {
@@ -50,7 +50,7 @@
     key
 }
 
-/// Returns the outcomes that are about to be saved.
+/// Takes the unsaved progress of up to ten jobs, and returns their outcomes.
 fn outcomes(planner: &mut Planner) -> Vec<Option<Outcome>> {
     let batch = planner.take_batch(10);
     batch
@@ -60,9 +60,9 @@
         .collect()
 }
 
-/// Guards against a job that fails though it can run. The only worker with its label
-/// crashed, the job arrived before the next one was there, and it was checked against the
-/// current workers.
+/// Guards against a job that fails though it can run. The only worker with its label crashed, the
+/// job was accepted before the next such worker registered, and it was checked against the current
+/// workers.
 #[test]
 fn a_job_whose_label_has_no_current_worker_does_not_fail() {
     let mut planner = planner(1);
@@ -138,7 +138,7 @@
 
 /// Guards against a gang that fails after a take-over. A worker died together with the
 /// owner, and the successor counted only the remaining workers, though the row of the dead
-/// one states its capacity.
+/// worker states its capacity.
 #[test]
 fn workers_that_died_with_the_owner_count() {
     let mut planner = planner(2);
--- a/crates/job/tests/incarnation_leases.rs
+++ b/crates/job/tests/incarnation_leases.rs
@@ -29,8 +29,8 @@
 use support::worker;
 use support::worker_report;
 
-/// A worker that has sent reports for 10 s, a run that it has confirmed only by its reply to
-/// the start, and a second worker that could take the task.
+/// Adds a worker that has sent reports for 10 s, a run that it has confirmed by its reply to the
+/// start but not in a report, and a second worker that could run the task.
 fn with_fresh_start(planner: &mut Planner) -> (WorkerKey, TaskKey, RunId) {
     let key = with_history(planner);
     deliver_report(planner, key, 9990, &empty_report(FIRST_START));
@@ -42,8 +42,8 @@
     (key, task, run)
 }
 
-/// A job of `count` tasks, started at 10 s, of which a report lists all but the last. The start
-/// of the last counts as unanswered after 0.25 s, and the worker is unresponsive.
+/// Adds a job of `count` tasks that is started at 10 s. A report lists the runs of all but the last
+/// task; the start of that one counts as unanswered after 0.25 s, and the worker as unresponsive.
 fn with_unanswered_start(planner: &mut Planner, count: u32) -> (WorkerKey, TaskKey, RunId) {
     let key = with_history(planner);
     deliver_report(planner, key, 9990, &empty_report(FIRST_START));
@@ -64,9 +64,9 @@
     (key, last.0, last.1)
 }
 
-/// Guards against a start that is counted as lost by the clock of the current incarnation,
-/// while an unknown one runs it under a lease on its own clock, which a late renewal may
-/// extend.
+/// Guards against a run that is counted as lost when the lease has expired by the clock of the
+/// current incarnation, while an unknown incarnation still has it, with a lease by its own clock
+/// that a late renewal may extend.
 #[test]
 fn an_unreported_start_is_kept_until_no_late_renewal_can_arrive() {
     let mut planner = planner(1);
@@ -81,7 +81,7 @@
     assert_eq!(late[0].0, task);
 }
 
-/// The same start is lost with the usual lease once a report of the current incarnation has
+/// The same run is lost when the usual lease expires if a report of the current incarnation has
 /// listed it.
 #[test]
 fn a_reported_start_is_lost_with_its_lease() {
@@ -115,7 +115,8 @@
     assert_ne!(late[0].2, key);
 }
 
-/// Guards against reported runs being kept for as long as an unrelated unanswered start.
+/// Guards against reported runs that are counted as lost only as late as an unrelated unanswered
+/// start.
 #[test]
 fn reported_runs_do_not_wait_for_an_unanswered_start() {
     let mut planner = planner(1);
@@ -154,7 +155,7 @@
 /// Guards against a successor that waits for an unresponsive worker by the usual lease, while a
 /// command of the former owner gave an unknown incarnation of it the longest one.
 #[test]
-fn a_successor_waits_for_a_silent_worker_by_the_longest_lease() {
+fn a_successor_waits_for_an_unresponsive_worker_by_the_longest_lease() {
     let mut planner = planner(2);
     let saved_progress = Progress::default();
     planner.add_job(JOB, spec(vec![step(1)]), Some(&saved_progress), true);
@@ -192,8 +193,8 @@
     assert_eq!(late.len(), 1);
 }
 
-/// Guards against waiting only by the lease of the first named incarnation for a start that
-/// was sent before any was named and may still reach it.
+/// Guards against a run that is counted as lost too early. Its start was sent before the worker
+/// named its incarnation, and may still reach the first one that it names.
 #[test]
 fn a_start_that_may_reach_the_first_named_incarnation_is_kept() {
     let mut planner = planner(1);
--- a/crates/job/tests/incarnations.rs
+++ b/crates/job/tests/incarnations.rs
@@ -1,5 +1,5 @@
-//! Workers that start again under their id: the state of one incarnation is not applied to the
-//! next one.
+//! Workers that start again under the same id: the planner does not apply its state of one
+//! incarnation to the next one.
 
 mod support;
 
@@ -111,8 +111,8 @@
     }
 }
 
-/// Guards against filling a new incarnation by the capacity of the former one: the new one may
-/// be smaller.
+/// Guards against filling a new incarnation up to the capacity of the former one: the new one may
+/// have less.
 #[test]
 fn a_worker_registered_as_another_incarnation_gets_no_work_until_it_reports() {
     let mut planner = planner(1);
@@ -283,7 +283,7 @@
     assert_eq!(after.len(), 2);
 }
 
-/// Guards against refusing a job as impossible while the capacity of an incarnation that could
+/// Guards against failing a job as impossible while the capacity of an incarnation that could
 /// run it is not known yet.
 #[test]
 fn a_job_waits_for_unregistered_incarnations() {
@@ -314,7 +314,7 @@
     assert_eq!(starts.len(), 1);
 }
 
-/// Guards against ending the new incarnation when the end of the former one is noticed late.
+/// Guards against ending the new incarnation when the end of the former one is detected late.
 #[test]
 fn the_end_of_a_former_incarnation_does_not_end_the_next() {
     let mut planner = planner(1);
@@ -489,7 +489,7 @@
     });
     planner.add_job(JOB, job, None, false);
     plan_at(&mut planner, 10);
-    let ask = planner
+    let request = planner
         .next_advice_request(FreeHelpers::Most)
         .expect("a call");
 
@@ -498,10 +498,13 @@
         worker: "w1".to_owned(),
         text: "of the first incarnation".to_owned(),
     };
-    planner.handle_advice(ask.step, &ask.workers, &[ticket], at(2000));
+    planner.handle_advice(request.step, &request.workers, &[ticket], at(2000));
     let starts = plan_at(&mut planner, 100);
     let again = planner.next_advice_request(FreeHelpers::Most);
 
     assert_eq!(starts, vec![]);
-    assert_eq!(again.map(|ask| ask.workers), Some(vec!["w1".to_owned()]));
+    assert_eq!(
+        again.map(|request| request.workers),
+        Some(vec!["w1".to_owned()])
+    );
 }
--- a/crates/job/tests/invariants.rs
+++ b/crates/job/tests/invariants.rs
@@ -14,7 +14,7 @@
     *state >> 33
 }
 
-/// Carries out `count` events. Most are drawn from `usual`; `any` and one more in 256 are
+/// Carries out `count` events. Most are drawn from `usual`; of 256, about `any` plus one are
 /// arbitrary.
 fn drive(state: &mut u64, count: usize, usual: &[(u8, u8)], any: u8, mut step: impl FnMut(Event)) {
     for _ in 0..count {
@@ -147,7 +147,7 @@
         (230, 1),
     ];
     let mut state: u64 = 0x5851_f42d_4c95_7f2d;
-    let (mut failed, mut bad) = (0, 0);
+    let (mut failed, mut crasher_starts) = (0, 0);
 
     for _ in 0..50 {
         let mut sim = EventSim::with_crashes();
@@ -156,11 +156,14 @@
         });
         let (failed_jobs, starts) = sim.failed_jobs();
         failed += failed_jobs;
-        bad += starts;
+        crasher_starts += starts;
     }
 
     assert!(failed > 30, "{failed} jobs have failed");
-    assert!(bad > 500, "{bad} starts of bad tasks");
+    assert!(
+        crasher_starts > 500,
+        "{crasher_starts} starts of tasks that crash their workers"
+    );
 }
 
 /// Checks the same where two of three workers come back under the same id: at once or later, one
--- a/crates/job/tests/begun.rs
+++ b/crates/job/tests/job_start.rs
@@ -1,4 +1,4 @@
-//! When a job counts as begun, and so is shown as active and not counted as waiting.
+//! When a job counts as started, and so is shown as active and not counted as waiting.
 
 mod support;
 
@@ -27,7 +27,7 @@
 
 const JOB: u64 = 7;
 
-/// Number of waiting jobs of the queue.
+/// Returns the number of waiting jobs of the queue.
 fn waiting(planner: &Planner) -> usize {
     planner.count_queue(&queue(2).name).waiting
 }
@@ -35,9 +35,9 @@
 /// Guards against a queue length that misses jobs whose starts were not confirmed. Workers
 /// left half of the commands unanswered and carried them out seconds later. The queue length
 /// was given as 1, while 10 jobs had waited for 5 s without a running task; the owner logged
-/// "queue counted" with waiting=1, ordered=41, unfinished=176. It counted a job as begun when
-/// the first start was sent, and kept it so when the start was not answered, was refused, or
-/// was stopped.
+/// "queue counted" with waiting=1, ordered=41, unfinished=176. It counted a job as started when
+/// the first start command was sent, even if the command got no reply or was refused, or the
+/// run was stopped.
 #[test]
 fn a_job_waits_until_a_worker_confirms_a_run_of_it() {
     let mut planner = planner(1);
@@ -67,17 +67,17 @@
     plan_at(&mut planner, 50);
     planner.start_reply(key, first, 2, StartReply::Refused);
     counts.push(waiting(&planner));
-    let shown = planner.job_status(JOB);
+    let early_status = planner.job_status(JOB);
     plan_at(&mut planner, 1_000);
     planner.start_reply(key, first, 3, StartReply::Started);
 
     assert_eq!(counts, [1, 1, 1, 1, 1], "no worker has confirmed a run");
-    assert_eq!(shown, Some(JobStatus::Pending));
+    assert_eq!(early_status, Some(JobStatus::Pending));
     assert_eq!(waiting(&planner), 0);
     assert_eq!(planner.job_status(JOB), Some(JobStatus::Active));
 }
 
-/// Starts a gang of two tasks on two workers; returns the start commands sent.
+/// Issues the start commands of a gang of two tasks on two workers, and returns the runs.
 fn gang_of_two(planner: &mut Planner) -> Vec<(TaskKey, RunId, WorkerKey)> {
     add_claimed(planner, "w1");
     add_claimed(planner, "w2");
@@ -88,8 +88,8 @@
     plan_at(planner, 10)
 }
 
-/// Guards against a gang that counts as begun while only one member runs and waits for another
-/// whose start was not answered. A gang begins only when all of its members are running.
+/// Guards against a gang that counts as started while one member waits for another whose start got
+/// no reply. A gang has started only when all of its members are running.
 #[test]
 fn a_gang_waits_until_all_its_members_run() {
     let mut planner = planner(1);
@@ -108,7 +108,7 @@
     );
 }
 
-/// The same with members that stopped waiting for the others and ended without doing work.
+/// The same with members that ended without doing work, because the others did not start in time.
 #[test]
 fn a_gang_whose_members_ended_alone_still_waits() {
     let mut planner = planner(1);
@@ -124,14 +124,14 @@
     );
     assert!(
         !batch.jobs[0].1.has_started(),
-        "nor does its saved progress mark it as begun"
+        "nor does its saved progress mark it as started"
     );
 }
 
-/// The start is not answered, and the run has ended by the next report: the reported end
-/// shows that the job had begun.
+/// The start gets no reply, and the run has ended by the next report: the reported end shows that
+/// the job had started.
 #[test]
-fn a_job_of_which_only_an_end_is_reported_has_begun() {
+fn a_job_of_which_only_an_end_is_reported_has_started() {
     let mut planner = planner(1);
     let key = add_claimed(&mut planner, "w1");
     planner.add_job(JOB, spec(vec![step(2)]), None, false);
@@ -151,7 +151,7 @@
     );
 }
 
-/// After a take-over, a job has begun if a worker reports a run of it; a job of which no run
+/// After a take-over, a job has started if a worker reports a run of it; a job of which no run
 /// is reported is waiting.
 #[test]
 fn a_successor_counts_reported_runs() {
@@ -169,9 +169,9 @@
 }
 
 /// Guards against an active job that is shown as pending after a take-over while its worker
-/// cannot be reached, because the begin of the job was not saved.
+/// cannot be reached, because the start of the job was not saved.
 #[test]
-fn a_job_that_has_begun_stays_begun_after_a_take_over() {
+fn a_job_that_has_started_stays_started_after_a_take_over() {
     let mut former = planner(1);
     let key = add_claimed(&mut former, "w1");
     former.add_job(JOB, spec(vec![step(1)]), None, false);
@@ -187,9 +187,9 @@
     assert_eq!(successor.job_status(JOB), Some(JobStatus::Active));
 }
 
-/// A job has begun if a worker reports another run of a task than the one booked there.
+/// A job has started if a worker reports another run of a task than the one booked there.
 #[test]
-fn a_job_with_an_unbooked_run_of_a_booked_task_has_begun() {
+fn a_job_with_an_unbooked_run_of_a_booked_task_has_started() {
     let mut planner = planner(2);
     let key = add_claimed(&mut planner, "w1");
     planner.add_job(JOB, spec(vec![step(1)]), None, false);
@@ -201,9 +201,9 @@
     assert_eq!(planner.job_status(JOB), Some(JobStatus::Active));
 }
 
-/// A job has begun if a worker reported a run of it before the job was known.
+/// A job has started if a worker reported a run of it before the job was known.
 #[test]
-fn a_job_with_a_run_reported_before_it_was_known_has_begun() {
+fn a_job_with_a_run_reported_before_it_was_known_has_started() {
     let mut planner = planner(2);
     let key = add(&mut planner, "w1");
     let report = worker_report(vec![running(task(JOB, 0, 0), 1)], vec![]);
@@ -214,10 +214,10 @@
     assert_eq!(waiting(&planner), 0);
 }
 
-/// A job has begun if a worker reports an end of a run that does not count any more, since
-/// the lease had expired.
+/// A job has started if a worker reports the end of a run only after the lease has expired, so that
+/// the end does not count.
 #[test]
-fn a_job_with_an_end_reported_too_late_has_begun() {
+fn a_job_with_an_end_reported_too_late_has_started() {
     let mut planner = planner(2);
     let key = add(&mut planner, "w1");
     planner.add_job(JOB, spec(vec![step(1)]), None, true);
--- a/crates/job/tests/late_ends.rs
+++ b/crates/job/tests/late_ends.rs
@@ -1,4 +1,4 @@
-//! Ends that are reported after their run was counted as lost.
+//! Ends of runs that are reported after the run was counted as lost.
 //!
 //! Guards against a task that starts again 0.4 s after its worker reported the former run as
 //! done. The worker is unresponsive until its lease expires, and the run counts as lost (log
@@ -35,13 +35,13 @@
 /// any clock.
 const EXPIRED: u64 = 7_000;
 
-fn report_at(planner: &mut Planner, key: WorkerKey, at: u64, listing: &WorkerReport) {
+fn report_at(planner: &mut Planner, key: WorkerKey, at: u64, report: &WorkerReport) {
     let at = Duration::from_millis(at);
     planner.advance(at);
-    planner.apply_report(key, at, listing);
+    planner.apply_report(key, at, report);
 }
 
-/// A planner with one worker that runs the only task of a job.
+/// Creates a planner with one worker, which runs the only task of a job.
 fn one_run() -> (Planner, WorkerKey, TaskKey, RunId) {
     let mut planner = planner(1);
     let first = add_claimed(&mut planner, "w1");
@@ -92,8 +92,8 @@
     let done = worker_report(vec![], vec![ended(1, task, run, RunEnd::Done)]);
     report_at(&mut planner, first, EXPIRED + 10, &done);
 
-    let stopped = planner.take_commands().into_iter().any(|order| {
-        matches!(order, Command::Stop { worker, run, .. } if worker == second && run == replacement)
+    let stopped = planner.take_commands().into_iter().any(|command| {
+        matches!(command, Command::Stop { worker, run, .. } if worker == second && run == replacement)
     });
     assert!(stopped, "the replacement run goes on");
     save(&mut planner);
@@ -115,7 +115,7 @@
     assert_eq!(plan_at(&mut planner, EXPIRED + 600).len(), 1);
 }
 
-/// Guards against waiting forever for workers that are unreachable.
+/// Guards against runs that are never counted as lost because calls to their worker go on.
 #[test]
 fn replies_to_calls_after_lease_expiry_are_not_awaited() {
     let (mut planner, first, _, _) = one_run();
--- a/crates/job/tests/late_starts.rs
+++ b/crates/job/tests/late_starts.rs
@@ -1,5 +1,5 @@
-//! Starts that are not answered and are carried out seconds later, after their job was
-//! cancelled: each run is stopped, and the stop is sent again until the worker confirms it.
+//! Starts that get no reply and are carried out seconds later, after their job was cancelled:
+//! each run is stopped, and the stop is sent again until the worker confirms it.
 
 mod support;
 
@@ -46,8 +46,8 @@
 
 /// Takes the commands, and returns the stops among them.
 fn stops(planner: &mut Planner) -> Vec<Sent> {
-    let orders = planner.take_commands();
-    let stops = orders.into_iter().filter_map(|order| match order {
+    let commands = planner.take_commands();
+    let stops = commands.into_iter().filter_map(|command| match command {
         Command::Stop {
             worker, task, run, ..
         } => Some((worker, task, run)),
@@ -56,7 +56,7 @@
     stops.collect()
 }
 
-/// Starts the only task of the job on the only worker; the start is not answered.
+/// Starts the only task of the job on the only worker; the start gets no reply.
 fn unanswered_start(planner: &mut Planner) -> Sent {
     add_claimed(planner, "w1");
     planner.add_job(JOB, spec(vec![step(1)]), None, false);
@@ -77,9 +77,9 @@
     planner.apply_report(key, at, &worker_report(vec![running(task, run)], vec![]));
 }
 
-/// Asserts that the stop of `sent` is sent again while it is not answered, also after the run
-/// was reported once more, and no more once it is confirmed. The run's resources are freed
-/// only when its end is reported.
+/// Asserts that the stop of `sent` is sent again as long as it gets no reply, also after another
+/// report of the run, but not after it is confirmed. The run's resources are freed only when its
+/// end is reported.
 fn assert_stopped_until_confirmed(planner: &mut Planner, at: u64, sent: Sent) {
     let (key, task, run) = sent;
     for _ in 0..3 {
@@ -100,8 +100,8 @@
     assert_eq!(planner.load().booked, Resources::default());
 }
 
-/// Guards against a task of a cancelled job that goes on: its start is not answered, the job
-/// is cancelled, and then the worker carries out the start. The run stays booked meanwhile,
+/// Guards against a run of a cancelled job that goes on: its start gets no reply, the job is
+/// cancelled, and then the worker carries out the start. The run stays booked meanwhile,
 /// and its stop is sent again.
 #[test]
 fn a_late_start_of_a_cancelled_job_is_stopped() {
@@ -288,8 +288,7 @@
     assert_eq!(plan_at(&mut planner, 3_010).len(), 1);
 }
 
-/// Guards against a gang member that goes on after a cancel. Its start is not answered, the
-/// job is cancelled while the other members wait for it, and then it starts.
+/// Guards against a gang member that goes on after a cancel. Its start gets no reply, the job is cancelled while the other members wait for it, and then it starts.
 #[test]
 fn a_late_member_of_a_cancelled_gang_is_stopped() {
     let mut planner = planner(1);
--- a/crates/job/tests/learning.rs
+++ b/crates/job/tests/learning.rs
@@ -20,8 +20,7 @@
 use support::spec;
 use support::step;
 
-/// A gang of `count` members with an estimate of `estimate` ms and an objective of twice
-/// that and a second.
+/// Creates a gang with an estimate of `estimate` ms, and an objective of twice that plus a second.
 fn gang(count: u32, estimate: u64) -> JobSpec {
     let mut step = step(count);
     step.gang = true;
@@ -29,7 +28,7 @@
     spec(vec![step])
 }
 
-/// Reports the ends of these runs at this time; nothing else runs on their workers.
+/// Reports the ends of these runs at `at` milliseconds; no other runs are on their workers.
 fn end_all(
     planner: &mut Planner,
     runs: &[(TaskKey, u64, WorkerKey)],
@@ -40,10 +39,10 @@
     planner.advance(now);
     let workers: BTreeSet<WorkerKey> = runs.iter().map(|(.., worker)| *worker).collect();
     for worker in workers {
-        let mut listing = WorkerReport::default();
+        let mut report = WorkerReport::default();
         for &(task, run, _) in runs.iter().filter(|(.., of)| *of == worker) {
             *last_number += 1;
-            listing.ended.push(EndedRun {
+            report.ended.push(EndedRun {
                 number: *last_number,
                 task,
                 run,
@@ -51,11 +50,11 @@
                 checkpoint: String::new(),
             });
         }
-        planner.apply_report(worker, now, &listing);
+        planner.apply_report(worker, now, &report);
     }
 }
 
-/// Starts what waits, at this time, and confirms the starts.
+/// Plans at `at` milliseconds, and confirms the starts.
 fn start_all(planner: &mut Planner, at: u64) -> Vec<(TaskKey, u64, WorkerKey)> {
     let starts = plan_at(planner, at);
     for &(task, run, worker) in &starts {
@@ -64,10 +63,10 @@
     starts
 }
 
-/// Guards against gangs that have enough time but wait behind all others until it is too
-/// late, 24 of 210 on a day without faults. Callers declare a tenth of what their gangs
-/// take; after a gang has waited for a while, an objective derived from the declared time
-/// is over. The planner must use the run times of the queue's earlier gangs instead.
+/// Guards against gangs that could be in time but wait behind all others until it is too late, as
+/// 24 of 210 did in a pool without faults. Callers declare a tenth of the time that their gangs
+/// take, so an objective derived from the declared time ends while a gang is still waiting. The
+/// planner must use the run times of the queue's earlier gangs instead.
 #[test]
 fn a_gang_is_ranked_by_learnt_and_not_by_declared_run_times() {
     const OLDEST: JobId = 89;
@@ -104,9 +103,9 @@
     );
 }
 
-/// Guards against jobs under advice that count as late but are not: the objective allows
-/// for one call for advice in each step, and a call for a gang takes a second, which was
-/// left out.
+/// Guards against jobs that count as late though they can be in time, because their objective was
+/// computed without advice calls. It allows for one call in each step; a call for a gang takes a
+/// second.
 #[test]
 fn an_objective_allows_for_a_call_for_advice_in_each_step() {
     let mut planner = planner(1);
@@ -120,7 +119,7 @@
 
     let timing = planner.timing(1).expect("the job");
 
-    // Twice the sum of the gang's second and the call's, and a second.
+    // Twice the sum of one second for the gang and one for the call, plus one second.
     assert_eq!(timing.objective, Duration::from_secs(5));
 }
 
--- a/crates/job/tests/load.rs
+++ b/crates/job/tests/load.rs
@@ -1,4 +1,4 @@
-//! Load of the pool as shown to operators.
+//! Load of the pool in logs and metrics.
 
 mod support;
 
--- a/crates/job/tests/planner.rs
+++ b/crates/job/tests/planner.rs
@@ -101,10 +101,10 @@
     assert_eq!(planner.job_status(JOB), Some(JobStatus::Failed));
 }
 
-/// Guards against tasks of a worker that died silently and that never run again: each
+/// Guards against tasks that never start again after their worker died without a sign: each
 /// repeated call to the worker counted as a renewal of its lease.
 #[test]
-fn tasks_of_a_silent_worker_run_elsewhere_after_its_lease() {
+fn tasks_of_an_unresponsive_worker_start_elsewhere_after_lease_expiry() {
     let mut planner = planner(1);
     let silent = add_claimed(&mut planner, "w1");
     planner.add_job(JOB, spec(vec![step(1)]), None, false);
@@ -229,9 +229,8 @@
     assert!(again.iter().all(|(_, run, _)| *run == 2));
 }
 
-/// Guards against counter checks that are seconds late because their worker makes no
-/// progress, though it answers and reports its tasks, and another worker has free
-/// resources.
+/// Guards against urgent tasks that are seconds late because their worker makes no progress, though
+/// it answers calls and reports its runs, and another worker has free resources.
 #[test]
 fn a_task_without_progress_is_moved() {
     let mut planner = planner(1);
@@ -317,8 +316,8 @@
     assert_eq!(late.len(), 4);
 }
 
-/// A report that was requested before a start was confirmed says nothing about that run, so
-/// the run must not be written off.
+/// A report that was requested before a start was confirmed may not list that run yet, so the run
+/// must not be counted as lost.
 #[test]
 fn a_report_requested_before_a_start_was_confirmed_does_not_end_the_run() {
     let mut planner = planner(1);
@@ -340,10 +339,10 @@
     );
 }
 
-/// Guards against a gang that starves once it is late. On a quiet day, a gang that only few
-/// workers may run waited 27 s: its objective passed, and less urgent tasks that were still
-/// in time took each processor as it became free, since nothing was reserved for a late
-/// gang.
+/// Guards against a gang that never starts once it is late. In a lightly loaded pool, a gang that
+/// only few workers may run waited 27 s: its objective passed, and less urgent tasks that were
+/// still in time took each processor as it became free, since no resources were reserved for a
+/// late gang.
 #[test]
 fn a_late_gang_is_not_starved_by_less_urgent_tasks() {
     let mut planner = planner(1);
@@ -363,9 +362,9 @@
     let mut early = Vec::new();
     for nth in 0..4_u32 {
         let millis = 14_000 + 100 * (u64::from(nth) + 1);
-        let rest = (nth + 1..4).map(|at| running(task(JOB, 0, at), 1));
+        let remaining = (nth + 1..4).map(|at| running(task(JOB, 0, at), 1));
         let end = ended(u64::from(nth) + 1, task(JOB, 0, nth), 1, RunEnd::Done);
-        let listed = worker_report(rest.collect(), vec![end]);
+        let listed = worker_report(remaining.collect(), vec![end]);
         planner.extend_lease(key);
         planner.apply_report(key, Duration::from_millis(millis), &listed);
         early.push(plan_at(&mut planner, millis));
--- a/crates/job/tests/preempt.rs
+++ b/crates/job/tests/preempt.rs
@@ -43,7 +43,7 @@
     gang
 }
 
-/// A worker of four cores that confirms what it was given to run.
+/// Adds a worker of four cores, plans, and confirms the starts.
 fn busy_worker(planner: &mut Planner, id: &str, millis: u64) -> WorkerKey {
     let key = add_claimed(planner, id);
     for (task, run, worker) in plan_at(planner, millis) {
@@ -52,7 +52,7 @@
     key
 }
 
-/// Plans, and returns the number of starts and the stopped runs.
+/// Plans, and returns the number of starts and the runs to be stopped.
 fn commands_at(planner: &mut Planner, millis: u64) -> (usize, Vec<(TaskKey, RunId)>) {
     planner.advance(Duration::from_millis(millis));
     planner.plan();
@@ -74,10 +74,10 @@
     (starts, stops)
 }
 
-/// Guards against gangs that are late while a fifth of the pool's processors are idle.
-/// Tasks of a lookup fill the workers, and a gang needs several slots at the same time;
-/// workers reserved for it stood half empty until their last task had ended, because
-/// lookups, which can resume where they were stopped, were not preempted.
+/// Guards against gangs that are late while a fifth of the pool's processors are idle. Less urgent
+/// tasks fill the workers, and a gang needs several slots at the same time. Workers reserved for
+/// it stayed half empty until their last task had ended, because the tasks were not preempted,
+/// though they can resume from checkpoints.
 #[test]
 fn a_gang_preempts_tasks_that_can_resume_later() {
     let mut planner = planner(1);
@@ -176,7 +176,7 @@
     assert!(stops.is_empty(), "{stops:?}");
 }
 
-/// A lookup that could not be in time after a preemption keeps its resources.
+/// Tasks whose job could not be in time after a preemption keep their resources.
 #[test]
 fn tasks_without_time_to_spare_are_not_preempted() {
     let mut planner = planner(1);
@@ -207,7 +207,7 @@
     assert!(stops.is_empty(), "{stops:?}");
 }
 
-/// Guards against lookups that make no progress while gangs keep coming: a task is
+/// Guards against tasks that make no progress while more gangs are accepted: a task is
 /// preempted, resumes, is preempted again, and so on, and each resumption costs the time to
 /// restore its checkpoint.
 #[test]
--- a/crates/job/tests/recovery.rs
+++ b/crates/job/tests/recovery.rs
@@ -17,8 +17,8 @@
 
 const JOB: u64 = 7;
 
-/// Guards against a job that goes from active back to pending, because its owner died and the
-/// successor has no report yet from the worker that runs the job.
+/// Guards against a job status that goes from active back to pending, because the owner died and
+/// its successor has no report yet from the worker that runs the job.
 #[test]
 fn a_job_is_undecided_until_its_workers_report() {
     let mut planner = planner(2);
@@ -41,7 +41,7 @@
 #[test]
 fn tasks_wait_for_the_lease_of_an_unknown_worker() {
     let mut planner = planner(2);
-    planner.add_missing_worker();
+    planner.add_unreadable_worker();
     let key = planner.restore_worker(worker("w1")).expect("a new worker");
     planner.register_worker(worker("w1"));
     planner.apply_report(key, Duration::ZERO, &worker_report(vec![], vec![]));
--- a/crates/job/tests/renewal.rs
+++ b/crates/job/tests/renewal.rs
@@ -1,4 +1,4 @@
-//! Tests of how long an owner may renew leases, judged by that owner alone.
+//! How long an owner may renew leases, which it decides from its own state alone.
 
 use std::time::Duration;
 
@@ -14,7 +14,8 @@
     RenewalAuthority::new(Duration::from_secs(now), workers)
 }
 
-/// Times in seconds at which the workers accepted a command, in order of their names.
+/// Returns a function from a worker to the time in seconds at which it accepted a command; `times`
+/// are in the order of [`WORKERS`].
 fn accepted_at(times: &[u64]) -> impl Fn(&str) -> Option<Duration> {
     move |worker| {
         let at = WORKERS.iter().position(|one| *one == worker)?;
--- a/crates/job/tests/saving.rs
+++ b/crates/job/tests/saving.rs
@@ -21,10 +21,10 @@
 use support::step;
 use support::worker_report;
 
-/// Number of jobs that begin at the same time.
+/// Number of jobs that start at the same time.
 const JOBS: u64 = 200;
 
-/// Largest number of jobs in a transaction.
+/// Maximum number of jobs in a transaction.
 const BATCH: usize = 60;
 
 /// Starts one task per job, each on a worker of its own; returns the starts.
@@ -42,11 +42,11 @@
     starts
 }
 
-/// Guards against ends that are saved, and shown as completed, seconds late when many jobs
-/// begin at once. That a job has begun is saved as well. Batches were filled in the order of
+/// Guards against ends that are saved, and jobs that are shown as completed, seconds late when many
+/// jobs start at the same time. The start of a job is saved as well. Batches were filled in the order of
 /// job ids, and no end counts as recorded before its whole batch is saved.
 #[test]
-fn ends_are_saved_before_begins() {
+fn ends_are_saved_before_job_starts() {
     let mut planner = planner(1);
     let starts = start_all(&mut planner);
     let &(task, run, key) = starts.iter().max_by_key(|start| start.0).expect("starts");
@@ -62,15 +62,19 @@
     let outcome = first.jobs.iter().find(|(id, _)| *id == task.step.job);
     assert!(outcome.is_some_and(|(_, progress)| progress.outcome.is_some()));
     assert!(first.ends.contains(&(key, 1)), "its end counts as recorded");
-    assert_eq!(first.jobs.len(), BATCH, "begins fill the rest of the batch");
+    assert_eq!(
+        first.jobs.len(),
+        BATCH,
+        "job starts fill the remaining batch"
+    );
     assert_eq!(jobs, 200, "each job is saved once");
 }
 
-/// Guards against a refused job that is shown as pending but not counted as waiting. No worker
-/// was large enough for it; it counted as ended once that was decided, but is shown as failed
-/// only once that is saved. A successor without workers keeps such a job waiting.
+/// Guards against a job that is shown as pending but not counted as waiting. It fails because no
+/// worker is large enough for it. It counted as ended as soon as that was decided, but is shown as
+/// failed only once that is saved. A successor without workers keeps such a job waiting.
 #[test]
-fn a_refused_job_waits_until_its_outcome_is_saved() {
+fn an_impossible_job_waits_until_its_outcome_is_saved() {
     let mut planner = planner(1);
     add_claimed(&mut planner, "w1");
     plan_at(&mut planner, 10_000);
--- a/crates/job/tests/support/incarnations.rs
+++ b/crates/job/tests/support/incarnations.rs
@@ -20,7 +20,7 @@
 use super::worker;
 use super::worker_report;
 
-/// Start of the first incarnation of the worker, and of the next one.
+/// Start times of the first incarnation of the worker, and of the next one.
 pub const FIRST_START: u64 = 1_790_000_000_000;
 pub const NEXT_START: u64 = FIRST_START + 5000;
 
@@ -55,7 +55,8 @@
     planner.apply_report(key, at(sent), report);
 }
 
-/// Plans, completes the writes that must precede a start, and plans again 5 ms later.
+/// Plans, completes the save that must precede the start of a suspect, and plans again 5 ms
+/// later.
 pub fn plan_saved(planner: &mut Planner, now: u64) -> Vec<(TaskKey, RunId, WorkerKey)> {
     let mut starts = plan_at(planner, now);
     save(planner);
@@ -63,12 +64,13 @@
     starts
 }
 
+/// Saves all unsaved progress.
 pub fn save(planner: &mut Planner) {
     let batch = planner.take_batch(10);
     planner.batch_saved(&batch);
 }
 
-/// Key of the new incarnation that the planner has found, according to its commands.
+/// Returns the key of the new incarnation in the planner's commands, if there is one.
 pub fn new_incarnation(planner: &mut Planner) -> Option<WorkerKey> {
     let commands = planner.take_commands();
     commands.into_iter().find_map(|command| match command {
--- a/crates/job/tests/support/mod.rs
+++ b/crates/job/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures for the tests of the planner.
+//! Fixtures for the planner tests.
 #![allow(dead_code, missing_docs)]
 
 pub mod incarnations;
