--- a/crates/job/src/mechanism.rs
+++ b/crates/job/src/mechanism.rs
@@ -38,7 +38,7 @@
     LearntShare,
     /// Runs that make no progress are moved to other workers.
     StallMoves,
-    /// Workers on which several jobs in a row failed get no work for a while.
+    /// A worker on which several consecutive jobs failed gets no new work for some seconds.
     Rest,
     /// Some helpers are reserved for quick advice calls.
     QuickHelpers,
--- a/crates/job/src/planner/adopt.rs
+++ b/crates/job/src/planner/adopt.rs
@@ -37,7 +37,7 @@
         }
         let trusted = self.workers[key].ends_trusted;
         let Some(job) = self.jobs.get_mut(&task.step.job) else {
-            self.book_unknown(key, running);
+            self.book_unknown_run(key, running);
             return;
         };
         // Runs of an ended job keep their resources booked until they have stopped.
@@ -87,7 +87,7 @@
 
     /// Books and stops a run of an unknown job. The resources that it needs are unknown, too, so
     /// the worker gets no work until the run has stopped.
-    fn book_unknown(&mut self, key: WorkerKey, running: &ActiveRun) {
+    fn book_unknown_run(&mut self, key: WorkerKey, running: &ActiveRun) {
         let placed = PlacedRun {
             run: running.run,
             booked: Resources::default(),
--- a/crates/job/src/planner/advice.rs
+++ b/crates/job/src/planner/advice.rs
@@ -87,7 +87,7 @@
         // some workers may run them. Otherwise a few steps with many tasks made call after call,
         // and new steps got their first answer after 15 s.
         ranked.sort_by_cached_key(|&(rank, key)| {
-            let repeated = self.asked_before(key);
+            let repeated = self.has_answer(key);
             (rank.stage, rank.priority, repeated, rank, key)
         });
         self.advice_queue = AdviceQueue {
@@ -103,7 +103,7 @@
             self.rank_steps();
         }
         while let Some((rank, key)) = self.advice_queue.waiting.pop_front() {
-            if !self.fits_next(key) {
+            if !self.may_start_next(key) {
                 continue;
             }
             let Some(request) = self.build_request(rank, key, free) else {
@@ -138,12 +138,11 @@
         None
     }
 
-    /// Returns whether a gang could start next: its need and that of the gangs before it fit
-    /// into the processors available to gangs. Single tasks are not limited. Tickets are valid
-    /// for 2.5 s; without this limit, calls were repeated under a backlog for gangs that could
-    /// not start soon: 559 of 1,430 s of the service's time led to no start, and single tasks
-    /// got no answers.
-    fn fits_next(&mut self, key: StepKey) -> bool {
+    /// Returns whether a gang could start next: its need and that of the gangs before it fit into
+    /// the processors available to gangs. Single tasks are not limited. Tickets are valid for 2.5
+    /// s; without this limit, calls were repeated under a backlog for gangs that could not start
+    /// soon: 559 of 1,430 s of the service's time led to no start, and single tasks got no answers.
+    fn may_start_next(&mut self, key: StepKey) -> bool {
         let by_resources = self.policy.switches.enabled(Mechanism::AdviceByRoom);
         let job = self.jobs.get(&key.job);
         let step = job.and_then(|job| job.step(key));
@@ -159,7 +158,7 @@
     }
 
     /// Returns whether an advice call for a step of single tasks has been answered already.
-    fn asked_before(&self, key: StepKey) -> bool {
+    fn has_answer(&self, key: StepKey) -> bool {
         let job = self.jobs.get(&key.job);
         let step = job.and_then(|job| job.step(key));
         step.is_some_and(|(spec, step)| !spec.gang && !step.advised.asked.is_empty())
@@ -215,8 +214,7 @@
         *share += (found - *share) * SHARE_GAIN;
     }
 
-    /// Handles the answer to a call about the workers `asked`; its tickets expire at
-    /// `until`.
+    /// Handles the answer to a call about the workers `asked`; its tickets expire at `until`.
     pub fn handle_advice(
         &mut self,
         key: StepKey,
@@ -255,9 +253,8 @@
         }
     }
 
-    /// Returns the incarnation of each worker that a call asked about, since a ticket is valid
-    /// for one incarnation only. Workers that have been removed or have a new incarnation are
-    /// left out.
+    /// Returns the incarnation of each worker that a call asked about, since a ticket is valid for
+    /// one incarnation only. Workers that have been removed or have a new incarnation are left out.
     fn asked_incarnations<'a>(
         &self,
         key: StepKey,
--- a/crates/job/src/planner/advice_candidates.rs
+++ b/crates/job/src/planner/advice_candidates.rs
@@ -140,9 +140,8 @@
         worker_ids(asked_again.into_iter().chain(chosen))
     }
 
-    /// Returns the workers for one more call, in parallel to the unanswered ones for the same
-    /// step. These are workers not asked about yet; none once the expected number of slots is
-    /// sufficient.
+    /// Returns the workers for one more call, in parallel to the unanswered ones for the same step.
+    /// These are workers not asked about yet; none once the expected number of slots is sufficient.
     fn more_workers_to_ask(
         &self,
         query: AdviceQuery,
--- a/crates/job/src/planner/crash_count.rs
+++ b/crates/job/src/planner/crash_count.rs
@@ -139,13 +139,13 @@
 
     /// Decides on suspects that were alone on a worker that crashed, once crashes with a common
     /// cause would have been detected. Fails the jobs of those that caused the crash.
-    pub(super) fn judge_suspects(&mut self) {
+    pub(super) fn decide_suspects(&mut self) {
         let now = self.now;
         self.suspects
             .crash_times
             .retain(|crash| *crash + COMMON_CAUSE_WINDOW + TRIAL_DELAY >= now);
-        let mut culprits = Vec::new();
-        self.suspects.verdict_due = false;
+        let mut crashers = Vec::new();
+        self.suspects.decision_due = false;
         for task in std::mem::take(&mut self.suspects.tasks) {
             let job = self.jobs.get_mut(&task.step.job);
             let Some(job) = job.filter(|job| job.outcome.is_none()) else {
@@ -156,7 +156,7 @@
             };
             self.suspects.tasks.insert(task);
             if now < suspicion.not_before {
-                self.suspects.verdict_due |= suspicion.alone_crash.is_some();
+                self.suspects.decision_due |= suspicion.alone_crash.is_some();
                 continue;
             }
             let alone = suspicion.alone_crash.take();
@@ -166,10 +166,10 @@
                 alone.is_some_and(|at| !self.suspects.crash_times.iter().any(nearby(at)));
             let run = suspicion.crashes.last().copied();
             if sole_crash && suspicion.trial_decides() {
-                culprits.extend(run.map(|run| (task, run)));
+                crashers.extend(run.map(|run| (task, run)));
             }
         }
-        for (task, run) in culprits {
+        for (task, run) in crashers {
             self.fail_suspect(task, run);
         }
     }
--- a/crates/job/src/planner/expected.rs
+++ b/crates/job/src/planner/expected.rs
@@ -15,7 +15,7 @@
 const WORKERS_PER_CALL: u32 = 30;
 
 /// Interval at which the estimates of open jobs are computed again. Within it, newly learnt run
-/// times change a queue's estimates by a few per cent.
+/// times change a queue's estimates by a few percent.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Amounts of processor time are in thousandths of a core.
@@ -59,8 +59,7 @@
     }
 }
 
-/// Returns the length of the longest chain of dependent steps, with the run times
-/// `task_times`.
+/// Returns the length of the longest chain of dependent steps, with the run times `task_times`.
 fn longest_path(spec: &JobSpec, task_times: &[Duration]) -> Duration {
     tail_times(spec, task_times)
         .into_iter()
@@ -68,8 +67,7 @@
         .unwrap_or_default()
 }
 
-/// Returns, for each step, the run time of the longest chain from its start to the end of the
-/// job.
+/// Returns, for each step, the run time of the longest chain from its start to the end of the job.
 fn tail_times(spec: &JobSpec, task_times: &[Duration]) -> Vec<Duration> {
     let mut tail_times = task_times.to_vec();
     for (at, step) in spec.steps.iter().enumerate().rev() {
--- a/crates/job/src/planner/gang.rs
+++ b/crates/job/src/planner/gang.rs
@@ -16,14 +16,14 @@
         let Some((spec, step)) = job.and_then(|job| job.step_mut(key)) else {
             return;
         };
-        let lasting = spec.long_running;
+        let long_running = spec.long_running;
         // A checkpoint of any member is valid for all; task 0 holds it.
         if let Some(first) = step.tasks.first_mut()
             && !end.checkpoint.is_empty()
         {
             first.checkpoint.clone_from(&end.checkpoint);
         }
-        if end.how == RunEnd::Done && !lasting {
+        if end.how == RunEnd::Done && !long_running {
             // One member's end counts for all members.
             for state in &mut step.tasks {
                 state.phase = Phase::Done;
@@ -48,15 +48,15 @@
         let Some((_, step)) = job.and_then(|job| job.step(key)) else {
             return;
         };
-        let mut alive = Vec::new();
+        let mut remaining = Vec::new();
         for (index, task) in (0..).zip(&step.tasks) {
             if let Phase::Active(worker, active) = task.phase
                 && active == run
             {
-                alive.push((TaskKey { step: key, index }, worker));
+                remaining.push((TaskKey { step: key, index }, worker));
             }
         }
-        for (task, worker) in alive {
+        for (task, worker) in remaining {
             self.stop_run(worker, task, run, StopReason::GangBroken);
         }
     }
--- a/crates/job/src/planner/job_state.rs
+++ b/crates/job/src/planner/job_state.rs
@@ -298,7 +298,7 @@
     }
 
     /// Returns the runs of the job that may still be active.
-    pub(super) fn live_runs(&self, id: JobId) -> Vec<(TaskKey, WorkerKey, RunId)> {
+    pub(super) fn active_runs(&self, id: JobId) -> Vec<(TaskKey, WorkerKey, RunId)> {
         let mut runs = Vec::new();
         for (&round, steps) in &self.rounds {
             for (step, state) in (0..).zip(steps) {
--- a/crates/job/src/planner/load.rs
+++ b/crates/job/src/planner/load.rs
@@ -100,7 +100,7 @@
             };
             count.unfinished += 1;
             count.waiting += usize::from(!job.started);
-            let unconfirmed = !confirmed.contains(id) && !job.live_runs(*id).is_empty();
+            let unconfirmed = !confirmed.contains(id) && !job.active_runs(*id).is_empty();
             count.unconfirmed += usize::from(unconfirmed);
         }
         counts
--- a/crates/job/src/planner/mod.rs
+++ b/crates/job/src/planner/mod.rs
@@ -209,9 +209,8 @@
     /// have started are not started again.
     recovering: bool,
     /// State that determines until when the former owner may renew leases.
-    succession: PredecessorAuthority,
-    /// Number of workers that a former owner may have used and whose rows could not be
-    /// read.
+    predecessor: PredecessorAuthority,
+    /// Number of workers that a former owner may have used and whose rows could not be read.
     unreadable_workers: usize,
     /// When this epoch began.
     started_at: Duration,
@@ -222,7 +221,7 @@
 /// Time after a take-over within which another process may still send a new job to the former
 /// owner, which may then start it. Processes learn of a take-over from a feed that answers
 /// every 0.5 s.
-const HINT_DELAY: Duration = Duration::from_secs(2);
+const LATE_SUBMIT_WINDOW: Duration = Duration::from_secs(2);
 
 /// Time after a take-over for which reported ends of unknown jobs are retained. If such a job
 /// exists, it is read within this time, which is longer than most outages of the store.
@@ -235,7 +234,7 @@
     pub fn new(policy: Policy, epoch: Epoch, now: Duration, wall_origin: Duration) -> Planner {
         Planner {
             recovering: true,
-            succession: PredecessorAuthority::new(now),
+            predecessor: PredecessorAuthority::new(now),
             unreadable_workers: 0,
             started_at: now,
             peak_pools: PeakPools::default(),
@@ -316,7 +315,7 @@
         } else {
             Duration::ZERO
         };
-        let early = self.recovering && self.now < self.started_at + HINT_DELAY;
+        let early = self.recovering && self.now < self.started_at + LATE_SUBMIT_WINDOW;
         let canceled = spec.canceled;
         let accepted_at = self.now.saturating_sub(age.min(self.policy.max_age));
         let mut job = JobState::new(spec, accepted_at, old || early, &self.run_times);
@@ -335,7 +334,7 @@
             (false, false) => self.open_steps(id),
         }
         for (key, end) in self.unmatched_ends.remove(&id).unwrap_or_default() {
-            self.task_ended(key, &end);
+            self.run_ended(key, &end);
         }
     }
 
@@ -364,7 +363,7 @@
     pub fn process_timeouts(&mut self) {
         self.expire_workers();
         self.end_recovery();
-        self.judge_suspects();
+        self.decide_suspects();
         if self.now > self.started_at + UNMATCHED_RETENTION {
             self.unmatched_ends.clear();
         }
@@ -409,12 +408,11 @@
         Some(self.now.saturating_sub(job.accepted_at))
     }
 
-    /// Counts a worker that a former owner may have used and whose row could not be read.
-    /// Recovery then waits for the expiry of that worker's lease, whatever the other workers
-    /// report.
+    /// Counts a worker that a former owner may have used and whose row could not be read. Recovery
+    /// then waits for the expiry of that worker's lease, whatever the other workers report.
     pub fn add_unreadable_worker(&mut self) {
         self.unreadable_workers += 1;
-        self.succession.add_row();
+        self.predecessor.add_row();
     }
 
     /// Returns whether runs of a former owner may be active that no worker has reported.
@@ -445,7 +443,7 @@
         let unclaimed = self.workers.values().filter(|worker| !worker.claimed);
         let inherited = unclaimed.clone().filter(|worker| worker.inherited);
         let uncertain = inherited.clone().count() + self.unreadable_workers;
-        self.succession.update(self.now, uncertain);
+        self.predecessor.update(self.now, uncertain);
         let unreported =
             unclaimed.count() > 0 || self.workers.is_empty() || self.unreadable_workers > 0;
         // A renewal meant for an earlier incarnation gives a new one a lease by the clock of the
@@ -458,7 +456,7 @@
         } else {
             self.policy.max_lease_expiry()
         };
-        let expires_at = self.succession.last_renewal() + expiry;
+        let expires_at = self.predecessor.last_renewal() + expiry;
         if unreported && self.now < expires_at {
             return;
         }
@@ -479,7 +477,7 @@
         };
         job.outcome = Some(outcome);
         job.ended_at = self.now;
-        let alive = job.live_runs(id);
+        let active = job.active_runs(id);
         job.drop_details();
         self.dirty_jobs.insert(id);
         let first = StepKey {
@@ -496,7 +494,7 @@
         for key in pending {
             self.pending_steps.remove(&key);
         }
-        for (task, worker, run) in alive {
+        for (task, worker, run) in active {
             self.stop_run(worker, task, run, StopReason::JobEnded);
         }
     }
--- a/crates/job/src/planner/rank.rs
+++ b/crates/job/src/planner/rank.rs
@@ -107,10 +107,10 @@
         }
     }
 
-    /// Returns, of the gangs that can no longer meet their objective, the one whose job was
-    /// accepted first. It is ranked like a gang in time: otherwise tasks that are still in time
-    /// take each processor that becomes free, and a gang that few workers may run never starts.
-    /// Only one gang is preferred in this way; under overload, more of them would make all
+    /// Returns the gang that is ranked as if it were in time: of those that can no longer meet
+    /// their objective, the one whose job was accepted first. Otherwise tasks that are still in
+    /// time take each processor that becomes free, and a gang that few workers may run never
+    /// starts. Only one gang is preferred in this way; under overload, more of them would make all
     /// others late.
     pub(super) fn find_overdue_gang(&self) -> Option<StepKey> {
         if !self.policy.switches.enabled(Mechanism::Elder) {
--- a/crates/job/src/planner/report.rs
+++ b/crates/job/src/planner/report.rs
@@ -232,7 +232,7 @@
             self.run_observed(end.task, end.run, Observation::of_end(end));
             return;
         }
-        self.task_ended(key, end);
+        self.run_ended(key, end);
     }
 
     /// Confirms a run that the worker reports as running, or adopts or stops it if it is not
@@ -260,8 +260,8 @@
         self.adopt_run(key, running);
     }
 
-    /// Processes booked runs that the report does not list: confirmed ones are lost, and those whose
-    /// start got no reply are stopped.
+    /// Processes booked runs that the report does not list: confirmed ones are lost, and those
+    /// whose start got no reply are stopped.
     fn drop_unlisted(&mut self, key: WorkerKey, sent: Duration, report: &WorkerReport) {
         let listed: HashMap<TaskKey, RunId> = report
             .running
@@ -345,9 +345,9 @@
         self.clear_run(task, run);
     }
 
-    /// Processes the end of a run for its task and job. The end of a run of an unknown job is kept
-    /// until the job is read.
-    pub(super) fn task_ended(&mut self, key: WorkerKey, end: &EndedRun) {
+    /// Processes the end of a run for its task and job. The end of a run of an unknown job is
+    /// retained until the job is read.
+    pub(super) fn run_ended(&mut self, key: WorkerKey, end: &EndedRun) {
         let task = end.task;
         let Some(job) = self.jobs.get_mut(&task.step.job) else {
             let unmatched = self.unmatched_ends.entry(task.step.job).or_default();
@@ -370,14 +370,14 @@
         let Some((spec, step)) = job.step_mut(task.step) else {
             return;
         };
-        let (gang, lasting) = (spec.gang, spec.long_running);
+        let (gang, long_running) = (spec.gang, spec.long_running);
         let Some(state) = step.tasks.get(task.index as usize) else {
             return;
         };
         let already_done = state.phase == Phase::Done;
         let is_current = state.phase == Phase::Active(key, end.run);
         let may_count = state.phase == Phase::Waiting && end.run > state.last_closed;
-        if end.how == RunEnd::Failed && !lasting && !already_done {
+        if end.how == RunEnd::Failed && !long_running && !already_done {
             // Failures count in any phase of the task: a successor receives the ends of several
             // runs from several workers in any order.
             self.dirty_jobs.insert(task.step.job);
@@ -387,7 +387,7 @@
             }
         }
         if !is_current && !may_count {
-            if end.how == RunEnd::Done && !lasting && !already_done {
+            if end.how == RunEnd::Done && !long_running && !already_done {
                 self.accept_late_end(end, gang);
             }
             return;
@@ -403,7 +403,7 @@
         if !end.checkpoint.is_empty() {
             state.checkpoint.clone_from(&end.checkpoint);
         }
-        if end.how == RunEnd::Done && !lasting {
+        if end.how == RunEnd::Done && !long_running {
             self.task_done(task);
             return;
         }
--- a/crates/job/src/planner/reservations.rs
+++ b/crates/job/src/planner/reservations.rs
@@ -102,10 +102,9 @@
     /// become empty first: under a backlog 200 of 508 workers were reserved, and a fifth of all
     /// processors were idle there.
     ///
-    /// More urgent tasks are still placed first in each pass, but on workers without
-    /// reservations if possible. Without that, in a lightly loaded pool, a gang that needed a
-    /// quarter of the pool waited 27 s while urgent single tasks used the resources that became
-    /// free.
+    /// More urgent tasks are still placed first in each pass, but on workers without reservations
+    /// if possible. Without that, in a lightly loaded pool, a gang that needed a quarter of the
+    /// pool waited 27 s while urgent single tasks used the resources that became free.
     pub(super) fn reserve_resources(
         &self,
         rank: Rank,
--- a/crates/job/src/planner/roster.rs
+++ b/crates/job/src/planner/roster.rs
@@ -242,7 +242,7 @@
         let worker = &mut self.workers[key];
         worker.inherited = true;
         worker.unregistered = true;
-        self.succession.add_row();
+        self.predecessor.add_row();
         Some(key)
     }
 
@@ -350,7 +350,7 @@
         let awaited = self.workers.iter().filter(|(_, worker)| {
             let report_due = recovering && !worker.claimed;
             let absent = worker.unresponsive || worker.unregistered;
-            let needed = !worker.runs.is_empty() || self.suspects.verdict_due;
+            let needed = !worker.runs.is_empty() || self.suspects.decision_due;
             report_due || absent && needed
         });
         awaited
@@ -367,11 +367,11 @@
         } else {
             LossCause::Crashed
         };
-        self.drop_worker(key, cause);
+        self.remove_worker(key, cause);
     }
 
     /// Removes an incarnation of a worker. If another one has registered, it takes its place.
-    fn drop_worker(&mut self, key: WorkerKey, cause: LossCause) {
+    fn remove_worker(&mut self, key: WorkerKey, cause: LossCause) {
         if let Some(worker) = self.end_incarnation(key, cause, 0)
             && let Some((next_info, _)) = worker.reregistration
             && let Some(next) = self.register_worker(next_info)
@@ -393,7 +393,7 @@
         }
         let runs = std::mem::take(&mut self.workers[key].runs);
         let runs: Vec<(TaskKey, PlacedRun)> = runs.into_iter().collect();
-        self.lose_runs(key, &runs, cause, transferred);
+        self.record_lost_runs(key, &runs, cause, transferred);
         let worker = self.workers.remove(key)?;
         self.peak_pools.workers_changed(self.now);
         let id = worker.info.id.clone();
@@ -403,7 +403,7 @@
     }
 
     /// Counts runs of a worker as lost.
-    fn lose_runs(
+    fn record_lost_runs(
         &mut self,
         key: WorkerKey,
         runs: &[(TaskKey, PlacedRun)],
@@ -448,7 +448,7 @@
             self.expire_runs(key);
             let worker = &self.workers[key];
             if worker.unregistered && worker.runs.is_empty() {
-                self.drop_worker(key, LossCause::LeaseExpired);
+                self.remove_worker(key, LossCause::LeaseExpired);
             }
         }
     }
@@ -471,7 +471,7 @@
         let past_expiry: Vec<(TaskKey, PlacedRun)> = past_expiry.collect();
         // The worker gets no work before its next report.
         worker.claimed = false;
-        self.lose_runs(key, &past_expiry, LossCause::LeaseExpired, 0);
+        self.record_lost_runs(key, &past_expiry, LossCause::LeaseExpired, 0);
     }
 
     /// Issues a stop command, unless the run is being stopped already. Its resources stay booked
--- a/crates/job/src/planner/stale_capacity.rs
+++ b/crates/job/src/planner/stale_capacity.rs
@@ -1,11 +1,10 @@
 //! Limits how far workers are filled while their registrations cannot be read.
 //!
-//! A worker's capacity may shrink while it runs, and only its registration shows that. An
-//! owner that cannot reach the store would fill workers by an outdated capacity, beyond the
-//! current one, and tasks would run very slowly, as was seen in an outage. So in a pool in
-//! which capacities were seen to shrink, each worker is filled only up to a share of its largest
-//! capacity: the smallest share that any worker of the pool has had. Other pools are not
-//! affected.
+//! A worker's capacity may shrink while it runs, and only its registration shows that. An owner
+//! that cannot reach the store would fill workers by an outdated capacity, beyond the current one,
+//! and tasks would run very slowly, as was seen in an outage. So in a pool in which capacities were
+//! seen to shrink, each worker is filled only up to a share of its largest capacity: the smallest
+//! share that any worker of the pool has had. Other pools are not affected.
 
 use super::Planner;
 use super::WorkerKey;
--- a/crates/job/src/planner/start_intent.rs
+++ b/crates/job/src/planner/start_intent.rs
@@ -12,8 +12,8 @@
 use crate::TaskKey;
 
 impl Planner {
-    /// Adds the tasks with saved crash records to the suspects. A record contains crashes or a start
-    /// intent.
+    /// Adds the tasks with saved crash records to the suspects. A record contains crashes or a
+    /// start intent.
     pub(super) fn restore_suspects(&mut self, job: JobId, progress: &Progress) {
         let tasks = progress.crashes.keys();
         let tasks = tasks.map(|&(round, step, index)| {
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Records a start intent for each waiting suspect of a step, so that the start may be sent once
-    /// the intent is saved. Fails the job of a suspect with too many crashes.
+    /// Records a start intent for each waiting suspect of a step, so that the start may be sent
+    /// once the intent is saved. Fails the job of a suspect with too many crashes.
     pub(super) fn record_intents(&mut self, key: StepKey) {
         let now = self.now;
         for task in self.waiting_suspects(key) {
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Returns the number of the next run of a task. All members of a gang start under the highest next
-    /// number among them.
+    /// Returns the number of the next run of a task. All members of a gang start under the highest
+    /// next number among them.
     fn upcoming_run(&self, task: TaskKey) -> Option<RunId> {
         let job = self.jobs.get(&task.step.job)?;
         let (spec, step) = job.step(task.step)?;
--- a/crates/job/src/planner/suspicion.rs
+++ b/crates/job/src/planner/suspicion.rs
@@ -51,7 +51,7 @@
     pub(super) tasks: BTreeSet<TaskKey>,
     /// A suspect was alone on a worker that crashed, and it is not decided yet whether the suspect
     /// caused the crash.
-    pub(super) verdict_due: bool,
+    pub(super) decision_due: bool,
     /// During recovery, a worker crashed before it sent a report of the former owner's runs.
     pub(super) unreported_crash: bool,
     /// Times of recent crashes of workers that had no suspects.
@@ -97,7 +97,8 @@
         }
     }
 
-    /// Returns the crash record to be saved for a successor; `None` if nothing counts against the task.
+    /// Returns the crash record to be saved for a successor; `None` if nothing counts against the
+    /// task.
     pub(super) fn record(&self) -> Option<CrashRecord> {
         let record = CrashRecord {
             runs: self.crashes.clone(),
--- a/crates/job/src/worker.rs
+++ b/crates/job/src/worker.rs
@@ -82,7 +82,7 @@
     pub checkpoint: String,
 }
 
-/// A worker's reply that lists its active runs and the ended runs that it still keeps.
+/// A worker's reply that lists its active runs, and the ended runs that are not acknowledged yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WorkerReport {
     /// Incarnation of the worker that replied; `None` if the worker does not report it.
--- a/crates/job/tests/backlog.rs
+++ b/crates/job/tests/backlog.rs
@@ -49,7 +49,7 @@
 
     let mut jobs: Vec<JobId> = starts.iter().map(|(task, ..)| task.step.job).collect();
     jobs.dedup();
-    // The oldest late gang keeps its rank, so that it starts eventually.
+    // The oldest late gang is ranked like one in time, so that it starts eventually.
     assert_eq!(jobs, vec![OLDEST, IN_TIME]);
 }
 
@@ -130,11 +130,10 @@
     assert!(starts.iter().all(|(task, ..)| task.step.job == LARGE));
 }
 
-/// Guards against reservations of whole workers: under a backlog, two fifths of the workers
-/// were reserved for gangs, a fifth of all processors were idle there, and the gangs did
-/// not start. The smallest number of workers that could hold a gang when empty was reserved,
-/// while longer tasks still ran there, and slots that became free on other workers went to less
-/// urgent tasks.
+/// Guards against reservations of whole workers: under a backlog, two fifths of the workers were
+/// reserved for gangs, a fifth of all processors were idle there, and the gangs did not start. The
+/// smallest number of workers that could hold a gang when empty was reserved, while longer tasks
+/// still ran there, and slots that became free on other workers went to less urgent tasks.
 #[test]
 fn a_gang_reserves_slots_that_become_free_on_any_worker() {
     const LONG: JobId = 1;
--- a/crates/job/tests/crash_sim/mod.rs
+++ b/crates/job/tests/crash_sim/mod.rs
@@ -135,7 +135,7 @@
         sim
     }
 
-    /// Replaces the owner by one that knows only what was stored.
+    /// Replaces the owner by a successor that has only what was stored.
     pub fn take_over(&mut self) {
         self.epoch += 1;
         self.saving = None;
--- a/crates/job/tests/event_sim/crashes.rs
+++ b/crates/job/tests/event_sim/crashes.rs
@@ -33,7 +33,7 @@
     /// Number of restarts of the worker on each machine.
     incarnations: [usize; WORKERS],
     /// Ids of incarnations that have crashed, until the owner is told.
-    unknown: Vec<String>,
+    undetected: Vec<String>,
     /// Number of cores on each machine, and when it last changed.
     cores: BTreeMap<usize, (u64, Duration)>,
     /// Number of starts of each task that crashes its workers.
@@ -43,7 +43,7 @@
     /// Number of failed runs of each task.
     failures: BTreeMap<TaskKey, usize>,
     /// Number of take-overs.
-    owners: usize,
+    takeovers: usize,
     /// Runs that crashed workers had reported as active.
     lost: Vec<(WorkerKey, TaskKey, RunId)>,
     /// State of workers that start again under the same id; `None` if there are none.
@@ -156,7 +156,7 @@
             return;
         };
         if !keeps_id {
-            faults.unknown.push(id);
+            faults.undetected.push(id);
         }
         // The crash resets the worker's connections; the owner does not see some of the resets.
         if !self.now.as_millis().is_multiple_of(4) {
@@ -200,9 +200,9 @@
             return;
         };
         self.planner.advance(self.now);
-        let unknown = std::mem::take(&mut faults.unknown);
+        let undetected = std::mem::take(&mut faults.undetected);
         self.report_same_ids();
-        for id in unknown {
+        for id in undetected {
             if let Some(key) = self.planner.worker_key(&id) {
                 self.planner.worker_ended(key);
             }
@@ -226,8 +226,8 @@
         let Some(faults) = &mut self.faults else {
             return;
         };
-        faults.owners += 1;
-        for id in &faults.unknown {
+        faults.takeovers += 1;
+        for id in &faults.undetected {
             self.planner.restore_worker(support::worker(id));
         }
     }
@@ -244,8 +244,8 @@
         self.faults.as_ref().map_or(&[], |faults| &faults.lost)
     }
 
-    /// Checks the number of starts of a task that crashes its workers. If an owner crashes before it
-    /// has saved a first crash, its successor does not count that crash, which allows one more
+    /// Checks the number of starts of a task that crashes its workers. If an owner crashes before
+    /// it has saved a first crash, its successor does not count that crash, which allows one more
     /// start; nothing else does.
     fn check_crasher_starts(&self, task: TaskKey) {
         let Some(faults) = &self.faults else { return };
@@ -254,11 +254,11 @@
             .get(&task)
             .copied()
             .unwrap_or_default();
-        let most = MAX_STARTS + faults.owners;
+        let most = MAX_STARTS + faults.takeovers;
         assert!(
             starts <= most,
-            "{task}: {starts} starts, {} owners",
-            faults.owners
+            "{task}: {starts} starts, {} takeovers",
+            faults.takeovers
         );
     }
 
@@ -280,7 +280,8 @@
         }
     }
 
-    /// Returns the number of failed runs of a job's gangs; the failure of any member counts for the gang.
+    /// Returns the number of failed runs of a job's gangs; the failure of any member counts for the
+    /// gang.
     fn gang_failures(&self, id: JobId) -> usize {
         let Some(faults) = &self.faults else { return 0 };
         let gang = |task: &TaskKey| self.jobs[&id].steps[task.step.step as usize].gang;
--- a/crates/job/tests/event_sim/former_owner.rs
+++ b/crates/job/tests/event_sim/former_owner.rs
@@ -31,8 +31,7 @@
         !(usize::from(pick) / WORKERS + machine).is_multiple_of(5)
     }
 
-    /// Records that a worker accepts a renewal; returns the new expiry if the lease may be
-    /// renewed.
+    /// Records that a worker accepts a renewal; returns the new expiry if the lease may be renewed.
     pub fn renew(&mut self, machine: usize, now: Duration) -> Option<Duration> {
         let accepted_at = self.accepted_at;
         let until = self.authority.renewal_deadline(|worker| {
--- a/crates/job/tests/event_sim/mod.rs
+++ b/crates/job/tests/event_sim/mod.rs
@@ -137,7 +137,7 @@
         sim
     }
 
-    /// Replaces the owner by one that knows only what was stored.
+    /// Replaces the owner by a successor that has only what was stored.
     fn take_over(&mut self) {
         let former_epoch = self.epoch;
         let stored_incarnations = self.stored_incarnations();
@@ -169,8 +169,8 @@
         stored_incarnations: &HashMap<String, Option<u64>>,
     ) -> WorkerKey {
         let info: WorkerInfo = self.info(machine);
-        // The row holds the largest capacity that the worker has had, and its last known
-        // incarnation.
+        // The row holds the largest capacity that the worker has had, and the incarnation that
+        // the former owner stored.
         let row = WorkerInfo {
             incarnation: stored_incarnations
                 .get(&info.id)
@@ -185,7 +185,8 @@
         key.expect("a new worker")
     }
 
-    /// Sends a renewal from the former owner to a worker, which the successor may be unable to reach.
+    /// Sends a renewal from the former owner to a worker, which the successor may be unable to
+    /// reach.
     fn renew_by_former(&mut self, pick: u8) {
         let machine = usize::from(pick) % WORKERS;
         let Some(former_owner) = &mut self.former_owner else {
--- a/crates/job/tests/event_sim/same_ids.rs
+++ b/crates/job/tests/event_sim/same_ids.rs
@@ -189,8 +189,7 @@
         same_ids.is_some_and(|same_ids| std::mem::take(&mut same_ids.unregistered[machine]))
     }
 
-    /// Reads the registration of a former incarnation late, and then the one that has replaced
-    /// it.
+    /// Reads the registration of a former incarnation late, and then the one that has replaced it.
     fn read_stale(&mut self, pick: u8) {
         let Some(same_ids) = self.same_ids_mut() else {
             return;
@@ -253,8 +252,8 @@
         }
     }
 
-    /// Stores a renewal that is in transit to a worker when it crashes. The renewal acknowledges the
-    /// stored ends if no start without a reply can still be carried out.
+    /// Stores a renewal that is in transit to a worker when it crashes. The renewal acknowledges
+    /// the stored ends if no start without a reply can still be carried out.
     pub(super) fn keep_late_renewal(&mut self, machine: usize) {
         if !self.keeps_id(machine) || !self.workers[machine].in_contact {
             return;
--- a/crates/job/tests/event_sim/status.rs
+++ b/crates/job/tests/event_sim/status.rs
@@ -22,7 +22,8 @@
         }
     }
 
-    /// Returns whether a worker has a run, or had it when it crashed and the planner still books it.
+    /// Returns whether a worker has a run, or had it when it crashed and the planner still books
+    /// it.
     fn runs(&self, task: TaskKey, run: RunId) -> bool {
         let mut active = self.workers.iter().filter_map(|one| one.running.get(&task));
         let mut lost = self.lost_runs().iter();
--- a/crates/job/tests/impossible.rs
+++ b/crates/job/tests/impossible.rs
@@ -91,7 +91,7 @@
     assert_eq!(late.len(), 1);
 }
 
-/// Guards against a gang that fails though the pool can hold it. One of two workers
+/// Guards against a gang that fails though it fits into the pool. One of two workers
 /// crashed, and the gang was checked against the other.
 #[test]
 fn a_temporarily_small_pool_fails_no_gang() {
@@ -136,8 +136,8 @@
     assert_eq!(starts.len(), 1);
 }
 
-/// Guards against a gang that fails after a take-over. A worker died together with the
-/// owner, and the successor counted only the remaining workers, though the row of the dead
+/// Guards against a gang that fails after a take-over. A worker crashed together with the
+/// owner, and the successor counted only the remaining workers, though the row of the crashed
 /// worker states its capacity.
 #[test]
 fn workers_that_died_with_the_owner_count() {
@@ -145,9 +145,9 @@
     add_claimed(&mut planner, "w1");
     let mut other = worker("w2");
     other.address = ([127, 0, 0, 1], 2).into();
-    let dead = add_former_worker(&mut planner, other);
+    let lost_worker = add_former_worker(&mut planner, other);
     plan_at(&mut planner, 100);
-    planner.worker_ended(dead);
+    planner.worker_ended(lost_worker);
     planner.add_job(JOB, spec(vec![gang(6)]), None, false);
 
     plan_at(&mut planner, 10_000);
@@ -183,9 +183,9 @@
     for impossible_step in [large, labelled("never"), gang(9)] {
         let mut planner = planner(1);
         add_claimed(&mut planner, "w1");
-        let gone = add_claimed(&mut planner, "w2");
+        let removed = add_claimed(&mut planner, "w2");
         plan_at(&mut planner, 10);
-        planner.worker_ended(gone);
+        planner.worker_ended(removed);
         plan_at(&mut planner, 9_000);
         planner.add_job(JOB, spec(vec![impossible_step]), None, false);
 
@@ -196,7 +196,7 @@
 }
 
 /// A worker that has come back under a new id at its address counts as one worker, even
-/// while its previous incarnation has not been written off.
+/// while its previous incarnation has not been removed.
 #[test]
 fn two_incarnations_of_a_worker_count_once() {
     let mut planner = planner(1);
--- a/crates/job/tests/incarnation_leases.rs
+++ b/crates/job/tests/incarnation_leases.rs
@@ -19,7 +19,7 @@
 use support::incarnations::info;
 use support::incarnations::new_incarnation;
 use support::incarnations::report_of;
-use support::incarnations::with_history;
+use support::incarnations::worker_with_ends;
 use support::plan_at;
 use support::planner;
 use support::running;
@@ -31,8 +31,8 @@
 
 /// Adds a worker that has sent reports for 10 s, a run that it has confirmed by its reply to the
 /// start but not in a report, and a second worker that could run the task.
-fn with_fresh_start(planner: &mut Planner) -> (WorkerKey, TaskKey, RunId) {
-    let key = with_history(planner);
+fn unreported_start(planner: &mut Planner) -> (WorkerKey, TaskKey, RunId) {
+    let key = worker_with_ends(planner);
     deliver_report(planner, key, 9990, &empty_report(FIRST_START));
     planner.add_job(JOB, spec(vec![step(1)]), None, false);
     let (task, run, _) = plan_at(planner, 10_000)[0];
@@ -44,8 +44,8 @@
 
 /// Adds a job of `count` tasks that is started at 10 s. A report lists the runs of all but the last
 /// task; the start of that one counts as unanswered after 0.25 s, and the worker as unresponsive.
-fn with_unanswered_start(planner: &mut Planner, count: u32) -> (WorkerKey, TaskKey, RunId) {
-    let key = with_history(planner);
+fn unanswered_start(planner: &mut Planner, count: u32) -> (WorkerKey, TaskKey, RunId) {
+    let key = worker_with_ends(planner);
     deliver_report(planner, key, 9990, &empty_report(FIRST_START));
     planner.add_job(JOB, spec(vec![step(count)]), None, false);
     let starts = plan_at(planner, 10_000);
@@ -70,7 +70,7 @@
 #[test]
 fn an_unreported_start_is_kept_until_no_late_renewal_can_arrive() {
     let mut planner = planner(1);
-    let (key, task, _) = with_fresh_start(&mut planner);
+    let (key, task, _) = unreported_start(&mut planner);
     planner.mark_unresponsive(key);
 
     let early = plan_at(&mut planner, 20_300);
@@ -86,7 +86,7 @@
 #[test]
 fn a_reported_start_is_lost_with_its_lease() {
     let mut planner = planner(1);
-    let (key, task, run) = with_fresh_start(&mut planner);
+    let (key, task, run) = unreported_start(&mut planner);
     let report = report_of(
         FIRST_START,
         worker_report(vec![running(task, run)], Vec::new()),
@@ -104,7 +104,7 @@
 #[test]
 fn an_unanswered_start_is_kept_until_it_cannot_arrive_late() {
     let mut planner = planner(1);
-    let (key, task, _) = with_unanswered_start(&mut planner, 1);
+    let (key, task, _) = unanswered_start(&mut planner, 1);
 
     let early = plan_at(&mut planner, 20_600);
     let late = plan_at(&mut planner, 20_800);
@@ -120,7 +120,7 @@
 #[test]
 fn reported_runs_do_not_wait_for_an_unanswered_start() {
     let mut planner = planner(1);
-    let (key, last, _) = with_unanswered_start(&mut planner, 2);
+    let (key, last, _) = unanswered_start(&mut planner, 2);
 
     let late = plan_at(&mut planner, 15_100);
 
@@ -182,7 +182,7 @@
 #[test]
 fn a_start_that_is_confirmed_late_is_kept_from_then_on() {
     let mut planner = planner(1);
-    let (key, task, run) = with_unanswered_start(&mut planner, 1);
+    let (key, task, run) = unanswered_start(&mut planner, 1);
     planner.advance(at(11_900));
     planner.start_reply(key, task, run, StartReply::Started);
 
--- a/crates/job/tests/incarnations.rs
+++ b/crates/job/tests/incarnations.rs
@@ -29,7 +29,7 @@
 use support::incarnations::report_of;
 use support::incarnations::save;
 use support::incarnations::start;
-use support::incarnations::with_history;
+use support::incarnations::worker_with_ends;
 use support::plan_at;
 use support::planner;
 use support::resources;
@@ -45,7 +45,7 @@
 #[test]
 fn ends_of_a_new_incarnation_count_from_the_first_on() {
     let mut planner = planner(1);
-    let key = with_history(&mut planner);
+    let key = worker_with_ends(&mut planner);
     let next = claim_next(&mut planner, key, 100);
     planner.add_job(JOB, spec(vec![step(1)]), None, false);
     let (task, run, started_on) = plan_at(&mut planner, 110)[0];
@@ -65,7 +65,7 @@
 #[test]
 fn failed_runs_count_across_incarnations() {
     let mut planner = planner(1);
-    let mut key = with_history(&mut planner);
+    let mut key = worker_with_ends(&mut planner);
     planner.add_job(JOB, spec(vec![step(1)]), None, false);
     let mut now = 10;
 
@@ -99,7 +99,7 @@
 #[test]
 fn a_registration_alone_ends_no_incarnation() {
     let mut planner = planner(1);
-    let key = with_history(&mut planner);
+    let key = worker_with_ends(&mut planner);
     let runs = start(&mut planner, 2);
 
     for incarnation in [NEXT_START, FIRST_START - 5000] {
@@ -116,7 +116,7 @@
 #[test]
 fn a_worker_registered_as_another_incarnation_gets_no_work_until_it_reports() {
     let mut planner = planner(1);
-    let key = with_history(&mut planner);
+    let key = worker_with_ends(&mut planner);
     planner.add_job(JOB, spec(vec![step(1)]), None, false);
 
     planner.advance(at(100));
@@ -135,7 +135,7 @@
 #[test]
 fn an_incarnation_whose_clock_went_back_follows_the_current_one() {
     let mut planner = planner(1);
-    let key = with_history(&mut planner);
+    let key = worker_with_ends(&mut planner);
     let runs = start(&mut planner, 1);
 
     deliver_report(&mut planner, key, 100, &empty_report(FIRST_START - 5000));
@@ -154,7 +154,7 @@
 #[test]
 fn an_ended_incarnation_does_not_come_back() {
     let mut planner = planner(1);
-    let key = with_history(&mut planner);
+    let key = worker_with_ends(&mut planner);
     let next = claim_next(&mut planner, key, 100);
     let late_report = report_of(
         FIRST_START,
@@ -195,7 +195,7 @@
 #[test]
 fn an_unconfirmed_start_is_kept_until_the_new_incarnation_refuses_it() {
     let mut planner = planner(1);
-    let key = with_history(&mut planner);
+    let key = worker_with_ends(&mut planner);
     planner.add_job(JOB, spec(vec![step(1)]), None, false);
     let (task, run, _) = plan_at(&mut planner, 10)[0];
     planner.start_reply(key, task, run, StartReply::Unknown);
@@ -218,7 +218,7 @@
 #[test]
 fn a_run_that_the_new_incarnation_reports_goes_on() {
     let mut planner = planner(1);
-    let key = with_history(&mut planner);
+    let key = worker_with_ends(&mut planner);
     let runs = start(&mut planner, 2);
     let (task, run) = runs[0];
     let report = report_of(
@@ -245,7 +245,7 @@
 #[test]
 fn a_run_that_the_new_incarnation_ended_is_not_started_again() {
     let mut planner = planner(1);
-    let key = with_history(&mut planner);
+    let key = worker_with_ends(&mut planner);
     let (task, run) = start(&mut planner, 1)[0];
     let done = worker_report(Vec::new(), vec![ended(1, task, run, RunEnd::Done)]);
     let done = report_of(NEXT_START, done);
@@ -265,7 +265,7 @@
 #[test]
 fn an_unregistered_incarnation_gets_no_work() {
     let mut planner = planner(1);
-    let key = with_history(&mut planner);
+    let key = worker_with_ends(&mut planner);
     planner.add_job(JOB, spec(vec![step(6)]), None, false);
 
     deliver_report(&mut planner, key, 100, &empty_report(NEXT_START));
@@ -318,7 +318,7 @@
 #[test]
 fn the_end_of_a_former_incarnation_does_not_end_the_next() {
     let mut planner = planner(1);
-    let key = with_history(&mut planner);
+    let key = worker_with_ends(&mut planner);
     planner.mark_unresponsive(key);
     let next = claim_next(&mut planner, key, 100);
 
@@ -332,7 +332,7 @@
 #[test]
 fn reports_that_name_no_incarnation_are_ignored() {
     let mut planner = planner(1);
-    let key = with_history(&mut planner);
+    let key = worker_with_ends(&mut planner);
     let runs = start(&mut planner, 1);
 
     planner.register_worker(worker("w1"));
@@ -382,7 +382,7 @@
 #[test]
 fn an_unresponsive_worker_is_called_at_its_new_address() {
     let mut planner = planner(1);
-    let key = with_history(&mut planner);
+    let key = worker_with_ends(&mut planner);
     let elsewhere = ([127, 0, 0, 1], 2).into();
     planner.register_worker(WorkerInfo {
         address: elsewhere,
@@ -400,7 +400,7 @@
 #[test]
 fn an_incarnation_that_registered_before_the_former_one_ended_is_used() {
     let mut planner = planner(1);
-    let key = with_history(&mut planner);
+    let key = worker_with_ends(&mut planner);
     planner.register_worker(info(NEXT_START));
     planner.mark_unresponsive(key);
 
@@ -415,7 +415,7 @@
 #[test]
 fn each_incarnation_that_ends_under_a_task_counts_as_one_crash() {
     let mut planner = planner(1);
-    let mut key = with_history(&mut planner);
+    let mut key = worker_with_ends(&mut planner);
     planner.add_job(JOB, spec(vec![step(1)]), None, false);
     let mut starts = 0;
     for incarnation in 1..=10_u64 {
@@ -480,7 +480,7 @@
 #[test]
 fn a_ticket_that_was_asked_for_before_a_restart_is_not_used_after_it() {
     let mut planner = planner(1);
-    let key = with_history(&mut planner);
+    let key = worker_with_ends(&mut planner);
     let mut job = spec(vec![step(1)]);
     job.queue.advice = Some(Advice {
         fixed: at(80),
--- a/crates/job/tests/invariants.rs
+++ b/crates/job/tests/invariants.rs
@@ -47,7 +47,8 @@
         });
 }
 
-/// Checks the same with long seeded sequences, which reach states that short ones do not.
+/// Checks the same invariants with long seeded sequences, which reach states that short ones do
+/// not.
 #[test]
 fn invariants_hold_over_long_sequences() {
     let mut state: u64 = 0x9e37_79b9_7f4a_7c15;
@@ -70,8 +71,8 @@
 }
 
 /// Guards against a former owner, cut off from the store, that renews leases for longer than its
-/// successor waits. Random sequences seldom keep this up for the seven seconds it takes, so most
-/// events here are calls of the former owner, 0.1 s apart.
+/// successor waits. Random sequences rarely contain enough renewals over the required seven
+/// seconds, so many events here are calls of the former owner, and most steps of time are 0.1 s.
 #[test]
 fn successor_waits_until_former_owner_stops_renewing() {
     const EVENTS: [(u8, u8); 12] = [
@@ -117,11 +118,12 @@
     }
 }
 
-/// Checks the same where tasks crash their workers, workers come back under another id, and
-/// capacities shrink and grow. No start may exceed the capacity at the time when it was sent. A
-/// task that crashes each worker is started five times at most, plus once for each owner that
-/// crashed. A job fails only if a task failed too often or two workers crashed under it. Most
-/// events are those of an owner at work, since a job fails only seconds after the first crash.
+/// Checks the same invariants with tasks that crash their workers, workers that start again under
+/// another id, and capacities that shrink and grow. No start may exceed the capacity at the time
+/// when it was sent. A task that crashes each worker is started five times at most, plus once for
+/// each take-over. A job fails only if a task failed too often or two workers crashed while they
+/// ran it. Most events are those of normal operation, since a job fails only seconds after the
+/// first crash.
 #[test]
 fn invariants_hold_where_tasks_crash_their_workers() {
     const EVENTS: [(u8, u8); 20] = [
@@ -166,10 +168,10 @@
     );
 }
 
-/// Checks the same where two of three workers come back under the same id: at once or later, one
-/// or all, with commands that arrive after the restart, registrations that are read late, and
-/// clocks that go back. No task runs again after a stored successful end, or after as many stored
-/// failures as it has attempts.
+/// Checks the same invariants where two of three workers start again under the same id, immediately
+/// or later, one at a time or all, with commands that arrive after the restart, registrations that
+/// are read late, and clocks that go back. No task runs again after a stored successful end, or
+/// after as many stored failures as it has attempts.
 #[test]
 fn invariants_hold_where_workers_restart_under_the_same_id() {
     const EVENTS: [(u8, u8); 22] = [
--- a/crates/job/tests/job_start.rs
+++ b/crates/job/tests/job_start.rs
@@ -32,12 +32,11 @@
     planner.count_queue(&queue(2).name).waiting
 }
 
-/// Guards against a queue length that misses jobs whose starts were not confirmed. Workers
-/// left half of the commands unanswered and carried them out seconds later. The queue length
-/// was given as 1, while 10 jobs had waited for 5 s without a running task; the owner logged
-/// "queue counted" with waiting=1, ordered=41, unfinished=176. It counted a job as started when
-/// the first start command was sent, even if the command got no reply or was refused, or the
-/// run was stopped.
+/// Guards against a queue length that misses jobs whose starts were not confirmed. Workers left
+/// half of the commands unanswered and carried them out seconds later. The queue length was given
+/// as 1, while 10 jobs had waited for 5 s without a running task; the owner logged "queue counted"
+/// with waiting=1, ordered=41, unfinished=176. It counted a job as started when the first start
+/// command was sent, even if the command got no reply or was refused, or the run was stopped.
 #[test]
 fn a_job_waits_until_a_worker_confirms_a_run_of_it() {
     let mut planner = planner(1);
--- a/crates/job/tests/late_ends.rs
+++ b/crates/job/tests/late_ends.rs
@@ -100,8 +100,7 @@
     assert_eq!(planner.job_status(JOB), Some(JobStatus::Completed));
 }
 
-/// Guards against a task that starts again while the reply that reports its end is on its
-/// way.
+/// Guards against a task that starts again while the reply that reports its end is on its way.
 #[test]
 fn a_run_is_not_lost_while_a_reply_may_arrive() {
     let (mut planner, first, _, _) = one_run();
--- a/crates/job/tests/late_starts.rs
+++ b/crates/job/tests/late_starts.rs
@@ -42,10 +42,10 @@
 }
 
 /// A run that was sent to a worker.
-type Sent = (WorkerKey, TaskKey, RunId);
+type SentRun = (WorkerKey, TaskKey, RunId);
 
 /// Takes the commands, and returns the stops among them.
-fn stops(planner: &mut Planner) -> Vec<Sent> {
+fn stops(planner: &mut Planner) -> Vec<SentRun> {
     let commands = planner.take_commands();
     let stops = commands.into_iter().filter_map(|command| match command {
         Command::Stop {
@@ -57,7 +57,7 @@
 }
 
 /// Starts the only task of the job on the only worker; the start gets no reply.
-fn unanswered_start(planner: &mut Planner) -> Sent {
+fn unanswered_start(planner: &mut Planner) -> SentRun {
     add_claimed(planner, "w1");
     planner.add_job(JOB, spec(vec![step(1)]), None, false);
     let starts = plan_at(planner, 1);
@@ -71,7 +71,7 @@
 }
 
 /// Sends a report at `at` milliseconds that lists one run.
-fn report_at(planner: &mut Planner, at: u64, (key, task, run): Sent) {
+fn report_at(planner: &mut Planner, at: u64, (key, task, run): SentRun) {
     let at = Duration::from_millis(at);
     planner.advance(at);
     planner.apply_report(key, at, &worker_report(vec![running(task, run)], vec![]));
@@ -80,7 +80,7 @@
 /// Asserts that the stop of `sent` is sent again as long as it gets no reply, also after another
 /// report of the run, but not after it is confirmed. The run's resources are freed only when its
 /// end is reported.
-fn assert_stopped_until_confirmed(planner: &mut Planner, at: u64, sent: Sent) {
+fn assert_stopped_until_confirmed(planner: &mut Planner, at: u64, sent: SentRun) {
     let (key, task, run) = sent;
     for _ in 0..3 {
         planner.stop_reply(key, task, run, StopReply::Unknown);
@@ -146,8 +146,7 @@
     assert_stopped_until_confirmed(&mut planner, EXPIRED + 200, sent);
 }
 
-/// The same, but the job is cancelled only after the lease has expired, while its task is
-/// waiting.
+/// The same, but the job is cancelled only after the lease has expired, while its task is waiting.
 #[test]
 fn a_cancel_after_lease_expiry_stops_a_reported_run() {
     let mut planner = planner(1);
@@ -178,8 +177,7 @@
     assert_stopped_until_confirmed(&mut planner, EXPIRED + 200, registered_again);
 }
 
-/// Guards against a run that goes on because its job ended so long ago that its row was
-/// removed.
+/// Guards against a run that goes on because its job ended so long ago that its row was removed.
 #[test]
 fn a_run_of_a_removed_job_is_stopped() {
     let mut planner = planner(1);
@@ -288,7 +286,8 @@
     assert_eq!(plan_at(&mut planner, 3_010).len(), 1);
 }
 
-/// Guards against a gang member that goes on after a cancel. Its start gets no reply, the job is cancelled while the other members wait for it, and then it starts.
+/// Guards against a gang member that goes on after a cancel. Its start gets no reply, the job is
+/// cancelled while the other members wait for it, and then it starts.
 #[test]
 fn a_late_member_of_a_cancelled_gang_is_stopped() {
     let mut planner = planner(1);
--- a/crates/job/tests/planner.rs
+++ b/crates/job/tests/planner.rs
@@ -78,10 +78,9 @@
     assert_eq!(late[0].0, task(JOB, 1, 0));
 }
 
-/// Guards against a task that is started again after as many failed runs as its queue
-/// allows. The store is unavailable, two runs fail on two workers, and neither end is
-/// saved; the successor gets the report of the second run first, and ignored ends of runs
-/// older than the newest one.
+/// Guards against a task that is started again after as many failed runs as its queue allows. The
+/// store is unavailable, two runs fail on two workers, and neither end is saved; the successor gets
+/// the report of the second run first, and ignored ends of runs older than the newest one.
 #[test]
 fn failed_ends_count_in_any_order() {
     let mut planner = planner(2);
@@ -101,16 +100,16 @@
     assert_eq!(planner.job_status(JOB), Some(JobStatus::Failed));
 }
 
-/// Guards against tasks that never start again after their worker died without a sign: each
-/// repeated call to the worker counted as a renewal of its lease.
+/// Guards against tasks that never start again after their worker crashed without being listed as
+/// missing: each repeated call to the worker counted as a renewal of its lease.
 #[test]
 fn tasks_of_an_unresponsive_worker_start_elsewhere_after_lease_expiry() {
     let mut planner = planner(1);
-    let silent = add_claimed(&mut planner, "w1");
+    let unresponsive = add_claimed(&mut planner, "w1");
     planner.add_job(JOB, spec(vec![step(1)]), None, false);
     plan_at(&mut planner, 10_000);
-    planner.start_reply(silent, task(JOB, 0, 0), 1, StartReply::Started);
-    planner.mark_unresponsive(silent);
+    planner.start_reply(unresponsive, task(JOB, 0, 0), 1, StartReply::Started);
+    planner.mark_unresponsive(unresponsive);
     add_claimed(&mut planner, "w2");
     let early = plan_at(&mut planner, 14_600);
 
--- a/crates/job/tests/saving.rs
+++ b/crates/job/tests/saving.rs
@@ -43,8 +43,8 @@
 }
 
 /// Guards against ends that are saved, and jobs that are shown as completed, seconds late when many
-/// jobs start at the same time. The start of a job is saved as well. Batches were filled in the order of
-/// job ids, and no end counts as recorded before its whole batch is saved.
+/// jobs start at the same time. The start of a job is saved as well. Batches were filled in the
+/// order of job ids, and no end counts as recorded before its whole batch is saved.
 #[test]
 fn ends_are_saved_before_job_starts() {
     let mut planner = planner(1);
--- a/crates/job/tests/start_budget.rs
+++ b/crates/job/tests/start_budget.rs
@@ -1,6 +1,6 @@
 //! The limit on the number of starts that an owner may send, which protects its network link.
 //!
-//! A burst of starts, such as those after a take-over, was sent at once over a slow link:
+//! A burst of starts, such as those after a take-over, was sent without a limit over a slow link:
 //! on a link of 2 Mbit/s (log line 373), 199,304 bytes of commands in a second, and answers
 //! that took 0.9 s. Gang members ended because the others did not start in time, and ends were
 //! reported seconds late.
--- a/crates/job/tests/support/incarnations.rs
+++ b/crates/job/tests/support/incarnations.rs
@@ -55,8 +55,7 @@
     planner.apply_report(key, at(sent), report);
 }
 
-/// Plans, completes the save that must precede the start of a suspect, and plans again 5 ms
-/// later.
+/// Plans, completes the save that must precede the start of a suspect, and plans again 5 ms later.
 pub fn plan_saved(planner: &mut Planner, now: u64) -> Vec<(TaskKey, RunId, WorkerKey)> {
     let mut starts = plan_at(planner, now);
     save(planner);
@@ -79,9 +78,8 @@
     })
 }
 
-/// Adds a worker in its first incarnation that is claimed and has reported its first 20 ended
-/// runs.
-pub fn with_history(planner: &mut Planner) -> WorkerKey {
+/// Adds a worker in its first incarnation that is claimed and has reported its first 20 ended runs.
+pub fn worker_with_ends(planner: &mut Planner) -> WorkerKey {
     let key = planner
         .register_worker(info(FIRST_START))
         .expect("new worker");
--- a/crates/job/tests/takeover.rs
+++ b/crates/job/tests/takeover.rs
@@ -80,7 +80,7 @@
 /// the store, and a successor takes over and reads the jobs. Then a job is accepted, and the
 /// accepting process sends it to the former owner, which starts it. The successor claims that
 /// worker and reads the job only after that. It stopped the run of the unknown job without
-/// counting it, and started the job at once.
+/// counting it, and started the job immediately.
 #[test]
 fn a_run_of_a_job_read_later_is_counted() {
     let mut planner = planner(2);
@@ -165,11 +165,10 @@
     assert_eq!(late.len(), 1);
 }
 
-/// Guards against a task that runs on two workers. The owner and most workers are cut off from
-/// the store, and the successor reaches only the other workers. It waited for one lease and
-/// then started the tasks of the unreachable workers elsewhere, while the former owner still
-/// renewed their leases. The wait has to depend on how many workers the former owner may still
-/// reach.
+/// Guards against a task that runs on two workers. The owner and most workers are cut off from the
+/// store, and the successor reaches only the other workers. It waited for one lease and then
+/// started the tasks of the unreachable workers elsewhere, while the former owner still renewed
+/// their leases. The wait has to depend on how many workers the former owner may still reach.
 #[test]
 fn a_successor_that_reaches_fewer_than_half_waits_longer() {
     let starts_after = |reached: usize| {
