--- a/crates/job/src/mechanism.rs
+++ b/crates/job/src/mechanism.rs
@@ -27,7 +27,7 @@
     SmallFirst,
     /// Advice calls are made only for gangs that could start next.
     AdviceByRoom,
-    /// A gang may have several calls for advice at the same time.
+    /// A gang may have several advice calls at the same time.
     ParallelAdvice,
     /// Run times of tasks are learnt from completed runs.
     LearntTimes,
--- a/crates/job/src/planner/advice.rs
+++ b/crates/job/src/planner/advice.rs
@@ -139,9 +139,10 @@
     }
 
     /// Returns whether a gang could start next: its need and that of the gangs before it fit into
-    /// the processors available to gangs. Single tasks are not limited. Tickets are valid for 2.5
-    /// s; without this limit, calls were repeated under a backlog for gangs that could not start
-    /// soon: 559 of 1,430 s of the service's time led to no start, and single tasks got no answers.
+    /// the processors available to gangs. Single tasks are not limited. Tickets are valid for
+    /// 2.5 s; without this limit, calls were repeated under a backlog for gangs that could not
+    /// start soon: 559 of 1,430 s of the service's time led to no start, and single tasks got no
+    /// answers.
     fn may_start_next(&mut self, key: StepKey) -> bool {
         let by_resources = self.policy.switches.enabled(Mechanism::AdviceByRoom);
         let job = self.jobs.get(&key.job);
--- a/crates/job/src/planner/crash_count.rs
+++ b/crates/job/src/planner/crash_count.rs
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Decides on suspects that were alone on a worker that crashed, once crashes with a common
+    /// Decides about suspects that were alone on a worker that crashed, once crashes with a common
     /// cause would have been detected. Fails the jobs of those that caused the crash.
     pub(super) fn decide_suspects(&mut self) {
         let now = self.now;
--- a/crates/job/src/planner/headroom.rs
+++ b/crates/job/src/planner/headroom.rs
@@ -24,7 +24,7 @@
 /// soon anyway.
 const NEARLY_DONE_PERCENT: u32 = 75;
 
-/// Share of the processors in use that becomes free during a call for advice, which takes
+/// Share of the processors in use that becomes free during an advice call, which takes
 /// up to a second, while runs take about four.
 const TURNOVER_SHARE: f64 = 0.25;
 
--- a/crates/job/src/planner/place.rs
+++ b/crates/job/src/planner/place.rs
@@ -145,8 +145,8 @@
         found
     }
 
-    /// Returns the workers that may run a step: all workers, or under advice those with a
-    /// ticket that is valid beyond the time `valid_beyond`.
+    /// Returns the workers that may run a step: all workers, or, if its queue uses the advice
+    /// service, those with a ticket that is valid beyond the time `valid_beyond`.
     pub(super) fn allowed_workers(
         &self,
         job: &JobState,
@@ -163,7 +163,7 @@
             .collect()
     }
 
-    /// Starts the waiting tasks of a step without a gang, as many as fit.
+    /// Starts the waiting tasks of a step that is not a gang, as many as fit.
     fn place_tasks(&mut self, key: StepKey, spec: &StepSpec, reservations: &Reservations) {
         let mut candidates = self.candidates(key, spec, reservations);
         if candidates.is_empty() {
--- a/crates/job/src/planner/report.rs
+++ b/crates/job/src/planner/report.rs
@@ -64,7 +64,7 @@
         let Some(placed) = placed else { return };
         match reply {
             StartReply::Started => {
-                // If a report has already shown the run, the reply adds nothing.
+                // If a worker report has already listed the run, the reply changes nothing.
                 if matches!(placed.phase, RunPhase::Sent | RunPhase::Unanswered) {
                     placed.phase = RunPhase::Running;
                     placed.phase_since = now;
--- a/crates/job/src/planner/roster.rs
+++ b/crates/job/src/planner/roster.rs
@@ -183,7 +183,7 @@
         self.runs.insert(task, placed);
     }
 
-    /// Removes a run and frees its resources; `None` if another run of the task is booked.
+    /// Removes a run and frees its resources; `None` if this run is not booked.
     pub(super) fn release(&mut self, task: TaskKey, run: RunId) -> Option<PlacedRun> {
         if self.runs.get(&task)?.run != run {
             return None;
@@ -340,7 +340,7 @@
 
     /// Returns the workers to look up in the list of machines, since they may have crashed or left.
     /// During recovery, these are the workers that have not sent a report. At any time, they are
-    /// also the unresponsive or unregistered workers that have runs; while a verdict on a suspect
+    /// also the unresponsive or unregistered workers that have runs; while a decision on a suspect
     /// is due, also those without runs, since they may have crashed together with the suspect's
     /// worker. Without the last case, when a rack of idle workers lost power, only the worker with
     /// a trial was found to have crashed.
--- a/crates/job/tests/impossible.rs
+++ b/crates/job/tests/impossible.rs
@@ -195,7 +195,7 @@
     }
 }
 
-/// A worker that has come back under a new id at its address counts as one worker, even
+/// A worker that has started again under a new id at its address counts as one worker, even
 /// while its previous incarnation has not been removed.
 #[test]
 fn two_incarnations_of_a_worker_count_once() {
