--- a/crates/job/tests/crashes.rs
+++ b/crates/job/tests/crashes.rs
@@ -351,7 +351,7 @@
     assert!(done, "job status: {:?}", sim.status(1));
 }
 
-/// Number of uncertain crashes after which the next start has to be a trial.
+/// Number of uncertain crashes in the test; after these, the next start has to be a trial.
 const UNCERTAIN_CRASHES: usize = 4;
 
 /// Guards against failing a job for crashes of workers on which its task was not alone.
--- a/crates/job/tests/late_starts.rs
+++ b/crates/job/tests/late_starts.rs
@@ -160,7 +160,7 @@
     assert_stopped_until_confirmed(&mut planner, EXPIRED + 200, sent);
 }
 
-/// Guards against a run that goes on after its worker was dropped, because its registration
+/// Guards against a run that goes on after its worker was removed, because its registration
 /// was removed and its lease expired. The worker registers again and reports the run.
 #[test]
 fn a_run_on_a_worker_that_registers_again_is_stopped() {
@@ -319,7 +319,7 @@
 }
 
 /// The same in a gang that is broken, since the start of one member was refused. The member
-/// whose start is not answered is being stopped already when the job is cancelled.
+/// whose start got no reply is being stopped already when the job is cancelled.
 #[test]
 fn a_late_member_of_a_broken_gang_is_stopped_after_the_cancel() {
     let mut planner = planner(1);
@@ -341,7 +341,7 @@
     assert_stopped_until_confirmed(&mut planner, 2_500, (slow, late, run));
 }
 
-/// Guards against resources that are freed too early or twice. A stop is not answered and is
+/// Guards against resources that are freed too early or twice. A stop gets no reply and is
 /// carried out late, before the start that it is for, and the worker then reports no run. The
 /// resources are freed once, when a stop is confirmed.
 #[test]
--- a/crates/job/tests/learning.rs
+++ b/crates/job/tests/learning.rs
@@ -20,7 +20,8 @@
 use support::spec;
 use support::step;
 
-/// Creates a gang with an estimate of `estimate` ms, and an objective of twice that plus a second.
+/// Creates a gang of `count` members with an estimate of `estimate` ms, and an objective of twice
+/// that plus a second.
 fn gang(count: u32, estimate: u64) -> JobSpec {
     let mut step = step(count);
     step.gang = true;
--- a/crates/job/tests/planner.rs
+++ b/crates/job/tests/planner.rs
@@ -100,8 +100,8 @@
     assert_eq!(planner.job_status(JOB), Some(JobStatus::Failed));
 }
 
-/// Guards against tasks that never start again after their worker crashed without being listed as
-/// missing: each repeated call to the worker counted as a renewal of its lease.
+/// Guards against tasks that never start again after their worker has stopped answering: each
+/// repeated call to the worker counted as a renewal of its lease.
 #[test]
 fn tasks_of_an_unresponsive_worker_start_elsewhere_after_lease_expiry() {
     let mut planner = planner(1);
--- a/crates/job/tests/recovery.rs
+++ b/crates/job/tests/recovery.rs
@@ -17,7 +17,7 @@
 
 const JOB: u64 = 7;
 
-/// Guards against a job status that goes from active back to pending, because the owner died and
+/// Guards against a job status that goes from active back to pending, because the owner crashed and
 /// its successor has no report yet from the worker that runs the job.
 #[test]
 fn a_job_is_undecided_until_its_workers_report() {
