--- a/crates/cell/src/advice_helper.rs
+++ b/crates/cell/src/advice_helper.rs
@@ -1,7 +1,7 @@
 //! Helper of the pool's owner: makes advice calls on its behalf.
 //!
 //! The advice service answers one call at a time for each host, so the calls are spread over all
-//! hosts. An idle helper polls the owner for a query.
+//! hosts. An idle helper polls the owner for an advice call.
 
 use std::time::Duration;
 
@@ -10,9 +10,9 @@
 use platform::AdviceClient;
 use platform::AdviceReply;
 
-use crate::AdviceQuery;
 use crate::AdviceResult;
 use crate::Context;
+use crate::DelegatedCall;
 use crate::HelperPoll;
 use crate::OwnerClient;
 
@@ -22,10 +22,11 @@
 /// Time allowed for an advice call beyond twice the expected time of the service.
 const ADVICE_SLACK: Duration = Duration::from_millis(400);
 
-/// Polls the owner for advice queries and carries them out until the process stops.
+/// Polls the owner for advice calls, makes them, and delivers each result with the next poll,
+/// until the process stops.
 pub async fn run_helper(context: Context, owner: OwnerClient) {
     let Some(server) = context.settings.advice_address() else {
-        log::info!(code = 321; "no advice service configured");
+        log::info!(code = 321; "no advice service configured; this process makes no advice calls");
         return;
     };
     let advice = AdviceClient::new(context.client.clone(), server);
@@ -35,32 +36,32 @@
             node: context.settings.node.clone(),
             result: result.take(),
         };
-        match owner.help(request).await {
-            Ok(Some(query)) => result = Some(call(&advice, query).await),
+        match owner.poll(request).await {
+            Ok(Some(delegated)) => result = Some(call(&advice, delegated).await),
             Ok(None) => {}
             Err(_) => tokio::time::sleep(NO_OWNER_PAUSE).await,
         }
     }
 }
 
-async fn call(advice: &AdviceClient, query: AdviceQuery) -> AdviceResult {
-    let timeout = query.cost * 2 + ADVICE_SLACK;
+async fn call(advice: &AdviceClient, delegated: DelegatedCall) -> AdviceResult {
+    let timeout = delegated.cost * 2 + ADVICE_SLACK;
     let reply = advice
-        .request_tickets(query.step, &query.workers, timeout)
+        .request_tickets(delegated.step, &delegated.workers, timeout)
         .await;
     match reply {
         Ok(AdviceReply::Tickets(tickets, valid)) => {
             let good = tickets.into_iter();
             let good = good.map(|ticket| (ticket.worker, ticket.text)).collect();
-            result(query.step, query.workers, Some(good), valid)
+            result(delegated.step, delegated.workers, Some(good), valid)
         }
         Ok(AdviceReply::Refused(status)) => {
-            log::warn!(code = 322, step:% = query.step, status = status; "advice call refused");
-            result(query.step, query.workers, None, None)
+            log::warn!(code = 322, step:% = delegated.step, status = status; "advice call refused");
+            result(delegated.step, delegated.workers, None, None)
         }
         Err(error) => {
-            log::warn!(code = 323, step:% = query.step, error:% = error; "advice service did not answer");
-            result(query.step, query.workers, None, None)
+            log::warn!(code = 323, step:% = delegated.step, error:% = error; "advice service did not answer");
+            result(delegated.step, delegated.workers, None, None)
         }
     }
 }
--- a/crates/cell/src/cancel.rs
+++ b/crates/cell/src/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancellation: a job is cancelled once its row in the store says so.
+//! Cancellation: a job is cancelled once the cancellation is written to its row in the store.
 
 use hyper::StatusCode;
 use job::JobId;
@@ -45,7 +45,7 @@
 }
 
 impl CancelError {
-    /// Whether the cancel is certainly not stored and never will be.
+    /// Whether the cancellation is certainly not stored and never will be.
     fn certainly_not_done(&self) -> bool {
         match self {
             CancelError::Row { .. } | CancelError::Changed => true,
@@ -66,7 +66,7 @@
                     log::info!(code = 421, job:% = hex(id), status = status.as_u16(); "cancel");
                     if status == StatusCode::OK {
                         // The caller does not wait for this message. If it is lost, the owner
-                        // reads the cancel from the change feed of the store.
+                        // reads the cancellation from the change feed of the store.
                         let owner = self.owner.clone();
                         tokio::spawn(async move { owner.notify_canceled(id).await });
                     }
--- a/crates/cell/src/context.rs
+++ b/crates/cell/src/context.rs
@@ -34,7 +34,7 @@
 pub struct Context {
     /// Settings of the process.
     pub settings: Arc<CellSettings>,
-    /// Random id of this start of the process.
+    /// Random id of this process, which differs at each start.
     pub incarnation: u64,
     /// Client of the platform's store.
     pub store: Store,
@@ -50,8 +50,8 @@
     pub metrics: Arc<CellMetrics>,
     /// Turns true when the process has been asked to stop.
     pub stop: watch::Receiver<bool>,
-    /// Epoch of an owner whose process may have ended, because it broke a connection off; 0 for
-    /// none.
+    /// Epoch of an owner whose process may have ended, because it closed a connection during a
+    /// call; 0 for none.
     suspected_owner: Arc<AtomicU64>,
     /// Start of the newest successful read of the configuration, in milliseconds since `origin`.
     config_confirmed: Arc<AtomicU64>,
@@ -99,7 +99,8 @@
             .unwrap_or_default()
     }
 
-    /// Records that the owner of `epoch` broke a call off, so its process may have ended.
+    /// Records that the owner of `epoch` closed a connection during a call, so its process may
+    /// have ended.
     pub fn suspect_owner(&self, epoch: Epoch) {
         self.suspected_owner.store(epoch, Ordering::Relaxed);
     }
@@ -148,7 +149,7 @@
     ///
     /// # Errors
     /// Returns the error of the call, or [`StoreError::Abandoned`].
-    pub async fn until_recovery<T>(
+    pub async fn abandon_on_recovery<T>(
         &self,
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
--- a/crates/cell/src/follower.rs
+++ b/crates/cell/src/follower.rs
@@ -9,9 +9,9 @@
 use platform::StoreError;
 use platform::Version;
 
-/// Time for a feed reply beyond the wait that was requested. A connection may go silent without a
-/// reset; only this timeout reveals it. A follower with long timeouts instead allows twice the
-/// delay of the last reply, and doubles the timeout after a lost one.
+/// Time for a feed reply beyond the wait that was requested. A connection may stop delivering
+/// without a reset, which only this timeout reveals. A follower with long timeouts instead allows
+/// twice the delay of the last reply, and doubles the timeout after a lost one.
 const FEED_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Timeout of each page of a full read.
@@ -23,10 +23,10 @@
     last: Duration::from_secs(6),
 };
 
-/// Number of rows from which on a feed reply may be incomplete; the store returns at most 500.
-/// When a full page was followed by the next read only 0.4 s later, the feed of 3,000 workers,
-/// which write 2,000 rows a second, fell behind by ten seconds, and workers that were leaving
-/// went on getting work.
+/// Number of rows from which on a feed reply may be incomplete, so that the next page is read at
+/// once; the store returns at most 500. When the next page was read only 0.4 s later, the feed of
+/// 3,000 workers, which write 2,000 rows a second, fell behind by ten seconds, and workers that
+/// were draining went on getting tasks.
 const FULL_PAGE: usize = 250;
 
 /// Limit of consecutive pages read in one call. A slow store may return full pages for seconds,
@@ -48,9 +48,11 @@
     store: Store,
     table: &'static str,
     /// Whether all parts are read, or only the unnamed one.
-    parts: bool,
+    all_parts: bool,
+    /// Version up to which all changes have been read; `None` before the first full read.
     after: Option<Version>,
-    patience: ReadTimeouts,
+    /// Timeouts of full reads.
+    read_timeouts: ReadTimeouts,
     /// Timeout of the next feed reply, beyond the wait that was requested.
     timeout: Duration,
 }
@@ -59,13 +61,13 @@
     /// Creates a follower of `table`. With `parts` it reads all parts of the table, otherwise
     /// only the unnamed one.
     #[must_use]
-    pub fn new(store: &Store, table: &'static str, parts: bool) -> Follower {
+    pub fn new(store: &Store, table: &'static str, all_parts: bool) -> Follower {
         Follower {
             store: store.clone(),
             table,
-            parts,
+            all_parts,
             after: None,
-            patience: ReadTimeouts::single(READ_TIMEOUT),
+            read_timeouts: ReadTimeouts::single(READ_TIMEOUT),
             timeout: FEED_TIMEOUT,
         }
     }
@@ -74,7 +76,7 @@
     /// that gather during a full read may take longer than [`FEED_TIMEOUT`] over a slow link.
     pub(crate) fn with_long_timeouts(self) -> Follower {
         Follower {
-            patience: LONG_READ_TIMEOUTS,
+            read_timeouts: LONG_READ_TIMEOUTS,
             ..self
         }
     }
@@ -124,15 +126,15 @@
 
     /// Upper limit of the timeout of a feed reply, beyond its wait.
     fn max_timeout(&self) -> Duration {
-        if self.patience.last > self.patience.first {
-            self.patience.last
+        if self.read_timeouts.last > self.read_timeouts.first {
+            self.read_timeouts.last
         } else {
             FEED_TIMEOUT
         }
     }
 
-    /// Appends the next page to `rows` and returns whether that page was full, too. After an
-    /// error, the next call to `next` reads the page.
+    /// Appends the next page of the feed to `rows`, and returns whether that page was full, too.
+    /// After an error, the next call to `next` reads the page.
     async fn read_next_page(&mut self, rows: &mut Vec<Row>) -> bool {
         let after = self.after.unwrap_or_default();
         let feed = self
@@ -146,10 +148,14 @@
     }
 
     async fn read_all(&mut self) -> Result<Change, StoreError> {
-        let rows = if self.parts {
-            self.store.read_table(self.table, self.patience).await?
+        let rows = if self.all_parts {
+            self.store
+                .read_table(self.table, self.read_timeouts)
+                .await?
         } else {
-            self.store.read_part(self.table, "", self.patience).await?
+            self.store
+                .read_part(self.table, "", self.read_timeouts)
+                .await?
         };
         self.after = Some(rows.version);
         Ok(Change::Snapshot(rows.rows))
--- a/crates/cell/src/metrics.rs
+++ b/crates/cell/src/metrics.rs
@@ -43,13 +43,13 @@
     /// Runs that were lost without a reported end, by cause.
     pub lost_runs: IntCounterVec,
     /// Findings about tasks that are suspected of crashing workers: `suspected`, `tried`,
-    /// `cleared`, `failed_jobs`.
+    /// `cleared`, `given_up`.
     pub suspects: IntCounterVec,
     /// Advice calls by result: `answered`, `failed`.
     pub advice: IntCounterVec,
     /// Transactions of the owner by result: `done`, `conflict`, `failed`.
     pub saves: IntCounterVec,
-    /// Rows that cannot be decoded, by table; each key of a worker counts once.
+    /// Rows that cannot be decoded, by table; each worker's registration counts once.
     pub unreadable: IntCounterVec,
     /// Figures of the pool, set by its owner: `usable`, `placed`, `running`, `waiting`,
     /// `unfinished`, `cpu`, `cpu_used`, `memory`, `memory_used`.
--- a/crates/cell/src/owner/commands.rs
+++ b/crates/cell/src/owner/commands.rs
@@ -19,7 +19,8 @@
 use crate::metrics::count;
 use crate::metrics::observe;
 
-/// Pause before the planner learns of a stop that was not delivered, and repeats it.
+/// Pause before a stop that was not delivered is reported to the planner, which then repeats
+/// it.
 const STOP_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 impl Pool {
@@ -82,7 +83,7 @@
         let lease_end = link.and_then(|link| link.lease_end(now, lease));
         let (Some(link), Some(lease_end)) = (link, lease_end) else {
             let (task, run) = (start.task, start.run);
-            log::error!(code = 353, task:% = task, run = run; "start without an open link");
+            log::error!(code = 353, task:% = task, run = run; "start not sent: worker not claimed, or ownership not confirmed");
             let reply = StartReply::Refused;
             self.planner.start_reply(worker, task, run, reply);
             return;
@@ -121,13 +122,13 @@
             "stop"
         );
         let (address, id) = (link.address, link.id.clone());
-        let orders = self.context.commands.clone();
+        let client = self.context.commands.clone();
         let sender = self.sender.clone();
         let fencing = link.fencing.clone();
         let token = fencing.token();
         let late_after = self.latency.late_after();
         tokio::spawn(async move {
-            let answer = orders
+            let answer = client
                 .stop(address, &id, task, run, token, late_after)
                 .await;
             let event = match answer {
@@ -150,7 +151,7 @@
         tokio::spawn(async move {
             tokio::time::sleep(STOP_RETRY_PAUSE).await;
             let event = WorkerEvent::StopAnswered(task, run, StopReply::Unknown);
-            // Fails only if the owner has ended, which then needs no stop.
+            // Fails only if the owner has ended; then the stop is not needed.
             let _ = sender.send(OwnerMessage::Worker(worker, event)).await;
         });
     }
--- a/crates/cell/src/owner/dispatch.rs
+++ b/crates/cell/src/owner/dispatch.rs
@@ -9,7 +9,7 @@
 impl Pool {
     pub(super) fn dispatch(&mut self, message: OwnerMessage) {
         match message {
-            // If the reply is dropped, the caller is told that no owner answers.
+            // Without a reply, the caller falls back to the store.
             OwnerMessage::JobState(id, reply) => {
                 if self.owned() {
                     // The caller may have closed its request; then it needs no reply.
@@ -21,7 +21,7 @@
                     let _ = reply.send(self.count_queue(&queue));
                 }
             }
-            OwnerMessage::Help(request, reply) => self.handle_help(request, reply),
+            OwnerMessage::Poll(request, reply) => self.handle_poll(request, reply),
             OwnerMessage::JobRows(change, started) => {
                 self.handle_jobs(change);
                 self.freshness.record_jobs_read(started);
@@ -34,8 +34,8 @@
                 let _ = reply.send(());
             }
             OwnerMessage::JobCanceled(id, reply) => {
-                // If the job's row has not been read yet, the row will say that the job is
-                // cancelled.
+                // If the owner has not read the job's row yet, the row will contain the
+                // cancellation.
                 self.planner.cancel(id);
                 // The handler of the request may have ended; then it needs no reply.
                 let _ = reply.send(());
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Number of waiting jobs in a queue, as callers are shown it.
+    /// Number of waiting jobs in a queue, for a caller.
     fn count_queue(&mut self, queue: &str) -> usize {
         let now = self.context.now();
         let count = self.queue_counts.lookup(queue, now, &self.planner);
@@ -60,7 +60,7 @@
         count.waiting
     }
 
-    /// State of a job, as callers are shown it.
+    /// Status of a job, for a caller.
     fn job_view(&self, id: JobId) -> JobView {
         if self.planner.status_undecided(id) {
             return JobView::Undecided;
--- a/crates/cell/src/owner/fencing.rs
+++ b/crates/cell/src/owner/fencing.rs
@@ -1,9 +1,9 @@
 //! Fencing tokens of the commands to a worker, and when its ends may be acknowledged.
 //!
-//! An acknowledgement names ends by numbers that start again with each incarnation of a worker.
-//! If it reaches another incarnation than the one it was meant for, that incarnation drops ends
-//! which the owner has not received. Such ends belong to starts that reached the incarnation
-//! before the owner knew of it. Therefore:
+//! An acknowledgement names ends by numbers that start again with each incarnation of a
+//! worker. If it reaches another incarnation than the one it was meant for, that incarnation
+//! drops ends which the owner has not received. Such ends belong to starts that reached the
+//! incarnation before the owner received its first report. Therefore:
 //!
 //! - an acknowledgement is sent only if no start was in progress when the last answered call
 //!   was sent, and none has been sent since: the reply to that call shows that all starts were
@@ -13,7 +13,7 @@
 //!
 //! A start without a reply may be carried out seconds later, when its task may already run
 //! elsewhere. So commands that are sent after it carry a higher token too: an incarnation that
-//! has obeyed one of them refuses the start.
+//! has carried out one of them refuses the start.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -57,7 +57,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The token that a command carries now.
+    /// The token for a command that is sent now.
     pub(super) fn token(&self) -> FencingToken {
         self.lock().token()
     }
--- a/crates/cell/src/owner/handlers.rs
+++ b/crates/cell/src/owner/handlers.rs
@@ -53,11 +53,11 @@
             }
             (_, Err(error)) => {
                 count(&self.context.metrics.unreadable, JOB_TABLE);
-                log::error!(code = 334, key = row.name.key.as_str(), error:% = error; "job row unreadable");
+                log::error!(code = 334, key = row.name.key.as_str(), error:% = error; "job row cannot be decoded");
             }
             (Err(error), _) => {
                 count(&self.context.metrics.unreadable, JOB_TABLE);
-                log::error!(code = 334, key = row.name.key.as_str(), error:% = error; "job row unreadable");
+                log::error!(code = 334, key = row.name.key.as_str(), error:% = error; "job row cannot be decoded");
             }
         }
     }
@@ -68,7 +68,7 @@
         }
         self.registrations_read = self.registrations_read.max(change.read_started);
         for id in change.deleted {
-            log::info!(code = 341, worker = id.as_str(); "worker's registration is gone");
+            log::info!(code = 341, worker = id.as_str(); "worker's registration was removed");
             self.planner.deregister_worker(&id);
         }
     }
@@ -76,7 +76,7 @@
     fn handle_registration(&mut self, info: WorkerInfo) {
         let (id, incarnation, address) = (info.id.clone(), info.incarnation, info.address);
         if info.draining {
-            log::info!(code = 342, worker = id.as_str(); "worker is leaving");
+            log::info!(code = 342, worker = id.as_str(); "worker has registered as draining");
         }
         let before = self.planner.capacity(&id);
         let new = self.planner.register_worker(info);
@@ -110,14 +110,14 @@
             );
         }
         if after.largest != before.largest {
-            // A successor that first sees the worker while it is small must know that it can
-            // grow.
+            // A successor that first reads the worker's registration while the worker is small
+            // must know that it can grow.
             self.queue_worker_row(key);
         }
     }
 
-    /// Queues the row of a worker, after which the worker may be used. The row holds the
-    /// largest capacity that the worker has had.
+    /// Queues the row of a worker to be written, after which the worker may be used. The row
+    /// holds the largest capacity that the worker has had.
     pub(super) fn queue_worker_row(&mut self, key: WorkerKey) {
         let Some(info) = self.planner.worker_info(key) else {
             return;
@@ -133,7 +133,7 @@
         self.saver.queue_row(info.id.clone(), used);
     }
 
-    /// Moves the links of silent workers that have registered at another address to that
+    /// Moves the links of unresponsive workers that have registered at another address to that
     /// address.
     pub(super) fn move_links(&mut self) {
         for (key, address) in self.planner.reregistered() {
@@ -154,14 +154,14 @@
     }
 
     pub(super) fn handle_event(&mut self, key: WorkerKey, event: WorkerEvent) {
-        // The incarnation has ended, so its events no longer count. Not even a refused token means
+        // The incarnation has ended, so its events are ignored. Not even a refused token means
         // that there is a newer owner: the next incarnation has received a higher token.
         if self.planner.worker_info(key).is_none() {
             return;
         }
         match event {
             WorkerEvent::LeaseSent => self.planner.extend_lease(key),
-            WorkerEvent::Silent => self.planner.mark_unresponsive(key),
+            WorkerEvent::Unresponsive => self.planner.mark_unresponsive(key),
             WorkerEvent::Late(sent, until) => self.planner.await_reply(key, sent, until),
             WorkerEvent::Reported(sent, report) => self.handle_report(key, sent, &report),
             WorkerEvent::StartAnswered(task, run, reply) => {
@@ -173,19 +173,19 @@
             }
             WorkerEvent::Fenced => {
                 log::warn!(code = 335, worker = self.worker_id(key), epoch = self.epoch; "worker obeys a newer owner");
-                self.deposed = true;
+                self.has_successor = true;
             }
             WorkerEvent::Ended => {
-                log::info!(code = 344, worker = self.worker_id(key); "worker's incarnation has ended");
+                log::info!(code = 344, worker = self.worker_id(key); "another worker uses this worker's address: its incarnation has ended");
                 self.planner.worker_ended(key);
             }
         }
     }
 
     fn handle_report(&mut self, key: WorkerKey, sent: Duration, report: &WorkerReport) {
-        let seen = self.planner.match_incarnation(key, sent, report);
-        if seen != ReportOrigin::Current {
-            self.log_other_incarnation(key, report, seen);
+        let origin = self.planner.match_incarnation(key, sent, report);
+        if origin != ReportOrigin::Current {
+            self.log_other_incarnation(key, report, origin);
             self.planner.apply_report(key, sent, report);
             return;
         }
@@ -206,7 +206,7 @@
             count(&self.context.metrics.ends, &end.how.to_string());
             log::info!(
                 code = 354, task:% = end.task, run = end.run, how:% = end.how,
-                number = end.number, worker = self.worker_id(key); "task ended"
+                number = end.number, worker = self.worker_id(key); "run ended"
             );
         }
         let lacks_incarnation = self
@@ -221,16 +221,16 @@
         }
     }
 
-    /// Logs that a report is of another incarnation than the known one, and up to which number
-    /// the ends of the known one were acknowledged.
-    fn log_other_incarnation(&self, key: WorkerKey, report: &WorkerReport, seen: ReportOrigin) {
+    /// Logs that a report is of another incarnation than the planner's current one, and up to
+    /// which number the ends of the current one were handled and may be acknowledged.
+    fn log_other_incarnation(&self, key: WorkerKey, report: &WorkerReport, origin: ReportOrigin) {
         let known = self
             .planner
             .worker_info(key)
             .and_then(|info| info.incarnation);
         let acknowledged = self.links.get(&key).map(Link::saved_end);
         log::warn!(
-            code = 384, worker = self.worker_id(key), life = report.incarnation, known = known, seen:% = seen,
+            code = 384, worker = self.worker_id(key), life = report.incarnation, known = known, seen:% = origin,
             taken = self.planner.newest_end(key), acknowledged = acknowledged,
             running = report.running.len(), ended = report.ended.len();
             "worker report of another incarnation"
@@ -245,7 +245,7 @@
         for end in ignored.filter(|end| self.planner.has_booked(key, end.task, end.run)) {
             log::warn!(
                 code = 385, task:% = end.task, run = end.run, how:% = end.how, number = end.number,
-                taken = handled_end, worker = self.worker_id(key), life = report.incarnation; "reported end ignored"
+                taken = handled_end, worker = self.worker_id(key), life = report.incarnation; "reported end ignored: its number was handled before, but its run is still booked"
             );
         }
     }
--- a/crates/cell/src/owner/helpers.rs
+++ b/crates/cell/src/owner/helpers.rs
@@ -10,8 +10,8 @@
 use tokio::sync::oneshot;
 
 use super::Pool;
-use crate::AdviceQuery;
 use crate::AdviceResult;
+use crate::DelegatedCall;
 use crate::HelperPoll;
 use crate::POLL_WAIT;
 use crate::metrics::count;
@@ -24,18 +24,18 @@
 /// Fewest helpers that are kept for quick calls, if there are that many.
 const MIN_QUICK: usize = 2;
 
-/// If more than one in this many helpers is idle, a gang may have several calls.
+/// A gang may have several calls at a time if more than one in this many helpers is idle.
 const IDLE_DIVISOR: usize = 2;
 
 /// Longest time spent on assigning calls in one planning cycle: for each call, all workers are
 /// examined. With 300 idle helpers after a take-over of 3,000 workers, one cycle took longer
-/// than an ownership lasts without renewal; with 4 ms, too few calls were made.
+/// than the expiry of the ownership; with 4 ms, too few calls were made.
 const ASSIGN_TIME: Duration = Duration::from_millis(20);
 
 /// A call that takes longer than this is slow.
 const SLOW_CALL: Duration = Duration::from_millis(60);
 
-/// Time without a request after which a helper is removed.
+/// Time without a poll after which a helper is removed.
 const HELPER_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Time that a result may have been in transit, subtracted from the validity of its tickets.
@@ -44,21 +44,24 @@
 /// Validity of a ticket if neither the service nor the queue states one.
 const DEFAULT_VALIDITY: Duration = Duration::from_secs(1);
 
-/// Pause after a call that failed.
+/// Pause after a failed call before its step may have another one.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
+/// A helper that has polled recently.
 struct Helper {
-    last_request: Duration,
+    last_poll: Duration,
+    /// The helper is making a slow call.
     slow: bool,
 }
 
+/// A helper that waits for the reply to its poll.
 struct IdleHelper {
     node: String,
-    reply: oneshot::Sender<Option<AdviceQuery>>,
+    reply: oneshot::Sender<Option<DelegatedCall>>,
     since: Duration,
 }
 
-/// Helpers by node, and requests that wait for a call.
+/// All helpers by host, and the polls of idle helpers.
 #[derive(Default)]
 pub(crate) struct Helpers {
     by_node: HashMap<String, Helper>,
@@ -81,14 +84,14 @@
 }
 
 impl Pool {
-    pub(super) fn handle_help(
+    pub(super) fn handle_poll(
         &mut self,
         request: HelperPoll,
-        reply: oneshot::Sender<Option<AdviceQuery>>,
+        reply: oneshot::Sender<Option<DelegatedCall>>,
     ) {
         let now = self.context.now();
         let helper = Helper {
-            last_request: now,
+            last_poll: now,
             slow: false,
         };
         self.helpers.by_node.insert(request.node.clone(), helper);
@@ -130,7 +133,7 @@
     pub(super) fn assign_calls(&mut self, now: Duration) {
         self.helpers
             .by_node
-            .retain(|_, helper| now.saturating_sub(helper.last_request) < HELPER_TIMEOUT);
+            .retain(|_, helper| now.saturating_sub(helper.last_poll) < HELPER_TIMEOUT);
         let end = self.context.now() + ASSIGN_TIME;
         while self.context.now() < end
             && let Some(idle) = self.helpers.idle.front()
@@ -144,23 +147,23 @@
                 FreeHelpers::Few if !quick => FreeHelpers::Some,
                 available => available,
             };
-            let Some(ask) = self.planner.next_advice_request(available) else {
+            let Some(next) = self.planner.next_advice_request(available) else {
                 break;
             };
             let Some(idle) = self.helpers.idle.pop_front() else {
                 break;
             };
             if let Some(helper) = self.helpers.by_node.get_mut(&idle.node) {
-                helper.slow = ask.cost > SLOW_CALL;
+                helper.slow = next.cost > SLOW_CALL;
             }
-            let step = ask.step;
-            let workers = ask.workers.clone();
-            let order = AdviceQuery {
+            let step = next.step;
+            let workers = next.workers.clone();
+            let call = DelegatedCall {
                 step,
-                workers: ask.workers,
-                cost: ask.cost,
+                workers: next.workers,
+                cost: next.cost,
             };
-            if idle.reply.send(Some(order)).is_err() {
+            if idle.reply.send(Some(call)).is_err() {
                 self.planner.advice_failed(step, &workers, Duration::ZERO);
             }
         }
--- a/crates/cell/src/owner/hold_interval.rs
+++ b/crates/cell/src/owner/hold_interval.rs
@@ -1,21 +1,21 @@
-//! How long workers hold the owner's calls, depending on the size of the pool.
+//! How long workers delay their replies to the owner's renewal calls, depending on the size of
+//! the pool.
 //!
 //! The owner keeps one call open to each worker, which renews the worker's lease and returns
 //! ends of runs. Repeated at a fixed interval, these calls take a share of the owner's
 //! resources that grows with the pool: with 3,000 workers they took all of half a core,
 //! commands and leases came late, and no job was served; with 85 workers behind a link of 2
-//! Mbit/s they filled the link, and half of the workers counted as silent.
+//! Mbit/s they filled the link, and half of the workers counted as unresponsive.
 
 use std::time::Duration;
 
-/// Longest time for which a worker holds a call while the owner has resources to spare; this is
-/// also the time between renewals. A call that stays unanswered delays the worker's ends until
-/// it times out. With 1 s here and a timeout of 0.5 s, ends arrived up to 1.7 s late; with a
-/// third of all commands unanswered on three days, 705 lookups failed with those values and 346
-/// with the present one.
+/// How long a worker may delay its reply while the owner has resources to spare; this is also
+/// the time between renewals. A call that stays unanswered delays the worker's ends until it
+/// times out. With 1 s here and a timeout of 0.5 s, ends arrived up to 1.7 s late; with a
+/// third of all commands unanswered, 705 lookups failed with those values and 346 with 0.4 s.
 const MIN_WAIT: Duration = Duration::from_millis(400);
 
-/// Upper limit of the same time: within a lease of 4.5 s, two calls may fail.
+/// Upper limit of that delay: within a lease of 4.5 s, two calls may fail.
 const MAX_WAIT: Duration = Duration::from_millis(1600);
 
 /// Share of the owner's processor, and of its link, for these calls.
@@ -39,8 +39,8 @@
     by_core.min(by_link)
 }
 
-/// How long each of `workers` workers may hold a call while it has no end to report, for an
-/// owner with `cores` processor cores and a link of `link_mbps`.
+/// How long each of `workers` workers may delay its reply while it has no end to report, for
+/// an owner with `cores` processor cores and a link of `link_mbps`.
 #[must_use]
 pub fn hold_wait(workers: usize, cores: f64, link_mbps: f64) -> Duration {
     let calls = (calls_per_second(cores, link_mbps) * CALL_SHARE).max(1.0);
--- a/crates/cell/src/owner/hold_task.rs
+++ b/crates/cell/src/owner/hold_task.rs
@@ -30,7 +30,7 @@
 /// Longest pause after a failed call: half of the time that is left of a lease after two calls.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(600);
 
-/// Most calls to one worker that are still open, including those whose reply is late.
+/// Maximum number of open calls to one worker, including those whose reply is late.
 const MAX_CALLS: usize = 3;
 
 /// Reason given for a call whose reply is late.
@@ -56,7 +56,7 @@
     address: SocketAddr,
     id: String,
     fencing: Arc<WorkerFencing>,
-    /// The worker's incarnation, if it is known.
+    /// Incarnation of the worker; `None` if it is unknown.
     incarnation: Option<IncarnationId>,
     lease: Duration,
     sender: mpsc::Sender<OwnerMessage>,
@@ -65,9 +65,9 @@
     saved_end: watch::Receiver<u64>,
     clock: Option<ClockEstimate>,
     /// The worker answered the last call, so the next one renews its lease and acknowledges
-    /// ends. Calls to a silent worker do neither: each of them might arrive, so that the lease
-    /// would never expire and its tasks would never run again; and the worker may have started
-    /// again, with ends of the same numbers that the owner has not received.
+    /// ends. Calls to an unresponsive worker do neither: each of them might arrive, so that
+    /// the lease would never expire and its tasks would never run again; and the worker may
+    /// have started again, with ends of the same numbers that the owner has not received.
     renews: bool,
     /// Number of the newest end that the worker has reported.
     reported_end: u64,
@@ -90,7 +90,7 @@
     token: FencingToken,
     /// Set if no start was in progress.
     idle_mark: Option<IdleMark>,
-    /// How long the worker may hold the call while it has no end to report.
+    /// How long the worker may delay its reply while it has no end to report.
     wait: Duration,
 }
 
@@ -167,7 +167,7 @@
                 HoldOutcome::Report | HoldOutcome::Superseded | HoldOutcome::Closed => None,
             };
             if let Some(reason) = reason {
-                self.mark_silent(reached, reason).await;
+                self.mark_unresponsive(reached, reason).await;
                 reached = false;
                 let pause = retry_pause(failures);
                 failures += 1;
@@ -187,7 +187,7 @@
         }
     }
 
-    async fn mark_silent(&mut self, reached: bool, reason: &str) {
+    async fn mark_unresponsive(&mut self, reached: bool, reason: &str) {
         if let Some(open) = self.open_call.take() {
             let until = open.sent + open.wait + self.shared.latency.lost_after();
             self.notify_owner(WorkerEvent::Late(open.sent, until)).await;
@@ -195,14 +195,14 @@
         self.renews = false;
         // A call that acknowledged ends may not have been carried out.
         self.acked_end = 0;
-        self.notify_owner(WorkerEvent::Silent).await;
+        self.notify_owner(WorkerEvent::Unresponsive).await;
         if reached {
             log::warn!(code = 347, worker = self.id.as_str(), reason = reason; "worker does not answer");
         }
     }
 
-    /// Sends a call to the worker, unless a call is open whose reply is not late, or too many
-    /// calls are.
+    /// Sends a call to the worker, and returns it. Sends none if the newest call is open and
+    /// its reply is not late, or if [`MAX_CALLS`] are open.
     async fn send_call(&mut self) -> HoldCall {
         if let Some(open) = self.open_call {
             return open;
@@ -260,7 +260,7 @@
         let unacknowledged = self.reported_end > saved
             || self.incarnation.is_some() && self.reported_end > self.acked_end;
         let clock = self.clock.filter(|_| self.renews);
-        let owned = sent < *self.shared.tenure.borrow();
+        let owned = sent < *self.shared.owned_until.borrow();
         let acknowledges = self.incarnation.is_some() && acked_end > 0;
         let wait = if unacknowledged || acknowledges || clock.is_none() {
             Duration::ZERO
@@ -354,7 +354,7 @@
         let saved = self
             .saved_end
             .wait_for(|saved_end| *saved_end >= reported_end);
-        // If the save takes longer, the worker is called all the same: its lease must not
+        // If the save takes longer, the next call is sent nevertheless: its lease must not
         // expire while the store is down.
         let _ = tokio::time::timeout(SAVE_WAIT, saved).await;
         if self.incarnation.is_some()
@@ -368,8 +368,9 @@
         }
     }
 
-    /// Passes on a report of another incarnation than the one this link was opened for; returns
-    /// the reason for the log. The owner decides whether the known incarnation has ended.
+    /// Passes on a report of another incarnation than the one this link was opened for;
+    /// returns the reason for the log. The owner decides whether the incarnation of this link
+    /// has ended.
     async fn handle_other_incarnation(
         &mut self,
         sent: Duration,
--- a/crates/cell/src/owner/link.rs
+++ b/crates/cell/src/owner/link.rs
@@ -18,17 +18,17 @@
 use crate::Context;
 use crate::OwnerMessage;
 
-/// Workers that are claimed at the same time. When an owner that took over 3,000 workers
-/// claimed all of them at once, its own renewals were delayed by 1.2 s, and the pool was lost
-/// as soon as it was opened, again and again.
+/// Maximum number of workers that are claimed at the same time. When an owner that took over
+/// 3,000 workers claimed all of them at once, its own renewals were delayed by 1.2 s, and the
+/// pool was lost as soon as it was opened, again and again.
 pub(crate) const MAX_CLAIMS: usize = 128;
 
 /// State that all links of an owner share.
 #[derive(Clone, Debug)]
 pub(crate) struct LinkShared {
     /// Until when leases may be renewed.
-    pub(crate) tenure: watch::Receiver<Duration>,
-    /// How long a worker may hold a call while it has no end to report.
+    pub(crate) owned_until: watch::Receiver<Duration>,
+    /// How long a worker may delay its reply to a call while it has no end to report.
     pub(crate) wait: watch::Receiver<Duration>,
     /// Permits to claim a worker, [`MAX_CLAIMS`] of them.
     pub(crate) claim_permits: Arc<Semaphore>,
--- a/crates/cell/src/owner/liveness.rs
+++ b/crates/cell/src/owner/liveness.rs
@@ -1,9 +1,9 @@
-//! Asks the platform which silent workers have ended.
+//! Asks the platform which unresponsive workers have ended.
 //!
 //! A worker that crashed with its host does not answer, just like one that is only cut off.
 //! Waiting for its lease to expire delays its tasks by five seconds, and after a take-over the
-//! tasks of all other workers as well. The platform's list of machines shows which incarnations
-//! have ended.
+//! tasks of all other workers as well. A worker that is not in the platform's list of machines
+//! has ended.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -16,28 +16,29 @@
 use super::Pool;
 use crate::OwnerMessage;
 
-/// Time between two requests for the list of machines while workers are silent.
+/// Time between two requests for the list of machines while workers are unresponsive.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Silence before the first request: most silences are shorter.
+/// Time for which workers must have been unresponsive before the first request; most of them
+/// answer again sooner.
 const CHECK_DELAY: Duration = Duration::from_millis(250);
 
 /// Timeout of a request.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// When to ask about silent workers.
+/// When to request the list of machines.
 #[derive(Debug, Default)]
 pub(crate) struct LivenessCheck {
     in_progress: bool,
-    /// Since when at least one worker has been silent without a break.
-    silent_since: Option<Duration>,
+    /// Since when at least one worker has been unresponsive without a break.
+    unresponsive_since: Option<Duration>,
     /// Earliest time of the next request.
     next_check: Duration,
 }
 
 impl Pool {
-    /// Requests the list of machines if a worker is silent and runs or a take-over depend on
-    /// it.
+    /// Requests the list of machines if a worker is unresponsive and runs or a take-over
+    /// depend on it.
     pub(super) fn check_liveness(&mut self, now: Duration) {
         let Some(server) = self.context.settings.machines_address() else {
             return;
@@ -45,13 +46,13 @@
         if !self.context.settings.has(Mechanism::LifeCheck) {
             return;
         }
-        let silent = self.planner.unresponsive_workers();
-        if silent.is_empty() {
-            self.liveness.silent_since = None;
+        let unresponsive = self.planner.unresponsive_workers();
+        if unresponsive.is_empty() {
+            self.liveness.unresponsive_since = None;
             return;
         }
-        let silent_since = *self.liveness.silent_since.get_or_insert(now);
-        let early = now < silent_since + CHECK_DELAY || now < self.liveness.next_check;
+        let unresponsive_since = *self.liveness.unresponsive_since.get_or_insert(now);
+        let early = now < unresponsive_since + CHECK_DELAY || now < self.liveness.next_check;
         if self.liveness.in_progress || early {
             return;
         }
@@ -61,15 +62,16 @@
         tokio::spawn(async move {
             let listed = client.running_workers(CHECK_TIMEOUT).await;
             if let Err(error) = &listed {
-                log::warn!(code = 380, error:% = error; "machines cannot be listed");
+                log::warn!(code = 380, error:% = error; "list of machines cannot be read");
             }
-            let ended = listed.map_or_else(|_| Vec::new(), |listed| unlisted(silent, &listed));
+            let ended =
+                listed.map_or_else(|_| Vec::new(), |listed| unlisted(unresponsive, &listed));
             let _ = sender.send(OwnerMessage::WorkersEnded(ended)).await;
         });
     }
 
-    /// Handles the reply: ends the incarnations of those workers that were silent at the time
-    /// of the request and that the list of machines does not show.
+    /// Handles the reply: ends the incarnations of workers that were unresponsive at the time
+    /// of the request, are not in the list of machines, and have not answered since.
     pub(super) fn handle_ended(&mut self, ended: &[WorkerKey]) {
         self.liveness.in_progress = false;
         self.liveness.next_check = self.context.now() + CHECK_INTERVAL;
@@ -77,22 +79,26 @@
             if !ended.contains(&key) {
                 continue;
             }
-            log::info!(code = 381, worker = id.as_str(), epoch = self.epoch; "silent worker's incarnation has ended");
+            log::info!(code = 381, worker = id.as_str(), epoch = self.epoch; "unresponsive worker is not in the list of machines: its incarnation has ended");
             self.planner.worker_ended(key);
         }
     }
 }
 
-/// Silent workers that the list of machines does not show. Only workers that were silent before
-/// the list was made count: a younger worker is missing from it, and if it were taken for dead,
-/// it would get no work for its whole incarnation, or keep running tasks unnoticed. The list
-/// has only the ids of workers, so it applies to the incarnations that were silent then.
-fn unlisted(silent: Vec<(WorkerKey, WorkerId)>, listed: &HashSet<WorkerId>) -> Vec<WorkerKey> {
+/// Unresponsive workers that are not in the list of machines. Only workers that were
+/// unresponsive before the list was made count: a worker that started later is missing from
+/// it, and if it counted as ended, its incarnation would get no tasks, or would keep running
+/// tasks unnoticed. The list has only the ids of workers, so it applies to the incarnations
+/// that were unresponsive at that time.
+fn unlisted(
+    unresponsive: Vec<(WorkerKey, WorkerId)>,
+    listed: &HashSet<WorkerId>,
+) -> Vec<WorkerKey> {
     // An empty list does not prove that any worker has ended.
     if listed.is_empty() {
         return Vec::new();
     }
-    silent
+    unresponsive
         .into_iter()
         .filter(|(_, id)| !listed.contains(id))
         .map(|(key, _)| key)
--- a/crates/cell/src/owner/load.rs
+++ b/crates/cell/src/owner/load.rs
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Logs the findings about tasks under which workers crashed.
+    /// Logs the findings about tasks that are suspected of crashing workers.
     pub(super) fn log_suspects(&mut self) {
         for suspect in self.planner.take_findings() {
             let Suspect {
@@ -65,16 +65,16 @@
             count(&self.context.metrics.suspects, &suspect.finding.to_string());
             match suspect.finding {
                 Finding::Suspected => {
-                    log::warn!(code = 356, task:% = task, run = run, crashes = crashes; "task will be tried alone");
+                    log::warn!(code = 356, task:% = task, run = run, crashes = crashes; "task is suspected of crashing workers: it will be tried alone on a worker");
                 }
                 Finding::Tried => {
-                    log::info!(code = 357, task:% = task, run = run, crashes = crashes; "task is tried alone");
+                    log::info!(code = 357, task:% = task, run = run, crashes = crashes; "trial of a suspected task, alone on a worker");
                 }
                 Finding::Cleared => {
-                    log::info!(code = 358, task:% = task, run = run, crashes = crashes; "run is no longer counted as a crash");
+                    log::info!(code = 358, task:% = task, run = run, crashes = crashes; "run of a suspected task ended without a worker crash");
                 }
                 Finding::GivenUp => {
-                    log::warn!(code = 359, task:% = task, run = run, crashes = crashes; "task given up: its workers crash");
+                    log::warn!(code = 359, task:% = task, run = run, crashes = crashes; "task crashes its workers: its job fails");
                 }
             }
         }
--- a/crates/cell/src/owner/messages.rs
+++ b/crates/cell/src/owner/messages.rs
@@ -19,25 +19,25 @@
 use tokio::sync::watch;
 
 use crate::AcceptedJob;
-use crate::AdviceQuery;
 use crate::Change;
+use crate::DelegatedCall;
 use crate::HelperPoll;
 use crate::JobView;
 use crate::UsedWorker;
 
-/// Messages that may wait for the owner. Links, callers and helpers together send far fewer
-/// within one planning cycle.
+/// Capacity of the queue of messages to the owner. Links, callers and helpers together send
+/// far fewer within one planning cycle.
 pub(crate) const OWNER_QUEUE_CAPACITY: usize = 4096;
 
 /// A message to the owner's task.
 #[derive(Debug)]
 pub enum OwnerMessage {
-    /// Asks for the state of a job.
+    /// Asks for the status of a job.
     JobState(JobId, oneshot::Sender<JobView>),
     /// Asks how many jobs of a queue wait.
     QueueLength(String, oneshot::Sender<usize>),
-    /// A helper delivers a result and asks for a call.
-    Help(HelperPoll, oneshot::Sender<Option<AdviceQuery>>),
+    /// A helper delivers the result of its last advice call and asks for the next one.
+    Poll(HelperPoll, oneshot::Sender<Option<DelegatedCall>>),
     /// Rows of jobs, from a read of the feed that started at this monotonic time.
     JobRows(Change, Duration),
     /// A job was accepted; sent by the process that accepted it.
@@ -48,8 +48,8 @@
     Registrations(RegistrationChange),
     /// An event from the link to a worker.
     Worker(WorkerKey, WorkerEvent),
-    /// Silent workers whose incarnation has ended by the list of machines; empty if the list
-    /// could not be read.
+    /// Unresponsive workers that are not in the list of machines, so that their incarnations
+    /// have ended; empty if the list could not be read.
     WorkersEnded(Vec<WorkerKey>),
     /// The rows of these jobs were removed, at these versions.
     RowsRemoved(Vec<(JobId, Version)>),
@@ -76,7 +76,7 @@
     /// A call that renews the worker's lease is being sent.
     LeaseSent,
     /// The worker did not answer a call in time.
-    Silent,
+    Unresponsive,
     /// The reply to a call is late: the call was sent at the first of these times, and the
     /// reply may arrive until the second.
     Late(Duration, Duration),
@@ -99,7 +99,7 @@
     pub batch: Batch,
     /// Workers that are about to be used.
     pub used_workers: Vec<(String, UsedWorker)>,
-    /// Workers on which no run can be left.
+    /// Workers on which no run can be running any more.
     pub unused_workers: Vec<String>,
     /// The transaction releases the pool.
     pub releases: bool,
@@ -116,13 +116,14 @@
 }
 
 impl OwnerHandle {
-    /// Creates a handle that follows the sender in this slot.
+    /// Creates a handle. `sender` holds a sender to the owner while this process owns the
+    /// pool.
     #[must_use]
     pub fn new(sender: watch::Receiver<Option<mpsc::Sender<OwnerMessage>>>) -> OwnerHandle {
         OwnerHandle { sender }
     }
 
-    /// Sends a question and waits for its answer. Returns `None` if there is no owner in this
+    /// Sends a message and waits for the reply. Returns `None` if there is no owner in this
     /// process, or if it does not answer in time.
     pub async fn ask<T>(
         &self,
--- a/crates/cell/src/owner/pool.rs
+++ b/crates/cell/src/owner/pool.rs
@@ -53,9 +53,9 @@
 /// renewals are checked at least this often.
 const IDLE_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Age of the registrations from which a worker may have shrunk without the owner having read
-/// it. A worker may be filled up to its former size for 4.5 s after it has shrunk, and it
-/// publishes its size with its next heartbeat, up to 1.5 s later.
+/// Age of the registrations above which a worker may have shrunk without the owner knowing. A
+/// worker tolerates runs up to its former capacity for 4.5 s after it has shrunk, and
+/// registers its new capacity with its next heartbeat, up to 1.5 s later.
 const STALE_AGE: Duration = Duration::from_secs(3);
 
 /// Queued results of the owner's writes: at most one transaction and one read of the guard row
@@ -66,7 +66,7 @@
 /// slow store takes up to 1.2 s for a write, and one may already be in progress.
 const RELEASE_SHARE: f64 = 0.5;
 
-/// The pool, as its owner sees it.
+/// State of the pool's owner.
 pub(crate) struct Pool {
     pub(super) context: Context,
     pub(super) epoch: Epoch,
@@ -86,13 +86,14 @@
     pub(super) retention: Retention,
     /// Workers with a row in the table of used workers.
     pub(super) used_workers: HashSet<String>,
-    /// Jobs whose progress row cannot be decoded; they are not run. Treated as jobs that had
-    /// never started, they ran again after they were done.
+    /// Jobs whose progress row cannot be decoded; they are not run. When they were treated as
+    /// jobs that had never started, completed ones ran again.
     pub(super) unreadable_jobs: HashSet<JobId>,
     pub(super) freshness: Freshness,
     pub(super) overload: Overload,
     pub(super) queue_counts: QueueCounts,
-    /// Publishes to the links how long a worker may hold a call while it has no end to report.
+    /// Publishes to the links how long a worker may delay its reply to a renewal while it has
+    /// no end to report.
     wait_sender: watch::Sender<Duration>,
     claim_permits: Arc<Semaphore>,
     /// Estimate of how long workers take to answer.
@@ -104,8 +105,9 @@
     pub(super) load_logged: Duration,
     /// When the newest successful read of the registrations started.
     pub(super) registrations_read: Duration,
-    /// Another process owns the pool: a worker or the guard row has shown a newer owner.
-    pub(super) deposed: bool,
+    /// Another process owns the pool: a worker has refused a command of this epoch, or the
+    /// guard row was written by a newer owner.
+    pub(super) has_successor: bool,
 }
 
 impl Pool {
@@ -127,9 +129,9 @@
             match take_over(&context, &mut saver).await {
                 Ok(Some(inherited)) => {
                     let workers = inherited.used_workers.iter().map(|(id, _)| id.clone());
-                    let mut tenure = RenewalAuthority::new(read_started, workers);
-                    tenure.record_write(saver.confirmed_renewal());
-                    break (inherited, Freshness::new(read_started, tenure));
+                    let mut authority = RenewalAuthority::new(read_started, workers);
+                    authority.record_write(saver.confirmed_renewal());
+                    break (inherited, Freshness::new(read_started, authority));
                 }
                 Ok(None) => return None,
                 Err(error) => {
@@ -172,11 +174,11 @@
             tasks: JoinSet::new(),
             load_logged: Duration::ZERO,
             registrations_read: context.now(),
-            deposed: false,
+            has_successor: false,
             context,
         };
-        // The jobs are added first: an end in a worker report whose job is not known yet would
-        // be ignored, and its task run again.
+        // The jobs are added first: an end in a worker report would be ignored if its job had
+        // not been added, and the task would run again.
         for row in &inherited.jobs {
             pool.handle_job(row, Some(&inherited.progress));
         }
@@ -203,7 +205,7 @@
         self.tasks.spawn(workers);
     }
 
-    /// Adds a worker that the former owner may have given work to.
+    /// Adds a worker that the former owner may have sent tasks to.
     fn restore_worker(&mut self, id: &str, worker: UsedWorker) {
         let info = WorkerInfo {
             id: id.to_owned(),
@@ -225,7 +227,8 @@
         self.open_link_at(key, None);
     }
 
-    /// Opens a link to a worker, at `new_address` instead of its known address if that is given.
+    /// Opens a link to a worker, at `new_address` if that is given, otherwise at the address
+    /// of its row or registration.
     pub(super) fn open_link_at(&mut self, key: WorkerKey, new_address: Option<SocketAddr>) {
         let Some(info) = self.planner.worker_info(key) else {
             return;
@@ -234,7 +237,7 @@
         info.address = new_address.unwrap_or(info.address);
         let fencing = self.fencing_table.open(self.epoch, &info.id);
         let shared = LinkShared {
-            tenure: self.freshness.subscribe_tenure(),
+            owned_until: self.freshness.subscribe_owned_until(),
             wait: self.wait_sender.subscribe(),
             claim_permits: self.claim_permits.clone(),
             latency: self.latency.clone(),
@@ -297,7 +300,7 @@
                 _ = seat.changed() => {}
                 () = self.context.stopped() => return true,
             }
-            if self.deposed || ownership_lost(&self.context, self.epoch) {
+            if self.has_successor || ownership_lost(&self.context, self.epoch) {
                 log::warn!(code = 332, epoch = self.epoch; "pool lost");
                 return false;
             }
@@ -338,7 +341,7 @@
             self.config = Some(config);
         }
         self.check_freshness(now);
-        self.publish_tenure(now);
+        self.publish_owned_until(now);
         self.publish_hold_wait();
         self.planner.advance(now);
         self.check_registration_age(now);
@@ -350,9 +353,9 @@
             self.planner.process_timeouts();
         }
         if recovering && !self.planner.recovering() {
-            let silent = self.planner.unclaimed_workers();
+            let unclaimed = self.planner.unclaimed_workers();
             log::info!(
-                code = 333, epoch = self.epoch, silent = silent, ms = millis(self.planner.uptime());
+                code = 333, epoch = self.epoch, silent = unclaimed, ms = millis(self.planner.uptime());
                 "tasks of the former owner may start"
             );
         }
@@ -369,8 +372,8 @@
         self.start_save(now);
     }
 
-    /// While the registrations cannot be read, workers are filled no further than the size to
-    /// which they may have shrunk.
+    /// While the registrations cannot be read, tasks are only started within the capacity to
+    /// which a worker may have shrunk.
     fn check_registration_age(&mut self, now: Duration) {
         let age = now.saturating_sub(self.registrations_read);
         let stale = age > STALE_AGE;
@@ -391,11 +394,11 @@
     /// Releases the pool, so that a successor need not wait for the ownership to expire, and
     /// serves it until the release is written. An owner that started no more tasks from the
     /// moment it was asked to stop left the pool idle for 5.3 s while a slow store took its
-    /// last write, and 324 of the 2,154 lookups of a day failed.
+    /// last write, and 324 of 2,154 lookups failed.
     async fn release(&mut self) {
         let end = self.context.now() + self.context.settings.grace().mul_f64(RELEASE_SHARE);
         self.saver.request_release();
-        while self.context.now() < end && !self.saver.released() && !self.deposed {
+        while self.context.now() < end && !self.saver.released() && !self.has_successor {
             let now = self.context.now();
             if ownership_lost(&self.context, self.epoch) {
                 break;
--- a/crates/cell/src/owner/queue_counts.rs
+++ b/crates/cell/src/owner/queue_counts.rs
@@ -1,4 +1,4 @@
-//! Queue lengths that callers are shown.
+//! Queue lengths for replies to callers.
 
 use std::collections::HashMap;
 use std::time::Duration;
--- a/crates/cell/src/owner/registrations.rs
+++ b/crates/cell/src/owner/registrations.rs
@@ -27,7 +27,8 @@
 /// of its return; only after that does a missing registration count as removed.
 const RECOVERY_TIME: Duration = Duration::from_millis(2600);
 
-/// Most keys of unreadable rows that are remembered; each of them is logged once.
+/// Maximum number of keys of unreadable rows that are kept, so that each of them is logged
+/// once.
 const MAX_UNREADABLE: usize = 1000;
 
 /// Registrations of workers, as read from the store.
@@ -37,8 +38,8 @@
     published: HashMap<String, WorkerInfo>,
     /// Workers whose registration was not in the last full read, or was removed.
     missing: HashSet<String>,
-    /// Registrations for services that the configuration does not name: from another writer, or
-    /// for a version of the configuration that is still to come.
+    /// Registrations for services that the configuration does not name: not written by a
+    /// worker of this pool, or for a version of the configuration that was not read yet.
     unconfigured: HashMap<String, WorkerInfo>,
     /// Keys of registrations that were found unreadable, and logged.
     unreadable_keys: HashSet<String>,
@@ -95,7 +96,7 @@
         if self.unreadable_keys.len() < MAX_UNREADABLE
             && self.unreadable_keys.insert(key.to_owned())
         {
-            log::error!(code = 345, worker = key; "registration unreadable");
+            log::error!(code = 345, worker = key; "worker's registration cannot be decoded");
             count(&metrics.unreadable, WORKER_TABLE);
         }
     }
@@ -113,19 +114,19 @@
 pub(crate) async fn follow_workers(context: Context, sender: mpsc::Sender<OwnerMessage>) {
     let mut follower = Follower::new(&context.store, WORKER_TABLE, false);
     let mut registrations = Registrations::default();
-    let mut recovered_at = context.now();
+    let mut settled_at = context.now();
     let mut unavailable = false;
     loop {
         let started = context.now();
         match follower.next(Duration::ZERO).await {
             Ok(change) => {
                 if std::mem::take(&mut unavailable) {
-                    recovered_at = context.now() + RECOVERY_TIME;
+                    settled_at = context.now() + RECOVERY_TIME;
                 }
                 let mut update = registrations.apply_change(change, &context.metrics);
                 let config = context.config.borrow().clone();
                 registrations.add_configured(config.as_deref(), &mut update);
-                if context.now() >= recovered_at {
+                if context.now() >= settled_at {
                     update.deleted = registrations.drain_missing();
                 }
                 // Also sent without changes: the owner derives the age of its registrations
--- a/crates/cell/src/owner/reply_latency.rs
+++ b/crates/cell/src/owner/reply_latency.rs
@@ -12,8 +12,8 @@
 /// Shortest timeout for a reply; a reply usually takes 5 ms.
 const MIN_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Longest timeout for a reply, after which a worker counts as silent: within a lease, two
-/// calls may time out in a row.
+/// Longest timeout for a reply, after which a worker counts as unresponsive: within a lease,
+/// two calls may time out in a row.
 const MAX_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time for which the reply to a call is awaited in all, as a multiple of the time after which
@@ -27,10 +27,12 @@
 /// Deviations above the mean that a reply may take before it is late.
 const DEVIATION_FACTOR: f64 = 4.0;
 
+/// Mean and deviation of the time to a reply.
 #[derive(Clone, Copy, Debug, Default)]
 struct Estimate {
-    /// In seconds.
+    /// Mean time to a reply, in seconds.
     mean: f64,
+    /// Mean deviation from it, in seconds.
     deviation: f64,
 }
 
@@ -60,7 +62,7 @@
         Duration::from_secs_f64(self.lock().mean.max(0.0))
     }
 
-    /// Time after which a reply is late, and its worker counts as silent.
+    /// Time after which a reply is late, and its worker counts as unresponsive.
     #[must_use]
     pub fn late_after(&self) -> Duration {
         let estimate = *self.lock();
--- a/crates/cell/src/owner/retention.rs
+++ b/crates/cell/src/owner/retention.rs
@@ -22,8 +22,8 @@
 /// Time between two removals.
 const REMOVE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Most jobs in one removal: 40 jobs a second keep up with the load of today's sites and hardly
-/// use the store's rate limit.
+/// Maximum number of jobs in one removal: 40 jobs per second keep up with the rate at which
+/// jobs end and hardly use the store's rate limit.
 const MAX_JOBS: usize = 20;
 
 /// Timeout of one transaction.
@@ -45,7 +45,7 @@
     next_removal: Duration,
     /// Version and time of the removal, by job.
     removed: HashMap<JobId, (Version, Duration)>,
-    /// Jobs that have a row elsewhere than in its usual place.
+    /// Jobs that have a row other than their usual one.
     misplaced: HashSet<JobId>,
 }
 
@@ -57,9 +57,9 @@
         }
     }
 
-    /// Whether a job's row of this version was read before its removal. The owner has forgotten
-    /// the job by then; treated as a new job, it would run again after it was done, and be
-    /// counted as started twice.
+    /// Whether a job's row of this version was read before its removal. The planner holds no
+    /// state of the job any more; treated as a new job, it would run again after it was done,
+    /// and be counted as started twice.
     pub(crate) fn predates_removal(&self, id: JobId, version: Version) -> bool {
         let removed = self.removed.get(&id);
         removed.is_some_and(|(removed, _)| version < *removed)
@@ -97,7 +97,7 @@
         });
     }
 
-    /// Forgets jobs whose rows were removed at these versions.
+    /// Removes jobs from the planner whose rows were removed at these versions.
     pub(super) fn handle_removed(&mut self, removed: &[(JobId, Version)]) {
         let now = self.context.now();
         let retention = &mut self.retention;
--- a/crates/cell/src/owner/saver.rs
+++ b/crates/cell/src/owner/saver.rs
@@ -42,11 +42,11 @@
 /// Ends of runs wait 15 ms longer on average, and a tenth of the calls to the store are saved.
 const MIN_SAVE_GAP: Duration = Duration::from_millis(30);
 
-/// Most jobs in one transaction; the store takes 100 entries, a few of which are the guard row,
-/// the renewal and workers.
+/// Maximum number of jobs in one transaction; the store takes 100 entries, a few of which are
+/// the guard row, the renewal and workers.
 const MAX_JOBS: usize = 60;
 
-/// Most workers whose rows are written or removed in one transaction.
+/// Maximum number of workers whose rows are written or removed in one transaction.
 const MAX_WORKERS: usize = 35;
 
 /// Longest time for which an owner renews the ownership while it still reads the state of its
@@ -120,10 +120,10 @@
         Ok(version.is_some())
     }
 
-    /// Renews the ownership until `reading` is closed, for [`TAKE_OVER_LIMIT`] at most. Returns
-    /// false if another process owns the pool, or if the pool was released since this process
-    /// has to stop: when it was held until everything was read, the pool stood idle for as
-    /// long.
+    /// Renews the ownership until `reading` is closed, for [`TAKE_OVER_LIMIT`] at most.
+    /// Returns false if another process owns the pool, or if the pool was released since this
+    /// process has to stop. When the pool was held until all rows were read, no task started
+    /// for as long.
     pub(super) async fn renew_until(&mut self, mut reading: oneshot::Receiver<()>) -> bool {
         let start = self.context.now();
         let end = start + TAKE_OVER_LIMIT;
@@ -148,7 +148,7 @@
     /// Renews the ownership; returns false if another process owns the pool.
     async fn renew(&mut self, now: Duration) -> bool {
         let mut save = Save::default();
-        // No worker report was handled yet, so there is no unsaved end.
+        // No worker report has been handled yet, so there is no unsaved end.
         save.batch.ends_complete = true;
         let transaction = self.build_transaction(&mut save, now);
         match self.context.store.commit(&transaction, SAVE_TIMEOUT).await {
@@ -173,13 +173,13 @@
         self.confirmed_renewal
     }
 
-    /// Queues the row of a worker that is about to be used: the row is written first, so that a
-    /// successor knows that it has to ask this worker for a report.
+    /// Queues the row of a worker that is about to be used: the row is written first, so that
+    /// a successor asks this worker for a report.
     pub(crate) fn queue_row(&mut self, id: String, worker: UsedWorker) {
         self.row_changes.put(id, worker);
     }
 
-    /// Queues the removal of the row of a worker on which no run can be left.
+    /// Queues the removal of the row of a worker on which no run can be running any more.
     pub(crate) fn queue_removal(&mut self, id: String) {
         self.row_changes.remove(id);
     }
@@ -220,7 +220,7 @@
         save.renews = save.releases || now.saturating_sub(self.last_renewal) >= RENEW_INTERVAL;
         if save.renews {
             self.beat += 1;
-            let seat = Ownership {
+            let ownership = Ownership {
                 epoch: self.epoch,
                 node: self.context.settings.node.clone(),
                 incarnation: self.context.incarnation,
@@ -230,7 +230,7 @@
                 calls: self.context.settings.owner_calls(),
                 strained: self.overloaded,
             };
-            puts.push((ownership_row(), encode_row(&seat)));
+            puts.push((ownership_row(), encode_row(&ownership)));
         }
         Transaction {
             expect: vec![(guard_row(), self.guard_version)],
@@ -275,7 +275,7 @@
         let transaction = self.saver.build_transaction(&mut save, now);
         let used_workers = save.used_workers.iter().map(|(id, _)| id);
         for id in used_workers.chain(&save.unused_workers) {
-            self.freshness.tenure.row_pending(id);
+            self.freshness.authority.row_pending(id);
         }
         self.saver.in_progress = true;
         self.saver.not_before = now + MIN_SAVE_GAP;
@@ -283,7 +283,7 @@
         let sender = self.result_sender.clone();
         tokio::spawn(async move {
             let commit = context.store.commit(&transaction, SAVE_TIMEOUT);
-            let result = context.until_recovery(commit).await;
+            let result = context.abandon_on_recovery(commit).await;
             let _ = sender.send(OwnerMessage::SaveFinished(save, result)).await;
         });
     }
@@ -297,7 +297,7 @@
                 observe(&metrics.save, now.saturating_sub(save.started));
                 self.saver.in_progress = false;
                 self.saver.guard_version = version;
-                self.freshness.tenure.record_write(save.started);
+                self.freshness.authority.record_write(save.started);
                 if save.releases {
                     self.saver.release = Release::Confirmed;
                 }
@@ -334,12 +334,13 @@
             }
         }
         for id in &save.unused_workers {
-            self.freshness.tenure.row_removed(id);
+            self.freshness.authority.row_removed(id);
         }
         for (id, worker) in save.used_workers {
-            self.freshness.tenure.row_written(&id);
+            self.freshness.authority.row_written(&id);
             let key = self.planner.worker_key(&id);
-            // If the row names another incarnation, a successor does not know of this one yet.
+            // If the row names another incarnation, a successor would not ask this one for a
+            // report yet.
             let key = key.filter(|key| {
                 let info = self.planner.worker_info(*key);
                 info.is_some_and(|info| info.incarnation == worker.incarnation)
@@ -393,7 +394,7 @@
                 self.saver.guard_version = version;
                 self.saver.in_progress = false;
             }
-            Ok(None) => self.deposed = true,
+            Ok(None) => self.has_successor = true,
             Err(error) => {
                 log::warn!(code = 363, epoch = self.epoch, error:% = error; "guard row cannot be read");
                 self.reread_guard();
--- a/crates/cell/src/owner/supervise.rs
+++ b/crates/cell/src/owner/supervise.rs
@@ -12,14 +12,14 @@
 /// Sender to the owner in this process; `None` while there is no owner here.
 pub type OwnerSlot = watch::Sender<Option<mpsc::Sender<OwnerMessage>>>;
 
-/// Opens the pool whenever this process owns it, until the process stops. A pool that was taken
-/// just before the stop is opened too, and is released at once; otherwise it would be free only
-/// when the ownership expires.
+/// Opens the pool whenever this process owns it, until the process stops. A pool that was
+/// taken just before the stop is opened too, and is released at once; otherwise other
+/// processes could take it only when the ownership expires.
 pub async fn supervise_owner(context: Context, slot: OwnerSlot) {
-    let mut seat = context.ownership.clone();
+    let mut ownership_rx = context.ownership.clone();
     let mut last_epoch: Epoch = 0;
     loop {
-        let epoch = seat
+        let epoch = ownership_rx
             .borrow_and_update()
             .owner()
             .filter(|owner| owner.incarnation == context.incarnation)
@@ -45,7 +45,7 @@
             return;
         }
         tokio::select! {
-            changed = seat.changed() => if changed.is_err() { return },
+            changed = ownership_rx.changed() => if changed.is_err() { return },
             () = context.stopped() => return,
         }
     }
--- a/crates/cell/src/owner/takeover.rs
+++ b/crates/cell/src/owner/takeover.rs
@@ -32,7 +32,7 @@
 pub(super) const READ_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Time between two reads of the feed of job rows. The process that accepts a job notifies the
-/// owner at once; the feed brings the jobs for which this failed.
+/// owner at once; the feed delivers the jobs of which the owner was not notified.
 const FEED_INTERVAL: Duration = Duration::from_millis(300);
 
 /// State that the former owner left in the store.
@@ -47,7 +47,7 @@
     pub(super) unreadable_jobs: HashSet<JobId>,
     /// Workers to which the former owner may have given tasks.
     pub(super) used_workers: Vec<(String, UsedWorker)>,
-    /// Number of further rows of used workers, which cannot be decoded.
+    /// Number of rows of used workers that cannot be decoded.
     pub(super) undecodable_workers: usize,
 }
 
@@ -117,7 +117,7 @@
             Ok(id) => id,
             Err(error) => {
                 count(metrics, PROGRESS_TABLE);
-                log::error!(code = 337, key = row.name.key.as_str(), error:% = error; "progress row unreadable");
+                log::error!(code = 337, key = row.name.key.as_str(), error:% = error; "progress row of a job cannot be decoded");
                 return;
             }
         };
@@ -127,7 +127,7 @@
             }
             Err(error) => {
                 count(metrics, PROGRESS_TABLE);
-                log::error!(code = 337, key = row.name.key.as_str(), error:% = error; "progress row unreadable");
+                log::error!(code = 337, key = row.name.key.as_str(), error:% = error; "progress row of a job cannot be decoded");
                 self.unreadable_jobs.insert(id);
             }
         }
@@ -138,7 +138,7 @@
             Ok(worker) => self.used_workers.push((row.name.key.clone(), worker)),
             Err(error) => {
                 count(metrics, USED_WORKER_TABLE);
-                log::error!(code = 338, key = row.name.key.as_str(), error:% = error; "worker row unreadable");
+                log::error!(code = 338, key = row.name.key.as_str(), error:% = error; "row of a used worker cannot be decoded");
                 self.undecodable_workers += 1;
             }
         }
--- a/crates/cell/src/ownership.rs
+++ b/crates/cell/src/ownership.rs
@@ -62,10 +62,10 @@
 /// at 0.2 to 0.3 of a core.
 const MIN_OWNER_CORES: f64 = 0.2;
 
-/// Additional delay of such a small host. A larger process that was killed is back after 0.6 s
-/// and makes its attempt within another 0.2 s. With a delay of 0.4 s, a host with 0.12 of a core
-/// took over 350 workers while four larger ones were starting: work started again only after 5.7
-/// s, and the score of the simulated day fell from 0.68 to 0.43 (2 of 18 runs).
+/// Additional delay of such a small host. A larger process that was killed is back after 0.6 s and
+/// makes its attempt within another 0.2 s. With a delay of 0.4 s, a host with 0.12 of a core took
+/// over 350 workers while four larger ones were starting: work started again only after 5.7 s, and
+/// the value of the results to their callers fell from 0.68 to 0.43 (in 2 of 18 trials).
 const SMALL_HOST_DELAY: Duration = Duration::from_secs(1);
 
 /// A host takes the pool from an owner that cannot keep up only if it can make this many times
@@ -75,7 +75,7 @@
 /// Number of slots into which [`STAGGER`] is divided.
 const STAGGER_SLOTS: u32 = 1024;
 
-/// Ownership of the pool as last seen by this process.
+/// Ownership of the pool as last read by this process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OwnershipView {
     /// Newest readable row of the ownership.
@@ -90,7 +90,7 @@
 }
 
 impl OwnershipView {
-    /// Returns the owner, unless it has given up the pool.
+    /// Returns the owner, unless it has released the pool.
     #[must_use]
     pub fn owner(&self) -> Option<&Ownership> {
         self.ownership
@@ -103,8 +103,8 @@
 pub struct OwnerElection {
     context: Context,
     view: watch::Sender<OwnershipView>,
-    /// Time at which the newest row was first seen, or from which on renewals can be seen again
-    /// after an outage of the store.
+    /// When this process first read the newest version of the ownership row. After an outage of
+    /// the store, in which renewals could not be read, it is the time of the first reply.
     renewed_at: Duration,
     /// Time without renewals after which the pool is taken over.
     expiry: Duration,
@@ -140,7 +140,7 @@
             attempt_at = self.next_attempt(attempt_at);
             if attempt_at.is_some_and(|attempt_at| self.context.now() >= attempt_at) {
                 attempt_at = None;
-                if self.recheck().await && !self.context.stopping() {
+                if self.reread_ownership().await && !self.context.stopping() {
                     self.take_over().await;
                 }
             }
@@ -211,7 +211,8 @@
 
     /// Returns the newest known epoch: that of the ownership row, or of the guard row if no
     /// ownership row has been readable since this process started. Workers refuse commands of an
-    /// epoch lower than the last one they obeyed, so a lower epoch would be useless.
+    /// epoch lower than the last one they obeyed, so an owner with a lower epoch could start
+    /// nothing.
     async fn newest_epoch(&self) -> Epoch {
         let view = self.view.borrow().clone();
         if let Some(ownership) = view.ownership {
@@ -230,10 +231,10 @@
         guard.map_or(0, |guard| guard.epoch)
     }
 
-    /// Probes the store after an error of the feed. The feed may have failed alone: while the
-    /// store drops its history, feeds deliver nothing for a second and are cut, but the store
-    /// still accepts jobs, and callers were then refused needlessly. So the store counts as
-    /// unreachable only if a plain read gets no reply either.
+    /// Probes the store after an error of the feed. The store counts as unreachable only if a
+    /// plain read gets no reply either: while the store drops its history, feeds deliver nothing
+    /// for a second and are cut, but it still accepts jobs. When a failed feed was enough, callers
+    /// were refused needlessly.
     async fn feed_failed(&mut self, error: &StoreError) {
         let store = self.context.store.clone();
         if !error.certainly_not_done()
@@ -266,8 +267,8 @@
     }
 
     /// Time at which this host may try to take the pool; `None` while the pool is not free. The
-    /// feed is followed until then. A host that slept instead missed the new owner, and one that
-    /// the store refused in that time had no owner to forward jobs to.
+    /// feed is followed until then. A host that slept instead missed the new owner, and if the
+    /// store refused its writes in that time, it had no owner to forward jobs to.
     fn next_attempt(&self, attempt_at: Option<Duration>) -> Option<Duration> {
         if !self.may_take() || self.context.stopping() {
             return None;
@@ -284,11 +285,11 @@
         }
         let ctx = &self.context;
         let Some(ownership) = &view.ownership else {
-            // An unreadable row may belong to an owner that still renews it.
+            // A row that cannot be decoded may belong to an owner that still renews it.
             return view.version == 0 || ctx.now().saturating_sub(self.renewed_at) > self.expiry;
         };
         let owned_here = ownership.incarnation == ctx.incarnation;
-        // An earlier start of this host's process has certainly ended.
+        // The owner is an earlier process of this host, which has certainly ended.
         let restarted = ownership.node == ctx.settings.node && !owned_here;
         // A killed process breaks off its connections: one missed renewal is then enough.
         let expiry = if ctx.is_owner_suspected(ownership.epoch) {
@@ -311,14 +312,15 @@
         calls_known && ownership.strained && ownership.calls.saturating_mul(RELIEF_FACTOR) <= calls
     }
 
-    /// Reads the row once more before the pool is taken: the feed may have hung, the store may be
-    /// slow, or another host may have been faster.
+    /// Reads the ownership row once more before the pool is taken, and returns whether this host
+    /// may still take it: the feed may have hung, the store may be slow, or another host may have
+    /// been faster.
     ///
-    /// The row must be read after the stagger, not only before it, where it was outdated by the
-    /// time of the write: most of 299 hosts then wrote needlessly, up to 100 of these writes queued
+    /// The row must be read after the stagger, not only before it. Otherwise it was outdated by
+    /// the time of the write: most of 299 hosts wrote needlessly, up to 100 of these writes queued
     /// in the owner's part of the store ahead of the new owner's renewals, and the pool became
     /// free again, 12 times in 30 s.
-    async fn recheck(&mut self) -> bool {
+    async fn reread_ownership(&mut self) -> bool {
         let started = self.context.now();
         let store = &self.context.store;
         let row = match store.read_row(&ownership_row(), TAKE_OVER_TIMEOUT).await {
@@ -374,7 +376,7 @@
             Ok(Committed::Conflict) => {
                 log::info!(code = 305, epoch = epoch; "another process took the pool");
             }
-            // If the write was carried out after all, the feed delivers the row.
+            // If the store has carried out the write after all, the feed delivers the row.
             Err(error) => {
                 log::warn!(code = 306, epoch = epoch, error:% = error; "attempt to take the pool failed");
             }
--- a/crates/cell/src/peers.rs
+++ b/crates/cell/src/peers.rs
@@ -1,5 +1,5 @@
 //! Requests between the processes of a cell. Processes call the owner and the owner calls none of
-//! them, so it needs no list of peers.
+//! them, so the owner needs no list of peers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -43,8 +43,8 @@
 
 /// An advice call that the owner delegates to a helper.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct AdviceQuery {
-    /// Step that the call is about.
+pub struct DelegatedCall {
+    /// Step that needs workers.
     pub step: StepKey,
     /// Workers to ask about.
     pub workers: Vec<WorkerId>,
@@ -55,7 +55,7 @@
 /// Result of a delegated advice call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct AdviceResult {
-    /// Step that the call was about.
+    /// Step that needs workers.
     pub step: StepKey,
     /// Workers that the call asked about.
     pub workers: Vec<WorkerId>,
@@ -67,12 +67,12 @@
     pub age: Duration,
 }
 
-/// A helper's request for the next advice query, with the result of the previous one.
+/// A helper's request for the next advice call, with the result of the previous one.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HelperPoll {
     /// Name of the helper's host.
     pub node: String,
-    /// Result of the previous query, if there was one.
+    /// Result of the previous advice call, if there was one.
     pub result: Option<AdviceResult>,
 }
 
@@ -90,10 +90,11 @@
 pub enum JobView {
     /// Status of the job.
     Job(JobStatus),
-    /// The owner has no record of the job, so none of its tasks has started; the store may have
-    /// more.
+    /// The owner has no record of the job, so none of its tasks has started. The store may hold a
+    /// job that the owner has not read yet.
     Unknown,
-    /// The former owner may have started the job, which this owner has not yet found out.
+    /// A former owner may have started the job, and not all workers that could tell have reported
+    /// yet.
     Undecided,
 }
 
@@ -159,8 +160,8 @@
             .await
     }
 
-    /// Notifies the owner of an accepted job. The change feed also delivers the job, but later:
-    /// up to a second when the store's watches hang.
+    /// Notifies the owner of an accepted job. The change feed also delivers the job, but later: up
+    /// to a second when the store's feeds hang.
     ///
     /// # Errors
     /// Fails if the owner did not answer.
@@ -177,7 +178,7 @@
         .await
     }
 
-    /// Notifies the owner of a cancelled job. The change feed also delivers the cancel, but
+    /// Notifies the owner of a cancelled job. The change feed also delivers the cancellation, but
     /// later, and tasks of the job could start in the meantime.
     ///
     /// # Errors
@@ -189,9 +190,14 @@
             .await
     }
 
-    /// Forwards a job to the owner because the store refuses this host. The caller must be
-    /// certain that the job was not accepted here. Returns `None` if the job was not forwarded.
-    pub(crate) async fn accept(&self, job: &AcceptedJob, timeout: Duration) -> Option<Acceptance> {
+    /// Asks the owner to accept a job, because the store refuses this host. The job must certainly
+    /// not be accepted yet. Returns `None` if there is no owner in another process, or if it did
+    /// not handle the request.
+    pub(crate) async fn forward_job(
+        &self,
+        job: &AcceptedJob,
+        timeout: Duration,
+    ) -> Option<Acceptance> {
         let owner = self.context.ownership.borrow().owner().cloned()?;
         if owner.incarnation == self.context.incarnation {
             return None;
@@ -211,13 +217,13 @@
         }
     }
 
-    /// Polls for an advice query and delivers the result of the previous one.
+    /// Polls for an advice call and delivers the result of the previous one.
     ///
     /// # Errors
     /// Fails if the owner did not answer; the result may be lost.
-    pub async fn help(&self, request: HelperPoll) -> Result<Option<AdviceQuery>, OwnerError> {
+    pub async fn poll(&self, request: HelperPoll) -> Result<Option<DelegatedCall>, OwnerError> {
         let body = request.clone();
-        let make_message = |reply| OwnerMessage::Help(request, reply);
+        let make_message = |reply| OwnerMessage::Poll(request, reply);
         let timeout = POLL_WAIT + POLL_SLACK;
         self.ask(make_message, Method::POST, "/help", &body, timeout)
             .await
@@ -268,20 +274,20 @@
     }
 }
 
-/// Handles requests of peers with the help of the owner in this process.
+/// Handles requests of peers by passing them to the owner in this process.
 pub struct PeerHandler {
-    port: OwnerHandle,
+    owner_handle: OwnerHandle,
     context: Context,
     acceptor: Acceptor,
 }
 
 impl PeerHandler {
-    /// Creates a handler that passes requests to the owner behind `port`.
+    /// Creates a handler that passes requests to the owner which `owner_handle` reaches.
     #[must_use]
-    pub fn new(port: OwnerHandle, context: Context) -> Arc<PeerHandler> {
+    pub fn new(owner_handle: OwnerHandle, context: Context) -> Arc<PeerHandler> {
         let acceptor = Acceptor::new(context.clone());
         Arc::new(PeerHandler {
-            port,
+            owner_handle,
             context,
             acceptor,
         })
@@ -295,7 +301,7 @@
             // If this process no longer owns the pool, the change feed delivers the job to the
             // new owner.
             let make_message = |reply| OwnerMessage::JobAccepted(Box::new(job), reply);
-            let _ = self.port.ask(make_message, OWNER_TIMEOUT).await;
+            let _ = self.owner_handle.ask(make_message, OWNER_TIMEOUT).await;
         }
         web::json(StatusCode::OK, &acceptance)
     }
@@ -305,7 +311,7 @@
         make_message: impl FnOnce(oneshot::Sender<T>) -> OwnerMessage,
         timeout: Duration,
     ) -> Whole {
-        match self.port.ask(make_message, timeout).await {
+        match self.owner_handle.ask(make_message, timeout).await {
             Some(value) => web::json(StatusCode::OK, &value),
             None => web::error(StatusCode::CONFLICT, "not the owner of the pool"),
         }
@@ -340,7 +346,7 @@
         if incoming.path == "/help" {
             return match serde_json::from_slice::<HelperPoll>(&incoming.body) {
                 Ok(request) => {
-                    let make_message = |reply| OwnerMessage::Help(request, reply);
+                    let make_message = |reply| OwnerMessage::Poll(request, reply);
                     self.relay(make_message, POLL_WAIT + POLL_SLACK).await
                 }
                 Err(error) => web::error(StatusCode::BAD_REQUEST, &error.to_string()),
--- a/crates/cell/src/probe.rs
+++ b/crates/cell/src/probe.rs
@@ -9,8 +9,8 @@
 
 use crate::ownership_row;
 
-/// Interval between the starts of two reads. It bounds how late a recovered store is noticed:
-/// with it after 0.1 s, without it after 0.9 s.
+/// Interval between the starts of two reads. It bounds how late the recovery of the store is
+/// noticed: after 0.1 s with these repeated reads, after 0.9 s without them.
 const PROBE_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Timeout of one read; a slow store takes up to 0.3 s.
@@ -32,7 +32,7 @@
                     let store = store.clone();
                     reads.spawn(async move { store.read_row(&ownership_row(), PROBE_TIMEOUT).await });
                 }
-                // After a refused or broken read, the next one follows at its time.
+                // After a read that failed, the next one starts at the next tick.
                 Some(read) = reads.join_next() => if let Ok(Ok(row)) = read {
                     return row;
                 },
--- a/crates/cell/src/process.rs
+++ b/crates/cell/src/process.rs
@@ -50,7 +50,7 @@
 /// second apart.
 const DRAIN_TIME: Duration = Duration::from_millis(2600);
 
-/// Part of the grace period that is reserved, so that the process ends before the platform kills
+/// Part of the grace period that is not used, so that the process ends before the platform kills
 /// it.
 const KILL_MARGIN: Duration = Duration::from_millis(1500);
 
@@ -59,7 +59,9 @@
 
 /// A running process.
 pub struct CellProcess {
+    /// Asks all tasks to stop.
     stop: watch::Sender<bool>,
+    /// Asks the servers to accept no more requests.
     close: watch::Sender<bool>,
     servers: JoinSet<()>,
     /// Time between the stop signal and the kill.
@@ -80,8 +82,8 @@
         let (close, close_rx) = watch::channel(false);
         let (owner_slot, owner_slot_rx) = watch::channel(None);
         let context = Context::new(settings, config, ownership, stop_rx);
-        let port = OwnerHandle::new(owner_slot_rx);
-        let client = OwnerClient::new(context.clone(), port.clone());
+        let owner_handle = OwnerHandle::new(owner_slot_rx);
+        let client = OwnerClient::new(context.clone(), owner_handle.clone());
         let listen = &context.settings.listen;
         let callers = bind(listen.callers).await?;
         let ready = bind(listen.ready).await?;
@@ -93,7 +95,7 @@
         servers.spawn(web::serve(callers, handler, limits, close_rx.clone()));
         let handler = ReadyHandler::new(context.clone());
         servers.spawn(web::serve(ready, handler, limits, close_rx.clone()));
-        let handler = PeerHandler::new(port, context.clone());
+        let handler = PeerHandler::new(owner_handle, context.clone());
         servers.spawn(web::serve(peers, handler, limits, close_rx.clone()));
         let handler = MetricsHandler::new(context.metrics.clone());
         servers.spawn(web::serve(metrics, handler, limits, close_rx));
@@ -117,7 +119,7 @@
         })
     }
 
-    /// Shuts down: gives up the pool at once, serves until the balancer sends no more callers,
+    /// Shuts down: releases the pool at once, serves until the balancer sends no more requests,
     /// then lets open requests finish.
     pub async fn close(mut self) {
         log::info!(code = 101; "stopping");
--- a/crates/cell/src/rows.rs
+++ b/crates/cell/src/rows.rs
@@ -32,14 +32,14 @@
 /// check the ownership.
 pub const OWNER_PART: &str = "owner";
 
-/// Number of parts over which accepted jobs are spread. A part does one transaction after
-/// another, and one takes most of a second when the store is slow: with 8 parts, 430 of 2,500
-/// jobs of a day with a slow store were refused.
+/// Number of parts over which accepted jobs are spread. Each part carries out one transaction at a
+/// time, which takes most of a second when the store is slow: with 8 parts, 430 of 2,500 jobs were
+/// refused while it was.
 const JOB_PARTS: u64 = 128;
 
 /// Number of rows, in different parts, in which a job may be stored. The store may refuse some
-/// parts and serve the others: with a fifth of the parts unavailable, one possible row meant that
-/// a fifth of all jobs were refused; with four it is one in five hundred.
+/// parts and serve the others: with a fifth of the parts unavailable, a fifth of all jobs were
+/// refused when a job had one possible row; with four possible rows it is one job in five hundred.
 const JOB_ROWS: usize = 4;
 
 /// Returns the name of a job's usual row, the first of [`job_rows`].
@@ -48,9 +48,9 @@
     job_row_at(id, 0)
 }
 
-/// Returns the names of all rows that a job may have, the usual one first. A job has more than
-/// one row if its first write got no reply and was carried out late. The rows are equal except
-/// for the cancel, which counts if any of them has it.
+/// Returns the names of all rows that a job may have, the usual one first. A job has more than one
+/// row if its first write got no reply and was carried out late. The rows are equal except for the
+/// cancellation, which counts if any of them contains it.
 #[must_use]
 pub fn job_rows(id: JobId) -> [RowName; JOB_ROWS] {
     std::array::from_fn(|index| job_row_at(id, index))
@@ -100,22 +100,22 @@
 /// Ownership of the pool, as stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ownership {
-    /// Number of the ownership, counted from 1; each take-over raises it.
+    /// Epoch of the owner, counted from 1; each take-over raises it.
     pub epoch: Epoch,
     /// Name of the owner's host.
     pub node: String,
-    /// Id of the start of the owner's process.
+    /// Random id of the owner's process, which differs at each start.
     pub incarnation: u64,
     /// Address on which peers reach the owner.
     pub address: SocketAddr,
     /// Counter that rises with each renewal.
     pub beat: u64,
-    /// Whether the owner has given up the pool; any process may then take it at once.
+    /// Whether the owner has released the pool; any process may then take it at once.
     pub released: bool,
-    /// Calls a second that the owner's host can make, limited by its processor and its link.
+    /// Calls per second that the owner's host can make, limited by its processor and its link.
     pub calls: u32,
-    /// Whether the owner cannot keep up: replies to its calls come late, or it has been reading
-    /// the state of a former owner for too long.
+    /// Whether the owner cannot keep up: replies to its calls come late, or it has spent too long
+    /// reading the state that the former owner left.
     pub strained: bool,
 }
 
@@ -137,11 +137,11 @@
     pub service: String,
     /// Address on which the worker takes commands.
     pub address: SocketAddr,
-    /// Capacity of the worker: processors, memory and accelerators; zero if not known.
+    /// Capacity of the worker; zero if it is unknown.
     pub capacity: Resources,
     /// Kind and rack of the worker.
     pub labels: Vec<String>,
-    /// Incarnation of the worker; `None` if not known.
+    /// Incarnation of the worker; `None` if it is unknown.
     pub incarnation: Option<IncarnationId>,
 }
 
@@ -250,9 +250,9 @@
 /// writes it again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Guard {
-    /// Number of the ownership that the write belongs to.
+    /// Epoch of the owner that wrote the row.
     pub epoch: Epoch,
-    /// Id of the start of the owner's process.
+    /// Random id of the owner's process, which differs at each start.
     pub incarnation: u64,
 }
 
--- a/crates/cell/src/settings.rs
+++ b/crates/cell/src/settings.rs
@@ -60,7 +60,7 @@
     pub peers: Peers,
     /// Number of cores of the host; below 1 if it has only a part of a core.
     pub cores: f64,
-    /// Bandwidth of the host's link, in megabits a second.
+    /// Bandwidth of the host's link, in megabits per second.
     #[serde(default = "usual_link")]
     pub link_mbps: f64,
     /// Address of the platform's store.
@@ -83,11 +83,11 @@
 pub const SETTINGS_VARIABLE: &str = "CLOVERMOUNT_BOOT";
 
 /// Lease given to workers, as a share of the longest one. It is long enough for a successor to
-/// renew it after the owner's death, and short enough that the tasks of a worker that died
-/// without notice are soon started again.
+/// renew it after the owner's death, and short enough that the tasks of a worker that crashed
+/// without notice soon start again.
 const LEASE_SHARE: f64 = 0.75;
 
-/// Default bandwidth of a host's link, in megabits a second.
+/// Default bandwidth of a host's link, in megabits per second.
 fn usual_link() -> f64 {
     1000.0
 }
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Returns the calls a second that this host could make as owner of the pool.
+    /// Returns the number of calls per second that this host could make as owner of the pool.
     #[must_use]
     pub fn owner_calls(&self) -> u32 {
         let calls = calls_per_second(self.cores, self.link_mbps);
--- a/crates/cell/src/stored.rs
+++ b/crates/cell/src/stored.rs
@@ -27,8 +27,8 @@
         /// Error of the read.
         source: StoreError,
     },
-    /// Only the job's acceptance is stored; whether one of its tasks has started is known to the
-    /// owner alone.
+    /// Only the job's acceptance is stored; only the owner can tell whether one of its tasks has
+    /// started.
     #[snafu(display("only the acceptance of the job is stored"))]
     Undecided,
     /// The row's value cannot be decoded by this version.
@@ -41,13 +41,13 @@
 
 impl CallerHandler {
     /// Returns the status of a job according to the store, or `None` if the job does not exist.
-    /// `start_refused` means that the owner has no record of the job, so none of its tasks has
-    /// started.
+    /// `not_started` means that the owner has replied that it has no record of the job, so none of
+    /// its tasks has started.
     ///
-    /// The store learns of a start a moment later than the worker. If the owner does not answer,
-    /// an accepted job may therefore be active already, and a cancelled one may still complete:
-    /// without this distinction, jobs were shown as pending after they had been active, or as
-    /// canceled before they completed.
+    /// A start is written to the store a moment after the worker has carried it out. If the owner
+    /// does not answer, an accepted job may therefore be active already, and a cancelled one may
+    /// still complete: without this distinction, jobs were shown as pending after they had been
+    /// active, or as canceled before they completed.
     pub(crate) async fn stored_status(
         &self,
         id: JobId,
@@ -61,12 +61,12 @@
             return Ok(None);
         };
         let spec = job.spec;
-        // The row that could not be read may hold the cancel.
+        // The row that could not be read may contain the cancellation.
         if let Some(error) = job.read_error.filter(|_| !spec.canceled) {
             return Err(error).context(ReadSnafu);
         }
-        let begun = progress.is_some_and(|progress| progress.has_started());
-        match (begun, not_started) {
+        let started = progress.is_some_and(|progress| progress.has_started());
+        match (started, not_started) {
             (true, _) => Ok(Some(JobStatus::Active)),
             (false, true) if spec.canceled => Ok(Some(JobStatus::Canceled)),
             (false, true) => Ok(Some(JobStatus::Pending)),
--- a/crates/cell/src/submit.rs
+++ b/crates/cell/src/submit.rs
@@ -44,7 +44,7 @@
         if forwards && matches!(acceptance, Acceptance::Refused(_)) {
             // The store may refuse only this host.
             let remaining = deadline.saturating_sub(self.context.now());
-            let reply = self.owner.accept(&job, remaining).await;
+            let reply = self.owner.forward_job(&job, remaining).await;
             acceptance = reply.unwrap_or(acceptance);
         }
         match acceptance {
--- a/crates/cell/tests/context.rs
+++ b/crates/cell/tests/context.rs
@@ -60,7 +60,7 @@
     let context = Context::new(settings(), config, ownership, stop);
     let write = tokio::spawn(async move {
         let never = pending::<Result<(), StoreError>>();
-        context.until_recovery(never).await
+        context.abandon_on_recovery(never).await
     });
     tokio::task::yield_now().await;
     view.send_replace(unreachable());
@@ -79,7 +79,7 @@
     let (_stop, stop) = watch::channel(false);
     let context = Context::new(settings(), config, ownership, stop);
 
-    let result = context.until_recovery(async { Ok(7) }).await;
+    let result = context.abandon_on_recovery(async { Ok(7) }).await;
 
     assert!(matches!(result, Ok(7)), "{result:?}");
 }
