--- a/crates/cell/src/context.rs
+++ b/crates/cell/src/context.rs
@@ -38,7 +38,7 @@
     pub incarnation: u64,
     /// Client of the platform's store.
     pub store: Store,
-    /// Client that sends commands to workers.
+    /// Client for commands to workers.
     pub commands: CommandClient,
     /// HTTP client for peers and the advice service.
     pub client: Client,
--- a/crates/cell/src/owner/helpers.rs
+++ b/crates/cell/src/owner/helpers.rs
@@ -58,6 +58,7 @@
 struct IdleHelper {
     node: String,
     reply: oneshot::Sender<Option<DelegatedCall>>,
+    /// When the poll arrived.
     since: Duration,
 }
 
--- a/crates/cell/src/owner/link.rs
+++ b/crates/cell/src/owner/link.rs
@@ -45,6 +45,7 @@
     pub(crate) id: String,
     /// Fencing token of the worker's commands, and starts in progress.
     pub(super) fencing: Arc<WorkerFencing>,
+    /// Estimate of the worker's clock; `None` until its first report.
     clock: Option<ClockEstimate>,
     /// Time at which the newest call that the worker accepted was sent.
     last_accepted: Option<Duration>,
@@ -104,7 +105,8 @@
         self.last_accepted
     }
 
-    /// End of a lease that begins now, on the worker's clock.
+    /// Expiry of a lease that begins at `now`, on the worker's clock; `None` if its clock is
+    /// unknown.
     pub(crate) fn lease_end(&self, now: Duration, lease: Duration) -> Option<Duration> {
         self.clock.map(|clock| clock.worker_time(now) + lease)
     }
--- a/crates/cell/src/owner/liveness.rs
+++ b/crates/cell/src/owner/liveness.rs
@@ -29,6 +29,7 @@
 /// When to request the list of machines.
 #[derive(Debug, Default)]
 pub(crate) struct LivenessCheck {
+    /// A request for the list of machines is in progress.
     in_progress: bool,
     /// Since when at least one worker has been unresponsive without a break.
     unresponsive_since: Option<Duration>,
--- a/crates/cell/src/owner/load.rs
+++ b/crates/cell/src/owner/load.rs
@@ -68,7 +68,7 @@
                     log::warn!(code = 356, task:% = task, run = run, crashes = crashes; "task is suspected of crashing workers: it will be tried alone on a worker");
                 }
                 Finding::Tried => {
-                    log::info!(code = 357, task:% = task, run = run, crashes = crashes; "trial of a suspected task, alone on a worker");
+                    log::info!(code = 357, task:% = task, run = run, crashes = crashes; "trial of a suspected task starts, alone on a worker");
                 }
                 Finding::Cleared => {
                     log::info!(code = 358, task:% = task, run = run, crashes = crashes; "run of a suspected task ended without a worker crash");
--- a/crates/cell/src/owner/messages.rs
+++ b/crates/cell/src/owner/messages.rs
@@ -77,8 +77,8 @@
     LeaseSent,
     /// The worker did not answer a call in time.
     Unresponsive,
-    /// The reply to a call is late: the call was sent at the first of these times, and the
-    /// reply may arrive until the second.
+    /// The reply to a call is late. The call was sent at the first of these times; after the
+    /// second one, the reply is not expected any more.
     Late(Duration, Duration),
     /// The worker sent a report, in reply to a call that was sent at this monotonic time.
     Reported(Duration, WorkerReport),
--- a/crates/cell/src/owner/overload.rs
+++ b/crates/cell/src/owner/overload.rs
@@ -14,7 +14,8 @@
 /// overloaded.
 const OVERLOAD_DELAY: Duration = Duration::from_secs(1);
 
-/// Since when the owner's link has been full, and the last logged state.
+/// Since when the owner's link has been full, and whether the last log line said that the
+/// owner is overloaded.
 #[derive(Debug, Default)]
 pub(super) struct Overload {
     full_since: Option<Duration>,
--- a/crates/cell/src/owner/pool.rs
+++ b/crates/cell/src/owner/pool.rs
@@ -72,11 +72,13 @@
     pub(super) epoch: Epoch,
     pub(super) planner: Planner,
     pub(super) sender: mpsc::Sender<OwnerMessage>,
+    /// Messages to the owner, except for the results of its writes.
     messages: mpsc::Receiver<OwnerMessage>,
     /// Results of the owner's writes, which are handled before all other messages: queued
     /// behind the messages of 3,000 links, renewals of the ownership were a second apart.
     write_results: mpsc::Receiver<OwnerMessage>,
     pub(super) result_sender: mpsc::Sender<OwnerMessage>,
+    /// Open links, by worker.
     pub(super) links: HashMap<WorkerKey, Link>,
     /// Fencing tokens and starts in progress, by worker.
     fencing_table: FencingTable,
@@ -95,11 +97,15 @@
     /// Publishes to the links how long a worker may delay its reply to a renewal while it has
     /// no end to report.
     wait_sender: watch::Sender<Duration>,
+    /// Permits to claim a worker, [`MAX_CLAIMS`] of them.
     claim_permits: Arc<Semaphore>,
     /// Estimate of how long workers take to answer.
     pub(super) latency: Arc<ReplyLatency>,
+    /// Limit of the starts in progress.
     pub(super) start_window: StartWindow,
+    /// Configuration that was passed to the planner.
     config: Option<Arc<Config>>,
+    /// Tasks that follow the job rows and the registrations of workers.
     tasks: JoinSet<()>,
     /// When the load was last logged.
     pub(super) load_logged: Duration,
@@ -267,8 +273,8 @@
 
     /// Closes the links. Links that are left open to workers which the successor has not
     /// reached would renew the leases of these workers without end; this shows as workers that
-    /// answer two owners. The successor waits for these leases to expire and then starts the
-    /// workers' tasks elsewhere, although they are still running.
+    /// answer two owners. The successor waits until these leases should have expired and then
+    /// starts the workers' tasks elsewhere, although they are still running.
     fn close(self) {
         for link in self.links.into_values() {
             link.close();
@@ -394,7 +400,7 @@
     /// Releases the pool, so that a successor need not wait for the ownership to expire, and
     /// serves it until the release is written. An owner that started no more tasks from the
     /// moment it was asked to stop left the pool idle for 5.3 s while a slow store took its
-    /// last write, and 324 of 2,154 lookups failed.
+    /// last write, and 324 of 2,154 lookup jobs failed.
     async fn release(&mut self) {
         let end = self.context.now() + self.context.settings.grace().mul_f64(RELEASE_SHARE);
         self.saver.request_release();
--- a/crates/cell/src/owner/registrations.rs
+++ b/crates/cell/src/owner/registrations.rs
@@ -20,7 +20,8 @@
 use crate::metrics::count;
 
 /// Time between two reads. Each worker writes its registration about once a second, so a feed
-/// that waits for changes would answer dozens of times a second with nothing but heartbeats.
+/// that waits for changes would return dozens of times a second, almost always with heartbeats
+/// alone.
 const READ_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Registrations that expired during an outage of the store are written again within about two
--- a/crates/cell/src/owner/renewal_interval.rs
+++ b/crates/cell/src/owner/renewal_interval.rs
@@ -12,7 +12,8 @@
 /// How long a worker may delay its reply while the owner has resources to spare; this is also
 /// the time between renewals. A call that stays unanswered delays the worker's ends until it
 /// times out. With 1 s here and a timeout of 0.5 s, ends arrived up to 1.7 s late; with a
-/// third of all commands unanswered, 705 lookups failed with those values and 346 with 0.4 s.
+/// third of all commands unanswered, 705 lookup jobs failed with those values and 346 with 0.4
+/// s.
 const MIN_WAIT: Duration = Duration::from_millis(400);
 
 /// Upper limit of that delay: within a lease of 4.5 s, two calls may fail.
--- a/crates/cell/src/owner/renewal_task.rs
+++ b/crates/cell/src/owner/renewal_task.rs
@@ -64,6 +64,7 @@
     shared: LinkShared,
     /// Number of the newest end that is saved in the store.
     saved_end: watch::Receiver<u64>,
+    /// Estimate of the worker's clock; `None` until its first report.
     clock: Option<ClockEstimate>,
     /// Whether the worker answered the last call. If so, the next one renews its lease and
     /// acknowledges ends. Calls to an unresponsive worker do neither: each of them might
@@ -115,8 +116,7 @@
     Superseded,
     /// No reply arrived in time.
     TimedOut,
-    /// The link has no further use: the incarnation has ended, or the worker obeys a newer
-    /// owner.
+    /// The link is closed: the incarnation has ended, or the worker obeys a newer owner.
     Closed,
 }
 
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Claims the worker and then renews its lease, until the link has no further use.
+    /// Claims the worker and then renews its lease, until the link is closed.
     pub(super) async fn run(mut self) {
         let mut reached = true;
         let mut failures = 0;
@@ -361,8 +361,8 @@
         let saved = self
             .saved_end
             .wait_for(|saved_end| *saved_end >= reported_end);
-        // If the save takes longer, the next call is sent nevertheless: its lease must not
-        // expire while the store is down.
+        // If the save takes longer, the next call is sent nevertheless: the worker's lease
+        // must not expire while the store is down.
         let _ = tokio::time::timeout(SAVE_WAIT, saved).await;
         if self.incarnation.is_some()
             && self.reported_end > self.acked_end
--- a/crates/cell/src/owner/reply_latency.rs
+++ b/crates/cell/src/owner/reply_latency.rs
@@ -24,7 +24,7 @@
 const MEAN_GAIN: f64 = 0.125;
 const DEVIATION_GAIN: f64 = 0.25;
 
-/// Deviations above the mean that a reply may take before it is late.
+/// Number of deviations above the mean after which a reply is late.
 const DEVIATION_FACTOR: f64 = 4.0;
 
 /// Mean and deviation of the time to a reply.
--- a/crates/cell/src/owner/retention.rs
+++ b/crates/cell/src/owner/retention.rs
@@ -40,6 +40,7 @@
 /// Rows that were removed, and the earliest time of the next removal.
 #[derive(Debug, Default)]
 pub(crate) struct Retention {
+    /// A removal is in progress.
     in_progress: bool,
     /// Earliest time of the next removal.
     next_removal: Duration,
--- a/crates/cell/src/owner/start_window.rs
+++ b/crates/cell/src/owner/start_window.rs
@@ -27,7 +27,7 @@
 }
 
 impl StartWindow {
-    /// The window for an owner with a link of `link_mbps`.
+    /// Creates the window of an owner with a link of `link_mbps`.
     #[must_use]
     pub fn new(link_mbps: f64) -> StartWindow {
         let starts = link_mbps * BYTES_PER_MBIT * MAX_LINK_TIME / START_BYTES;
--- a/crates/cell/src/ownership.rs
+++ b/crates/cell/src/ownership.rs
@@ -54,8 +54,8 @@
 /// Timeout of the transaction that takes the pool; a slow store takes up to 1.2 s.
 const TAKE_OVER_TIMEOUT: Duration = Duration::from_millis(1600);
 
-/// Interval over which hosts spread their attempts to take a free pool. A write and its read take
-/// 12 ms: of 8 hosts one writes, of 300 hosts about twenty.
+/// Interval over which hosts spread their attempts to take a free pool. It takes 12 ms until the
+/// other hosts read a write: of 8 hosts one writes, of 300 hosts about twenty.
 const STAGGER: Duration = Duration::from_millis(200);
 
 /// Cores below which a host takes the pool only if no larger host does. Owning 350 workers peaks
--- a/crates/cell/src/peers.rs
+++ b/crates/cell/src/peers.rs
@@ -46,7 +46,7 @@
 pub struct DelegatedCall {
     /// Step that needs workers.
     pub step: StepKey,
-    /// Workers to ask about.
+    /// Workers that the call asks about.
     pub workers: Vec<WorkerId>,
     /// Time that the advice service is expected to take.
     pub cost: Duration,
--- a/crates/cell/src/process.rs
+++ b/crates/cell/src/process.rs
@@ -63,10 +63,13 @@
     stop: watch::Sender<bool>,
     /// Asks the servers to accept no more requests.
     close: watch::Sender<bool>,
+    /// HTTP servers for callers, readiness checks, peers and metrics.
     servers: JoinSet<()>,
     /// Time between the stop signal and the kill.
     grace: Duration,
+    /// Task that runs the owner while this process owns the pool.
     owner: tokio::task::JoinHandle<()>,
+    /// Tasks that follow the configuration and the ownership, and the advice helper.
     _tasks: JoinSet<()>,
 }
 
