--- a/crates/cell/tests/acceptance.rs
+++ b/crates/cell/tests/acceptance.rs
@@ -4,15 +4,15 @@
 
 use hyper::Method;
 use serde_json::Value;
-use site::Act;
-use site::Answer;
 use site::Caller;
-use site::SiteCell;
+use site::Reply;
+use site::ScriptedReply;
+use site::TestCell;
 use site::job;
 
 /// Opens a cell and completes one job, which shows that the store answers.
-async fn open() -> (SiteCell, Caller) {
-    let cell = SiteCell::open(1, 1).await;
+async fn open() -> (TestCell, Caller) {
+    let cell = TestCell::open(1, 1).await;
     let caller = Caller::new();
     let path = "/plain/00000000000000f0";
     caller.submit(&cell.servers(), path, &job(1, "20")).await;
@@ -20,11 +20,11 @@
     (cell, caller)
 }
 
-fn act(done: bool, after: u64, answer: Answer) -> Act {
-    Act {
-        done,
-        after: Duration::from_millis(after),
-        answer,
+fn scripted(commit: bool, delay: u64, reply: Reply) -> ScriptedReply {
+    ScriptedReply {
+        commit,
+        delay: Duration::from_millis(delay),
+        reply,
     }
 }
 
@@ -35,11 +35,11 @@
 async fn a_refusal_of_one_attempt_is_not_taken_for_both() {
     let (cell, caller) = open().await;
     let path = "/plain/00000000000000f1";
-    let acts = [
-        act(false, 1_800, Answer::Status(503)),
-        act(true, 0, Answer::Garbled),
+    let replies = [
+        scripted(false, 1_800, Reply::Status(503)),
+        scripted(true, 0, Reply::Malformed),
     ];
-    cell.store.set_script(cell::JOB_TABLE, &acts);
+    cell.store.set_script(cell::JOB_TABLE, &replies);
 
     let (status, _) = caller
         .send(Method::POST, cell.server(0), path, &job(1, "20"))
@@ -58,8 +58,8 @@
     let (cell, caller) = open().await;
     for (nth, status) in [500, 502, 504].into_iter().enumerate() {
         let path = format!("/plain/{:016x}", 0xf10 + nth);
-        let acts = [act(true, 0, Answer::Status(status))];
-        cell.store.set_script(cell::JOB_TABLE, &acts);
+        let replies = [scripted(true, 0, Reply::Status(status))];
+        cell.store.set_script(cell::JOB_TABLE, &replies);
 
         let (returned, _) = caller
             .send(Method::POST, cell.server(0), &path, &job(1, "20"))
@@ -77,8 +77,8 @@
     let (cell, caller) = open().await;
     let path = "/plain/00000000000000f2";
     caller.submit(&cell.servers(), path, &job(1, "30000")).await;
-    let acts = [act(false, 0, Answer::Never); 3];
-    cell.store.set_script(cell::JOB_TABLE, &acts);
+    let replies = [scripted(false, 0, Reply::Lost); 3];
+    cell.store.set_script(cell::JOB_TABLE, &replies);
 
     let (status, _) = caller
         .send(Method::DELETE, cell.server(0), path, &Value::Null)
@@ -94,8 +94,8 @@
     let (cell, caller) = open().await;
     let path = "/plain/00000000000000f3";
     caller.submit(&cell.servers(), path, &job(1, "30000")).await;
-    let acts = [act(false, 0, Answer::Status(503)); 100];
-    cell.store.set_script(cell::JOB_TABLE, &acts);
+    let replies = [scripted(false, 0, Reply::Status(503)); 100];
+    cell.store.set_script(cell::JOB_TABLE, &replies);
 
     let (status, _) = caller
         .send(Method::DELETE, cell.server(0), path, &Value::Null)
--- a/crates/cell/tests/capacity.rs
+++ b/crates/cell/tests/capacity.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use site::Caller;
-use site::SiteCell;
 use site::StoreFaults;
+use site::TestCell;
 use site::job;
 
 #[tokio::test(flavor = "multi_thread")]
 async fn workers_that_shrink_and_grow_are_not_overfilled() {
-    let cell = SiteCell::open(2, 3).await;
+    let cell = TestCell::open(2, 3).await;
     let caller = Caller::new();
     for nth in 0..30 {
         let path = format!("/plain/{:016x}", 0xf100 + nth);
@@ -29,7 +29,7 @@
         let path = format!("/plain/{:016x}", 0xf100 + nth);
         caller.wait_state(&cell.servers(), &path, "completed").await;
     }
-    assert_eq!(cell.log.faults(), Vec::<String>::new());
+    assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
@@ -38,7 +38,7 @@
 /// old. In this pool the owner has already seen a worker shrink.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_without_the_store_fills_no_worker_that_may_have_shrunk() {
-    let cell = SiteCell::open(1, 1).await;
+    let cell = TestCell::open(1, 1).await;
     let caller = Caller::new();
     cell.wait_owner(|_| true).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
@@ -59,6 +59,6 @@
 
     cell.store.set_faults(StoreFaults::default());
     caller.wait_state(&cell.servers(), path, "completed").await;
-    assert_eq!(cell.log.faults(), Vec::<String>::new());
+    assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
--- a/crates/cell/tests/crashing.rs
+++ b/crates/cell/tests/crashing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use site::Caller;
-use site::SiteCell;
+use site::TestCell;
 use site::job;
 
 /// Most starts of a task that crashes each worker: the platform allows two more after three
@@ -16,7 +16,7 @@
 /// start and come back 1.5 s later at their address, under another id.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_task_that_crashes_its_workers_fails() {
-    let cell = SiteCell::open(2, 6).await;
+    let cell = TestCell::open(2, 6).await;
     let caller = Caller::new();
     let path = "/plain/00000000000000d1";
     caller
@@ -42,7 +42,7 @@
             .wait_state(&cell.servers(), &healthy, "completed")
             .await;
     }
-    assert_eq!(cell.log.faults(), Vec::<String>::new());
+    assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
@@ -51,7 +51,7 @@
 /// successor knows neither the next run nor the worker that crashed under it.
 #[tokio::test(flavor = "multi_thread")]
 async fn crash_counts_survive_killed_owners() {
-    let mut cell = SiteCell::open(3, 6).await;
+    let mut cell = TestCell::open(3, 6).await;
     let caller = Caller::new();
     let id = "00000000000000d2";
     let path = format!("/plain/{id}");
@@ -64,12 +64,12 @@
 
     for crashes in 1..=3 {
         let crashed = async {
-            while cell.log.gone(id) < crashes {
+            while cell.log.lost_runs(id) < crashes {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         };
         let crashed = tokio::time::timeout(Duration::from_secs(20), crashed).await;
-        assert!(crashed.is_ok(), "{} crashes", cell.log.gone(id));
+        assert!(crashed.is_ok(), "{} crashes", cell.log.lost_runs(id));
         tokio::time::sleep(Duration::from_secs(1)).await;
         let owner = cell.wait_owner(|_| true).await;
         cell.kill(owner).await;
@@ -83,6 +83,6 @@
         .await;
     let starts = cell.log.starts(id);
     assert!(starts <= MAX_STARTS, "{starts} starts");
-    assert_eq!(cell.log.faults(), Vec::<String>::new());
+    assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
--- a/crates/cell/tests/cut_workers.rs
+++ b/crates/cell/tests/cut_workers.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use site::Caller;
-use site::PATIENCE;
-use site::Refuses;
-use site::SiteCell;
+use site::RefusedCalls;
 use site::StoreFaults;
+use site::TestCell;
+use site::WAIT_LIMIT;
 use site::job;
 
 /// Waits until a condition holds.
@@ -17,12 +17,12 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    let reached = tokio::time::timeout(PATIENCE, polling).await;
+    let reached = tokio::time::timeout(WAIT_LIMIT, polling).await;
     assert!(reached.is_ok(), "{failure}");
 }
 
 /// Waits until a figure of the pool has a value; figures are published once a second.
-async fn wait_figure(cell: &SiteCell, caller: &Caller, figure: &str, value: u64) {
+async fn wait_figure(cell: &TestCell, caller: &Caller, figure: &str, value: u64) {
     let line = format!("clovermount_pool{{figure=\"{figure}\"}} {value}");
     let polling = async {
         while !caller
@@ -33,7 +33,7 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     };
-    let reached = tokio::time::timeout(PATIENCE, polling).await;
+    let reached = tokio::time::timeout(WAIT_LIMIT, polling).await;
     assert!(reached.is_ok(), "the metric never became {line}");
 }
 
@@ -45,7 +45,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_deposed_owner_renews_no_lease() {
     const IDS: [&str; 2] = ["00000000000000f3", "00000000000000f4"];
-    let cell = SiteCell::open(2, 2).await;
+    let cell = TestCell::open(2, 2).await;
     let caller = Caller::new();
     for id in IDS {
         let path = format!("/plain/{id}");
@@ -57,12 +57,12 @@
     let starts = || IDS.iter().map(|id| cell.log.starts(id)).sum::<usize>();
     wait_for("tasks do not start", || starts() == 6).await;
     let owner = cell.owner().expect("an owner");
-    cell.workers[0].set_deaf_from(Some(2));
+    cell.workers[0].cut_from_epoch(Some(2));
 
-    cell.doors[owner].set_cut(true);
+    cell.store_proxies[owner].set_cut(true);
 
     wait_for("the lost tasks do not start again", || starts() > 6).await;
-    assert_eq!(cell.log.faults(), Vec::<String>::new());
+    assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
@@ -72,13 +72,13 @@
 /// transaction as the new row, after it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_worker_that_registers_again_keeps_its_row() {
-    let cell = SiteCell::open(1, 1).await;
+    let cell = TestCell::open(1, 1).await;
     let caller = Caller::new();
     let path = "/plain/00000000000000f5";
     caller.submit(&cell.servers(), path, &job(1, "9000")).await;
     wait_figure(&cell, &caller, "running", 1).await;
     cell.store.set_faults(StoreFaults {
-        refuses: Refuses::Writes,
+        refused_calls: RefusedCalls::Writes,
         ..StoreFaults::default()
     });
     cell.workers[0].set_silent(true);
@@ -99,7 +99,7 @@
         &cell.workers[0].id,
     );
     assert!(row.is_some(), "the worker has work and no row");
-    assert_eq!(cell.log.faults(), Vec::<String>::new());
+    assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
@@ -109,7 +109,7 @@
 /// the list arrived, the owner took it for dead.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_list_of_machines_does_not_end_younger_workers() {
-    let mut cell = SiteCell::open(1, 0).await;
+    let mut cell = TestCell::open(1, 0).await;
     let caller = Caller::new();
     cell.advice.set_list_delay(Duration::from_millis(700));
     cell.add_worker().await;
@@ -142,7 +142,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_that_shares_no_worker_with_its_successor_renews_no_lease() {
     const IDS: [&str; 2] = ["00000000000000f7", "00000000000000f8"];
-    let cell = SiteCell::open(2, 2).await;
+    let cell = TestCell::open(2, 2).await;
     let caller = Caller::new();
     for id in IDS {
         let path = format!("/plain/{id}");
@@ -153,12 +153,12 @@
     let starts = || IDS.iter().map(|id| cell.log.starts(id)).sum::<usize>();
     wait_for("tasks do not start", || starts() == 6).await;
     let owner = cell.owner().expect("an owner");
-    cell.workers[0].set_deaf_from(Some(2));
-    cell.workers[1].set_deaf_upto(1);
+    cell.workers[0].cut_from_epoch(Some(2));
+    cell.workers[1].cut_upto_epoch(1);
 
-    cell.doors[owner].set_cut(true);
+    cell.store_proxies[owner].set_cut(true);
 
     wait_for("the lost tasks do not start again", || starts() > 6).await;
-    assert_eq!(cell.log.faults(), Vec::<String>::new());
+    assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
--- a/crates/cell/tests/late_orders.rs
+++ b/crates/cell/tests/delayed_commands.rs
@@ -8,10 +8,10 @@
 use hyper::Method;
 use serde_json::Value;
 use site::Caller;
-use site::LatePlan;
-use site::PATIENCE;
-use site::SiteCell;
-use site::Span;
+use site::DelayPlan;
+use site::RunSpan;
+use site::TestCell;
+use site::WAIT_LIMIT;
 use site::job;
 
 const JOB: &str = "00000000000000f1";
@@ -32,20 +32,20 @@
 const GONE: Duration = Duration::from_millis(6200);
 
 /// All orders of some kinds are carried out late.
-fn late(starts: bool, stops: bool, holds: bool) -> LatePlan {
+fn late(starts: bool, stops: bool, renewals: bool) -> DelayPlan {
     let share = |late: bool| if late { 1.0 } else { 0.0 };
-    LatePlan {
+    DelayPlan {
         starts: share(starts),
         stops: share(stops),
-        holds: share(holds),
-        least: DELAY,
-        most: DELAY,
+        renewals: share(renewals),
+        min_delay: DELAY,
+        max_delay: DELAY,
     }
 }
 
-fn set_late(cell: &SiteCell, plan: LatePlan) {
+fn set_delay_plan(cell: &TestCell, plan: DelayPlan) {
     for worker in &cell.workers {
-        worker.set_late(plan);
+        worker.set_delay_plan(plan);
     }
 }
 
@@ -60,7 +60,7 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    let come = tokio::time::timeout(PATIENCE, looks).await;
+    let come = tokio::time::timeout(WAIT_LIMIT, looks).await;
     assert!(come.is_ok(), "{what}");
 }
 
@@ -68,18 +68,18 @@
 #[derive(Clone, Copy, Debug)]
 enum Lives {
     Named,
-    Nameless,
+    Unreported,
 }
 
 /// Opens a cell whose owner knows its workers, which name their lives.
-async fn open(processes: usize, workers: usize) -> (SiteCell, Caller) {
+async fn open(processes: usize, workers: usize) -> (TestCell, Caller) {
     open_with(processes, workers, Lives::Named).await
 }
 
-async fn open_with(processes: usize, workers: usize, lives: Lives) -> (SiteCell, Caller) {
+async fn open_with(processes: usize, workers: usize, lives: Lives) -> (TestCell, Caller) {
     let cell = match lives {
-        Lives::Named => SiteCell::open(processes, workers).await,
-        Lives::Nameless => SiteCell::open_nameless(processes, workers).await,
+        Lives::Named => TestCell::open(processes, workers).await,
+        Lives::Unreported => TestCell::open_without_incarnations(processes, workers).await,
     };
     let caller = Caller::new();
     let first = path("00000000000000f0");
@@ -91,16 +91,20 @@
 }
 
 /// Hands in the job while starts get no answer, and waits for one of those.
-async fn start_late(cell: &SiteCell, caller: &Caller, plan: LatePlan) {
-    set_late(cell, plan);
+async fn start_late(cell: &TestCell, caller: &Caller, plan: DelayPlan) {
+    set_delay_plan(cell, plan);
     let one = job(1, LONG);
     caller.submit(&cell.servers(), &path(JOB), &one).await;
-    let waits = || cell.workers.iter().any(|worker| worker.late_starts() > 0);
+    let waits = || {
+        cell.workers
+            .iter()
+            .any(|worker| worker.delayed_starts() > 0)
+    };
     wait_for("no start was sent", waits).await;
 }
 
 /// Cancels a job; any process may take the cancel.
-async fn cancel(cell: &SiteCell, caller: &Caller, id: &str) {
+async fn cancel(cell: &TestCell, caller: &Caller, id: &str) {
     let servers = cell.servers();
     let path = path(id);
     let tries = async {
@@ -111,15 +115,18 @@
             }
         }
     };
-    let taken = tokio::time::timeout(PATIENCE, tries).await;
+    let taken = tokio::time::timeout(WAIT_LIMIT, tries).await;
     assert!(taken.is_ok(), "{id} cannot be cancelled");
 }
 
 /// Waits until no late start is left and no run of the job is at work; gives
 /// its runs.
-async fn wait_gone(cell: &SiteCell, id: &str) -> Vec<Span> {
+async fn wait_gone(cell: &TestCell, id: &str) -> Vec<RunSpan> {
     let over = || {
-        let waits = cell.workers.iter().any(|worker| worker.late_starts() > 0);
+        let waits = cell
+            .workers
+            .iter()
+            .any(|worker| worker.delayed_starts() > 0);
         let spans = cell.log.spans(id);
         !waits && spans.iter().all(|span| span.end.is_some())
     };
@@ -129,7 +136,7 @@
 
 /// The runs were stopped within `bound` of `from` or, if that was later, of
 /// their begin.
-fn assert_stopped(spans: &[Span], from: Instant, bound: Duration) {
+fn assert_stopped(spans: &[RunSpan], from: Instant, bound: Duration) {
     for span in spans {
         let Some((end, how)) = &span.end else {
             panic!("{span:?} runs on");
@@ -140,7 +147,7 @@
     }
 }
 
-async fn wait_successor(cell: &SiteCell, owner: usize) {
+async fn wait_successor(cell: &TestCell, owner: usize) {
     let other = || cell.owner().is_some_and(|next| next != owner);
     wait_for("nobody takes the pool", other).await;
 }
@@ -150,7 +157,7 @@
 /// the worker first, which then refuses the start.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stop_that_comes_before_the_late_start_keeps_it_from_starting() {
-    let (cell, caller) = open_with(2, 2, Lives::Nameless).await;
+    let (cell, caller) = open_with(2, 2, Lives::Unreported).await;
     start_late(&cell, &caller, late(true, false, false)).await;
 
     cancel(&cell, &caller, JOB).await;
@@ -161,13 +168,13 @@
 
 /// A start that gets no answer is carried out after the cancel of its job; the stop that is
 /// answered then ends it.
-async fn late_start_is_stopped(lives: Lives, plan: LatePlan) {
+async fn late_start_is_stopped(lives: Lives, plan: DelayPlan) {
     let (cell, caller) = open_with(2, 2, lives).await;
     start_late(&cell, &caller, plan).await;
     cancel(&cell, &caller, JOB).await;
     wait_for("no late start", || cell.log.starts(JOB) > 0).await;
 
-    set_late(&cell, LatePlan::default());
+    set_delay_plan(&cell, DelayPlan::default());
 
     let spans = wait_gone(&cell, JOB).await;
     assert_stopped(&spans, Instant::now(), SEEN);
@@ -179,7 +186,7 @@
 /// Guards against a late start that runs on since stops come late, too.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_late_start_is_stopped_though_stops_come_late_too() {
-    late_start_is_stopped(Lives::Nameless, late(true, true, false)).await;
+    late_start_is_stopped(Lives::Unreported, late(true, true, false)).await;
 }
 
 /// Guards against a late start that begins at a worker which names its lives, though that has
@@ -236,7 +243,7 @@
     wait_for("no late start", || cell.log.starts(JOB) > 0).await;
     let answered = Instant::now();
 
-    set_late(&cell, LatePlan::default());
+    set_delay_plan(&cell, DelayPlan::default());
 
     let spans = wait_gone(&cell, JOB).await;
     assert_eq!(spans.len(), 1, "{known:?}");
@@ -264,14 +271,14 @@
 /// jobs go in time, those of the others run once.
 async fn half_of_the_orders_come_late(lives: Lives) {
     let (mut cell, caller) = open_with(3, 3, lives).await;
-    let half = LatePlan {
+    let half = DelayPlan {
         starts: 0.5,
         stops: 0.5,
-        holds: 0.5,
-        least: Duration::from_secs(2),
-        most: Duration::from_secs(5),
+        renewals: 0.5,
+        min_delay: Duration::from_secs(2),
+        max_delay: Duration::from_secs(5),
     };
-    set_late(&cell, half);
+    set_delay_plan(&cell, half);
     let ids = |from: u64| (0..8).map(move |nth| format!("{:016x}", from + nth));
     let mut canceled = Vec::new();
     for (gone, kept) in ids(0xf100).zip(ids(0xf200)) {
@@ -293,13 +300,13 @@
         }
     }
 
-    set_late(&cell, LatePlan::default());
+    set_delay_plan(&cell, DelayPlan::default());
     for id in ids(0xf200) {
         caller
             .wait_state(&cell.servers(), &path(&id), "completed")
             .await;
     }
-    assert_eq!(cell.log.faults(), Vec::<String>::new());
+    assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
@@ -310,7 +317,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn half_of_the_orders_may_come_late_at_workers_that_name_no_life() {
-    half_of_the_orders_come_late(Lives::Nameless).await;
+    half_of_the_orders_come_late(Lives::Unreported).await;
 }
 
 /// Answers that were ready came up to 1.7 s late, after their callers' objective:
@@ -318,22 +325,22 @@
 /// made until it was given up.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_unanswered_call_hides_an_end_for_a_moment_only() {
-    let cell = SiteCell::open(1, 1).await;
+    let cell = TestCell::open(1, 1).await;
     let caller = Caller::new();
     let path = path(JOB);
     let first = "/plain/00000000000000f0";
     caller.submit(&cell.servers(), first, &job(1, "20")).await;
     caller.wait_state(&cell.servers(), first, "completed").await;
     let never = Duration::from_mins(1);
-    let holds = LatePlan {
-        holds: 1.0,
-        least: never,
-        most: never,
-        ..LatePlan::default()
+    let renewals = DelayPlan {
+        renewals: 1.0,
+        min_delay: never,
+        max_delay: never,
+        ..DelayPlan::default()
     };
-    set_late(&cell, holds);
-    wait_for("no call", || cell.workers[0].late_holds() == 1).await;
-    set_late(&cell, LatePlan::default());
+    set_delay_plan(&cell, renewals);
+    wait_for("no call", || cell.workers[0].delayed_renewals() == 1).await;
+    set_delay_plan(&cell, DelayPlan::default());
     let begun = Instant::now();
 
     caller.submit(&cell.servers(), &path, &job(1, "100")).await;
--- a/crates/cell/tests/failures.rs
+++ b/crates/cell/tests/failures.rs
@@ -5,13 +5,13 @@
 
 use hyper::Method;
 use site::Caller;
-use site::PATIENCE;
-use site::SiteCell;
 use site::StoreFaults;
+use site::TestCell;
+use site::WAIT_LIMIT;
 use site::job;
 
 /// Submits `count` jobs of two tasks each; gives their paths.
-async fn submit_some(cell: &SiteCell, caller: &Caller, count: u32, text: &str) -> Vec<String> {
+async fn submit_some(cell: &TestCell, caller: &Caller, count: u32, text: &str) -> Vec<String> {
     let mut paths = Vec::new();
     for nth in 0..count {
         let path = format!("/plain/{:016x}", 0xb000 + nth);
@@ -21,20 +21,20 @@
     paths
 }
 
-async fn wait_completed(cell: &SiteCell, caller: &Caller, paths: &[String]) {
+async fn wait_completed(cell: &TestCell, caller: &Caller, paths: &[String]) {
     for path in paths {
         caller.wait_state(&cell.servers(), path, "completed").await;
     }
-    assert_eq!(cell.log.faults(), Vec::<String>::new());
+    assert_eq!(cell.log.violations(), Vec::<String>::new());
 }
 
-async fn wait_owner(cell: &SiteCell, is: impl Fn(Option<usize>) -> bool) -> usize {
+async fn wait_owner(cell: &TestCell, is: impl Fn(Option<usize>) -> bool) -> usize {
     let looks = async {
         while !is(cell.owner()) {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    let found = tokio::time::timeout(PATIENCE, looks).await;
+    let found = tokio::time::timeout(WAIT_LIMIT, looks).await;
     assert!(found.is_ok(), "no such owner");
     cell.owner().unwrap_or_default()
 }
@@ -44,7 +44,7 @@
 /// what runs there.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_killed_owner_is_followed_and_its_tasks_are_adopted() {
-    let mut cell = SiteCell::open(3, 3).await;
+    let mut cell = TestCell::open(3, 3).await;
     let caller = Caller::new();
     let paths = submit_some(&cell, &caller, 8, "1500").await;
     let owner = wait_owner(&cell, |owner| owner.is_some()).await;
@@ -62,7 +62,7 @@
 /// worker listed before the jobs were read were passed over.
 #[tokio::test(flavor = "multi_thread")]
 async fn ends_that_were_never_recorded_survive_the_owner() {
-    let mut cell = SiteCell::open(3, 3).await;
+    let mut cell = TestCell::open(3, 3).await;
     let caller = Caller::new();
     let paths = submit_some(&cell, &caller, 5, "400").await;
     let owner = wait_owner(&cell, |owner| owner.is_some()).await;
@@ -88,7 +88,7 @@
 /// owner is asked to stop; it gives the pool up; another takes it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_hands_the_pool_over() {
-    let mut cell = SiteCell::open(2, 2).await;
+    let mut cell = TestCell::open(2, 2).await;
     let caller = Caller::new();
     let paths = submit_some(&cell, &caller, 4, "1000").await;
     let owner = wait_owner(&cell, |owner| owner.is_some()).await;
@@ -102,7 +102,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn all_processes_killed_at_once_lose_nothing() {
-    let mut cell = SiteCell::open(3, 2).await;
+    let mut cell = TestCell::open(3, 2).await;
     let caller = Caller::new();
     let paths = submit_some(&cell, &caller, 6, "700").await;
     for at in 0..3 {
@@ -122,11 +122,11 @@
 /// Cause ruled out: the row must not exist, so the repetition finds it.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_answers_of_the_store_make_no_second_job() {
-    let cell = SiteCell::open(2, 2).await;
+    let cell = TestCell::open(2, 2).await;
     let caller = Caller::new();
     submit_some(&cell, &caller, 1, "20").await;
     let lose = StoreFaults {
-        lose: 3,
+        lost_replies: 3,
         ..StoreFaults::default()
     };
     cell.store.set_faults(lose);
@@ -141,7 +141,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_store_that_is_down_refuses_jobs_and_work_goes_on() {
-    let cell = SiteCell::open(2, 2).await;
+    let cell = TestCell::open(2, 2).await;
     let caller = Caller::new();
     let paths = submit_some(&cell, &caller, 3, "500").await;
     let down = StoreFaults {
@@ -166,7 +166,7 @@
 /// Sequence: the history is dropped; a job is accepted.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_dropped_history_loses_no_job() {
-    let cell = SiteCell::open(2, 2).await;
+    let cell = TestCell::open(2, 2).await;
     let caller = Caller::new();
     submit_some(&cell, &caller, 2, "20").await;
     cell.store.forget();
@@ -183,7 +183,7 @@
 /// over; its tasks start elsewhere.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_dead_workers_tasks_run_elsewhere() {
-    let cell = SiteCell::open(2, 2).await;
+    let cell = TestCell::open(2, 2).await;
     let caller = Caller::new();
     let paths = submit_some(&cell, &caller, 4, "1500").await;
     caller
@@ -200,7 +200,7 @@
 /// on; its tasks may start elsewhere only after its lease is over.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cut_off_workers_tasks_wait_for_its_lease() {
-    let cell = SiteCell::open(2, 2).await;
+    let cell = TestCell::open(2, 2).await;
     let caller = Caller::new();
     let paths = submit_some(&cell, &caller, 2, "8000").await;
     caller
@@ -216,11 +216,11 @@
 /// Symptom: a start whose answer was lost ran beside its repetition.
 #[tokio::test(flavor = "multi_thread")]
 async fn starts_without_answer_run_once() {
-    let cell = SiteCell::open(1, 2).await;
+    let cell = TestCell::open(1, 2).await;
     let caller = Caller::new();
     submit_some(&cell, &caller, 1, "20").await;
     for worker in &cell.workers {
-        worker.lose_starts(2);
+        worker.lose_start_replies(2);
     }
     let path = "/plain/00000000000000c4";
 
@@ -236,12 +236,12 @@
 /// come in at all processes.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_cut_from_the_store_alone_is_replaced() {
-    let cell = SiteCell::open(3, 3).await;
+    let cell = TestCell::open(3, 3).await;
     let caller = Caller::new();
     let mut paths = submit_some(&cell, &caller, 4, "900").await;
     let owner = wait_owner(&cell, |owner| owner.is_some()).await;
 
-    cell.doors[owner].set_cut(true);
+    cell.store_proxies[owner].set_cut(true);
 
     for nth in 0..20 {
         let path = format!("/plain/{:016x}", 0xd000 + nth);
@@ -249,7 +249,7 @@
         paths.push(path);
     }
     wait_owner(&cell, |next| next.is_some_and(|next| next != owner)).await;
-    cell.doors[owner].set_cut(false);
+    cell.store_proxies[owner].set_cut(false);
     wait_completed(&cell, &caller, &paths).await;
     cell.close().await;
 }
@@ -260,7 +260,7 @@
 /// could not end within the caller's time.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_slow_store_still_accepts_jobs() {
-    let cell = SiteCell::open(1, 1).await;
+    let cell = TestCell::open(1, 1).await;
     let caller = Caller::new();
     submit_some(&cell, &caller, 1, "20").await;
     let slow = StoreFaults {
@@ -284,7 +284,7 @@
 /// failed counted the store as silent.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_hung_feed_refuses_no_job() {
-    let cell = SiteCell::open(1, 1).await;
+    let cell = TestCell::open(1, 1).await;
     let caller = Caller::new();
     submit_some(&cell, &caller, 1, "20").await;
     let hung = StoreFaults {
@@ -313,7 +313,7 @@
 /// owner that stops did nothing but write.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_that_stops_goes_on_until_the_pool_is_given_up() {
-    let mut cell = SiteCell::open(2, 1).await;
+    let mut cell = TestCell::open(2, 1).await;
     let caller = Caller::new();
     let path = "/plain/00000000000000b9";
     // Six waves of four tasks.
@@ -338,6 +338,6 @@
     assert!(after >= before + 4, "{before} starts, then {after}");
     cell.store.set_faults(StoreFaults::default());
     caller.wait_state(&cell.servers(), path, "completed").await;
-    assert_eq!(cell.log.faults(), Vec::<String>::new());
+    assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
--- a/crates/cell/tests/feed.rs
+++ b/crates/cell/tests/feed.rs
@@ -5,7 +5,7 @@
 use cell::Change;
 use cell::Follower;
 use platform::Store;
-use site::StoreStand;
+use site::FakeStore;
 use site::serve;
 use tokio::sync::watch;
 use web::Client;
@@ -17,7 +17,7 @@
 /// owner read only one reply every 0.4 s, even after a full one.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_feed_is_read_until_a_page_is_not_full() {
-    let stand = StoreStand::new();
+    let stand = FakeStore::new();
     let (_stop, stopped) = watch::channel(false);
     let address = serve(stand.clone(), &stopped).await;
     let store = Store::new(Client::new(Duration::from_secs(1)), address);
--- a/crates/cell/tests/foreign.rs
+++ b/crates/cell/tests/foreign.rs
@@ -4,12 +4,12 @@
 
 use serde_json::json;
 use site::Caller;
-use site::SiteCell;
+use site::TestCell;
 use site::job;
 use site::registration;
 
-async fn open(processes: usize) -> (SiteCell, Caller) {
-    let cell = SiteCell::open(processes, 1).await;
+async fn open(processes: usize) -> (TestCell, Caller) {
+    let cell = TestCell::open(processes, 1).await;
     let caller = Caller::new();
     let path = "/plain/00000000000000d0";
     caller.submit(&cell.servers(), path, &job(1, "20")).await;
--- a/crates/cell/tests/full_link.rs
+++ b/crates/cell/tests/full_link.rs
@@ -12,25 +12,25 @@
 use std::time::Duration;
 
 use site::Caller;
-use site::SiteCell;
+use site::TestCell;
 use site::job;
 
 /// Guards against losing ends that workers report in time, but whose replies arrive late.
 #[tokio::test(flavor = "multi_thread")]
 async fn late_replies_are_handled() {
-    let cell = SiteCell::open(2, 3).await;
+    let cell = TestCell::open(2, 3).await;
     let caller = Caller::new();
     let path = "/plain/00000000000000e1";
     caller.submit(&cell.servers(), path, &job(4, "2500")).await;
     caller.wait_state(&cell.servers(), path, "active").await;
 
     for worker in &cell.workers {
-        worker.set_calm(true);
+        worker.set_undisturbed(true);
         worker.set_delay(Duration::from_millis(700));
     }
 
     caller.wait_state(&cell.servers(), path, "completed").await;
-    assert_eq!(cell.log.faults(), Vec::<String>::new());
+    assert_eq!(cell.log.violations(), Vec::<String>::new());
     assert_eq!(cell.log.starts("00000000000000e1"), 4);
     cell.close().await;
 }
@@ -38,10 +38,10 @@
 /// Guards against calls that time out due to a full link and keep it full by being repeated.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_burst_of_starts_does_not_keep_the_link_full() {
-    let cell = SiteCell::open_behind(0.6, 2, 80).await;
+    let cell = TestCell::open_limited(0.6, 2, 80).await;
     let caller = Caller::new();
     for worker in &cell.workers {
-        worker.set_calm(true);
+        worker.set_undisturbed(true);
     }
     let text = format!("3000 {}", "x".repeat(1500));
     let mut paths = Vec::new();
@@ -55,7 +55,7 @@
         caller.wait_state(&cell.servers(), path, "completed").await;
     }
 
-    assert_eq!(cell.log.faults(), Vec::<String>::new());
+    assert_eq!(cell.log.violations(), Vec::<String>::new());
     for path in &paths {
         let id = path.trim_start_matches("/plain/");
         assert_eq!(
--- a/crates/cell/tests/log_reader.rs
+++ b/crates/cell/tests/log_reader.rs
@@ -10,7 +10,7 @@
 use cell::LogGuard;
 use cell::start_logging_to;
 use site::Caller;
-use site::SiteCell;
+use site::TestCell;
 use site::job;
 
 /// Number of lines that exceeds the log's buffer.
@@ -92,7 +92,7 @@
 async fn a_stalled_log_reader_does_not_delay_jobs() {
     let output = StallingOutput::default();
     let guard = start(&output);
-    let cell = SiteCell::open(2, 2).await;
+    let cell = TestCell::open(2, 2).await;
     let caller = Caller::new();
     let path = "/plain/00000000000000f1";
 
--- a/crates/cell/tests/log_volume.rs
+++ b/crates/cell/tests/log_volume.rs
@@ -11,7 +11,7 @@
 use cell::start_logging_to;
 use serde_json::Value;
 use site::Caller;
-use site::SiteCell;
+use site::TestCell;
 use site::job;
 
 /// Number of jobs, and number of tasks of each.
@@ -79,7 +79,7 @@
 async fn the_log_bytes_of_jobs_and_starts_stay_within_limits() {
     let output = LogOutput::default();
     let _guard = start(&output);
-    let cell = SiteCell::open(3, 4).await;
+    let cell = TestCell::open(3, 4).await;
     let caller = Caller::new();
     run_jobs(&cell, &caller, 0..1).await;
     let before = output.wait_quiet().await;
@@ -100,7 +100,7 @@
     cell.close().await;
 }
 
-async fn run_jobs(cell: &SiteCell, caller: &Caller, numbers: Range<u32>) {
+async fn run_jobs(cell: &TestCell, caller: &Caller, numbers: Range<u32>) {
     let path = |number: u32| format!("/plain/{number:016x}");
     for number in numbers.clone() {
         let job = job(TASKS, "20");
--- a/crates/cell/tests/metrics.rs
+++ b/crates/cell/tests/metrics.rs
@@ -2,12 +2,12 @@
 
 use serde_json::Value;
 use site::Caller;
-use site::SiteCell;
+use site::TestCell;
 use site::job;
 
 #[tokio::test(flavor = "multi_thread")]
 async fn metrics_are_served_over_http() {
-    let cell = SiteCell::open(1, 1).await;
+    let cell = TestCell::open(1, 1).await;
     let caller = Caller::new();
     let path = "/plain/00000000000000e1";
     caller.submit(&cell.servers(), path, &job(1, "20")).await;
@@ -26,13 +26,13 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_process_without_the_store_is_not_ready() {
-    let cell = SiteCell::open(1, 1).await;
+    let cell = TestCell::open(1, 1).await;
     let caller = Caller::new();
     let path = "/plain/00000000000000e2";
     caller.submit(&cell.servers(), path, &job(1, "20")).await;
     let ready = caller.status(cell.ready(0), "/-/readyz").await;
 
-    cell.doors[0].set_cut(true);
+    cell.store_proxies[0].set_cut(true);
 
     assert_eq!(ready, 200);
     caller.wait_status(cell.ready(0), "/-/readyz", 503).await;
@@ -53,15 +53,15 @@
 /// and nothing cleared them when the process lost the pool.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_former_owner_reports_no_load() {
-    let cell = SiteCell::open(2, 1).await;
+    let cell = TestCell::open(2, 1).await;
     let caller = Caller::new();
     let path = "/plain/00000000000000e4";
     caller.submit(&cell.servers(), path, &job(1, "20")).await;
     caller.wait_state(&cell.servers(), path, "completed").await;
     let former = cell.wait_owner(|_| true).await;
-    cell.doors[former].set_cut(true);
+    cell.store_proxies[former].set_cut(true);
     cell.wait_owner(|next| next != former).await;
-    cell.doors[former].set_cut(false);
+    cell.store_proxies[former].set_cut(false);
     let epoch = "clovermount_epoch 0";
     while !caller
         .text(cell.metrics(former), "/metrics")
--- a/crates/cell/tests/overload.rs
+++ b/crates/cell/tests/overload.rs
@@ -10,15 +10,15 @@
 use std::time::Duration;
 
 use site::Caller;
-use site::SiteCell;
+use site::TestCell;
 use site::job;
 
 /// Time within which the pool would have changed hands.
 const TAKEOVER_TIME: Duration = Duration::from_secs(4);
 
 /// A cell whose first host is small and owns the pool.
-async fn owned_by_a_small_host() -> SiteCell {
-    let mut cell = SiteCell::open(2, 3).await;
+async fn owned_by_a_small_host() -> TestCell {
+    let mut cell = TestCell::open(2, 3).await;
     cell.kill(0).await;
     cell.kill(1).await;
     cell.set_cores(0, 0.1);
@@ -43,7 +43,7 @@
 
     cell.wait_owner(|owner| owner == 1).await;
     caller.wait_state(&cell.servers(), path, "completed").await;
-    assert_eq!(cell.log.faults(), Vec::<String>::new());
+    assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
--- a/crates/cell/tests/path.rs
+++ b/crates/cell/tests/path.rs
@@ -4,8 +4,8 @@
 use serde_json::Value;
 use serde_json::json;
 use site::Caller;
-use site::PATIENCE;
-use site::SiteCell;
+use site::TestCell;
+use site::WAIT_LIMIT;
 use site::config;
 use site::job;
 
@@ -13,7 +13,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_completed_job_is_shown_by_every_process() {
-    let cell = SiteCell::open(3, 2).await;
+    let cell = TestCell::open(3, 2).await;
     let caller = Caller::new();
 
     caller.submit(&cell.servers(), JOB, &job(3, "30")).await;
@@ -22,13 +22,13 @@
         caller.wait_state(&[server], JOB, "completed").await;
     }
     assert_eq!(cell.log.starts("00000000000000a1"), 3);
-    assert_eq!(cell.log.faults(), Vec::<String>::new());
+    assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_queue_with_advice_calls_the_advice_service() {
-    let cell = SiteCell::open(2, 2).await;
+    let cell = TestCell::open(2, 2).await;
     let caller = Caller::new();
     let path = "/advised/00000000000000a2";
 
@@ -41,7 +41,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_same_id_submitted_to_two_processes_is_one_job() {
-    let cell = SiteCell::open(2, 2).await;
+    let cell = TestCell::open(2, 2).await;
     let caller = Caller::new();
 
     caller.submit(&[cell.server(0)], JOB, &job(2, "30")).await;
@@ -54,7 +54,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_job_fails_after_the_last_attempt_of_a_task() {
-    let cell = SiteCell::open(1, 2).await;
+    let cell = TestCell::open(1, 2).await;
     let caller = Caller::new();
 
     caller.submit(&cell.servers(), JOB, &job(1, "fail")).await;
@@ -66,7 +66,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cancelled_job_is_shown_as_canceled() {
-    let cell = SiteCell::open(2, 1).await;
+    let cell = TestCell::open(2, 1).await;
     let caller = Caller::new();
     caller.submit(&cell.servers(), JOB, &job(2, "600000")).await;
     caller.wait_state(&cell.servers(), JOB, "active").await;
@@ -82,7 +82,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn invalid_requests_get_a_specific_status() {
-    let cell = SiteCell::open(1, 1).await;
+    let cell = TestCell::open(1, 1).await;
     let caller = Caller::new();
     caller.submit(&cell.servers(), JOB, &job(1, "20")).await;
     let server = cell.server(0);
@@ -114,7 +114,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_queue_reports_its_waiting_jobs() {
-    let cell = SiteCell::open(2, 1).await;
+    let cell = TestCell::open(2, 1).await;
     let caller = Caller::new();
     caller.submit(&cell.servers(), JOB, &job(4, "600000")).await;
     caller.wait_state(&cell.servers(), JOB, "active").await;
@@ -133,13 +133,13 @@
         }
     };
 
-    assert!(tokio::time::timeout(PATIENCE, polling).await.is_ok());
+    assert!(tokio::time::timeout(WAIT_LIMIT, polling).await.is_ok());
     cell.close().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_newer_configuration_is_applied_by_every_process() {
-    let cell = SiteCell::open(2, 1).await;
+    let cell = TestCell::open(2, 1).await;
     let caller = Caller::new();
     caller.submit(&cell.servers(), JOB, &job(1, "20")).await;
 
--- a/crates/cell/tests/refusals.rs
+++ b/crates/cell/tests/refusals.rs
@@ -5,7 +5,7 @@
 use hyper::Method;
 use serde_json::Value;
 use site::Caller;
-use site::SiteCell;
+use site::TestCell;
 use site::job;
 
 /// Longer than a successor waits for workers to register.
@@ -16,7 +16,7 @@
 /// judged the gang by the other worker alone.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_gang_is_not_failed_because_a_worker_died_with_the_owner() {
-    let mut cell = SiteCell::open(2, 2).await;
+    let mut cell = TestCell::open(2, 2).await;
     let caller = Caller::new();
     let first = "/plain/00000000000000d1";
     caller.submit(&cell.servers(), first, &job(8, "200")).await;
--- a/crates/cell/tests/same_id.rs
+++ b/crates/cell/tests/restarts.rs
@@ -4,11 +4,11 @@
 
 use site::ATTEMPTS;
 use site::Caller;
-use site::LatePlan;
-use site::Refuses;
+use site::DelayPlan;
+use site::RefusedCalls;
 use site::Restart;
-use site::SiteCell;
 use site::StoreFaults;
+use site::TestCell;
 use site::job;
 
 /// Jobs that give each worker a history before it starts again.
@@ -19,7 +19,7 @@
 }
 
 /// Submits `count` jobs of two tasks, with ids from `first` on.
-async fn submit(cell: &SiteCell, caller: &Caller, first: u64, count: u64, text: &str) {
+async fn submit(cell: &TestCell, caller: &Caller, first: u64, count: u64, text: &str) {
     for id in first..first + count {
         caller
             .submit(&cell.servers(), &path(id), &job(2, text))
@@ -28,16 +28,16 @@
 }
 
 /// Waits until the jobs are shown in a state.
-async fn wait(cell: &SiteCell, caller: &Caller, first: u64, count: u64, state: &str) {
+async fn wait(cell: &TestCell, caller: &Caller, first: u64, count: u64, state: &str) {
     for id in first..first + count {
         caller.wait_state(&cell.servers(), &path(id), state).await;
     }
 }
 
 /// All workers start again at the same time.
-async fn restart_all(cell: &SiteCell, restart: Restart) {
+async fn restart_all(cell: &TestCell, restart: Restart) {
     let mut restarts = tokio::task::JoinSet::new();
-    for place in cell.places.clone() {
+    for place in cell.supervisors.clone() {
         restarts.spawn(async move { place.restart(restart).await });
     }
     restarts.join_all().await;
@@ -45,8 +45,8 @@
 
 /// A cell of two workers, each of which has listed many ends, just before they start
 /// again.
-async fn with_history(caller: &Caller) -> SiteCell {
-    let cell = SiteCell::open_same_ids(1, 2).await;
+async fn with_history(caller: &Caller) -> TestCell {
+    let cell = TestCell::open_stable_ids(1, 2).await;
     submit(&cell, caller, 0x100, HISTORY, "30").await;
     wait(&cell, caller, 0x100, HISTORY, "completed").await;
     cell
@@ -63,7 +63,7 @@
     submit(&cell, &caller, 0x200, 12, "60").await;
     wait(&cell, &caller, 0x200, 12, "completed").await;
 
-    assert_eq!(cell.log.faults(), Vec::<String>::new());
+    assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
@@ -94,7 +94,7 @@
 /// Guards against a worker's crash that counts for nothing since its id is there again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_task_that_crashes_workers_which_start_again_is_given_up() {
-    let cell = SiteCell::open_same_ids(2, 6).await;
+    let cell = TestCell::open_stable_ids(2, 6).await;
     let caller = Caller::new();
     let text = job(1, "crash 0 300");
     caller.submit(&cell.servers(), &path(0xd1), &text).await;
@@ -109,23 +109,23 @@
     assert!(starts <= MOST_STARTS, "{starts} starts");
     assert!(shown.is_ok(), "not failed after {starts} starts");
     wait(&cell, &caller, 0xe00, 10, "completed").await;
-    assert_eq!(cell.log.faults(), Vec::<String>::new());
+    assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
 /// What is sent to the former lives may reach the next ones seconds later.
-fn late_holds(share: f64) -> LatePlan {
-    LatePlan {
+fn delayed_renewals(share: f64) -> DelayPlan {
+    DelayPlan {
         starts: 0.0,
         stops: 0.0,
-        holds: share,
-        least: Duration::from_millis(300),
-        most: Duration::from_millis(2500),
+        renewals: share,
+        min_delay: Duration::from_millis(300),
+        max_delay: Duration::from_millis(2500),
     }
 }
 
 /// Submits jobs for as long as a few restarts of all workers take; gives how many.
-async fn submit_through(cell: &SiteCell, caller: &Caller, restarts: &[Restart]) -> u64 {
+async fn submit_through(cell: &TestCell, caller: &Caller, restarts: &[Restart]) -> u64 {
     let mut first = 0x1000;
     for restart in restarts {
         let jobs = submit(cell, caller, first, 8, "120");
@@ -137,10 +137,10 @@
 }
 
 /// Plays restarts while jobs come, and holds what workers did against what is promised.
-async fn assert_outlived(cell: SiteCell, caller: &Caller, restarts: &[Restart]) {
+async fn assert_outlived(cell: TestCell, caller: &Caller, restarts: &[Restart]) {
     let count = submit_through(&cell, caller, restarts).await;
     wait(&cell, caller, 0x1000, count, "completed").await;
-    assert_eq!(cell.log.faults(), Vec::<String>::new());
+    assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
@@ -150,8 +150,8 @@
 async fn renewals_that_cross_a_restart_do_no_harm() {
     let caller = Caller::new();
     let cell = with_history(&caller).await;
-    for place in &cell.places {
-        place.current().set_late(late_holds(0.4));
+    for place in &cell.supervisors {
+        place.current().set_delay_plan(delayed_renewals(0.4));
     }
 
     let restarts = [200, 700, 50].map(|down| Restart::after(Duration::from_millis(down)));
@@ -180,7 +180,7 @@
 
     let quick = Restart::after(Duration::from_millis(10));
     let unwritten = Restart {
-        entry_after: Duration::from_millis(1500),
+        registration_delay: Duration::from_millis(1500),
         ..quick
     };
     assert_outlived(cell, &caller, &[quick, quick, unwritten, quick]).await;
@@ -203,7 +203,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn owners_that_die_while_workers_start_again_do_no_harm() {
     let caller = Caller::new();
-    let mut cell = SiteCell::open_same_ids(3, 3).await;
+    let mut cell = TestCell::open_stable_ids(3, 3).await;
     submit(&cell, &caller, 0x100, HISTORY, "30").await;
     wait(&cell, &caller, 0x100, HISTORY, "completed").await;
 
@@ -220,7 +220,7 @@
     }
 
     wait(&cell, &caller, 0x1000, first - 0x1000, "completed").await;
-    assert_eq!(cell.log.faults(), Vec::<String>::new());
+    assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
@@ -242,7 +242,7 @@
     submit(&cell, &caller, 0x1006, 6, "50").await;
     wait(&cell, &caller, 0x1000, 12, "completed").await;
 
-    assert_eq!(cell.log.faults(), Vec::<String>::new());
+    assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
@@ -254,18 +254,18 @@
     let cell = with_history(&caller).await;
     submit(&cell, &caller, 0x1000, 4, "600").await;
 
-    for place in &cell.places {
-        place.current().set_nameless(true);
+    for place in &cell.supervisors {
+        place.current().set_omits_incarnation(true);
     }
     tokio::time::sleep(Duration::from_millis(1500)).await;
     let starts = cell.log.starts("");
-    for place in &cell.places {
-        place.current().set_nameless(false);
+    for place in &cell.supervisors {
+        place.current().set_omits_incarnation(false);
     }
     wait(&cell, &caller, 0x1000, 4, "completed").await;
 
     assert_eq!(cell.log.starts(""), starts);
-    assert_eq!(cell.log.faults(), Vec::<String>::new());
+    assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
@@ -273,7 +273,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_worker_that_starts_again_elsewhere_is_used_again() {
     let caller = Caller::new();
-    let mut cell = SiteCell::open_same_ids(1, 1).await;
+    let mut cell = TestCell::open_stable_ids(1, 1).await;
     submit(&cell, &caller, 0x100, 4, "30").await;
     wait(&cell, &caller, 0x100, 4, "completed").await;
 
@@ -282,7 +282,7 @@
     submit(&cell, &caller, 0x1000, 4, "30").await;
     wait(&cell, &caller, 0x1000, 4, "completed").await;
 
-    assert_eq!(cell.log.faults(), Vec::<String>::new());
+    assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
@@ -295,7 +295,7 @@
     submit(&cell, &caller, 0x1000, 6, "300").await;
 
     cell.store.set_faults(StoreFaults {
-        refuses: Refuses::Writes,
+        refused_calls: RefusedCalls::Writes,
         ..StoreFaults::default()
     });
     restart_all(&cell, Restart::after(Duration::from_millis(100))).await;
@@ -307,7 +307,7 @@
     wait(&cell, &caller, 0x1000, 6, "completed").await;
 
     assert_eq!(after, before);
-    assert_eq!(cell.log.faults(), Vec::<String>::new());
+    assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
@@ -316,7 +316,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_start_that_the_next_life_refuses_does_not_depose_the_owner() {
     let caller = Caller::new();
-    let cell = SiteCell::open_same_ids(1, 1).await;
+    let cell = TestCell::open_stable_ids(1, 1).await;
     submit(&cell, &caller, 0x100, 4, "30").await;
     wait(&cell, &caller, 0x100, 4, "completed").await;
     let before = cell.epoch();
@@ -329,7 +329,7 @@
     wait(&cell, &caller, 0x1000, 1, "completed").await;
 
     assert_eq!(cell.epoch(), before);
-    assert_eq!(cell.log.faults(), Vec::<String>::new());
+    assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
@@ -338,18 +338,18 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn acknowledgements_that_reach_the_next_life_forget_no_end() {
     let caller = Caller::new();
-    let cell = SiteCell::open_same_ids(1, 1).await;
+    let cell = TestCell::open_stable_ids(1, 1).await;
     submit(&cell, &caller, 0x100, HISTORY, "30").await;
     wait(&cell, &caller, 0x100, HISTORY, "completed").await;
 
     for first in [0x1000, 0x2000, 0x3000] {
-        let restarted = cell.restart_under_acknowledgement(0);
+        let restarted = cell.restart_before_ack(0);
         tokio::join!(restarted, submit(&cell, &caller, first, 1, "20"));
         submit(&cell, &caller, first + 1, 1, "20").await;
         wait(&cell, &caller, first, 2, "completed").await;
     }
 
-    assert_eq!(cell.log.faults(), Vec::<String>::new());
+    assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
@@ -358,13 +358,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn no_end_is_acknowledged_while_a_start_is_on_its_way() {
     let caller = Caller::new();
-    let cell = SiteCell::open_same_ids(1, 1).await;
+    let cell = TestCell::open_stable_ids(1, 1).await;
     cell.delay_starts(0, Duration::from_millis(60));
 
     submit(&cell, &caller, 0x100, HISTORY, "30").await;
     wait(&cell, &caller, 0x100, HISTORY, "completed").await;
 
-    assert_eq!(cell.crossed(0), 0);
+    assert_eq!(cell.overlapping_acks(0), 0);
     cell.close().await;
 }
 
@@ -373,7 +373,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn no_end_is_acknowledged_while_a_start_without_an_answer_may_come() {
     let caller = Caller::new();
-    let cell = SiteCell::open_same_ids(1, 1).await;
+    let cell = TestCell::open_stable_ids(1, 1).await;
     submit(&cell, &caller, 0x100, HISTORY, "30").await;
     wait(&cell, &caller, 0x100, HISTORY, "completed").await;
     cell.delay_starts(0, Duration::from_secs(3));
@@ -387,15 +387,15 @@
     wait(&cell, &caller, 0x2000, 2, "completed").await;
     tokio::time::sleep(Duration::from_millis(1200)).await;
 
-    assert_eq!(cell.crossed(0), 0);
-    assert_eq!(cell.log.faults(), Vec::<String>::new());
+    assert_eq!(cell.overlapping_acks(0), 0);
+    assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
 /// Waits until the worker that is there has seen a higher token than `before`.
-async fn wait_claimed(cell: &SiteCell, before: u64) {
+async fn wait_claimed(cell: &TestCell, before: u64) {
     let claimed = async {
-        while cell.places[0].current().token() <= before {
+        while cell.supervisors[0].current().token() <= before {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
@@ -406,9 +406,9 @@
 /// Guards against orders for a former life that the next one obeys after it was claimed.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_next_life_is_claimed_with_a_higher_token() {
-    let cell = SiteCell::open_same_ids(1, 1).await;
+    let cell = TestCell::open_stable_ids(1, 1).await;
     wait_claimed(&cell, 0).await;
-    let before = cell.places[0].current().token();
+    let before = cell.supervisors[0].current().token();
 
     restart_all(&cell, Restart::after(Duration::from_millis(20))).await;
 
@@ -421,21 +421,21 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn orders_after_a_start_without_an_answer_carry_a_higher_token() {
     let caller = Caller::new();
-    let cell = SiteCell::open_same_ids(1, 1).await;
+    let cell = TestCell::open_stable_ids(1, 1).await;
     submit(&cell, &caller, 0x100, HISTORY, "30").await;
     wait(&cell, &caller, 0x100, HISTORY, "completed").await;
     tokio::time::sleep(Duration::from_millis(500)).await;
-    let before = cell.places[0].current().token();
+    let before = cell.supervisors[0].current().token();
 
     cell.delay_starts(0, Duration::from_secs(2));
     submit(&cell, &caller, 0x1000, 1, "30").await;
     tokio::time::sleep(Duration::from_millis(1600)).await;
-    let raised = cell.places[0].current().token();
+    let raised = cell.supervisors[0].current().token();
     cell.delay_starts(0, Duration::ZERO);
     wait(&cell, &caller, 0x1000, 1, "completed").await;
 
     assert!(raised > before, "token {raised}, before {before}");
-    assert_eq!(cell.log.faults(), Vec::<String>::new());
+    assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
@@ -443,9 +443,9 @@
 /// one be used before its own.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_row_of_a_former_life_lets_no_other_be_used() {
-    let cell = SiteCell::open_same_ids(1, 1).await;
+    let cell = TestCell::open_stable_ids(1, 1).await;
     wait_claimed(&cell, 0).await;
-    let before = cell.places[0].current().token();
+    let before = cell.supervisors[0].current().token();
     cell.store.set_faults(StoreFaults {
         delay: Duration::from_millis(1200),
         ..StoreFaults::default()
@@ -460,6 +460,9 @@
         .store
         .raw(cell::USED_WORKER_TABLE, cell::OWNER_PART, "w0");
     let row = cell::decode_used_worker(&row.expect("a row")).expect("readable");
-    assert_eq!(row.incarnation, Some(cell.places[0].current().born));
+    assert_eq!(
+        row.incarnation,
+        Some(cell.supervisors[0].current().incarnation)
+    );
     cell.close().await;
 }
--- a/crates/cell/tests/retention.rs
+++ b/crates/cell/tests/retention.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use site::Caller;
-use site::PATIENCE;
-use site::SiteCell;
 use site::StoreFaults;
+use site::TestCell;
+use site::WAIT_LIMIT;
 use site::job;
 
 /// Time between two checks of the store.
@@ -17,7 +17,7 @@
 /// The rows that arrived then still contained the job, and the owner took it for a new one.
 #[tokio::test(flavor = "multi_thread")]
 async fn rows_read_before_their_removal_start_no_job_again() {
-    let cell = SiteCell::open_keeping(1, 2, 0.0).await;
+    let cell = TestCell::open_retaining(1, 2, 0.0).await;
     let caller = Caller::new();
     let ids: Vec<String> = (0..6).map(|nth| format!("{:016x}", 0xf700 + nth)).collect();
     for id in &ids {
@@ -37,7 +37,7 @@
             tokio::time::sleep(CHECK_INTERVAL).await;
         }
     };
-    let removed = tokio::time::timeout(PATIENCE, removals).await;
+    let removed = tokio::time::timeout(WAIT_LIMIT, removals).await;
 
     assert!(removed.is_ok(), "rows of old jobs were not removed");
     // Rows that were read before the last removal have arrived by now.
--- a/crates/cell/tests/scale.rs
+++ b/crates/cell/tests/scale.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cell::takeover_delay;
-use site::SiteCell;
+use site::TestCell;
 
 /// Guards against a pool that changes hands every two seconds after its owner has died, so that
 /// no job is served, as seen with 299 hosts. All hosts saw that the pool was free; each waited
@@ -12,15 +12,15 @@
 /// the ownership expired. The cause was that the row was read only before the wait.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_free_pool_is_taken_with_few_writes() {
-    let mut cell = SiteCell::open(12, 1).await;
+    let mut cell = TestCell::open(12, 1).await;
     let owner = cell.wait_owner(|_| true).await;
-    let before = cell.store.asked(cell::OWNERSHIP_TABLE);
+    let before = cell.store.transactions(cell::OWNERSHIP_TABLE);
 
     cell.kill(owner).await;
     cell.wait_owner(|next| next != owner).await;
     // By then the last host has had its turn.
     tokio::time::sleep(Duration::from_millis(600)).await;
-    let writes = cell.store.asked(cell::OWNERSHIP_TABLE) - before;
+    let writes = cell.store.transactions(cell::OWNERSHIP_TABLE) - before;
     assert!(writes <= 4, "{writes} hosts wrote");
     cell.close().await;
 }
--- a/crates/cell/tests/slow_links.rs
+++ b/crates/cell/tests/slow_links.rs
@@ -19,8 +19,8 @@
 use job::JobSpec;
 use serde_json::Value;
 use site::Caller;
-use site::SiteCell;
 use site::StoreFaults;
+use site::TestCell;
 use site::job;
 
 /// Guards against a pool that no host keeps: after the owner was cut off nothing ran any more,
@@ -30,7 +30,7 @@
 /// read everything.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_that_reads_for_long_keeps_the_pool() {
-    let mut cell = SiteCell::open(3, 2).await;
+    let mut cell = TestCell::open(3, 2).await;
     let caller = Caller::new();
     let path = "/plain/00000000000000d1";
     caller.submit(&cell.servers(), path, &job(4, "1500")).await;
@@ -44,7 +44,7 @@
 
     cell.wait_owner(|next| next != owner).await;
     caller.wait_state(&cell.servers(), path, "completed").await;
-    assert_eq!(cell.log.faults(), Vec::<String>::new());
+    assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
@@ -57,7 +57,7 @@
 async fn an_owner_that_has_to_stop_while_it_reads_releases_the_pool() {
     // A process that stops drains for 2.6 s; a free pool is taken within a second.
     const RELEASE_TIME: Duration = Duration::from_millis(3600);
-    let mut cell = SiteCell::open(3, 1).await;
+    let mut cell = TestCell::open(3, 1).await;
     let first = cell.wait_owner(|_| true).await;
     cell.store.set_faults(StoreFaults {
         slow_rows: Some(("jobs", Duration::from_secs(5))),
@@ -84,8 +84,8 @@
 
 /// A cell that runs a job of two long tasks, and whose feed of job rows takes `delay` to
 /// answer.
-async fn with_slow_feed(id: JobId, delay: Duration) -> (SiteCell, Caller) {
-    let cell = SiteCell::open(2, 1).await;
+async fn with_slow_feed(id: JobId, delay: Duration) -> (TestCell, Caller) {
+    let cell = TestCell::open(2, 1).await;
     let caller = Caller::new();
     let path = format!("/plain/{id:016x}");
     caller
@@ -100,7 +100,7 @@
 }
 
 /// Waits until no task of a job is running; returns false if one still runs after `time`.
-async fn ends_within(cell: &SiteCell, id: JobId, time: Duration) -> bool {
+async fn ends_within(cell: &TestCell, id: JobId, time: Duration) -> bool {
     let started = Instant::now();
     let ended = || {
         let spans = cell.log.spans(&cell::hex(id));
--- a/crates/cell/tests/stale.rs
+++ b/crates/cell/tests/stale.rs
@@ -5,17 +5,17 @@
 use hyper::Method;
 use serde_json::Value;
 use site::Caller;
-use site::Refuses;
-use site::SiteCell;
+use site::RefusedCalls;
 use site::StoreFaults;
+use site::TestCell;
 use site::job;
 
 /// Longer than the age that information in replies to callers may have.
 const STALE_AFTER: Duration = Duration::from_millis(2_600);
 
 /// Opens a cell whose workers are fully booked for the whole test.
-async fn open(processes: usize, workers: u32) -> (SiteCell, Caller) {
-    let cell = SiteCell::open(processes, workers as usize).await;
+async fn open(processes: usize, workers: u32) -> (TestCell, Caller) {
+    let cell = TestCell::open(processes, workers as usize).await;
     let caller = Caller::new();
     let path = "/plain/0000000000000070";
     let full = job(4 * workers, "60000");
@@ -24,7 +24,7 @@
     (cell, caller)
 }
 
-async fn submit_jobs(cell: &SiteCell, caller: &Caller, at: usize, count: u32) {
+async fn submit_jobs(cell: &TestCell, caller: &Caller, at: usize, count: u32) {
     for nth in 0..count {
         let path = format!("/plain/{:016x}", 0x7100 + nth);
         let small = job(1, "20");
@@ -32,13 +32,13 @@
     }
 }
 
-async fn get(cell: &SiteCell, caller: &Caller, at: usize, path: &str) -> (u16, Value) {
+async fn get(cell: &TestCell, caller: &Caller, at: usize, path: &str) -> (u16, Value) {
     let send = caller.send(Method::GET, cell.server(at), path, &Value::Null);
     send.await
 }
 
 /// Stores an accepted job without notifying the owner, as a copy of the first job's row.
-fn accept_without_notification(cell: &SiteCell) {
+fn accept_without_notification(cell: &TestCell) {
     let first = cell::job_row(0x70);
     let row = cell.store.raw(&first.table, &first.part, &first.key);
     let copy = row.expect("row of the first job");
@@ -63,7 +63,7 @@
     let (cell, caller) = open(2, 1).await;
     let former = cell.wait_owner(|_| true).await;
     cell.workers[0].set_silent(true);
-    cell.doors[former].set_cut(true);
+    cell.store_proxies[former].set_cut(true);
     let next = cell.wait_owner(|next| next != former).await;
     submit_jobs(&cell, &caller, next, 6).await;
     tokio::time::sleep(STALE_AFTER).await;
@@ -113,7 +113,7 @@
 async fn an_owner_that_can_write_but_not_read_gives_no_count() {
     let (cell, caller) = open(1, 1).await;
     let refused = StoreFaults {
-        refuses: Refuses::Reads,
+        refused_calls: RefusedCalls::Reads,
         ..StoreFaults::default()
     };
     cell.store.set_faults(refused);
--- a/crates/cell/tests/states.rs
+++ b/crates/cell/tests/states.rs
@@ -5,8 +5,8 @@
 use hyper::Method;
 use serde_json::Value;
 use site::Caller;
-use site::PATIENCE;
-use site::SiteCell;
+use site::TestCell;
+use site::WAIT_LIMIT;
 use site::job;
 
 /// Position of a status among those that a completing job passes through.
@@ -17,7 +17,7 @@
 }
 
 /// Polls a process for the status of a job until it is completed; returns each change.
-async fn poll_statuses(cell: &SiteCell, caller: &Caller, at: usize, path: &str) -> Vec<String> {
+async fn poll_statuses(cell: &TestCell, caller: &Caller, at: usize, path: &str) -> Vec<String> {
     let mut statuses = Vec::new();
     let polling = async {
         while statuses.last().is_none_or(|state| state != "completed") {
@@ -30,7 +30,7 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    let ended = tokio::time::timeout(PATIENCE, polling).await;
+    let ended = tokio::time::timeout(WAIT_LIMIT, polling).await;
     assert!(ended.is_ok(), "never completed: {statuses:?}");
     statuses.dedup();
     statuses
@@ -41,7 +41,7 @@
 /// nothing had started, and so did the successor until it had the reports of the workers.
 #[tokio::test(flavor = "multi_thread")]
 async fn job_status_does_not_go_back_when_the_owner_dies() {
-    let mut cell = SiteCell::open(2, 2).await;
+    let mut cell = TestCell::open(2, 2).await;
     let caller = Caller::new();
     let path = "/plain/0000000000000081";
     caller.submit(&cell.servers(), path, &job(2, "3000")).await;
@@ -63,14 +63,14 @@
 /// store, and answered from its old configuration.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_old_configuration_does_not_rule_out_a_queue() {
-    let cell = SiteCell::open(2, 1).await;
+    let cell = TestCell::open(2, 1).await;
     let caller = Caller::new();
     let path = "/plain/0000000000000082";
     caller.submit(&cell.servers(), path, &job(1, "20")).await;
     let (missing, _) = caller
         .send(Method::GET, cell.server(0), "/never/", &Value::Null)
         .await;
-    cell.doors[0].set_cut(true);
+    cell.store_proxies[0].set_cut(true);
     cell.store.write("op", "config", &site::config(2));
     tokio::time::sleep(Duration::from_secs(5)).await;
 
--- a/crates/cell/tests/stops.rs
+++ b/crates/cell/tests/stops.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use site::Caller;
-use site::SiteCell;
 use site::StoreFaults;
+use site::TestCell;
 use site::job;
 
 /// Time between the signal to stop and the kill, as in the settings of the simulated site.
@@ -17,7 +17,7 @@
 /// does not answer, and is then killed together with its callers' requests.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_process_that_cannot_read_the_pool_it_took_stops_in_time() {
-    let mut cell = SiteCell::open(2, 1).await;
+    let mut cell = TestCell::open(2, 1).await;
     let caller = Caller::new();
     let path = "/plain/00000000000000a1";
     caller.submit(&cell.servers(), path, &job(1, "20000")).await;
--- a/crates/cell/tests/turned_away.rs
+++ b/crates/cell/tests/turned_away.rs
@@ -6,8 +6,8 @@
 use hyper::Method;
 use serde_json::Value;
 use site::Caller;
-use site::SiteCell;
 use site::StoreFaults;
+use site::TestCell;
 use site::job;
 
 const ID: u64 = 0x71;
@@ -15,14 +15,14 @@
 
 fn faults(part: &'static str) -> StoreFaults {
     StoreFaults {
-        part_away: Some(part),
+        refused_part: Some(part),
         ..StoreFaults::default()
     }
 }
 
 /// Opens a cell and completes one job; also returns the usual part of the next job.
-async fn open(processes: usize) -> (SiteCell, Caller, &'static str) {
-    let cell = SiteCell::open(processes, 1).await;
+async fn open(processes: usize) -> (TestCell, Caller, &'static str) {
+    let cell = TestCell::open(processes, 1).await;
     let caller = Caller::new();
     let path = "/plain/0000000000000070";
     caller.submit(&cell.servers(), path, &job(1, "20")).await;
@@ -70,7 +70,7 @@
         "the second row was written"
     );
     assert_eq!(cell.log.starts("0000000000000071"), 1);
-    assert_eq!(cell.log.faults(), Vec::<String>::new());
+    assert_eq!(cell.log.violations(), Vec::<String>::new());
     caller.wait_state(&cell.servers(), PATH, "completed").await;
     cell.close().await;
 }
@@ -99,7 +99,7 @@
     let (cell, caller, _) = open(3).await;
     let owner = cell.owner().expect("an owner");
     let other = (owner + 1) % 3;
-    cell.doors[other].set_refuses(true);
+    cell.store_proxies[other].set_refuses(true);
 
     for _ in 0..2 {
         let (status, _) = caller
--- a/crates/cell/tests/unreadable.rs
+++ b/crates/cell/tests/unreadable.rs
@@ -6,18 +6,18 @@
 use platform::RowName;
 use serde_json::Value;
 use site::Caller;
-use site::SiteCell;
+use site::TestCell;
 use site::job;
 
 /// Bytes that decode as none of the stored rows.
 const GARBAGE: [u8; 3] = [0xff; 3];
 
-fn overwrite(cell: &SiteCell, row: &RowName) {
+fn overwrite(cell: &TestCell, row: &RowName) {
     cell.store
         .write_row(&row.table, &row.part, &row.key, &GARBAGE);
 }
 
-async fn send_request(cell: &SiteCell, caller: &Caller, method: Method, path: &str) -> u16 {
+async fn send_request(cell: &TestCell, caller: &Caller, method: Method, path: &str) -> u16 {
     let send = caller.send(method, cell.server(0), path, &Value::Null);
     send.await.0
 }
@@ -26,7 +26,7 @@
 /// while its row exists but cannot be decoded.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_unreadable_job_is_not_reported_as_missing() {
-    let cell = SiteCell::open(1, 1).await;
+    let cell = TestCell::open(1, 1).await;
     let caller = Caller::new();
     let path = "/plain/00000000000000a1";
     caller.submit(&cell.servers(), path, &job(1, "20")).await;
@@ -44,7 +44,7 @@
 /// of its progress cannot be decoded, and the job was treated as one that had never begun.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_job_with_unreadable_progress_does_not_run_again() {
-    let mut cell = SiteCell::open(1, 1).await;
+    let mut cell = TestCell::open(1, 1).await;
     let caller = Caller::new();
     let path = "/plain/00000000000000a3";
     caller.submit(&cell.servers(), path, &job(1, "20")).await;
--- a/crates/cell/tests/waiting.rs
+++ b/crates/cell/tests/waiting.rs
@@ -7,8 +7,8 @@
 use serde_json::Value;
 use serde_json::json;
 use site::Caller;
-use site::LatePlan;
-use site::SiteCell;
+use site::DelayPlan;
+use site::TestCell;
 use site::job;
 
 const JOBS: u32 = 6;
@@ -18,17 +18,17 @@
 }
 
 /// Start commands are carried out so late that none takes effect within the test.
-fn starts_after_the_test() -> LatePlan {
-    LatePlan {
+fn starts_after_the_test() -> DelayPlan {
+    DelayPlan {
         starts: 1.0,
         stops: 0.0,
-        holds: 0.0,
-        least: Duration::from_mins(1),
-        most: Duration::from_mins(1),
+        renewals: 0.0,
+        min_delay: Duration::from_mins(1),
+        max_delay: Duration::from_mins(1),
     }
 }
 
-async fn get_field(caller: &Caller, cell: &SiteCell, path: &str, field: &str) -> Value {
+async fn get_field(caller: &Caller, cell: &TestCell, path: &str, field: &str) -> Value {
     let (status, body) = caller
         .send(Method::GET, cell.server(0), path, &Value::Null)
         .await;
@@ -42,7 +42,7 @@
 /// ordered=41, unfinished=176.
 #[tokio::test(flavor = "multi_thread")]
 async fn jobs_whose_starts_are_unanswered_count_as_waiting() {
-    let cell = SiteCell::open(2, 2).await;
+    let cell = TestCell::open(2, 2).await;
     let caller = Caller::new();
     caller
         .submit(&cell.servers(), "/plain/00000000000000f0", &job(1, "20"))
@@ -51,7 +51,7 @@
         .wait_state(&cell.servers(), "/plain/00000000000000f0", "completed")
         .await;
     for worker in &cell.workers {
-        worker.set_late(starts_after_the_test());
+        worker.set_delay_plan(starts_after_the_test());
     }
     for nth in 0..JOBS {
         caller
@@ -64,7 +64,7 @@
     let waiting = get_field(&caller, &cell, "/plain/", "waiting").await;
     let state = get_field(&caller, &cell, &path(0), "state").await;
     for worker in &cell.workers {
-        worker.set_late(LatePlan::default());
+        worker.set_delay_plan(DelayPlan::default());
     }
 
     assert_eq!((waiting, state), (json!(JOBS), json!("pending")));
--- a/crates/daemon/tests/soak/blame.rs
+++ b/crates/daemon/tests/soak/blame.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use site::RunLog;
-use site::Span;
+use site::RunSpan;
 
 /// Crashes of a task after which it is given up, whatever else went down.
 const MOST_CRASHES: usize = 5;
@@ -19,8 +19,8 @@
 
 /// Whether some task of a job has met the crashes for which it may be given up.
 pub fn may_be_given_up(log: &RunLog, job: &str) -> bool {
-    let lost: Vec<Span> = log.spans("").into_iter().filter(Span::lost).collect();
-    let own: Vec<&Span> = lost
+    let lost: Vec<RunSpan> = log.spans("").into_iter().filter(RunSpan::lost).collect();
+    let own: Vec<&RunSpan> = lost
         .iter()
         .filter(|span| span.task.starts_with(job))
         .collect();
@@ -35,8 +35,8 @@
 }
 
 /// Whether no other run was on the worker when it went down.
-fn alone(one: &Span, lost: &[Span]) -> bool {
-    let together = |other: &&Span| {
+fn alone(one: &RunSpan, lost: &[RunSpan]) -> bool {
+    let together = |other: &&RunSpan| {
         let ends = one.end.as_ref().zip(other.end.as_ref());
         let near = ends.is_some_and(|((one, _), (other, _))| {
             let apart = one.saturating_duration_since(*other);
--- a/crates/daemon/tests/soak/field.rs
+++ b/crates/daemon/tests/soak/field.rs
@@ -17,16 +17,16 @@
 use nix::unistd::Pid;
 use serde_json::Value;
 use serde_json::json;
-use site::AdviceStand;
 use site::Caller;
-use site::ComesBack;
+use site::FakeAdvice;
+use site::FakeStore;
+use site::LimitedLink;
 use site::LoopbackHost;
+use site::RestartId;
 use site::RunLog;
 use site::StoreFaults;
-use site::StoreStand;
-use site::Surroundings;
-use site::ThinLink;
-use site::WorkerPlace;
+use site::WorkerContext;
+use site::WorkerSupervisor;
 use site::config;
 use site::registration;
 use site::serve;
@@ -115,8 +115,8 @@
     pub faults: Vec<String>,
     /// How often a process was killed or stopped.
     pub ends: usize,
-    store: Arc<StoreStand>,
-    workers: Vec<Arc<WorkerPlace>>,
+    store: Arc<FakeStore>,
+    workers: Vec<Arc<WorkerSupervisor>>,
     worker_ways: Vec<Relay>,
     hosts: Vec<Host>,
     folder: TempDir,
@@ -129,33 +129,33 @@
     pub async fn open(seed: u64) -> Field {
         let (serving, stop) = watch::channel(false);
         let log = RunLog::default();
-        let store = StoreStand::new();
+        let store = FakeStore::new();
         let store_address = serve(store.clone(), &stop).await;
-        let advice = AdviceStand::new(Vec::new());
+        let advice = FakeAdvice::new(Vec::new());
         let mut workers = Vec::new();
         let mut worker_ways = Vec::new();
         let comes_back = if lasting(seed) {
-            ComesBack::InTurn
+            RestartId::Alternating
         } else {
-            ComesBack::Renamed
+            RestartId::Changed
         };
-        let link = thin(seed).then(|| ThinLink::new(THIN_MBPS));
+        let link = thin(seed).then(|| LimitedLink::new(THIN_MBPS));
         for at in 0..WORKERS {
-            let around = Surroundings {
+            let around = WorkerContext {
                 store: store.clone(),
                 advice: advice.clone(),
                 log: log.clone(),
             };
-            let worker = WorkerPlace::new(&format!("w{at}"), around, comes_back);
+            let worker = WorkerSupervisor::new(&format!("w{at}"), around, comes_back);
             let mut address = serve(worker.clone(), &stop).await;
             if let Some(link) = &link {
-                address = link.front(address, stop.clone()).await;
+                address = link.listen(address, stop.clone()).await;
             }
             let way = Relay::open(address).await.expect("relay");
             let first = worker.current();
-            let entry = registration(way.address(), first.born);
+            let entry = registration(way.address(), first.incarnation);
             store.write("servers", &first.id, &entry);
-            tokio::spawn(worker.clone().live(way.address(), stop.clone()));
+            tokio::spawn(worker.clone().supervise(way.address(), stop.clone()));
             workers.push(worker);
             worker_ways.push(way);
         }
@@ -303,7 +303,7 @@
             Event::WorkerWay(at, plan) => self.worker_ways[at].set(plan),
             Event::Store(faults) => self.store.set_faults(faults),
             Event::Forget => self.store.forget(),
-            Event::LoseStarts(at, count) => self.workers[at].current().lose_starts(count),
+            Event::LoseStarts(at, count) => self.workers[at].current().lose_start_replies(count),
             Event::Resize(at, cores) => self.resize(at, cores),
             Event::Restart(at, restart) => {
                 let worker = self.workers[at].clone();
@@ -320,7 +320,7 @@
             return;
         }
         worker.set_cores(cores);
-        let mut resized = registration(self.worker_ways[at].address(), worker.born);
+        let mut resized = registration(self.worker_ways[at].address(), worker.incarnation);
         resized["capacity"]["cpu"] = json!(cores * 1000);
         self.store.write("servers", &worker.id, &resized);
     }
--- a/crates/daemon/tests/soak/plan.rs
+++ b/crates/daemon/tests/soak/plan.rs
@@ -138,7 +138,7 @@
         let back = random.random_range(0..4) == 0;
         let restart = Restart {
             down,
-            entry_after: Duration::from_millis(if late { 700 } else { 0 }),
+            registration_delay: Duration::from_millis(if late { 700 } else { 0 }),
             clock_back: if back { 2_000 } else { 0 },
         };
         if all || other == worker {
@@ -242,7 +242,7 @@
     match random.random_range(0..4) {
         0 => faults.down = true,
         1 => faults.delay = Duration::from_millis(700),
-        2 => faults.lose = 5,
+        2 => faults.lost_replies = 5,
         _ => faults.hung_feed = true,
     }
     faults
--- a/crates/daemon/tests/soak/verdict.rs
+++ b/crates/daemon/tests/soak/verdict.rs
@@ -7,7 +7,7 @@
 use hyper::Method;
 use serde_json::Value;
 use site::Caller;
-use site::Deed;
+use site::WorkerEvent;
 
 use crate::blame::may_be_given_up;
 use crate::field::Field;
@@ -69,8 +69,8 @@
             ));
         }
     }
-    wrong.extend(field.log.faults());
-    wrong.extend(over_capacity(&field.log.deeds()));
+    wrong.extend(field.log.violations());
+    wrong.extend(over_capacity(&field.log.events()));
     wrong
 }
 
@@ -92,23 +92,25 @@
 }
 
 /// Workers that ever ran more tasks than they have cores.
-fn over_capacity(deeds: &[Deed]) -> Vec<String> {
+fn over_capacity(deeds: &[WorkerEvent]) -> Vec<String> {
     let mut running: HashMap<&str, usize> = HashMap::new();
     let mut wrong = Vec::new();
     for deed in deeds {
         match deed {
-            Deed::Began(worker, task, _) => {
+            WorkerEvent::Started(worker, task, _) => {
                 let count = running.entry(worker).or_default();
                 *count += 1;
                 if *count > ROOM {
                     wrong.push(format!("{worker}: {task} is one too many"));
                 }
             }
-            Deed::Ended(worker, ..) => {
+            WorkerEvent::Ended(worker, ..) => {
                 let count = running.entry(worker).or_default();
                 *count = count.saturating_sub(1);
             }
-            Deed::Void(..) | Deed::Noted(..) | Deed::Over(..) => {}
+            WorkerEvent::Discarded(..)
+            | WorkerEvent::Acknowledged(..)
+            | WorkerEvent::Overbooked(..) => {}
         }
     }
     wrong
--- a/crates/site/src/advice.rs
+++ b/crates/site/src/advice.rs
@@ -15,33 +15,33 @@
 use web::Handler;
 use web::Whole;
 
-use crate::WorkerStand;
+use crate::FakeWorker;
 
 /// Calls all workers good.
 #[derive(Debug)]
-pub struct AdviceStand {
+pub struct FakeAdvice {
     calls: AtomicUsize,
-    workers: Mutex<Vec<Arc<WorkerStand>>>,
+    workers: Mutex<Vec<Arc<FakeWorker>>>,
     /// Lists of machines given, or being given.
-    lists: AtomicUsize,
+    machine_lists: AtomicUsize,
     /// How long the list of machines is under way after it was made.
     list_delay: Mutex<Duration>,
 }
 
-impl AdviceStand {
+impl FakeAdvice {
     /// A stand-in that knows `workers`.
     #[must_use]
-    pub fn new(workers: Vec<Arc<WorkerStand>>) -> Arc<AdviceStand> {
-        Arc::new(AdviceStand {
+    pub fn new(workers: Vec<Arc<FakeWorker>>) -> Arc<FakeAdvice> {
+        Arc::new(FakeAdvice {
             calls: AtomicUsize::new(0),
             workers: Mutex::new(workers),
-            lists: AtomicUsize::new(0),
+            machine_lists: AtomicUsize::new(0),
             list_delay: Mutex::default(),
         })
     }
 
     /// A worker begins its life on a machine.
-    pub fn add(&self, worker: Arc<WorkerStand>) {
+    pub fn add(&self, worker: Arc<FakeWorker>) {
         let mut workers = self.workers.lock().unwrap_or_else(PoisonError::into_inner);
         workers.push(worker);
     }
@@ -57,14 +57,14 @@
 
     /// Number of lists of machines made so far.
     #[must_use]
-    pub fn lists(&self) -> usize {
-        self.lists.load(Ordering::Relaxed)
+    pub fn machine_lists(&self) -> usize {
+        self.machine_lists.load(Ordering::Relaxed)
     }
 
     fn machines(&self) -> Value {
         let workers = self.workers.lock().unwrap_or_else(PoisonError::into_inner);
-        let alive = workers.iter().filter(|worker| !worker.dead());
-        let machines: Vec<Value> = alive
+        let live = workers.iter().filter(|worker| !worker.dead());
+        let machines: Vec<Value> = live
             .map(|worker| json!({"machine": worker.id, "state": "up", "id": worker.id}))
             .collect();
         json!({"machines": machines, "next_token": null})
@@ -77,11 +77,11 @@
     }
 }
 
-impl Handler for AdviceStand {
+impl Handler for FakeAdvice {
     async fn handle(&self, asked: Asked) -> Whole {
         if asked.path == "/-/machines" {
             let body = self.machines();
-            self.lists.fetch_add(1, Ordering::Relaxed);
+            self.machine_lists.fetch_add(1, Ordering::Relaxed);
             let delay = *self
                 .list_delay
                 .lock()
--- a/crates/site/src/caller.rs
+++ b/crates/site/src/caller.rs
@@ -9,13 +9,13 @@
 use web::Client;
 
 /// Time for one answer.
-const ANSWER: Duration = Duration::from_secs(4);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Longest time that a test waits for something to come about.
-pub const PATIENCE: Duration = Duration::from_mins(1);
+pub const WAIT_LIMIT: Duration = Duration::from_mins(1);
 
 /// Pause between two looks.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A caller.
 #[derive(Clone, Debug)]
@@ -40,7 +40,7 @@
         path: &str,
         body: &Value,
     ) -> (u16, Value) {
-        let call = Call::new(method, server, path, ANSWER)
+        let call = Call::new(method, server, path, REPLY_TIMEOUT)
             .header("host", "desk.example".to_owned())
             .json(body);
         match self.client.send(call).await {
@@ -54,13 +54,13 @@
 
     /// Text that a server gives.
     pub async fn text(&self, server: SocketAddr, path: &str) -> String {
-        let reply = self.client.get(server, path, ANSWER).await;
+        let reply = self.client.get(server, path, REPLY_TIMEOUT).await;
         reply.map(|reply| reply.text()).unwrap_or_default()
     }
 
     /// Status that a server gives, or 0 for no answer.
     pub async fn status(&self, server: SocketAddr, path: &str) -> u16 {
-        let reply = self.client.get(server, path, ANSWER).await;
+        let reply = self.client.get(server, path, REPLY_TIMEOUT).await;
         reply.map_or(0, |reply| reply.status.as_u16())
     }
 
@@ -69,12 +69,12 @@
     /// # Panics
     /// It does not for a minute.
     pub async fn wait_status(&self, server: SocketAddr, path: &str, status: u16) {
-        let looks = async {
+        let poll = async {
             while self.status(server, path).await != status {
-                tokio::time::sleep(LOOK_EVERY).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        let given = tokio::time::timeout(PATIENCE, looks).await;
+        let given = tokio::time::timeout(WAIT_LIMIT, poll).await;
         assert!(given.is_ok(), "{path} never gives {status}");
     }
 
@@ -83,16 +83,16 @@
     /// # Panics
     /// None accepts it for a minute.
     pub async fn submit(&self, servers: &[SocketAddr], path: &str, body: &Value) {
-        let tries = async {
+        let attempts = async {
             for server in servers.iter().cycle() {
                 let (status, _) = self.send(Method::POST, *server, path, body).await;
                 if status == 200 {
                     return;
                 }
-                tokio::time::sleep(LOOK_EVERY).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        let accepted = tokio::time::timeout(PATIENCE, tries).await;
+        let accepted = tokio::time::timeout(WAIT_LIMIT, attempts).await;
         assert!(accepted.is_ok(), "{path} was never accepted");
     }
 
@@ -102,17 +102,17 @@
     /// It is not for a minute.
     pub async fn wait_state(&self, servers: &[SocketAddr], path: &str, state: &str) {
         let mut last = Value::Null;
-        let looks = async {
+        let poll = async {
             for server in servers.iter().cycle() {
                 let (_, body) = self.send(Method::GET, *server, path, &Value::Null).await;
                 last = body["state"].clone();
                 if last == state {
                     return;
                 }
-                tokio::time::sleep(LOOK_EVERY).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        let shown = tokio::time::timeout(PATIENCE, looks).await;
+        let shown = tokio::time::timeout(WAIT_LIMIT, poll).await;
         assert!(shown.is_ok(), "{path} is shown as {last}, not {state}");
     }
 }
--- a/crates/site/src/cell.rs
+++ b/crates/site/src/cell.rs
@@ -20,25 +20,25 @@
 use web::Limits;
 
 use crate::ATTEMPTS;
-use crate::AdviceStand;
-use crate::ComesBack;
+use crate::FakeAdvice;
+use crate::FakeStore;
+use crate::FakeWorker;
+use crate::LimitedLink;
 use crate::LoopbackHost;
-use crate::PATIENCE;
 use crate::Restart;
+use crate::RestartId;
 use crate::RunLog;
-use crate::StoreDoor;
-use crate::StoreStand;
-use crate::Surroundings;
-use crate::ThinLink;
-use crate::WorkerPlace;
-use crate::WorkerStand;
-use crate::door::WorkerDoor;
+use crate::StoreProxy;
+use crate::WAIT_LIMIT;
+use crate::WorkerContext;
+use crate::WorkerSupervisor;
+use crate::worker_proxy::WorkerProxy;
 
 /// Time for a runtime to end its tasks.
-const SHUT_TIME: Duration = Duration::from_secs(5);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Pause between two looks at the store.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Tells apart the cells of one test program.
 static CELLS: AtomicU8 = AtomicU8::new(1);
@@ -51,111 +51,111 @@
 }
 
 /// A whole cell.
-pub struct SiteCell {
+pub struct TestCell {
     /// The platform's store.
-    pub store: Arc<StoreStand>,
+    pub store: Arc<FakeStore>,
     /// The first life of each worker.
-    pub workers: Vec<Arc<WorkerStand>>,
+    pub workers: Vec<Arc<FakeWorker>>,
     /// Where the workers live.
-    pub places: Vec<Arc<WorkerPlace>>,
+    pub supervisors: Vec<Arc<WorkerSupervisor>>,
     /// Advice and machines.
-    pub advice: Arc<AdviceStand>,
+    pub advice: Arc<FakeAdvice>,
     /// What the workers have done.
     pub log: RunLog,
     /// Each process's way to the store.
-    pub doors: Vec<Arc<StoreDoor>>,
+    pub store_proxies: Vec<Arc<StoreProxy>>,
     addresses: Vec<SocketAddr>,
-    worker_doors: Vec<Arc<WorkerDoor>>,
+    worker_proxies: Vec<Arc<WorkerProxy>>,
     services: SocketAddr,
     stores: Vec<SocketAddr>,
     /// Tells its addresses apart from those of other cells.
     net: u8,
     keep_s: f64,
-    comes_back: ComesBack,
+    restart_id: RestartId,
     /// Link to the workers, and its megabits a second; none if it has no bound.
-    link: Option<(Arc<ThinLink>, f64)>,
+    link: Option<(Arc<LimitedLink>, f64)>,
     /// Cores of hosts that are not of the usual size.
     cores: HashMap<usize, f64>,
     members: Vec<Option<Member>>,
     serving: watch::Sender<bool>,
 }
 
-impl SiteCell {
+impl TestCell {
     /// Opens a cell of `processes` processes and `workers` workers of four
     /// cores each.
     ///
     /// # Panics
     /// An address cannot be bound.
-    pub async fn open(processes: usize, workers: usize) -> SiteCell {
-        SiteCell::open_keeping(processes, workers, 120.0).await
+    pub async fn open(processes: usize, workers: usize) -> TestCell {
+        TestCell::open_retaining(processes, workers, 120.0).await
     }
 
     /// The same, with jobs that are known for `keep_s` after their end.
     ///
     /// # Panics
     /// An address cannot be bound.
-    pub async fn open_keeping(processes: usize, workers: usize, keep_s: f64) -> SiteCell {
-        SiteCell::open_with(processes, workers, keep_s, None, ComesBack::Renamed).await
+    pub async fn open_retaining(processes: usize, workers: usize, keep_s: f64) -> TestCell {
+        TestCell::open_with(processes, workers, keep_s, None, RestartId::Changed).await
     }
 
-    /// The same as [`SiteCell::open`], with workers that come back under the id that they
+    /// The same as [`TestCell::open`], with workers that come back under the id that they
     /// had.
     ///
     /// # Panics
     /// An address cannot be bound.
-    pub async fn open_same_ids(processes: usize, workers: usize) -> SiteCell {
-        SiteCell::open_with(processes, workers, 120.0, None, ComesBack::Same).await
+    pub async fn open_stable_ids(processes: usize, workers: usize) -> TestCell {
+        TestCell::open_with(processes, workers, 120.0, None, RestartId::Same).await
     }
 
-    /// The same as [`SiteCell::open`], with workers that name no life.
+    /// The same as [`TestCell::open`], with workers that name no life.
     ///
     /// # Panics
     /// An address cannot be bound.
-    pub async fn open_nameless(processes: usize, workers: usize) -> SiteCell {
-        SiteCell::open_with(processes, workers, 120.0, None, ComesBack::Nameless).await
+    pub async fn open_without_incarnations(processes: usize, workers: usize) -> TestCell {
+        TestCell::open_with(processes, workers, 120.0, None, RestartId::Unreported).await
     }
 
-    /// The same as [`SiteCell::open`], with a link of `mbps` megabits a second between
+    /// The same as [`TestCell::open`], with a link of `mbps` megabits a second between
     /// all processes and all workers.
     ///
     /// # Panics
     /// An address cannot be bound.
-    pub async fn open_behind(mbps: f64, processes: usize, workers: usize) -> SiteCell {
-        let link = (ThinLink::new(mbps), mbps);
-        let comes_back = ComesBack::Renamed;
-        SiteCell::open_with(processes, workers, 120.0, Some(link), comes_back).await
+    pub async fn open_limited(mbps: f64, processes: usize, workers: usize) -> TestCell {
+        let link = (LimitedLink::new(mbps), mbps);
+        let restart_id = RestartId::Changed;
+        TestCell::open_with(processes, workers, 120.0, Some(link), restart_id).await
     }
 
     async fn open_with(
         processes: usize,
         workers: usize,
         keep_s: f64,
-        link: Option<(Arc<ThinLink>, f64)>,
-        comes_back: ComesBack,
-    ) -> SiteCell {
+        link: Option<(Arc<LimitedLink>, f64)>,
+        restart_id: RestartId,
+    ) -> TestCell {
         let (serving, stop) = watch::channel(false);
-        let store = StoreStand::new();
-        let mut doors = Vec::new();
+        let store = FakeStore::new();
+        let mut store_proxies = Vec::new();
         let mut stores = Vec::new();
         for _ in 0..processes {
-            let door = StoreDoor::new(store.clone());
-            stores.push(serve(door.clone(), &stop).await);
-            doors.push(door);
+            let proxy = StoreProxy::new(store.clone());
+            stores.push(serve(proxy.clone(), &stop).await);
+            store_proxies.push(proxy);
         }
         let log = RunLog::default();
-        let advice = AdviceStand::new(Vec::new());
+        let advice = FakeAdvice::new(Vec::new());
         let services = serve(advice.clone(), &stop).await;
         store.write("op", "config", &config(1));
-        let mut cell = SiteCell {
+        let mut cell = TestCell {
             store,
             workers: Vec::new(),
-            places: Vec::new(),
-            comes_back,
+            supervisors: Vec::new(),
+            restart_id,
             advice,
             log,
-            doors,
+            store_proxies,
             addresses: Vec::new(),
-            worker_doors: Vec::new(),
+            worker_proxies: Vec::new(),
             services,
             stores,
             net: CELLS.fetch_add(1, Ordering::Relaxed),
@@ -182,37 +182,37 @@
     /// No address can be bound.
     pub async fn add_worker(&mut self) {
         let at = self.workers.len();
-        let around = Surroundings {
+        let context = WorkerContext {
             store: self.store.clone(),
             advice: self.advice.clone(),
             log: self.log.clone(),
         };
-        let place = WorkerPlace::new(&format!("w{at}"), around, self.comes_back);
+        let supervisor = WorkerSupervisor::new(&format!("w{at}"), context, self.restart_id);
         let stop = self.serving.subscribe();
-        let door = WorkerDoor::new(place.clone());
-        let address = serve(door.clone(), &stop).await;
-        self.worker_doors.push(door);
-        let front = match &self.link {
-            Some((link, _)) => link.front(address, stop.clone()).await,
+        let proxy = WorkerProxy::new(supervisor.clone());
+        let address = serve(proxy.clone(), &stop).await;
+        self.worker_proxies.push(proxy);
+        let exposed = match &self.link {
+            Some((link, _)) => link.listen(address, stop.clone()).await,
             None => address,
         };
-        self.addresses.push(front);
-        self.workers.push(place.current());
-        self.places.push(place.clone());
-        tokio::spawn(place.live(address, stop));
+        self.addresses.push(exposed);
+        self.workers.push(supervisor.current());
+        self.supervisors.push(supervisor.clone());
+        tokio::spawn(supervisor.supervise(address, stop));
         self.register(at);
     }
 
     /// Starts are on their way to a worker for so long from now on, and reach the life
     /// that is there then.
     pub fn delay_starts(&self, at: usize, delay: Duration) {
-        self.worker_doors[at].set_start_delay(delay);
+        self.worker_proxies[at].set_start_delay(delay);
     }
 
     /// Acknowledgements that came to a worker while a start was on its way.
     #[must_use]
-    pub fn crossed(&self, at: usize) -> usize {
-        self.worker_doors[at].crossed()
+    pub fn overlapping_acks(&self, at: usize) -> usize {
+        self.worker_proxies[at].overlapping_acks()
     }
 
     /// A worker starts again while the next acknowledgement of its ends is on its way, which
@@ -220,10 +220,10 @@
     ///
     /// # Panics
     /// No end is acknowledged for a minute.
-    pub async fn restart_under_acknowledgement(&self, at: usize) {
-        let mut begun = self.worker_doors[at].trap();
+    pub async fn restart_before_ack(&self, at: usize) {
+        let mut begun = self.worker_proxies[at].arm_restart();
         begun.mark_unchanged();
-        let begun = tokio::time::timeout(PATIENCE, begun.changed()).await;
+        let begun = tokio::time::timeout(WAIT_LIMIT, begun.changed()).await;
         assert!(begun.is_ok(), "no end is acknowledged");
     }
 
@@ -233,7 +233,9 @@
         let row = self
             .store
             .raw(cell::OWNERSHIP_TABLE, cell::OWNER_PART, "owner")?;
-        cell::decode_ownership(&row).ok().map(|seat| seat.epoch)
+        cell::decode_ownership(&row)
+            .ok()
+            .map(|ownership| ownership.epoch)
     }
 
     /// A worker goes down and starts again under its id, at another address.
@@ -241,26 +243,26 @@
     /// # Panics
     /// No address can be bound.
     pub async fn move_worker(&mut self, at: usize, restart: Restart) {
-        let place = self.places[at].clone();
-        self.worker_doors[at].close();
-        let door = WorkerDoor::new(place.clone());
-        self.addresses[at] = serve(door.clone(), &self.serving.subscribe()).await;
-        self.worker_doors[at] = door;
-        place.set_address(self.addresses[at]);
-        place.restart(restart).await;
+        let supervisor = self.supervisors[at].clone();
+        self.worker_proxies[at].close();
+        let proxy = WorkerProxy::new(supervisor.clone());
+        self.addresses[at] = serve(proxy.clone(), &self.serving.subscribe()).await;
+        self.worker_proxies[at] = proxy;
+        supervisor.set_address(self.addresses[at]);
+        supervisor.restart(restart).await;
     }
 
     /// A worker registers, or registers again.
     pub fn register(&self, at: usize) {
         let worker = &self.workers[at];
-        let entry = worker.entry(self.addresses[at]);
-        self.store.write("servers", &worker.id, &entry);
+        let registration_row = worker.registration_row(self.addresses[at]);
+        self.store.write("servers", &worker.id, &registration_row);
     }
 
     /// A worker has so many cores from now on, and says so.
     pub fn resize(&self, at: usize, cores: usize) {
         self.workers[at].set_cores(cores);
-        let mut resized = self.workers[at].entry(self.addresses[at]);
+        let mut resized = self.workers[at].registration_row(self.addresses[at]);
         resized["capacity"]["cpu"] = json!(cores * 1000);
         self.store.write("servers", &self.workers[at].id, &resized);
     }
@@ -332,7 +334,7 @@
     /// Kills a process: nothing of it goes on, its connections are reset.
     pub async fn kill(&mut self, at: usize) {
         if let Some(member) = self.members[at].take() {
-            shut(member.runtime).await;
+            shut_down(member.runtime).await;
         }
     }
 
@@ -349,7 +351,7 @@
 
     /// Asks a process to stop, and waits until it has.
     pub async fn stop(&mut self, at: usize) {
-        self.stop_within(at, PATIENCE).await;
+        self.stop_within(at, WAIT_LIMIT).await;
     }
 
     /// Asks a process to stop, and kills it if that takes longer than `grace`; gives
@@ -358,13 +360,13 @@
         let Some(mut member) = self.members[at].take() else {
             return true;
         };
-        let mut whole = false;
+        let mut in_time = false;
         if let (Some(stop), Some(stopped)) = (member.stop.take(), member.stopped.take()) {
             let _ = stop.send(());
-            whole = tokio::time::timeout(grace, stopped).await.is_ok();
+            in_time = tokio::time::timeout(grace, stopped).await.is_ok();
         }
-        shut(member.runtime).await;
-        whole
+        shut_down(member.runtime).await;
+        in_time
     }
 
     /// Index of the process that owns the pool, by the store.
@@ -373,9 +375,9 @@
         let row = self
             .store
             .raw(cell::OWNERSHIP_TABLE, cell::OWNER_PART, "owner")?;
-        let seat = cell::decode_ownership(&row).ok()?;
-        let at = (0..self.members.len()).find(|&at| self.host(at).ip() == seat.address.ip());
-        at.filter(|_| !seat.released)
+        let ownership = cell::decode_ownership(&row).ok()?;
+        let at = (0..self.members.len()).find(|&at| self.host(at).ip() == ownership.address.ip());
+        at.filter(|_| !ownership.released)
     }
 
     /// A host has so many cores, from the next start of its process on.
@@ -398,16 +400,16 @@
     ///
     /// # Panics
     /// It does not for a minute.
-    pub async fn wait_owner(&self, is: impl Fn(usize) -> bool) -> usize {
-        let looks = async {
+    pub async fn wait_owner(&self, accepts: impl Fn(usize) -> bool) -> usize {
+        let poll = async {
             loop {
-                if let Some(owner) = self.owner().filter(|&owner| is(owner)) {
+                if let Some(owner) = self.owner().filter(|&owner| accepts(owner)) {
                     return owner;
                 }
-                tokio::time::sleep(LOOK_EVERY).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        let found = tokio::time::timeout(PATIENCE, looks).await;
+        let found = tokio::time::timeout(WAIT_LIMIT, poll).await;
         found.expect("no such owner")
     }
 
@@ -420,8 +422,8 @@
 }
 
 /// Ends a runtime with all its tasks, and waits until its sockets are closed.
-async fn shut(runtime: Runtime) {
-    let ended = tokio::task::spawn_blocking(move || runtime.shutdown_timeout(SHUT_TIME));
+async fn shut_down(runtime: Runtime) {
+    let ended = tokio::task::spawn_blocking(move || runtime.shutdown_timeout(SHUTDOWN_TIMEOUT));
     // Only a panic within the shutdown is lost here; the test shows the rest.
     let _ = ended.await;
 }
--- a/crates/site/src/ticking.rs
+++ b/crates/site/src/clock.rs
@@ -6,8 +6,8 @@
 
 use tokio::sync::watch;
 
-use crate::WorkerStand;
-use crate::worker::LOOK_EVERY;
+use crate::FakeWorker;
+use crate::worker::POLL_INTERVAL;
 
 /// Time of day, in Unix milliseconds.
 #[must_use]
@@ -20,10 +20,10 @@
 
 /// Workers end runs and carry out late orders by their own clock, whether
 /// anyone reaches them or not.
-pub async fn keep_ticking(worker: Arc<WorkerStand>, stop: watch::Receiver<bool>) {
+pub async fn run_clock(worker: Arc<FakeWorker>, stop: watch::Receiver<bool>) {
     // The channel closes with the test.
     while stop.has_changed().is_ok() {
         worker.tick();
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/site/src/thin_link.rs
+++ b/crates/site/src/limited_link.rs
@@ -23,35 +23,35 @@
 const PACKET_BYTES: usize = 52;
 
 /// Largest packet.
-const PACKET: usize = 1460;
+const MAX_PACKET: usize = 1460;
 
 /// Time for which a connection is carried on after its caller has closed it: what was
 /// sent still arrives, and so does its answer.
-const LINGER: Duration = Duration::from_secs(5);
+const CLOSE_DELAY: Duration = Duration::from_secs(5);
 
 /// One direction of a link.
 #[derive(Debug)]
-struct Lane {
+struct Direction {
     rate: f64,
-    free: Mutex<Instant>,
+    idle_at: Mutex<Instant>,
 }
 
-impl Lane {
-    fn new(rate: f64) -> Lane {
-        Lane {
+impl Direction {
+    fn new(rate: f64) -> Direction {
+        Direction {
             rate,
-            free: Mutex::new(Instant::now()),
+            idle_at: Mutex::new(Instant::now()),
         }
     }
 
     /// Waits until these bytes have gone over, behind all that were sent before.
-    async fn carry(&self, bytes: usize) {
+    async fn transmit(&self, bytes: usize) {
         let until = {
-            let mut free = self.free.lock().unwrap_or_else(PoisonError::into_inner);
+            let mut idle_at = self.idle_at.lock().unwrap_or_else(PoisonError::into_inner);
             let bytes = u32::try_from(bytes).unwrap_or(u32::MAX);
             let time = Duration::from_secs_f64(f64::from(bytes) / self.rate);
-            *free = (*free).max(Instant::now()) + time;
-            *free
+            *idle_at = (*idle_at).max(Instant::now()) + time;
+            *idle_at
         };
         tokio::time::sleep_until(until.into()).await;
     }
@@ -59,19 +59,19 @@
 
 /// A link of bounded rate.
 #[derive(Debug)]
-pub struct ThinLink {
-    there: Lane,
-    back: Lane,
+pub struct LimitedLink {
+    outbound: Direction,
+    inbound: Direction,
 }
 
-impl ThinLink {
+impl LimitedLink {
     /// A link that carries `mbps` megabits a second in each direction.
     #[must_use]
-    pub fn new(mbps: f64) -> Arc<ThinLink> {
+    pub fn new(mbps: f64) -> Arc<LimitedLink> {
         let rate = mbps * 125_000.0;
-        Arc::new(ThinLink {
-            there: Lane::new(rate),
-            back: Lane::new(rate),
+        Arc::new(LimitedLink {
+            outbound: Direction::new(rate),
+            inbound: Direction::new(rate),
         })
     }
 
@@ -79,8 +79,8 @@
     ///
     /// # Panics
     /// No address can be bound.
-    pub async fn front(
-        self: &Arc<ThinLink>,
+    pub async fn listen(
+        self: &Arc<LimitedLink>,
         server: SocketAddr,
         mut stop: watch::Receiver<bool>,
     ) -> SocketAddr {
@@ -101,32 +101,32 @@
         address
     }
 
-    async fn relay(self: Arc<ThinLink>, caller: TcpStream, server: SocketAddr) {
-        self.there.carry(CONNECTION_BYTES).await;
+    async fn relay(self: Arc<LimitedLink>, caller: TcpStream, server: SocketAddr) {
+        self.outbound.transmit(CONNECTION_BYTES).await;
         let Ok(worker) = TcpStream::connect(server).await else {
             return;
         };
         let (from_caller, to_caller) = caller.into_split();
         let (from_worker, to_worker) = worker.into_split();
-        let there = async {
-            let to_worker = pump(from_caller, to_worker, &self.there).await;
-            tokio::time::sleep(LINGER).await;
+        let outbound = async {
+            let to_worker = copy(from_caller, to_worker, &self.outbound).await;
+            tokio::time::sleep(CLOSE_DELAY).await;
             drop(to_worker);
         };
-        let back = pump(from_worker, to_caller, &self.back);
-        tokio::join!(there, back);
+        let inbound = copy(from_worker, to_caller, &self.inbound);
+        tokio::join!(outbound, inbound);
     }
 }
 
 /// Carries bytes until their source ends, also to a side that has closed.
-async fn pump<R, W>(mut from: R, mut to: W, lane: &Lane) -> W
+async fn copy<R, W>(mut from: R, mut to: W, direction: &Direction) -> W
 where
     R: AsyncRead + Unpin,
     W: AsyncWrite + Unpin,
 {
-    let mut packet = [0; PACKET];
+    let mut packet = [0; MAX_PACKET];
     while let Ok(length @ 1..) = from.read(&mut packet).await {
-        lane.carry(length + PACKET_BYTES).await;
+        direction.transmit(length + PACKET_BYTES).await;
         // Whoever has given up does not hear it; the bytes took their time all the same.
         let _ = to.write_all(&packet[..length]).await;
     }
--- a/crates/site/src/loopback.rs
+++ b/crates/site/src/loopback.rs
@@ -15,7 +15,7 @@
 /// A host with a loopback address of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoopbackHost {
-    at: u8,
+    index: u8,
     ip: Ipv4Addr,
 }
 
@@ -27,12 +27,12 @@
     /// # Panics
     /// A cell has fewer hosts than 255.
     #[must_use]
-    pub fn new(net: u8, at: usize) -> LoopbackHost {
+    pub fn new(net: u8, index: usize) -> LoopbackHost {
         let program = u8::try_from(std::process::id() % 200).expect("below 200") + 20;
-        let at = u8::try_from(at).expect("few hosts");
+        let index = u8::try_from(index).expect("few hosts");
         LoopbackHost {
-            at,
-            ip: Ipv4Addr::new(127, program, net, at + 1),
+            index,
+            ip: Ipv4Addr::new(127, program, net, index + 1),
         }
     }
 
@@ -71,7 +71,7 @@
         let services = services.map_or(String::new(), |address| address.to_string());
         // JSON is YAML.
         let settings = json!({
-            "node": format!("entry-{}", self.at), "zone": "z1", "ip": self.ip,
+            "node": format!("entry-{}", self.index), "zone": "z1", "ip": self.ip,
             "listen": {
                 "callers": self.callers(), "ready": self.ready(), "metrics": self.metrics(),
             },
--- a/crates/site/src/entry.rs
+++ b/crates/site/src/registration.rs
@@ -5,27 +5,27 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::WorkerStand;
+use crate::FakeWorker;
 
 /// How a worker of four cores at `address` registers that was born at `born`.
 #[must_use]
-pub fn registration(address: SocketAddr, born: u64) -> Value {
+pub fn registration(address: SocketAddr, incarnation: u64) -> Value {
     json!({
         "service": "desk", "address": address.to_string(), "zone": "z1", "version": "v1",
         "slots": 8, "state": "ready", "cold_left_ms": 0,
         "capacity": {"cpu": 4000, "mem_mb": 64000, "gpu": 0}, "labels": ["a", "r1-1"], "seq": 1,
-        "born": born,
+        "born": incarnation,
     })
 }
 
-impl WorkerStand {
+impl FakeWorker {
     /// How it registers at `address`, with four cores.
     #[must_use]
-    pub fn entry(&self, address: SocketAddr) -> Value {
-        let mut entry = registration(address, self.born);
-        if self.nameless() {
-            entry["born"] = Value::Null;
+    pub fn registration_row(&self, address: SocketAddr) -> Value {
+        let mut registration_row = registration(address, self.incarnation);
+        if self.omits_incarnation() {
+            registration_row["born"] = Value::Null;
         }
-        entry
+        registration_row
     }
 }
--- a/crates/site/src/script.rs
+++ b/crates/site/src/scripted.rs
@@ -8,36 +8,36 @@
 
 /// What the store does to one transaction.
 #[derive(Clone, Copy, Debug)]
-pub struct Act {
+pub struct ScriptedReply {
     /// It is done.
-    pub done: bool,
+    pub commit: bool,
     /// Time until the answer.
-    pub after: Duration,
+    pub delay: Duration,
     /// How it is answered.
-    pub answer: Answer,
+    pub reply: Reply,
 }
 
 /// How a transaction is answered.
 #[derive(Clone, Copy, Debug)]
-pub enum Answer {
+pub enum Reply {
     /// With this status.
     Status(u16),
     /// With a body that is not what the protocol says.
-    Garbled,
+    Malformed,
     /// Not at all.
-    Never,
+    Lost,
 }
 
-impl Act {
-    pub(crate) async fn answer(self) -> Whole {
-        tokio::time::sleep(self.after).await;
-        match self.answer {
-            Answer::Status(status) => {
+impl ScriptedReply {
+    pub(crate) async fn reply(self) -> Whole {
+        tokio::time::sleep(self.delay).await;
+        match self.reply {
+            Reply::Status(status) => {
                 let status = StatusCode::from_u16(status).unwrap_or(StatusCode::IM_A_TEAPOT);
                 web::error(status, "as the test says")
             }
-            Answer::Garbled => web::json(StatusCode::OK, &json!({})),
-            Answer::Never => std::future::pending().await,
+            Reply::Malformed => web::json(StatusCode::OK, &json!({})),
+            Reply::Lost => std::future::pending().await,
         }
     }
 }
--- a/crates/site/src/store.rs
+++ b/crates/site/src/store.rs
@@ -22,7 +22,7 @@
 use web::Handler;
 use web::Whole;
 
-use crate::Act;
+use crate::ScriptedReply;
 
 /// Most rows in one answer of the feed.
 const FEED_ROWS: usize = 500;
@@ -32,7 +32,7 @@
 
 /// Which calls a store refuses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Refuses {
+pub enum RefusedCalls {
     /// None.
     #[default]
     Nothing,
@@ -48,9 +48,9 @@
     /// Every call is refused with 503.
     pub down: bool,
     /// Some calls are refused with 503; the others are served.
-    pub refuses: Refuses,
+    pub refused_calls: RefusedCalls,
     /// So many of the next transactions are done and not answered.
-    pub lose: usize,
+    pub lost_replies: usize,
     /// Each transaction takes this long.
     pub delay: Duration,
     /// Rows of this table are read at once and under way this long.
@@ -60,7 +60,7 @@
     /// The feed does not answer; other calls are served.
     pub hung_feed: bool,
     /// Calls for rows of this part are refused with 503; the others are served.
-    pub part_away: Option<&'static str>,
+    pub refused_part: Option<&'static str>,
 }
 
 #[derive(Default)]
@@ -70,26 +70,26 @@
     changes: Vec<(u64, Name, Option<String>)>,
     version: u64,
     /// Changes up to this version are forgotten.
-    forgotten: u64,
+    dropped_upto: u64,
     faults: StoreFaults,
     /// Transactions that were asked for, by the tables of their conditions.
-    asked: BTreeMap<String, usize>,
+    transactions: BTreeMap<String, usize>,
     /// What happens to the next transactions on a table.
-    script: (String, VecDeque<Act>),
+    script: (String, VecDeque<ScriptedReply>),
 }
 
 /// The store.
-pub struct StoreStand {
+pub struct FakeStore {
     rows: Mutex<Rows>,
     version: watch::Sender<u64>,
 }
 
-impl StoreStand {
+impl FakeStore {
     /// An empty store.
     #[must_use]
-    pub fn new() -> Arc<StoreStand> {
+    pub fn new() -> Arc<FakeStore> {
         let (version, _) = watch::channel(0);
-        Arc::new(StoreStand {
+        Arc::new(FakeStore {
             rows: Mutex::default(),
             version,
         })
@@ -101,10 +101,10 @@
 
     /// Whether the answer to a transaction is lost. Judged when the answer is due: the
     /// faults may have ended while a slow store worked on it.
-    fn takes_answer(&self) -> bool {
+    fn loses_reply(&self) -> bool {
         let mut rows = self.lock();
-        let lost = rows.faults.lose > 0;
-        rows.faults.lose -= usize::from(lost);
+        let lost = rows.faults.lost_replies > 0;
+        rows.faults.lost_replies -= usize::from(lost);
         lost
     }
 
@@ -114,8 +114,8 @@
     }
 
     /// Sets what happens to the next transactions that write to a table.
-    pub fn set_script(&self, table: &str, acts: &[Act]) {
-        self.lock().script = (table.to_owned(), acts.iter().copied().collect());
+    pub fn set_script(&self, table: &str, replies: &[ScriptedReply]) {
+        self.lock().script = (table.to_owned(), replies.iter().copied().collect());
     }
 
     /// Writes a row of any part, as a process of the cell would.
@@ -130,22 +130,22 @@
     }
 
     /// How many transactions were asked for that are conditional on rows of a table.
-    pub fn asked(&self, table: &str) -> usize {
-        self.lock().asked.get(table).copied().unwrap_or(0)
+    pub fn transactions(&self, table: &str) -> usize {
+        self.lock().transactions.get(table).copied().unwrap_or(0)
     }
 
-    fn note_conditions(&self, body: &Value) {
+    fn count_transaction(&self, body: &Value) {
         let conditions = list(body, "precondition");
         let tables = conditions.iter().filter_map(|row| row["table"].as_str());
         let tables: BTreeSet<String> = tables.map(str::to_owned).collect();
         let mut rows = self.lock();
         for table in tables {
-            *rows.asked.entry(table).or_default() += 1;
+            *rows.transactions.entry(table).or_default() += 1;
         }
     }
 
     /// What the script says of a transaction.
-    fn scripted(&self, body: &Value) -> Option<Act> {
+    fn next_scripted(&self, body: &Value) -> Option<ScriptedReply> {
         let mut rows = self.lock();
         let table = rows.script.0.clone();
         let writes = list(body, "puts").iter().any(|put| put["table"] == table);
@@ -159,7 +159,7 @@
     /// Forgets the history of changes.
     pub fn forget(&self) {
         let mut rows = self.lock();
-        rows.forgotten = rows.version;
+        rows.dropped_upto = rows.version;
         rows.changes.clear();
     }
 
@@ -211,7 +211,7 @@
     fn transact(&self, body: &Value) -> Whole {
         let mut rows = self.lock();
         for expect in list(body, "precondition") {
-            let found = rows.live.get(&name_of(expect)).map_or(0, |row| row.1);
+            let found = rows.live.get(&row_name(expect)).map_or(0, |row| row.1);
             if found != expect["ver"].as_u64().unwrap_or(0) {
                 return web::json(StatusCode::PRECONDITION_FAILED, &json!({"rows": []}));
             }
@@ -220,10 +220,10 @@
         let version = rows.version;
         for put in list(body, "puts") {
             let value = put["value"].as_str().unwrap_or_default().to_owned();
-            rows.put(name_of(put), Some(value), version);
+            rows.put(row_name(put), Some(value), version);
         }
         for remove in list(body, "remove") {
-            rows.put(name_of(remove), None, version);
+            rows.put(row_name(remove), None, version);
         }
         drop(rows);
         self.version.send_replace(version);
@@ -283,7 +283,7 @@
     /// `empty` asks for an empty answer.
     fn changes(&self, table: &str, after: u64, empty: bool) -> Option<Whole> {
         let rows = self.lock();
-        if after < rows.forgotten {
+        if after < rows.dropped_upto {
             return Some(web::error(StatusCode::GONE, "forgotten"));
         }
         let changes = rows.changes.iter();
@@ -314,37 +314,37 @@
     }
 }
 
-impl Handler for StoreStand {
+impl Handler for FakeStore {
     async fn handle(&self, asked: Asked) -> Whole {
         let faults = self.lock().faults;
         if faults.down {
             return web::error(StatusCode::SERVICE_UNAVAILABLE, "try later");
         }
         let write = asked.path == "/-/rows-tx";
-        let refused = match faults.refuses {
-            Refuses::Nothing => false,
-            Refuses::Reads => !write,
-            Refuses::Writes => write,
+        let refused = match faults.refused_calls {
+            RefusedCalls::Nothing => false,
+            RefusedCalls::Reads => !write,
+            RefusedCalls::Writes => write,
         };
         let away = faults
-            .part_away
-            .is_some_and(|part| names_part(&asked, part));
+            .refused_part
+            .is_some_and(|part| concerns_part(&asked, part));
         if refused || away {
             return web::error(StatusCode::SERVICE_UNAVAILABLE, "try later");
         }
         match asked.path.as_str() {
             "/-/rows-tx" => {
                 let body: Value = serde_json::from_slice(&asked.body).unwrap_or_default();
-                self.note_conditions(&body);
-                if let Some(act) = self.scripted(&body) {
-                    if act.done {
+                self.count_transaction(&body);
+                if let Some(scripted_reply) = self.next_scripted(&body) {
+                    if scripted_reply.commit {
                         self.transact(&body);
                     }
-                    return act.answer().await;
+                    return scripted_reply.reply().await;
                 }
                 tokio::time::sleep(faults.delay).await;
                 let whole = self.transact(&body);
-                if self.takes_answer() {
+                if self.loses_reply() {
                     std::future::pending::<()>().await;
                 }
                 whole
@@ -382,7 +382,7 @@
     body[name].as_array().map_or(&[], Vec::as_slice)
 }
 
-fn name_of(row: &Value) -> Name {
+fn row_name(row: &Value) -> Name {
     let text = |name: &str| row[name].as_str().unwrap_or_default().to_owned();
     (text("table"), text("part"), text("key"))
 }
@@ -395,7 +395,7 @@
 }
 
 /// Whether a call is for rows of a part.
-fn names_part(asked: &Asked, part: &str) -> bool {
+fn concerns_part(asked: &Asked, part: &str) -> bool {
     if asked.path != "/-/rows-tx" {
         return asked.parameter("part").as_deref() == Some(part);
     }
@@ -404,20 +404,20 @@
 }
 
 /// One process's way to the store, which can be cut.
-pub struct StoreDoor {
-    store: Arc<StoreStand>,
+pub struct StoreProxy {
+    store: Arc<FakeStore>,
     cut: AtomicBool,
-    refuses: AtomicBool,
+    refused_calls: AtomicBool,
 }
 
-impl StoreDoor {
+impl StoreProxy {
     /// An open door to `store`.
     #[must_use]
-    pub fn new(store: Arc<StoreStand>) -> Arc<StoreDoor> {
-        Arc::new(StoreDoor {
+    pub fn new(store: Arc<FakeStore>) -> Arc<StoreProxy> {
+        Arc::new(StoreProxy {
             store,
             cut: AtomicBool::new(false),
-            refuses: AtomicBool::new(false),
+            refused_calls: AtomicBool::new(false),
         })
     }
 
@@ -427,25 +427,25 @@
     }
 
     /// Lets the store refuse this process's calls with 503, or serve them.
-    pub fn set_refuses(&self, refuses: bool) {
-        self.refuses.store(refuses, Ordering::Relaxed);
+    pub fn set_refuses(&self, refused_calls: bool) {
+        self.refused_calls.store(refused_calls, Ordering::Relaxed);
     }
 
-    async fn pass(&self) {
+    async fn wait_if_cut(&self) {
         if self.cut.load(Ordering::Relaxed) {
             std::future::pending::<()>().await;
         }
     }
 }
 
-impl Handler for StoreDoor {
+impl Handler for StoreProxy {
     async fn handle(&self, asked: Asked) -> Whole {
-        self.pass().await;
-        if self.refuses.load(Ordering::Relaxed) {
+        self.wait_if_cut().await;
+        if self.refused_calls.load(Ordering::Relaxed) {
             return web::error(StatusCode::SERVICE_UNAVAILABLE, "try later");
         }
         let whole = self.store.handle(asked).await;
-        self.pass().await;
+        self.wait_if_cut().await;
         whole
     }
 }
--- a/crates/site/src/worker.rs
+++ b/crates/site/src/worker.rs
@@ -16,20 +16,20 @@
 use web::Handler;
 use web::Whole;
 
-use crate::Deed;
-use crate::LatePlan;
+use crate::DelayPlan;
 use crate::RunLog;
+use crate::WorkerEvent;
 use crate::cores::Cores;
+use crate::delayed::DelayedCommands;
 use crate::finish::Finish;
-use crate::late::LateOrders;
 use crate::wall_millis;
 
 /// Time between two looks for ends while a call waits for one.
-pub(crate) const LOOK_EVERY: Duration = Duration::from_millis(5);
+pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Time after which an end counts as told once the worker has listed it, with no
 /// disruption near.
-const TOLD_AFTER: Duration = Duration::from_millis(100);
+const REPORT_TIME: Duration = Duration::from_millis(100);
 
 /// A run at work.
 #[derive(Debug)]
@@ -61,9 +61,9 @@
 
 impl Ended {
     /// Whether it counts as told, with no disruption near.
-    fn told(&self) -> bool {
+    fn reported(&self) -> bool {
         self.listed
-            .is_some_and(|listed| listed.elapsed() > TOLD_AFTER)
+            .is_some_and(|listed| listed.elapsed() > REPORT_TIME)
     }
 }
 
@@ -76,46 +76,46 @@
     ended: Vec<Ended>,
     count: u64,
     /// Ends up to this number do not stand.
-    void: u64,
-    over: HashMap<String, u64>,
+    discarded_upto: u64,
+    latest_ended: HashMap<String, u64>,
     silent: bool,
     dead: bool,
     /// A task took it down.
     crashed: bool,
-    room: Cores,
-    lose_starts: usize,
+    capacity: Cores,
+    lose_start_replies: usize,
     /// Orders of this epoch and later ones do not arrive.
-    deaf_from: Option<u64>,
+    cut_from: Option<u64>,
     /// Orders of this epoch and earlier ones do not arrive.
-    deaf_upto: u64,
-    late: LateOrders,
+    cut_upto: u64,
+    delayed: DelayedCommands,
     /// Answers take so much longer.
     delay: Duration,
     /// Its lists do not name its life.
-    nameless: bool,
+    omits_incarnation: bool,
     /// No disruption is near: ends count as told once they were listed.
-    calm: bool,
+    undisturbed: bool,
 }
 
 /// A worker.
 #[derive(Debug)]
-pub struct WorkerStand {
+pub struct FakeWorker {
     /// The worker.
     pub id: String,
     /// Unix milliseconds at the start of this life of it.
-    pub born: u64,
+    pub incarnation: u64,
     origin: Instant,
     state: Mutex<State>,
     log: RunLog,
 }
 
-impl WorkerStand {
+impl FakeWorker {
     /// A worker that logs to `log`.
     #[must_use]
-    pub fn new(id: &str, log: RunLog) -> Arc<WorkerStand> {
-        Arc::new(WorkerStand {
+    pub fn new(id: &str, log: RunLog) -> Arc<FakeWorker> {
+        Arc::new(FakeWorker {
             id: id.to_owned(),
-            born: wall_millis(),
+            incarnation: wall_millis(),
             origin: Instant::now(),
             state: Mutex::default(),
             log,
@@ -125,15 +125,15 @@
     /// The next life of the worker under its id, which is born at `born`. It holds and
     /// knows nothing of before; orders that this life has left unanswered are still to
     /// come.
-    pub(crate) fn next_life(&self, born: u64) -> Arc<WorkerStand> {
-        let late = std::mem::take(&mut self.lock().late);
+    pub(crate) fn next_incarnation(&self, incarnation: u64) -> Arc<FakeWorker> {
+        let delayed = std::mem::take(&mut self.lock().delayed);
         self.die();
-        Arc::new(WorkerStand {
+        Arc::new(FakeWorker {
             id: self.id.clone(),
-            born,
+            incarnation,
             origin: Instant::now(),
             state: Mutex::new(State {
-                late,
+                delayed,
                 ..State::default()
             }),
             log: self.log.clone(),
@@ -151,7 +151,7 @@
     /// Ends what is due, also while nobody reaches the worker.
     pub fn tick(&self) {
         let mut state = self.lock();
-        self.settle(&mut state);
+        self.process_due(&mut state);
     }
 
     /// Whether the worker answers nobody; its runs go on.
@@ -167,13 +167,13 @@
     fn go_down(&self, state: &mut State) {
         state.silent = true;
         state.dead = true;
-        state.late.clear();
+        state.delayed.clear();
         // Nobody will ever take note of the ends that it still lists.
-        self.void_ends(state);
+        self.discard_ends(state);
         for (task, run) in std::mem::take(&mut state.running) {
             let how = "gone".to_owned();
             self.log
-                .push(Deed::Ended(self.id.clone(), task, run.number, how));
+                .push(WorkerEvent::Ended(self.id.clone(), task, run.number, how));
         }
     }
 
@@ -185,7 +185,7 @@
 
     /// The worker has so many cores from now on; what runs there goes on.
     pub fn set_cores(&self, cores: usize) {
-        self.lock().room.set(cores);
+        self.lock().capacity.set(cores);
     }
 
     /// Whether the worker has died.
@@ -195,20 +195,20 @@
     }
 
     /// So many of the next starts are carried out and not answered.
-    pub fn lose_starts(&self, count: usize) {
-        self.lock().lose_starts = count;
+    pub fn lose_start_replies(&self, count: usize) {
+        self.lock().lose_start_replies = count;
     }
 
     /// Orders of `epoch` and later ones do not arrive: the worker is cut off
     /// from later owners alone.
-    pub fn set_deaf_from(&self, epoch: Option<u64>) {
-        self.lock().deaf_from = epoch;
+    pub fn cut_from_epoch(&self, epoch: Option<u64>) {
+        self.lock().cut_from = epoch;
     }
 
     /// Orders of `epoch` and earlier ones do not arrive: the worker is cut off
     /// from those owners alone.
-    pub fn set_deaf_upto(&self, epoch: u64) {
-        self.lock().deaf_upto = epoch;
+    pub fn cut_upto_epoch(&self, epoch: u64) {
+        self.lock().cut_upto = epoch;
     }
 
     /// Answers take so much longer from now on; what they say is of before.
@@ -218,22 +218,22 @@
 
     /// No disruption is near: an end stands once the worker has listed it, whether its
     /// owner has heard it or not.
-    pub fn set_calm(&self, calm: bool) {
-        self.lock().calm = calm;
+    pub fn set_undisturbed(&self, undisturbed: bool) {
+        self.lock().undisturbed = undisturbed;
     }
 
     /// Whether it leaves its life out of what it says of itself, as other releases do.
-    pub fn set_nameless(&self, nameless: bool) {
-        self.lock().nameless = nameless;
+    pub fn set_omits_incarnation(&self, omits_incarnation: bool) {
+        self.lock().omits_incarnation = omits_incarnation;
     }
 
-    pub(crate) fn nameless(&self) -> bool {
-        self.lock().nameless
+    pub(crate) fn omits_incarnation(&self) -> bool {
+        self.lock().omits_incarnation
     }
 
     /// Some orders are left unanswered from now on, and carried out later.
-    pub fn set_late(&self, plan: LatePlan) {
-        self.lock().late.set_plan(plan);
+    pub fn set_delay_plan(&self, plan: DelayPlan) {
+        self.lock().delayed.set_plan(plan);
     }
 
     /// Highest token that this life has seen.
@@ -250,35 +250,35 @@
 
     /// Starts that were left unanswered and are not carried out yet.
     #[must_use]
-    pub fn late_starts(&self) -> usize {
-        self.lock().late.starts()
+    pub fn delayed_starts(&self) -> usize {
+        self.lock().delayed.starts()
     }
 
     /// Number of holds that it has left unanswered and not yet carried out.
     #[must_use]
-    pub fn late_holds(&self) -> usize {
-        self.lock().late.holds()
+    pub fn delayed_renewals(&self) -> usize {
+        self.lock().delayed.renewals()
     }
 
     /// Carries out late orders and ends what is due.
-    fn settle(&self, state: &mut State) {
-        self.settle_runs(state);
-        while let Some(order) = state.late.take_due() {
-            if self.obey(state, &order.path, &order.body).is_none() {
-                self.hold(state, &order.body);
+    fn process_due(&self, state: &mut State) {
+        self.end_due_runs(state);
+        while let Some(command) = state.delayed.take_due() {
+            if self.execute(state, &command.path, &command.body).is_none() {
+                self.renew(state, &command.body);
             }
-            self.settle_runs(state);
+            self.end_due_runs(state);
         }
     }
 
     /// Ends what is due: by its own time, or by the lease.
-    fn settle_runs(&self, state: &mut State) {
+    fn end_due_runs(&self, state: &mut State) {
         let now = Instant::now();
-        let lapsed = state.lease <= self.clock();
+        let expired = state.lease <= self.clock();
         let due: Vec<String> = state
             .running
             .iter()
-            .filter(|(_, run)| lapsed || run.end <= now)
+            .filter(|(_, run)| expired || run.end <= now)
             .map(|(task, _)| task.clone())
             .collect();
         for task in due {
@@ -295,20 +295,21 @@
             };
             self.end(state, &task, how);
         }
-        if lapsed {
-            self.void_ends(state);
+        if expired {
+            self.discard_ends(state);
         }
     }
 
     /// Ends that nobody has taken note of outlive neither the lease nor the worker.
-    fn void_ends(&self, state: &mut State) {
-        let (void, calm) = (state.void, state.calm);
-        let stands = |end: &&Ended| end.number <= void || calm && end.told();
+    fn discard_ends(&self, state: &mut State) {
+        let (discarded_upto, undisturbed) = (state.discarded_upto, state.undisturbed);
+        let stands = |end: &&Ended| end.number <= discarded_upto || undisturbed && end.reported();
         let lost = state.ended.iter().filter(|end| !stands(end));
         for end in lost {
-            self.log.push(Deed::Void(end.task.clone(), end.run));
+            self.log
+                .push(WorkerEvent::Discarded(end.task.clone(), end.run));
         }
-        state.void = state.count;
+        state.discarded_upto = state.count;
     }
 
     fn end(&self, state: &mut State, task: &str, how: &str) {
@@ -323,10 +324,10 @@
             how: how.to_owned(),
             listed: None,
         });
-        state.over.insert(task.to_owned(), run.number);
+        state.latest_ended.insert(task.to_owned(), run.number);
         let (task, how) = (task.to_owned(), how.to_owned());
         self.log
-            .push(Deed::Ended(self.id.clone(), task, run.number, how));
+            .push(WorkerEvent::Ended(self.id.clone(), task, run.number, how));
     }
 
     fn refuse(&self, reason: &str) -> Whole {
@@ -342,12 +343,16 @@
             return self.refuse("late");
         }
         state.lease = state.lease.max(lease);
-        if state.over.get(&task).is_some_and(|over| *over >= run) {
+        if state
+            .latest_ended
+            .get(&task)
+            .is_some_and(|latest_ended| *latest_ended >= run)
+        {
             return self.refuse("old");
         }
         if !state.running.contains_key(&task) {
             let text = body["spec"].as_str().unwrap_or_default();
-            let (finish, time) = Finish::of(text, &task);
+            let (finish, time) = Finish::from_text(text, &task);
             let started = Run {
                 number: run,
                 begin: Instant::now(),
@@ -356,9 +361,10 @@
             };
             state.running.insert(task.clone(), started);
             self.log
-                .push(Deed::Began(self.id.clone(), task.clone(), run));
-            if state.running.len() > state.room.most() {
-                self.log.push(Deed::Over(self.id.clone(), task));
+                .push(WorkerEvent::Started(self.id.clone(), task.clone(), run));
+            if state.running.len() > state.capacity.allowed() {
+                self.log
+                    .push(WorkerEvent::Overbooked(self.id.clone(), task));
             }
         }
         web::json(StatusCode::OK, &json!({"clock_ms": self.clock()}))
@@ -367,8 +373,8 @@
     fn stop(&self, state: &mut State, body: &Value) -> Whole {
         let task = body["task"].as_str().unwrap_or_default();
         let run = body["run"].as_u64().unwrap_or(0);
-        let over = state.over.entry(task.to_owned()).or_default();
-        *over = run.max(*over);
+        let latest_ended = state.latest_ended.entry(task.to_owned()).or_default();
+        *latest_ended = run.max(*latest_ended);
         if state
             .running
             .get(task)
@@ -379,13 +385,14 @@
         web::json(StatusCode::OK, &json!({"clock_ms": self.clock()}))
     }
 
-    fn hold(&self, state: &mut State, body: &Value) -> (Value, bool) {
+    fn renew(&self, state: &mut State, body: &Value) -> (Value, bool) {
         if let Some(lease) = body["deadline_ms"].as_u64() {
             state.lease = state.lease.max(lease);
         }
         let seen = body["seen_upto"].as_u64().unwrap_or(0);
         for end in state.ended.extract_if(.., |end| end.number <= seen) {
-            self.log.push(Deed::Noted(end.task, end.run, end.how));
+            self.log
+                .push(WorkerEvent::Acknowledged(end.task, end.run, end.how));
         }
         let running: Vec<Value> = state
             .running
@@ -401,22 +408,22 @@
             })
             .collect();
         let mut body = json!({
-            "clock_ms": self.clock(), "born": self.born, "running": running, "ended_runs": ended,
+            "clock_ms": self.clock(), "born": self.incarnation, "running": running, "ended_runs": ended,
         });
-        if state.nameless {
+        if state.omits_incarnation {
             body["born"] = Value::Null;
         }
         (body, !state.ended.is_empty())
     }
 
-    async fn wait_end(&self, body: &Value) -> Whole {
+    async fn wait_for_end(&self, body: &Value) -> Whole {
         let wait = Duration::from_millis(body["wait_ms"].as_u64().unwrap_or(0));
         let until = Instant::now() + wait;
         loop {
             let (reply, ends, silent) = {
                 let mut state = self.lock();
-                self.settle(&mut state);
-                let (reply, ends) = self.hold(&mut state, body);
+                self.process_due(&mut state);
+                let (reply, ends) = self.renew(&mut state, body);
                 (reply, ends, state.dead)
             };
             if silent {
@@ -426,7 +433,7 @@
             if ends || Instant::now() >= until {
                 return web::json(StatusCode::OK, &reply);
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -442,7 +449,7 @@
 
     /// Carries out an order. Nothing for a hold that is not refused: its
     /// answer may have to wait.
-    fn obey(&self, state: &mut State, path: &str, body: &Value) -> Option<Whole> {
+    fn execute(&self, state: &mut State, path: &str, body: &Value) -> Option<Whole> {
         if let Some(refused) = self.fence(state, body) {
             return Some(refused);
         }
@@ -454,21 +461,21 @@
     }
 }
 
-impl Handler for WorkerStand {
+impl Handler for FakeWorker {
     async fn handle(&self, asked: Asked) -> Whole {
         let body: Value = serde_json::from_slice(&asked.body).unwrap_or_default();
         let (whole, lost) = {
             let mut state = self.lock();
-            self.settle(&mut state);
+            self.process_due(&mut state);
             let epoch = body["fencing_token"].as_u64().unwrap_or(0);
-            let later = state.deaf_from.is_some_and(|from| epoch >= from);
-            let deaf = later || epoch <= state.deaf_upto;
-            if state.silent || deaf || state.late.keep(&asked.path, &body) {
+            let later = state.cut_from.is_some_and(|from| epoch >= from);
+            let cut = later || epoch <= state.cut_upto;
+            if state.silent || cut || state.delayed.defer(&asked.path, &body) {
                 (None, true)
             } else {
-                let lost = asked.path == "/-/run-start" && state.lose_starts > 0;
-                state.lose_starts -= usize::from(lost);
-                (self.obey(&mut state, &asked.path, &body), lost)
+                let lost = asked.path == "/-/run-start" && state.lose_start_replies > 0;
+                state.lose_start_replies -= usize::from(lost);
+                (self.execute(&mut state, &asked.path, &body), lost)
             }
         };
         if lost {
@@ -476,7 +483,7 @@
         }
         let whole = match whole {
             Some(whole) => whole,
-            None => self.wait_end(&body).await,
+            None => self.wait_for_end(&body).await,
         };
         let delay = self.lock().delay;
         tokio::time::sleep(delay).await;
--- a/crates/site/src/door.rs
+++ b/crates/site/src/worker_proxy.rs
@@ -17,49 +17,49 @@
 use web::Whole;
 
 use crate::Restart;
-use crate::WorkerPlace;
+use crate::WorkerSupervisor;
 
 /// Time for which a worker that starts again is down.
-const DOWN: Duration = Duration::from_millis(5);
+const RESTART_DOWNTIME: Duration = Duration::from_millis(5);
 
 /// Longest time for which an acknowledgement is held up.
-const MOST_WAIT: Duration = Duration::from_secs(2);
+const MAX_ACK_DELAY: Duration = Duration::from_secs(2);
 
 /// Time between two looks at a worker.
-const LOOK_EVERY: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// An address of a place. Calls get no answer once it is closed.
-pub(crate) struct WorkerDoor {
-    place: Arc<WorkerPlace>,
+pub(crate) struct WorkerProxy {
+    supervisor: Arc<WorkerSupervisor>,
     closed: AtomicBool,
     /// For how long starts are held up.
     delay: Mutex<Duration>,
     /// The worker starts again under the next acknowledgement.
-    trap: AtomicBool,
+    restart_armed: AtomicBool,
     /// How often it did.
-    trapped: watch::Sender<usize>,
+    restarts: watch::Sender<usize>,
     /// Starts that are held up.
-    held: Arc<AtomicUsize>,
+    delayed_starts: Arc<AtomicUsize>,
     /// Acknowledgements that came while a start was held up.
-    crossed: AtomicUsize,
+    overlapping_acks: AtomicUsize,
 }
 
-impl WorkerDoor {
-    pub(crate) fn new(place: Arc<WorkerPlace>) -> Arc<WorkerDoor> {
-        Arc::new(WorkerDoor {
-            place,
+impl WorkerProxy {
+    pub(crate) fn new(supervisor: Arc<WorkerSupervisor>) -> Arc<WorkerProxy> {
+        Arc::new(WorkerProxy {
+            supervisor,
             closed: AtomicBool::new(false),
             delay: Mutex::default(),
-            trap: AtomicBool::new(false),
-            trapped: watch::Sender::new(0),
-            held: Arc::default(),
-            crossed: AtomicUsize::new(0),
+            restart_armed: AtomicBool::new(false),
+            restarts: watch::Sender::new(0),
+            delayed_starts: Arc::default(),
+            overlapping_acks: AtomicUsize::new(0),
         })
     }
 
     /// Acknowledgements that came while a start was held up.
-    pub(crate) fn crossed(&self) -> usize {
-        self.crossed.load(Ordering::Relaxed)
+    pub(crate) fn overlapping_acks(&self) -> usize {
+        self.overlapping_acks.load(Ordering::Relaxed)
     }
 
     pub(crate) fn set_start_delay(&self, delay: Duration) {
@@ -72,25 +72,27 @@
 
     /// The worker starts again while the next acknowledgement is on its way, which reaches
     /// the new life after that has ended a run; gives when the new life has begun.
-    pub(crate) fn trap(&self) -> watch::Receiver<usize> {
-        self.trap.store(true, Ordering::Relaxed);
-        self.trapped.subscribe()
+    pub(crate) fn arm_restart(&self) -> watch::Receiver<usize> {
+        self.restart_armed.store(true, Ordering::Relaxed);
+        self.restarts.subscribe()
     }
 
-    async fn spring(&self, asked: &Asked) {
-        if !acknowledges(asked) || !self.trap.swap(false, Ordering::Relaxed) {
+    async fn restart_if_armed(&self, asked: &Asked) {
+        if !acknowledges(asked) || !self.restart_armed.swap(false, Ordering::Relaxed) {
             return;
         }
-        self.place.restart(Restart::after(DOWN)).await;
-        self.trapped.send_modify(|times| *times += 1);
-        let life = self.place.current();
+        self.supervisor
+            .restart(Restart::after(RESTART_DOWNTIME))
+            .await;
+        self.restarts.send_modify(|times| *times += 1);
+        let incarnation = self.supervisor.current();
         let ended = async {
-            while life.ends() == 0 {
-                tokio::time::sleep(LOOK_EVERY).await;
+            while incarnation.ends() == 0 {
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
         // Without a run there is nothing to be forgotten; the test shows that.
-        let _ = tokio::time::timeout(MOST_WAIT, ended).await;
+        let _ = tokio::time::timeout(MAX_ACK_DELAY, ended).await;
     }
 
     pub(crate) fn close(&self) {
@@ -104,29 +106,30 @@
     body["seen_upto"].as_u64().is_some_and(|seen| seen > 0)
 }
 
-impl Handler for WorkerDoor {
+impl Handler for WorkerProxy {
     async fn handle(&self, asked: Asked) -> Whole {
         if self.closed.load(Ordering::Relaxed) {
             std::future::pending::<()>().await;
         }
         let delay = *self.lock();
         if asked.path == "/-/run-start" && !delay.is_zero() {
-            let (held, place) = (self.held.clone(), self.place.clone());
+            let (delayed_starts, supervisor) =
+                (self.delayed_starts.clone(), self.supervisor.clone());
             // It arrives whether its answer is still waited for or not.
             let carried = tokio::spawn(async move {
-                held.fetch_add(1, Ordering::Relaxed);
+                delayed_starts.fetch_add(1, Ordering::Relaxed);
                 tokio::time::sleep(delay).await;
-                held.fetch_sub(1, Ordering::Relaxed);
-                place.handle(asked).await
+                delayed_starts.fetch_sub(1, Ordering::Relaxed);
+                supervisor.handle(asked).await
             });
             return carried.await.expect("a late start is carried out");
         }
-        if self.held.load(Ordering::Relaxed) > 0 && acknowledges(&asked) {
-            self.crossed.fetch_add(1, Ordering::Relaxed);
+        if self.delayed_starts.load(Ordering::Relaxed) > 0 && acknowledges(&asked) {
+            self.overlapping_acks.fetch_add(1, Ordering::Relaxed);
         }
-        if self.trap.load(Ordering::Relaxed) {
-            self.spring(&asked).await;
+        if self.restart_armed.load(Ordering::Relaxed) {
+            self.restart_if_armed(&asked).await;
         }
-        self.place.handle(asked).await
+        self.supervisor.handle(asked).await
     }
 }
