--- a/crates/cell/tests/cut_workers.rs
+++ b/crates/cell/tests/cut_workers.rs
@@ -114,17 +114,17 @@
     cell.advice.set_list_delay(Duration::from_millis(700));
     cell.add_worker().await;
     cell.workers[0].set_silent(true);
-    let lists = cell.advice.lists();
+    let lists = cell.advice.machine_lists();
     wait_for("the list of machines is not requested", || {
-        cell.advice.lists() > lists
+        cell.advice.machine_lists() > lists
     })
     .await;
 
     cell.add_worker().await;
     cell.workers[1].set_silent(true);
-    let lists = cell.advice.lists();
+    let lists = cell.advice.machine_lists();
     wait_for("the list of machines is not requested again", || {
-        cell.advice.lists() > lists
+        cell.advice.machine_lists() > lists
     })
     .await;
     cell.workers[1].set_silent(false);
--- a/crates/site/src/advice.rs
+++ b/crates/site/src/advice.rs
@@ -1,5 +1,5 @@
-//! Stand-in of the service that knows which workers may run a step, and of the
-//! one that knows the machines.
+//! Fake of the service that advises which workers may run a step, and of the one that lists
+//! the machines.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -17,19 +17,19 @@
 
 use crate::FakeWorker;
 
-/// Calls all workers good.
+/// Advises that all workers are good, and lists the machines of the live ones.
 #[derive(Debug)]
 pub struct FakeAdvice {
     calls: AtomicUsize,
     workers: Mutex<Vec<Arc<FakeWorker>>>,
-    /// Lists of machines given, or being given.
+    /// Number of lists of machines made so far.
     machine_lists: AtomicUsize,
-    /// How long the list of machines is under way after it was made.
+    /// Time from making a list of machines until the reply.
     list_delay: Mutex<Duration>,
 }
 
 impl FakeAdvice {
-    /// A stand-in that knows `workers`.
+    /// Creates a fake with these workers.
     #[must_use]
     pub fn new(workers: Vec<Arc<FakeWorker>>) -> Arc<FakeAdvice> {
         Arc::new(FakeAdvice {
@@ -40,13 +40,13 @@
         })
     }
 
-    /// A worker begins its life on a machine.
+    /// Adds a worker, or a new incarnation of one, whose machine is listed while it is alive.
     pub fn add(&self, worker: Arc<FakeWorker>) {
         let mut workers = self.workers.lock().unwrap_or_else(PoisonError::into_inner);
         workers.push(worker);
     }
 
-    /// The list of machines is under way for so long after it was made.
+    /// Sets the time from making a list of machines until the reply.
     pub fn set_list_delay(&self, delay: Duration) {
         let mut kept = self
             .list_delay
@@ -70,7 +70,7 @@
         json!({"machines": machines, "next_token": null})
     }
 
-    /// Number of calls for advice so far.
+    /// Returns the number of advice calls so far.
     #[must_use]
     pub fn calls(&self) -> usize {
         self.calls.load(Ordering::Relaxed)
--- a/crates/site/src/caller.rs
+++ b/crates/site/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: submits jobs and asks for their state, at any process.
+//! A caller, which submits jobs and queries their status at any process.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,23 +8,23 @@
 use web::Call;
 use web::Client;
 
-/// Time for one answer.
+/// Timeout of one call.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Longest time that a test waits for something to come about.
+/// Longest time that a test waits for a condition.
 pub const WAIT_LIMIT: Duration = Duration::from_mins(1);
 
-/// Pause between two looks.
+/// Time between two calls of a poll.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A caller.
+/// An HTTP client in the role of a caller.
 #[derive(Clone, Debug)]
 pub struct Caller {
     client: Client,
 }
 
 impl Caller {
-    /// A caller without open connections.
+    /// Creates a caller without open connections.
     #[must_use]
     pub fn new() -> Caller {
         Caller {
@@ -32,7 +32,8 @@
         }
     }
 
-    /// Sends one request; gives status and body, or 0 for no answer.
+    /// Sends one request; returns the HTTP status and the body, or status 0 if there was no
+    /// reply.
     pub async fn send(
         &self,
         method: Method,
@@ -52,22 +53,22 @@
         }
     }
 
-    /// Text that a server gives.
+    /// Returns the body of a GET request as text, empty if there was no reply.
     pub async fn text(&self, server: SocketAddr, path: &str) -> String {
         let reply = self.client.get(server, path, REPLY_TIMEOUT).await;
         reply.map(|reply| reply.text()).unwrap_or_default()
     }
 
-    /// Status that a server gives, or 0 for no answer.
+    /// Returns the HTTP status of a GET request, or 0 if there was no reply.
     pub async fn status(&self, server: SocketAddr, path: &str) -> u16 {
         let reply = self.client.get(server, path, REPLY_TIMEOUT).await;
         reply.map_or(0, |reply| reply.status.as_u16())
     }
 
-    /// Waits until a server gives a status.
+    /// Waits until a GET request returns an HTTP status.
     ///
     /// # Panics
-    /// It does not for a minute.
+    /// Panics if it does not within a minute.
     pub async fn wait_status(&self, server: SocketAddr, path: &str, status: u16) {
         let poll = async {
             while self.status(server, path).await != status {
@@ -81,7 +82,7 @@
     /// Submits a job at each of `servers` in turn until one accepts it.
     ///
     /// # Panics
-    /// None accepts it for a minute.
+    /// Panics if none accepts it within a minute.
     pub async fn submit(&self, servers: &[SocketAddr], path: &str, body: &Value) {
         let attempts = async {
             for server in servers.iter().cycle() {
@@ -96,10 +97,10 @@
         assert!(accepted.is_ok(), "{path} was never accepted");
     }
 
-    /// Waits until a job is shown in `state` at any of `servers`.
+    /// Waits until any of `servers` reports the job status `state`.
     ///
     /// # Panics
-    /// It is not for a minute.
+    /// Panics if none does within a minute.
     pub async fn wait_state(&self, servers: &[SocketAddr], path: &str, state: &str) {
         let mut last = Value::Null;
         let poll = async {
--- a/crates/site/src/cell.rs
+++ b/crates/site/src/cell.rs
@@ -1,4 +1,4 @@
-//! A whole cell on loopback: stand-ins of the platform and several processes,
+//! A whole cell on loopback addresses: fakes of the platform's services and several processes,
 //! each on a runtime of its own that can be killed.
 
 use std::collections::HashMap;
@@ -34,92 +34,91 @@
 use crate::WorkerSupervisor;
 use crate::worker_proxy::WorkerProxy;
 
-/// Time for a runtime to end its tasks.
+/// Timeout of a runtime for ending its tasks.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Pause between two looks at the store.
+/// Time between two reads of the store.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Tells apart the cells of one test program.
+/// Number of the next cell of this test program.
 static CELLS: AtomicU8 = AtomicU8::new(1);
 
-/// A process of the cell.
+/// A running process of the cell.
 struct Member {
     runtime: Runtime,
     stop: Option<oneshot::Sender<()>>,
     stopped: Option<oneshot::Receiver<()>>,
 }
 
-/// A whole cell.
+/// A cell with fakes of the platform around it.
 pub struct TestCell {
-    /// The platform's store.
+    /// Fake of the platform's store.
     pub store: Arc<FakeStore>,
-    /// The first life of each worker.
+    /// First incarnation of each worker.
     pub workers: Vec<Arc<FakeWorker>>,
-    /// Where the workers live.
+    /// Supervisors of the workers, which hold their current incarnations.
     pub supervisors: Vec<Arc<WorkerSupervisor>>,
-    /// Advice and machines.
+    /// Fake of the advice and of the list of machines.
     pub advice: Arc<FakeAdvice>,
-    /// What the workers have done.
+    /// Log of the runs on all workers.
     pub log: RunLog,
-    /// Each process's way to the store.
+    /// Proxies between the processes and the store.
     pub store_proxies: Vec<Arc<StoreProxy>>,
     addresses: Vec<SocketAddr>,
     worker_proxies: Vec<Arc<WorkerProxy>>,
     services: SocketAddr,
     stores: Vec<SocketAddr>,
-    /// Tells its addresses apart from those of other cells.
+    /// Number in the loopback addresses of the cell, which differs from those of other cells.
     net: u8,
     keep_s: f64,
     restart_id: RestartId,
-    /// Link to the workers, and its megabits a second; none if it has no bound.
+    /// Link to the workers and its rate in megabits per second; none if it is unlimited.
     link: Option<(Arc<LimitedLink>, f64)>,
-    /// Cores of hosts that are not of the usual size.
+    /// Number of cores of hosts that differ from the default.
     cores: HashMap<usize, f64>,
     members: Vec<Option<Member>>,
     serving: watch::Sender<bool>,
 }
 
 impl TestCell {
-    /// Opens a cell of `processes` processes and `workers` workers of four
-    /// cores each.
+    /// Opens a cell of `processes` processes and `workers` workers with four cores each.
     ///
     /// # Panics
-    /// An address cannot be bound.
+    /// Panics if an address cannot be bound.
     pub async fn open(processes: usize, workers: usize) -> TestCell {
         TestCell::open_retaining(processes, workers, 120.0).await
     }
 
-    /// The same, with jobs that are known for `keep_s` after their end.
+    /// The same as [`TestCell::open`], with ended jobs retained for `keep_s` seconds.
     ///
     /// # Panics
-    /// An address cannot be bound.
+    /// Panics if an address cannot be bound.
     pub async fn open_retaining(processes: usize, workers: usize, keep_s: f64) -> TestCell {
         TestCell::open_with(processes, workers, keep_s, None, RestartId::Changed).await
     }
 
-    /// The same as [`TestCell::open`], with workers that come back under the id that they
-    /// had.
+    /// The same as [`TestCell::open`], with workers that restart under the same id after a
+    /// crash.
     ///
     /// # Panics
-    /// An address cannot be bound.
+    /// Panics if an address cannot be bound.
     pub async fn open_stable_ids(processes: usize, workers: usize) -> TestCell {
         TestCell::open_with(processes, workers, 120.0, None, RestartId::Same).await
     }
 
-    /// The same as [`TestCell::open`], with workers that name no life.
+    /// The same as [`TestCell::open`], with workers that do not report their incarnation.
     ///
     /// # Panics
-    /// An address cannot be bound.
+    /// Panics if an address cannot be bound.
     pub async fn open_without_incarnations(processes: usize, workers: usize) -> TestCell {
         TestCell::open_with(processes, workers, 120.0, None, RestartId::Unreported).await
     }
 
-    /// The same as [`TestCell::open`], with a link of `mbps` megabits a second between
-    /// all processes and all workers.
+    /// The same as [`TestCell::open`], with a link of `mbps` megabits per second between all
+    /// processes and all workers.
     ///
     /// # Panics
-    /// An address cannot be bound.
+    /// Panics if an address cannot be bound.
     pub async fn open_limited(mbps: f64, processes: usize, workers: usize) -> TestCell {
         let link = (LimitedLink::new(mbps), mbps);
         let restart_id = RestartId::Changed;
@@ -175,11 +174,10 @@
         cell
     }
 
-    /// Adds a worker of four cores, which registers, and comes back if a task takes it
-    /// down.
+    /// Adds a worker with four cores, which registers, and restarts if a task crashes it.
     ///
     /// # Panics
-    /// No address can be bound.
+    /// Panics if no address can be bound.
     pub async fn add_worker(&mut self) {
         let at = self.workers.len();
         let context = WorkerContext {
@@ -203,23 +201,25 @@
         self.register(at);
     }
 
-    /// Starts are on their way to a worker for so long from now on, and reach the life
-    /// that is there then.
+    /// Delays start commands to a worker; they reach the incarnation that is current after the
+    /// delay.
     pub fn delay_starts(&self, at: usize, delay: Duration) {
         self.worker_proxies[at].set_start_delay(delay);
     }
 
-    /// Acknowledgements that came to a worker while a start was on its way.
+    /// Returns the number of acknowledgements that reached a worker while a start command to
+    /// it was delayed.
     #[must_use]
     pub fn overlapping_acks(&self, at: usize) -> usize {
         self.worker_proxies[at].overlapping_acks()
     }
 
-    /// A worker starts again while the next acknowledgement of its ends is on its way, which
-    /// reaches the new life after that has ended a run; returns when the new life has begun.
+    /// Restarts a worker while the next acknowledgement of its ends is in transit; the
+    /// acknowledgement reaches the new incarnation after that has ended a run. Returns when
+    /// the new incarnation has started.
     ///
     /// # Panics
-    /// No end is acknowledged for a minute.
+    /// Panics if no end is acknowledged within a minute.
     pub async fn restart_before_ack(&self, at: usize) {
         let mut begun = self.worker_proxies[at].arm_restart();
         begun.mark_unchanged();
@@ -227,7 +227,7 @@
         assert!(begun.is_ok(), "no end is acknowledged");
     }
 
-    /// Number of the newest ownership of the pool, by the store.
+    /// Returns the epoch of the current ownership of the pool, as stored.
     #[must_use]
     pub fn epoch(&self) -> Option<u64> {
         let row = self
@@ -238,10 +238,10 @@
             .map(|ownership| ownership.epoch)
     }
 
-    /// A worker goes down and starts again under its id, at another address.
+    /// Restarts a worker under the same id at another address.
     ///
     /// # Panics
-    /// No address can be bound.
+    /// Panics if no address can be bound.
     pub async fn move_worker(&mut self, at: usize, restart: Restart) {
         let supervisor = self.supervisors[at].clone();
         self.worker_proxies[at].close();
@@ -252,14 +252,14 @@
         supervisor.restart(restart).await;
     }
 
-    /// A worker registers, or registers again.
+    /// Writes the registration of the first incarnation of a worker.
     pub fn register(&self, at: usize) {
         let worker = &self.workers[at];
         let registration_row = worker.registration_row(self.addresses[at]);
         self.store.write("servers", &worker.id, &registration_row);
     }
 
-    /// A worker has so many cores from now on, and says so.
+    /// Changes the number of cores of a worker and of its registration.
     pub fn resize(&self, at: usize, cores: usize) {
         self.workers[at].set_cores(cores);
         let mut resized = self.workers[at].registration_row(self.addresses[at]);
@@ -267,7 +267,7 @@
         self.store.write("servers", &self.workers[at].id, &resized);
     }
 
-    /// A worker's registration vanishes.
+    /// Removes a worker's registration.
     pub fn unregister(&self, at: usize) {
         self.store.remove("servers", &self.workers[at].id);
     }
@@ -276,25 +276,25 @@
         LoopbackHost::new(self.net, at)
     }
 
-    /// Where callers reach a process.
+    /// Returns the address at which a process serves callers.
     #[must_use]
     pub fn server(&self, at: usize) -> SocketAddr {
         self.host(at).callers()
     }
 
-    /// Where a process tells whether it is ready.
+    /// Returns the address at which a process serves its readiness.
     #[must_use]
     pub fn ready(&self, at: usize) -> SocketAddr {
         self.host(at).ready()
     }
 
-    /// Where a process serves its metrics.
+    /// Returns the address at which a process serves its metrics.
     #[must_use]
     pub fn metrics(&self, at: usize) -> SocketAddr {
         self.host(at).metrics()
     }
 
-    /// Where callers reach the processes.
+    /// Returns the addresses at which the processes serve callers.
     #[must_use]
     pub fn servers(&self) -> Vec<SocketAddr> {
         (0..self.members.len()).map(|at| self.server(at)).collect()
@@ -303,7 +303,7 @@
     /// Starts a process that is not running.
     ///
     /// # Panics
-    /// It cannot start.
+    /// Panics if the process cannot start.
     pub async fn start(&mut self, at: usize) {
         let settings = self.settings(at);
         let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -317,7 +317,7 @@
         runtime.spawn(async move {
             let process = CellProcess::open(settings).await.expect("process starts");
             let _ = opened_tx.send(());
-            // A dropped sender means that the process is killed.
+            // The sender is dropped when the process is killed.
             if stop_rx.await.is_ok() {
                 process.close().await;
                 let _ = stopped_tx.send(());
@@ -331,31 +331,30 @@
         });
     }
 
-    /// Kills a process: nothing of it goes on, its connections are reset.
+    /// Kills a process: all its tasks end and its connections are reset.
     pub async fn kill(&mut self, at: usize) {
         if let Some(member) = self.members[at].take() {
             shut_down(member.runtime).await;
         }
     }
 
-    /// Freezes a process: nothing of it goes on for a while, its connections
-    /// stay open.
+    /// Freezes a process: none of its tasks runs for `time`, while its connections stay open.
     pub fn freeze(&self, at: usize, time: Duration) {
         if let Some(member) = &self.members[at] {
-            // The runtime has one thread.
+            // The runtime has one thread, which this blocks.
             member
                 .runtime
                 .spawn(async move { std::thread::sleep(time) });
         }
     }
 
-    /// Asks a process to stop, and waits until it has.
+    /// Stops a process and waits until it has ended.
     pub async fn stop(&mut self, at: usize) {
         self.stop_within(at, WAIT_LIMIT).await;
     }
 
-    /// Asks a process to stop, and kills it if that takes longer than `grace`; gives
-    /// whether it has stopped in time.
+    /// Stops a process, and kills it if that takes longer than `grace`; returns whether it
+    /// stopped in time.
     pub async fn stop_within(&mut self, at: usize, grace: Duration) -> bool {
         let Some(mut member) = self.members[at].take() else {
             return true;
@@ -369,7 +368,8 @@
         in_time
     }
 
-    /// Index of the process that owns the pool, by the store.
+    /// Returns the index of the process that owns the pool, as stored; none if the pool is
+    /// free.
     #[must_use]
     pub fn owner(&self) -> Option<usize> {
         let row = self
@@ -380,7 +380,7 @@
         at.filter(|_| !ownership.released)
     }
 
-    /// A host has so many cores, from the next start of its process on.
+    /// Sets the number of cores of a host, from the next start of its process.
     pub fn set_cores(&mut self, at: usize, cores: f64) {
         self.cores.insert(at, cores);
     }
@@ -396,10 +396,10 @@
         settings
     }
 
-    /// Waits until the store names an owner such as `is` wants; gives it.
+    /// Waits until the stored owner satisfies `accepts`; returns its index.
     ///
     /// # Panics
-    /// It does not for a minute.
+    /// Panics if it does not within a minute.
     pub async fn wait_owner(&self, accepts: impl Fn(usize) -> bool) -> usize {
         let poll = async {
             loop {
@@ -413,7 +413,7 @@
         found.expect("no such owner")
     }
 
-    /// Ends all processes.
+    /// Kills all processes.
     pub async fn close(mut self) {
         for at in 0..self.members.len() {
             self.kill(at).await;
@@ -421,17 +421,17 @@
     }
 }
 
-/// Ends a runtime with all its tasks, and waits until its sockets are closed.
+/// Shuts down a runtime with all its tasks, and waits until its sockets are closed.
 async fn shut_down(runtime: Runtime) {
     let ended = tokio::task::spawn_blocking(move || runtime.shutdown_timeout(SHUTDOWN_TIMEOUT));
-    // Only a panic within the shutdown is lost here; the test shows the rest.
+    // The result can only be a panic within the shutdown, which is ignored.
     let _ = ended.await;
 }
 
-/// Serves a stand-in on a free loopback port.
+/// Serves a fake on a free loopback port; returns the address.
 ///
 /// # Panics
-/// None can be bound.
+/// Panics if no port can be bound.
 pub async fn serve<H: Handler>(handler: Arc<H>, stop: &watch::Receiver<bool>) -> SocketAddr {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("bind");
     let address = listener.local_addr().expect("address");
@@ -440,8 +440,8 @@
     address
 }
 
-/// A configuration: queue `plain` has no advice, `advised` has, and a version
-/// above 1 brings `added`.
+/// Returns a configuration with the queues `plain`, without advice, and `advised`, with
+/// advice; a version above 1 has the queue `added`, too.
 #[must_use]
 pub fn config(version: u64) -> Value {
     let queue = |name: &str| {
@@ -464,7 +464,8 @@
     })
 }
 
-/// A job of one step; `text` says how its tasks end.
+/// Returns a job of one step with `count` tasks; `text` is the payload, which determines how
+/// they end.
 #[must_use]
 pub fn job(count: u32, text: &str) -> Value {
     json!({
--- a/crates/site/src/clock.rs
+++ b/crates/site/src/clock.rs
@@ -1,4 +1,4 @@
-//! Clocks of workers.
+//! Wall clock, and the timer of simulated workers.
 
 use std::sync::Arc;
 use std::time::SystemTime;
@@ -9,7 +9,7 @@
 use crate::FakeWorker;
 use crate::worker::POLL_INTERVAL;
 
-/// Time of day, in Unix milliseconds.
+/// Returns the wall clock in Unix milliseconds.
 #[must_use]
 pub fn wall_millis() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -18,10 +18,10 @@
     })
 }
 
-/// Workers end runs and carry out late orders by their own clock, whether
-/// anyone reaches them or not.
+/// Ends the runs of a worker and carries out delayed commands when they are due, whether the
+/// worker is reachable or not.
 pub async fn run_clock(worker: Arc<FakeWorker>, stop: watch::Receiver<bool>) {
-    // The channel closes with the test.
+    // The channel closes when the test ends.
     while stop.has_changed().is_ok() {
         worker.tick();
         tokio::time::sleep(POLL_INTERVAL).await;
--- a/crates/site/src/cores.rs
+++ b/crates/site/src/cores.rs
@@ -1,20 +1,20 @@
-//! Cores of a worker that may change while it runs.
+//! Processor capacity of a simulated worker, which may change while it runs.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Cores of a new worker.
+/// Number of cores of a new worker.
 pub(crate) const DEFAULT_CORES: usize = 4;
 
-/// Time for which a room that has shrunk may still be filled: 3 s in which processes
-/// count as in touch, and one heartbeat of 1.5 s.
+/// Time for which tasks may still start at the former size after a worker has shrunk: the 3 s
+/// for which a process relies on its last contact with the store, and one heartbeat of 1.5 s.
 const SHRINK_GRACE: Duration = Duration::from_millis(4500);
 
-/// Cores of a worker, now and a moment ago.
+/// Current number of cores of a worker, and its recent larger sizes.
 #[derive(Debug)]
 pub(crate) struct Cores {
     now: usize,
-    /// Larger sizes of before, and when each ended.
+    /// Former sizes, each with the time at which it was replaced.
     former: Vec<(Instant, usize)>,
 }
 
@@ -24,7 +24,7 @@
         self.now = cores;
     }
 
-    /// Most cores that may be in use when a task starts.
+    /// Returns the largest number of cores that may be in use when a task starts.
     pub(crate) fn allowed(&self) -> usize {
         let recent = self.former.iter();
         let recent = recent.filter(|(end, _)| end.elapsed() < SHRINK_GRACE);
--- a/crates/site/src/delayed.rs
+++ b/crates/site/src/delayed.rs
@@ -1,26 +1,26 @@
-//! Orders that a worker leaves unanswered and carries out seconds later.
+//! Commands that a worker leaves unanswered and carries out seconds later.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use serde_json::Value;
 
-/// Which orders a worker carries out late, and when.
+/// Which commands a worker leaves unanswered, and when it carries them out.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DelayPlan {
-    /// Share of the starts, 0 to 1.
+    /// Share of the start commands, 0 to 1.
     pub starts: f64,
-    /// Share of the stops.
+    /// Share of the stop commands, 0 to 1.
     pub stops: f64,
-    /// Share of the holds.
+    /// Share of the lease renewals, 0 to 1.
     pub renewals: f64,
-    /// Least time until one is carried out.
+    /// Shortest time until a command is carried out.
     pub min_delay: Duration,
-    /// Longest time.
+    /// Longest time until a command is carried out.
     pub max_delay: Duration,
 }
 
-/// An order that was not answered.
+/// A command that was left unanswered.
 #[derive(Debug)]
 pub(crate) struct DelayedCommand {
     due: Instant,
@@ -28,7 +28,7 @@
     pub(crate) body: Value,
 }
 
-/// The orders of a worker that are still to be carried out.
+/// Commands of a worker that are still to be carried out.
 #[derive(Debug, Default)]
 pub(crate) struct DelayedCommands {
     plan: DelayPlan,
@@ -41,7 +41,7 @@
         self.plan = plan;
     }
 
-    /// Keeps an order for later, if it is one of those.
+    /// Defers a command if the plan selects it; returns whether it did.
     pub(crate) fn defer(&mut self, path: &str, body: &Value) -> bool {
         let share = match path {
             "/-/run-start" => self.plan.starts,
@@ -61,7 +61,7 @@
         true
     }
 
-    /// The order that is due first, if any is due.
+    /// Removes and returns the command that was due first, if any is due.
     pub(crate) fn take_due(&mut self) -> Option<DelayedCommand> {
         let now = Instant::now();
         let due = self.pending.iter().enumerate();
@@ -70,7 +70,7 @@
         Some(self.pending.swap_remove(at))
     }
 
-    /// Number of starts that are still to be carried out.
+    /// Returns the number of deferred start commands.
     pub(crate) fn starts(&self) -> usize {
         let starts = self.pending.iter();
         starts
@@ -78,7 +78,7 @@
             .count()
     }
 
-    /// Number of holds that were not answered and are still to be carried out.
+    /// Returns the number of deferred lease renewals.
     pub(crate) fn renewals(&self) -> usize {
         let renewals = self.pending.iter();
         renewals.filter(|command| command.path == "/-/hold").count()
@@ -88,7 +88,7 @@
         self.pending.clear();
     }
 
-    /// A number from 0 to below 1, the same sequence each time.
+    /// Returns a pseudo-random number from 0 to below 1; the sequence is the same in each run.
     fn next_random(&mut self) -> f64 {
         self.random_state = self
             .random_state
--- a/crates/site/src/finish.rs
+++ b/crates/site/src/finish.rs
@@ -1,28 +1,30 @@
-//! How a task ends, as its text says.
+//! How a simulated task ends, as its payload says.
 
 use std::time::Duration;
 
-/// Time of a task whose text does not tell it.
+/// Run time of a task whose payload names none.
 const DEFAULT_RUN_TIME: Duration = Duration::from_millis(20);
 
-/// Time from the start of a task that takes its worker down until it does.
+/// Time from the start of a task that crashes its worker until the crash, if the payload names
+/// none.
 const DEFAULT_CRASH_TIME: Duration = Duration::from_millis(10);
 
-/// How a task ends by itself.
+/// Result of a task that is not stopped and whose lease does not expire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Finish {
-    /// With success.
+    /// The task succeeds.
     Done,
-    /// As failed.
+    /// The task fails.
     Fails,
-    /// With its worker, which it takes down.
+    /// The task crashes its worker and ends with it.
     Crashes,
 }
 
 impl Finish {
-    /// What the text says of a task, and after which time. `fail`; or the time in
-    /// milliseconds; or `crash INDEX TIME`: the task of this index takes its worker
-    /// down, the others take the time; a third number is the time until the crash.
+    /// Parses a payload; returns the result of the task and its run time. The payload is
+    /// `fail`, a run time in milliseconds, or `crash INDEX TIME`: the task with this index
+    /// crashes its worker, the others succeed after the time. A third number is the time until
+    /// the crash.
     pub(crate) fn from_text(text: &str, task: &str) -> (Finish, Duration) {
         let mut words = text.split(' ');
         let first = words.next().unwrap_or_default();
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins of the platform, written from its published protocol, and a
-//! harness that runs whole processes against them. Only tests use them.
+//! Fakes of the platform's services, written from its published protocol, and a harness that
+//! runs whole processes against them. Only tests use this crate.
 
 mod advice;
 mod caller;
--- a/crates/site/src/limited_link.rs
+++ b/crates/site/src/limited_link.rs
@@ -1,4 +1,4 @@
-//! A link of bounded rate, shared by all connections to the workers behind it.
+//! A network link of limited rate, shared by all connections to the workers behind it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,18 +15,18 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// Bytes that a connection costs in each direction beyond what it carries: opening,
-/// acknowledgements and closing.
+/// Overhead of a connection in each direction, in bytes: opening, acknowledgements and
+/// closing.
 const CONNECTION_BYTES: usize = 240;
 
-/// Bytes of headers of each packet.
+/// Bytes of the headers of each packet.
 const PACKET_BYTES: usize = 52;
 
-/// Largest packet.
+/// Largest payload of a packet in bytes.
 const MAX_PACKET: usize = 1460;
 
-/// Time for which a connection is carried on after its caller has closed it: what was
-/// sent still arrives, and so does its answer.
+/// Time for which a connection to a worker stays open after the caller has closed its side:
+/// data already sent still arrives, and so does the reply.
 const CLOSE_DELAY: Duration = Duration::from_secs(5);
 
 /// One direction of a link.
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Waits until these bytes have gone over, behind all that were sent before.
+    /// Waits until these bytes are transmitted, after all earlier ones.
     async fn transmit(&self, bytes: usize) {
         let until = {
             let mut idle_at = self.idle_at.lock().unwrap_or_else(PoisonError::into_inner);
@@ -57,7 +57,7 @@
     }
 }
 
-/// A link of bounded rate.
+/// A network link of limited rate.
 #[derive(Debug)]
 pub struct LimitedLink {
     outbound: Direction,
@@ -65,7 +65,7 @@
 }
 
 impl LimitedLink {
-    /// A link that carries `mbps` megabits a second in each direction.
+    /// Creates a link of `mbps` megabits a second in each direction.
     #[must_use]
     pub fn new(mbps: f64) -> Arc<LimitedLink> {
         let rate = mbps * 125_000.0;
@@ -75,10 +75,10 @@
         })
     }
 
-    /// Address that leads to `server` over the link.
+    /// Returns an address whose connections reach `server` over the link.
     ///
     /// # Panics
-    /// No address can be bound.
+    /// Panics if no address can be bound.
     pub async fn listen(
         self: &Arc<LimitedLink>,
         server: SocketAddr,
@@ -118,7 +118,8 @@
     }
 }
 
-/// Carries bytes until their source ends, also to a side that has closed.
+/// Copies bytes at the rate of the direction until their source ends, even if the receiver has
+/// closed.
 async fn copy<R, W>(mut from: R, mut to: W, direction: &Direction) -> W
 where
     R: AsyncRead + Unpin,
@@ -127,7 +128,7 @@
     let mut packet = [0; MAX_PACKET];
     while let Ok(length @ 1..) = from.read(&mut packet).await {
         direction.transmit(length + PACKET_BYTES).await;
-        // Whoever has given up does not hear it; the bytes took their time all the same.
+        // The receiver may have closed the connection; the bytes used the link nevertheless.
         let _ = to.write_all(&packet[..length]).await;
     }
     to
--- a/crates/site/src/loopback.rs
+++ b/crates/site/src/loopback.rs
@@ -1,4 +1,4 @@
-//! Hosts on loopback, and the settings of a process on one of them.
+//! Hosts with loopback addresses, and the settings of their processes.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -6,7 +6,7 @@
 
 use serde_json::json;
 
-/// Ports on the address of each host.
+/// Ports of each host.
 const CALLER_PORT: u16 = 7001;
 const READY_PORT: u16 = 7002;
 const PEER_PORT: u16 = 7003;
@@ -20,12 +20,12 @@
 }
 
 impl LoopbackHost {
-    /// Host `at` of a cell, whose number `net` tells it apart from the other
-    /// cells of one test program. Other programs have other addresses, so they
-    /// may run at the same time.
+    /// Returns host `index` of a cell. `net` is a number that is unique among the cells of a
+    /// test program; the address also depends on the id of the test program, so that several
+    /// programs can run at the same time.
     ///
     /// # Panics
-    /// A cell has fewer hosts than 255.
+    /// Panics if a cell has 255 hosts or more.
     #[must_use]
     pub fn new(net: u8, index: usize) -> LoopbackHost {
         let program = u8::try_from(std::process::id() % 200).expect("below 200") + 20;
@@ -36,25 +36,25 @@
         }
     }
 
-    /// Its address.
+    /// Returns the IP address of the host.
     #[must_use]
     pub fn ip(self) -> IpAddr {
         self.ip.into()
     }
 
-    /// Where callers reach its process.
+    /// Returns the address at which the process serves callers.
     #[must_use]
     pub fn callers(self) -> SocketAddr {
         self.listen(CALLER_PORT)
     }
 
-    /// Where its process tells whether it is ready.
+    /// Returns the address at which the process serves its readiness.
     #[must_use]
     pub fn ready(self) -> SocketAddr {
         self.listen(READY_PORT)
     }
 
-    /// Where its process serves its metrics.
+    /// Returns the address at which the process serves its metrics.
     #[must_use]
     pub fn metrics(self) -> SocketAddr {
         self.listen(METRICS_PORT)
@@ -64,12 +64,12 @@
         SocketAddr::new(self.ip(), port)
     }
 
-    /// Text of the settings of its process. `services` has advice and machines;
-    /// there may be none.
+    /// Returns the settings of the process as YAML. `services` is the address of the advice
+    /// and of the list of machines, if there are such services.
     #[must_use]
     pub fn settings(self, store: SocketAddr, services: Option<SocketAddr>) -> String {
         let services = services.map_or(String::new(), |address| address.to_string());
-        // JSON is YAML.
+        // JSON is valid YAML.
         let settings = json!({
             "node": format!("entry-{}", self.index), "zone": "z1", "ip": self.ip,
             "listen": {
--- a/crates/site/src/registration.rs
+++ b/crates/site/src/registration.rs
@@ -1,4 +1,4 @@
-//! How workers register.
+//! Rows by which workers register in the store.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,8 @@
 
 use crate::FakeWorker;
 
-/// How a worker of four cores at `address` registers that was born at `born`.
+/// Returns the registration of a worker with four cores at `address`, whose incarnation
+/// started at `incarnation` in Unix milliseconds.
 #[must_use]
 pub fn registration(address: SocketAddr, incarnation: u64) -> Value {
     json!({
@@ -19,7 +20,7 @@
 }
 
 impl FakeWorker {
-    /// How it registers at `address`, with four cores.
+    /// Returns the registration of this worker at `address`, with four cores.
     #[must_use]
     pub fn registration_row(&self, address: SocketAddr) -> Value {
         let mut registration_row = registration(address, self.incarnation);
--- a/crates/site/src/run_log.rs
+++ b/crates/site/src/run_log.rs
@@ -1,4 +1,4 @@
-//! What workers have done, seen from outside: the judge of the tests.
+//! Log of the runs on all simulated workers, by which the tests check a cell's promises.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -8,49 +8,49 @@
 use std::sync::PoisonError;
 use std::time::Instant;
 
-/// Attempts of a task, as the configuration of the stand-ins says.
+/// Maximum number of attempts of a task in the test configuration.
 pub const ATTEMPTS: usize = 2;
 
-/// One thing that a worker has done.
+/// An event on a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WorkerEvent {
-    /// A task began: worker, task, run.
+    /// A run started: worker, task, run.
     Started(String, String, u64),
-    /// It ended: worker, task, run, how.
+    /// A run ended: worker, task, run, how.
     Ended(String, String, u64, String),
-    /// The worker's lease ran out before this end was taken note of: the end
-    /// does not stand, the task may run again.
+    /// The worker's lease expired before this end was acknowledged, so the end is void and the
+    /// task may run again: task, run.
     Discarded(String, u64),
-    /// It was told that this end is taken note of: task, run, how.
+    /// The owner acknowledged an end: task, run, how.
     Acknowledged(String, u64, String),
-    /// A start brought the worker over the cores that it has: worker, task.
+    /// A start exceeded the cores of the worker: worker, task.
     Overbooked(String, String),
 }
 
-/// A run of a task, from its begin to its end.
+/// A run of a task, with its start and its end.
 #[derive(Clone, Debug)]
 pub struct RunSpan {
-    /// The worker.
+    /// Id of the worker.
     pub worker: String,
-    /// The task.
+    /// Name of the task.
     pub task: String,
-    /// The run.
+    /// Number of the run.
     pub run: u64,
-    /// When it began.
+    /// Time of the start.
     pub begin: Instant,
-    /// When it ended, and how; nothing while it runs.
+    /// Time and kind of the end; none while it runs.
     pub end: Option<(Instant, String)>,
 }
 
 impl RunSpan {
-    /// Whether it ended with its worker.
+    /// Whether the run ended because its worker went down.
     #[must_use]
     pub fn lost(&self) -> bool {
         self.end.as_ref().is_some_and(|(_, how)| how == "gone")
     }
 }
 
-/// The deeds of all workers, in order, and when they were done.
+/// Events of all workers in order, with their times.
 #[derive(Clone, Debug, Default)]
 pub struct RunLog {
     events: Arc<Mutex<Vec<(Instant, WorkerEvent)>>>,
@@ -65,14 +65,14 @@
         self.lock().push((Instant::now(), event));
     }
 
-    /// All deeds so far.
+    /// Returns all events so far.
     #[must_use]
     pub fn events(&self) -> Vec<WorkerEvent> {
         let events = self.lock();
         events.iter().map(|(_, event)| event.clone()).collect()
     }
 
-    /// Number of starts of the tasks of a job.
+    /// Returns the number of runs started for the tasks of a job.
     #[must_use]
     pub fn starts(&self, job: &str) -> usize {
         let events = self.lock();
@@ -82,7 +82,7 @@
         began.count()
     }
 
-    /// Runs of the tasks of a job, in the order of their begin.
+    /// Returns the runs of the tasks of a job, in the order of their starts.
     #[must_use]
     pub fn spans(&self, job: &str) -> Vec<RunSpan> {
         let mut spans: Vec<RunSpan> = Vec::new();
@@ -111,16 +111,16 @@
         spans
     }
 
-    /// Number of runs of the tasks of a job that ended with their worker.
+    /// Returns the number of runs of a job's tasks that ended because their worker went down.
     #[must_use]
     pub fn lost_runs(&self, job: &str) -> usize {
         let spans = self.spans(job);
         spans.iter().filter(|span| span.lost()).count()
     }
 
-    /// What must never be: a task on two workers at a time, or begun again
-    /// after it was done, or after [`ATTEMPTS`] failed runs that were taken note of, or a
-    /// worker over the cores that it has.
+    /// Returns violations of what a cell promises: a task that runs on two workers at a time,
+    /// that starts again after it was done or after [`ATTEMPTS`] failed runs that were
+    /// acknowledged, or a worker whose cores are exceeded.
     #[must_use]
     pub fn violations(&self) -> Vec<String> {
         let mut failures: HashMap<String, HashSet<u64>> = HashMap::new();
--- a/crates/site/src/scripted.rs
+++ b/crates/site/src/scripted.rs
@@ -1,4 +1,4 @@
-//! What the store does to single transactions, one after the other.
+//! Scripted handling of single store transactions.
 
 use std::time::Duration;
 
@@ -6,25 +6,25 @@
 use serde_json::json;
 use web::Whole;
 
-/// What the store does to one transaction.
+/// How the store handles one transaction.
 #[derive(Clone, Copy, Debug)]
 pub struct ScriptedReply {
-    /// It is done.
+    /// Whether the transaction is carried out.
     pub commit: bool,
-    /// Time until the answer.
+    /// Time until the reply.
     pub delay: Duration,
-    /// How it is answered.
+    /// Kind of reply.
     pub reply: Reply,
 }
 
-/// How a transaction is answered.
+/// Reply to a transaction.
 #[derive(Clone, Copy, Debug)]
 pub enum Reply {
-    /// With this status.
+    /// An error with this status.
     Status(u16),
-    /// With a body that is not what the protocol says.
+    /// A body that does not follow the protocol.
     Malformed,
-    /// Not at all.
+    /// No reply.
     Lost,
 }
 
--- a/crates/site/src/store.rs
+++ b/crates/site/src/store.rs
@@ -1,5 +1,5 @@
-//! Stand-in of the platform's store: rows, transactions, the change feed, with
-//! refusals, lost answers and dropped history.
+//! Fake of the platform's store: rows, transactions and the change feed, with refusals, lost
+//! replies and dropped history.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -24,38 +24,38 @@
 
 use crate::ScriptedReply;
 
-/// Most rows in one answer of the feed.
+/// Maximum number of rows in one reply of the feed.
 const FEED_ROWS: usize = 500;
 
-/// Table, part and key.
+/// Table, part and key of a row.
 type Name = (String, String, String);
 
-/// Which calls a store refuses.
+/// Kinds of calls that the store refuses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RefusedCalls {
-    /// None.
+    /// No calls.
     #[default]
     Nothing,
-    /// All but transactions.
+    /// All calls except transactions.
     Reads,
     /// Transactions.
     Writes,
 }
 
-/// What the store does to calls.
+/// Faults of the store.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreFaults {
     /// Every call is refused with 503.
     pub down: bool,
     /// Some calls are refused with 503; the others are served.
     pub refused_calls: RefusedCalls,
-    /// So many of the next transactions are done and not answered.
+    /// Number of the next transactions that are carried out and not answered.
     pub lost_replies: usize,
-    /// Each transaction takes this long.
+    /// Time that each transaction takes.
     pub delay: Duration,
-    /// Rows of this table are read at once and under way this long.
+    /// Table whose rows are read at once, and delay of the reply.
     pub slow_rows: Option<(&'static str, Duration)>,
-    /// Changes of this table are under way this long.
+    /// Table whose feed replies are delayed, and the delay.
     pub slow_feed: Option<(&'static str, Duration)>,
     /// The feed does not answer; other calls are served.
     pub hung_feed: bool,
@@ -65,27 +65,27 @@
 
 #[derive(Default)]
 struct Rows {
-    /// Value and version by name.
+    /// Value and version of each row.
     live: BTreeMap<Name, (String, u64)>,
     changes: Vec<(u64, Name, Option<String>)>,
     version: u64,
-    /// Changes up to this version are forgotten.
+    /// Changes up to this version were dropped from the history.
     dropped_upto: u64,
     faults: StoreFaults,
-    /// Transactions that were asked for, by the tables of their conditions.
+    /// Number of transactions requested, by the tables of their preconditions.
     transactions: BTreeMap<String, usize>,
-    /// What happens to the next transactions on a table.
+    /// Table, and handling of the next transactions that write to it.
     script: (String, VecDeque<ScriptedReply>),
 }
 
-/// The store.
+/// A simulated store.
 pub struct FakeStore {
     rows: Mutex<Rows>,
     version: watch::Sender<u64>,
 }
 
 impl FakeStore {
-    /// An empty store.
+    /// Creates an empty store.
     #[must_use]
     pub fn new() -> Arc<FakeStore> {
         let (version, _) = watch::channel(0);
@@ -99,8 +99,8 @@
         self.rows.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether the answer to a transaction is lost. Judged when the answer is due: the
-    /// faults may have ended while a slow store worked on it.
+    /// Whether the reply to a transaction is lost. This is decided when the reply is due,
+    /// since the faults may have ended while a slow store processed the transaction.
     fn loses_reply(&self) -> bool {
         let mut rows = self.lock();
         let lost = rows.faults.lost_replies > 0;
@@ -108,17 +108,17 @@
         lost
     }
 
-    /// Sets what happens to calls from now on.
+    /// Sets the faults of all further calls.
     pub fn set_faults(&self, faults: StoreFaults) {
         self.lock().faults = faults;
     }
 
-    /// Sets what happens to the next transactions that write to a table.
+    /// Sets the handling of the next transactions that write to a table.
     pub fn set_script(&self, table: &str, replies: &[ScriptedReply]) {
         self.lock().script = (table.to_owned(), replies.iter().copied().collect());
     }
 
-    /// Writes a row of any part, as a process of the cell would.
+    /// Writes a row to any part, as a process of the cell would.
     pub fn write_row(&self, table: &str, part: &str, key: &str, value: &[u8]) {
         let name = (table.to_owned(), part.to_owned(), key.to_owned());
         let mut rows = self.lock();
@@ -129,7 +129,7 @@
         self.version.send_replace(version);
     }
 
-    /// How many transactions were asked for that are conditional on rows of a table.
+    /// Returns the number of requested transactions with preconditions on rows of a table.
     pub fn transactions(&self, table: &str) -> usize {
         self.lock().transactions.get(table).copied().unwrap_or(0)
     }
@@ -144,7 +144,7 @@
         }
     }
 
-    /// What the script says of a transaction.
+    /// Takes the next entry of the script if it applies to a transaction.
     fn next_scripted(&self, body: &Value) -> Option<ScriptedReply> {
         let mut rows = self.lock();
         let table = rows.script.0.clone();
@@ -156,24 +156,24 @@
         }
     }
 
-    /// Forgets the history of changes.
+    /// Drops the history of changes.
     pub fn forget(&self) {
         let mut rows = self.lock();
         rows.dropped_upto = rows.version;
         rows.changes.clear();
     }
 
-    /// Writes a row as the operator or a worker would.
+    /// Writes a row to the unnamed part, as the operator or a worker would.
     pub fn write(&self, table: &str, key: &str, value: &Value) {
         self.write_row(table, "", key, value.to_string().as_bytes());
     }
 
-    /// Removes a row of the unnamed part.
+    /// Removes a row from the unnamed part.
     pub fn remove(&self, table: &str, key: &str) {
         self.remove_from(table, "", key);
     }
 
-    /// Removes a row.
+    /// Removes a row from a part.
     pub fn remove_from(&self, table: &str, part: &str, key: &str) {
         let name = (table.to_owned(), part.to_owned(), key.to_owned());
         let mut rows = self.lock();
@@ -184,7 +184,7 @@
         self.version.send_replace(version);
     }
 
-    /// Value of a row.
+    /// Returns the value of a row.
     #[must_use]
     pub fn raw(&self, table: &str, part: &str, key: &str) -> Option<Vec<u8>> {
         let name = (table.to_owned(), part.to_owned(), key.to_owned());
@@ -192,7 +192,7 @@
         STANDARD.decode(&rows.live.get(&name)?.0).ok()
     }
 
-    /// Number of rows of a table, in all its parts.
+    /// Returns the number of rows of a table in all its parts.
     #[must_use]
     pub fn count(&self, table: &str) -> usize {
         self.lock()
@@ -202,7 +202,8 @@
             .count()
     }
 
-    /// Number of transactions so far.
+    /// Returns the number of writes and transactions so far, which is the version of the
+    /// store.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.lock().version
@@ -279,8 +280,8 @@
         }
     }
 
-    /// Changes of a table after a version; nothing if there are none, unless
-    /// `empty` asks for an empty answer.
+    /// Returns the feed reply with the changes of a table after a version. If there are none,
+    /// returns none, or an empty reply if `empty` is set.
     fn changes(&self, table: &str, after: u64, empty: bool) -> Option<Whole> {
         let rows = self.lock();
         if after < rows.dropped_upto {
@@ -295,7 +296,7 @@
         if found.is_empty() && !empty {
             return None;
         }
-        // A full answer goes as far as its last row.
+        // A full reply covers the history up to its last row only.
         let last = found.last().filter(|_| found.len() == FEED_ROWS);
         let version = last.map_or(rows.version, |(version, _)| *version);
         let found: Vec<Value> = found.into_iter().map(|(_, row)| row).collect();
@@ -394,7 +395,7 @@
     })
 }
 
-/// Whether a call is for rows of a part.
+/// Whether a call reads rows of a part or writes to it.
 fn concerns_part(asked: &Asked, part: &str) -> bool {
     if asked.path != "/-/rows-tx" {
         return asked.parameter("part").as_deref() == Some(part);
@@ -403,7 +404,7 @@
     list(&body, "puts").iter().any(|put| put["part"] == part)
 }
 
-/// One process's way to the store, which can be cut.
+/// Proxy between one process and the store, which can be cut off.
 pub struct StoreProxy {
     store: Arc<FakeStore>,
     cut: AtomicBool,
@@ -411,7 +412,7 @@
 }
 
 impl StoreProxy {
-    /// An open door to `store`.
+    /// Creates a proxy that forwards all calls to `store`.
     #[must_use]
     pub fn new(store: Arc<FakeStore>) -> Arc<StoreProxy> {
         Arc::new(StoreProxy {
@@ -421,12 +422,12 @@
         })
     }
 
-    /// Cuts the way, silently, or mends it.
+    /// Sets whether calls and replies are dropped without an error.
     pub fn set_cut(&self, cut: bool) {
         self.cut.store(cut, Ordering::Relaxed);
     }
 
-    /// Lets the store refuse this process's calls with 503, or serve them.
+    /// Sets whether this process's calls are refused with 503.
     pub fn set_refuses(&self, refused_calls: bool) {
         self.refused_calls.store(refused_calls, Ordering::Relaxed);
     }
--- a/crates/site/src/supervisor.rs
+++ b/crates/site/src/supervisor.rs
@@ -1,4 +1,4 @@
-//! An address at which one life of a worker follows another, under its id or another one.
+//! Restarts a simulated worker at its address, under the same id or another one.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,56 +20,57 @@
 use crate::RunLog;
 use crate::wall_millis;
 
-/// Header that names the life of the worker that a call is meant for.
+/// Header with the id of the worker that a call is meant for.
 const TARGET_INSTANCE: &str = "target-instance";
 
-/// Time from a crash until the worker is back under another id.
+/// Time from a crash until the worker has restarted under another id.
 const CHANGED_ID_DELAY: Duration = Duration::from_millis(1500);
 
-/// The same under its id: no list of machines misses it.
+/// Time from a crash until the worker has restarted under the same id; so short that it is
+/// missing from no list of machines.
 const SAME_ID_DELAY: Duration = Duration::from_millis(100);
 
-/// Time between two looks at the worker.
+/// Time between two checks of the worker.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What a worker of the place knows besides itself.
+/// Services that a supervised worker uses.
 #[derive(Clone)]
 pub struct WorkerContext {
-    /// Where it registers.
+    /// Store in which the worker registers.
     pub store: Arc<FakeStore>,
-    /// Knows the machines.
+    /// Service that lists the machines.
     pub advice: Arc<FakeAdvice>,
-    /// Judges what it does.
+    /// Log in which the worker records its runs, for the checks of the tests.
     pub log: RunLog,
 }
 
-/// Under which id a worker comes back after a task has taken it down.
+/// Id under which a worker restarts after a task has crashed it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RestartId {
-    /// Another one.
+    /// A new id.
     #[default]
     Changed,
-    /// The one that it had.
+    /// The same id.
     Same,
-    /// One and the other in turn.
+    /// A new id and the same id in turn.
     Alternating,
-    /// Another one, as workers do that name no life.
+    /// A new id; the worker does not report its incarnation.
     Unreported,
 }
 
-/// A restart of a worker under its id.
+/// A restart of a worker under the same id.
 #[derive(Clone, Copy, Debug)]
 pub struct Restart {
-    /// Time for which it is down.
+    /// Time between the end of the old incarnation and the start of the new one.
     pub down: Duration,
-    /// Time from its start until its entry says so.
+    /// Time from the start of the new incarnation until its registration is written.
     pub registration_delay: Duration,
-    /// Milliseconds by which its clock went back meanwhile.
+    /// Milliseconds by which the worker's clock is set back during the restart.
     pub clock_back: u64,
 }
 
 impl Restart {
-    /// A restart after `down`, with an entry at once.
+    /// Returns a restart that takes `down` and registers at once.
     #[must_use]
     pub fn after(down: Duration) -> Restart {
         Restart {
@@ -80,18 +81,18 @@
     }
 }
 
-/// A place for a worker, which comes back after a task has taken it down.
+/// Runs a worker and restarts it after a task has crashed it.
 pub struct WorkerSupervisor {
     name: String,
     context: WorkerContext,
     restart_id: RestartId,
-    /// Where it is reached, once it lives.
+    /// Address of the worker; none until it is supervised.
     address: Mutex<Option<SocketAddr>>,
     current: Mutex<Arc<FakeWorker>>,
 }
 
 impl WorkerSupervisor {
-    /// A place with its first life, whose id is `name`.
+    /// Creates a supervisor with the first incarnation of its worker, whose id is `name`.
     #[must_use]
     pub fn new(name: &str, context: WorkerContext, restart_id: RestartId) -> Arc<WorkerSupervisor> {
         let first = FakeWorker::new(name, context.log.clone());
@@ -110,14 +111,14 @@
         self.current.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The worker that is there now.
+    /// Returns the current incarnation.
     #[must_use]
     pub fn current(&self) -> Arc<FakeWorker> {
         self.lock().clone()
     }
 
-    /// Lets the worker go on by its own clock, and come back after a crash. `address`
-    /// is where it is reached.
+    /// Ends the worker's runs when they are due and restarts it after crashes. `address` is
+    /// the address of the worker.
     pub async fn supervise(
         self: Arc<WorkerSupervisor>,
         address: SocketAddr,
@@ -125,7 +126,7 @@
     ) {
         self.set_address(address);
         let mut incarnations = 1;
-        // The channel closes with the test.
+        // The channel closes when the test ends.
         while stop.has_changed().is_ok() {
             let current = self.current();
             current.tick();
@@ -137,7 +138,7 @@
         }
     }
 
-    /// The worker comes back after a crash, unless it was started again meanwhile.
+    /// Restarts the worker after a crash, unless it was restarted during the delay.
     async fn restart_crashed(&self, crashed: &Arc<FakeWorker>, incarnations: usize) {
         let same = match self.restart_id {
             RestartId::Changed | RestartId::Unreported => false,
@@ -161,12 +162,12 @@
         }
     }
 
-    /// Where the worker says from its next entry on that it is reached.
+    /// Sets the address that the next registration contains.
     pub(crate) fn set_address(&self, address: SocketAddr) {
         *self.address.lock().unwrap_or_else(PoisonError::into_inner) = Some(address);
     }
 
-    /// The worker goes down, and starts again under its id.
+    /// Ends the current incarnation and starts the next one under the same id.
     pub async fn restart(&self, restart: Restart) {
         self.current().die();
         tokio::time::sleep(restart.down).await;
@@ -177,7 +178,7 @@
 
     fn start_incarnation(&self, clock_back: u64) {
         let former = self.current();
-        // Two lives of one millisecond would be one.
+        // Incarnations are told apart by their start in milliseconds.
         let incarnation = match clock_back {
             0 => wall_millis().max(former.incarnation + 1),
             back => former.incarnation - back,
@@ -187,7 +188,7 @@
         *self.lock() = next;
     }
 
-    /// The worker that is there writes its entry.
+    /// Writes the registration of the current incarnation to the store.
     fn register(&self) {
         let address = *self.address.lock().unwrap_or_else(PoisonError::into_inner);
         let current = self.current();
--- a/crates/site/src/worker.rs
+++ b/crates/site/src/worker.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a worker: leases, fences, runs and their ends.
+//! Simulated worker: leases, fencing tokens, runs and their ends.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -24,14 +24,14 @@
 use crate::finish::Finish;
 use crate::wall_millis;
 
-/// Time between two looks for ends while a call waits for one.
+/// Time between two checks for ended runs while a call waits for one.
 pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Time after which an end counts as told once the worker has listed it, with no
-/// disruption near.
+/// Time from the first worker report that lists an end until the end counts as reported, in
+/// tests without disruptions.
 const REPORT_TIME: Duration = Duration::from_millis(100);
 
-/// A run at work.
+/// A run in progress.
 #[derive(Debug)]
 struct Run {
     number: u64,
@@ -41,7 +41,7 @@
 }
 
 impl Run {
-    /// Progress, 0 to 100.
+    /// Returns the progress in percent.
     fn percent(&self) -> u128 {
         let whole = (self.end - self.begin).as_millis().max(1);
         (self.begin.elapsed().as_millis() * 100 / whole).min(100)
@@ -55,12 +55,12 @@
     task: String,
     run: u64,
     how: String,
-    /// When it was listed first.
+    /// Time of the first worker report that listed the run.
     listed: Option<Instant>,
 }
 
 impl Ended {
-    /// Whether it counts as told, with no disruption near.
+    /// Whether the end counts as reported, in tests without disruptions.
     fn reported(&self) -> bool {
         self.listed
             .is_some_and(|listed| listed.elapsed() > REPORT_TIME)
@@ -75,34 +75,35 @@
     running: BTreeMap<String, Run>,
     ended: Vec<Ended>,
     count: u64,
-    /// Ends up to this number do not stand.
+    /// Ends up to this number were judged when a lease expired or the worker went down.
     discarded_upto: u64,
     latest_ended: HashMap<String, u64>,
     silent: bool,
     dead: bool,
-    /// A task took it down.
+    /// A task has crashed the worker.
     crashed: bool,
     capacity: Cores,
     lose_start_replies: usize,
-    /// Orders of this epoch and later ones do not arrive.
+    /// Commands of this epoch and later ones do not arrive.
     cut_from: Option<u64>,
-    /// Orders of this epoch and earlier ones do not arrive.
+    /// Commands of this epoch and earlier ones do not arrive.
     cut_upto: u64,
     delayed: DelayedCommands,
-    /// Answers take so much longer.
+    /// Additional time until each reply.
     delay: Duration,
-    /// Its lists do not name its life.
+    /// Worker reports and registrations leave out the incarnation.
     omits_incarnation: bool,
-    /// No disruption is near: ends count as told once they were listed.
+    /// The test has no disruptions: ends stand after they were listed, without an
+    /// acknowledgement.
     undisturbed: bool,
 }
 
-/// A worker.
+/// A simulated worker.
 #[derive(Debug)]
 pub struct FakeWorker {
-    /// The worker.
+    /// Id of the worker.
     pub id: String,
-    /// Unix milliseconds at the start of this life of it.
+    /// Start of this incarnation in Unix milliseconds, which identifies it.
     pub incarnation: u64,
     origin: Instant,
     state: Mutex<State>,
@@ -110,7 +111,7 @@
 }
 
 impl FakeWorker {
-    /// A worker that logs to `log`.
+    /// Creates a worker that records its runs in `log`.
     #[must_use]
     pub fn new(id: &str, log: RunLog) -> Arc<FakeWorker> {
         Arc::new(FakeWorker {
@@ -122,9 +123,9 @@
         })
     }
 
-    /// The next life of the worker under its id, which is born at `born`. It holds and
-    /// knows nothing of before; orders that this life has left unanswered are still to
-    /// come.
+    /// Ends this incarnation and returns the next one under the same id, which starts at
+    /// `incarnation` and has no runs or ends. Delayed commands that this incarnation has not
+    /// carried out reach the next one.
     pub(crate) fn next_incarnation(&self, incarnation: u64) -> Arc<FakeWorker> {
         let delayed = std::mem::take(&mut self.lock().delayed);
         self.die();
@@ -148,18 +149,19 @@
         u64::try_from(self.origin.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Ends what is due, also while nobody reaches the worker.
+    /// Carries out delayed commands and ends runs that are due, also while the worker is
+    /// unreachable.
     pub fn tick(&self) {
         let mut state = self.lock();
         self.process_due(&mut state);
     }
 
-    /// Whether the worker answers nobody; its runs go on.
+    /// Sets whether the worker leaves all calls unanswered; its runs continue.
     pub fn set_silent(&self, silent: bool) {
         self.lock().silent = silent;
     }
 
-    /// The worker dies: its runs are over, and it never answers again.
+    /// Ends the incarnation: its runs end, and it never answers again.
     pub fn die(&self) {
         self.go_down(&mut self.lock());
     }
@@ -168,7 +170,7 @@
         state.silent = true;
         state.dead = true;
         state.delayed.clear();
-        // Nobody will ever take note of the ends that it still lists.
+        // Ends that it still lists will never be acknowledged.
         self.discard_ends(state);
         for (task, run) in std::mem::take(&mut state.running) {
             let how = "gone".to_owned();
@@ -177,52 +179,52 @@
         }
     }
 
-    /// Whether a task has taken the worker down.
+    /// Whether a task has crashed the worker.
     #[must_use]
     pub fn crashed(&self) -> bool {
         self.lock().crashed
     }
 
-    /// The worker has so many cores from now on; what runs there goes on.
+    /// Sets the number of cores; current runs continue.
     pub fn set_cores(&self, cores: usize) {
         self.lock().capacity.set(cores);
     }
 
-    /// Whether the worker has died.
+    /// Whether the incarnation has ended.
     #[must_use]
     pub fn dead(&self) -> bool {
         self.lock().dead
     }
 
-    /// So many of the next starts are carried out and not answered.
+    /// Carries out the next `count` start commands without answering them.
     pub fn lose_start_replies(&self, count: usize) {
         self.lock().lose_start_replies = count;
     }
 
-    /// Orders of `epoch` and later ones do not arrive: the worker is cut off
-    /// from later owners alone.
+    /// Drops commands of `epoch` and later ones: the worker is cut off from these owners only.
     pub fn cut_from_epoch(&self, epoch: Option<u64>) {
         self.lock().cut_from = epoch;
     }
 
-    /// Orders of `epoch` and earlier ones do not arrive: the worker is cut off
-    /// from those owners alone.
+    /// Drops commands of `epoch` and earlier ones: the worker is cut off from these owners
+    /// only.
     pub fn cut_upto_epoch(&self, epoch: u64) {
         self.lock().cut_upto = epoch;
     }
 
-    /// Answers take so much longer from now on; what they say is of before.
+    /// Delays each reply by this time; a reply reflects the state before the delay.
     pub fn set_delay(&self, delay: Duration) {
         self.lock().delay = delay;
     }
 
-    /// No disruption is near: an end stands once the worker has listed it, whether its
-    /// owner has heard it or not.
+    /// Declares that the test has no disruptions: an end stands after the worker has listed
+    /// it, whether the owner has acknowledged it or not.
     pub fn set_undisturbed(&self, undisturbed: bool) {
         self.lock().undisturbed = undisturbed;
     }
 
-    /// Whether it leaves its life out of what it says of itself, as other releases do.
+    /// Sets whether worker reports and registrations leave out the incarnation, as those of
+    /// other releases do.
     pub fn set_omits_incarnation(&self, omits_incarnation: bool) {
         self.lock().omits_incarnation = omits_incarnation;
     }
@@ -231,36 +233,38 @@
         self.lock().omits_incarnation
     }
 
-    /// Some orders are left unanswered from now on, and carried out later.
+    /// Sets which commands are left unanswered and carried out later.
     pub fn set_delay_plan(&self, plan: DelayPlan) {
         self.lock().delayed.set_plan(plan);
     }
 
-    /// Highest token that this life has seen.
+    /// Returns the highest fencing token that this incarnation has received.
     #[must_use]
     pub fn token(&self) -> u64 {
         self.lock().fence
     }
 
-    /// Runs that have ended in this life.
+    /// Returns the number of runs that have ended in this incarnation.
     #[must_use]
     pub fn ends(&self) -> u64 {
         self.lock().count
     }
 
-    /// Starts that were left unanswered and are not carried out yet.
+    /// Returns the number of start commands that were left unanswered and are not carried out
+    /// yet.
     #[must_use]
     pub fn delayed_starts(&self) -> usize {
         self.lock().delayed.starts()
     }
 
-    /// Number of holds that it has left unanswered and not yet carried out.
+    /// Returns the number of lease renewals that were left unanswered and are not carried out
+    /// yet.
     #[must_use]
     pub fn delayed_renewals(&self) -> usize {
         self.lock().delayed.renewals()
     }
 
-    /// Carries out late orders and ends what is due.
+    /// Carries out delayed commands and ends runs that are due.
     fn process_due(&self, state: &mut State) {
         self.end_due_runs(state);
         while let Some(command) = state.delayed.take_due() {
@@ -271,7 +275,7 @@
         }
     }
 
-    /// Ends what is due: by its own time, or by the lease.
+    /// Ends the runs whose run time is over or whose lease has expired.
     fn end_due_runs(&self, state: &mut State) {
         let now = Instant::now();
         let expired = state.lease <= self.clock();
@@ -300,7 +304,8 @@
         }
     }
 
-    /// Ends that nobody has taken note of outlive neither the lease nor the worker.
+    /// Records ends as discarded that were not acknowledged before the lease expired or the
+    /// worker went down.
     fn discard_ends(&self, state: &mut State) {
         let (discarded_upto, undisturbed) = (state.discarded_upto, state.undisturbed);
         let stands = |end: &&Ended| end.number <= discarded_upto || undisturbed && end.reported();
@@ -427,7 +432,7 @@
                 (reply, ends, state.dead)
             };
             if silent {
-                // It has gone down since the call came.
+                // The worker has gone down since the call arrived.
                 std::future::pending::<()>().await;
             }
             if ends || Instant::now() >= until {
@@ -437,7 +442,7 @@
         }
     }
 
-    /// Takes the fence; nothing if the order may be carried out.
+    /// Checks and stores the fencing token; returns the refusal of an outdated one.
     fn fence(&self, state: &mut State, body: &Value) -> Option<Whole> {
         let fence = body["fencing_token"].as_u64().unwrap_or(0);
         if fence < state.fence {
@@ -447,8 +452,8 @@
         None
     }
 
-    /// Carries out an order. Nothing for a hold that is not refused: its
-    /// answer may have to wait.
+    /// Carries out a command. Returns none for a lease renewal that is not refused, whose
+    /// reply may have to wait for an end.
     fn execute(&self, state: &mut State, path: &str, body: &Value) -> Option<Whole> {
         if let Some(refused) = self.fence(state, body) {
             return Some(refused);
--- a/crates/site/src/worker_proxy.rs
+++ b/crates/site/src/worker_proxy.rs
@@ -1,5 +1,5 @@
-//! A way to a worker's address that can be closed for good, as when it moves to another, or
-//! on which starts are held up.
+//! Proxy of a worker's address that can be closed for good, as when the worker moves to
+//! another address, and that can delay start commands.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -19,28 +19,29 @@
 use crate::Restart;
 use crate::WorkerSupervisor;
 
-/// Time for which a worker that starts again is down.
+/// Time between the end of an incarnation and the start of the next one.
 const RESTART_DOWNTIME: Duration = Duration::from_millis(5);
 
-/// Longest time for which an acknowledgement is held up.
+/// Longest time for which an acknowledgement is delayed.
 const MAX_ACK_DELAY: Duration = Duration::from_secs(2);
 
-/// Time between two looks at a worker.
+/// Time between two checks of a worker.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// An address of a place. Calls get no answer once it is closed.
+/// Forwards calls to the current incarnation of a worker. Calls get no reply once the proxy is
+/// closed.
 pub(crate) struct WorkerProxy {
     supervisor: Arc<WorkerSupervisor>,
     closed: AtomicBool,
-    /// For how long starts are held up.
+    /// Delay of start commands.
     delay: Mutex<Duration>,
-    /// The worker starts again under the next acknowledgement.
+    /// Whether the worker restarts before the next acknowledgement is delivered.
     restart_armed: AtomicBool,
-    /// How often it did.
+    /// Number of such restarts.
     restarts: watch::Sender<usize>,
-    /// Starts that are held up.
+    /// Number of start commands that are delayed at present.
     delayed_starts: Arc<AtomicUsize>,
-    /// Acknowledgements that came while a start was held up.
+    /// Number of acknowledgements that arrived while a start command was delayed.
     overlapping_acks: AtomicUsize,
 }
 
@@ -57,7 +58,7 @@
         })
     }
 
-    /// Acknowledgements that came while a start was held up.
+    /// Number of acknowledgements that arrived while a start command was delayed.
     pub(crate) fn overlapping_acks(&self) -> usize {
         self.overlapping_acks.load(Ordering::Relaxed)
     }
@@ -70,8 +71,9 @@
         self.delay.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The worker starts again while the next acknowledgement is on its way, which reaches
-    /// the new life after that has ended a run; gives when the new life has begun.
+    /// Restarts the worker while the next acknowledgement is in transit; the acknowledgement
+    /// reaches the new incarnation after that has ended a run. The returned channel changes
+    /// when the new incarnation has started.
     pub(crate) fn arm_restart(&self) -> watch::Receiver<usize> {
         self.restart_armed.store(true, Ordering::Relaxed);
         self.restarts.subscribe()
@@ -91,7 +93,8 @@
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        // Without a run there is nothing to be forgotten; the test shows that.
+        // If no run ends within this time, the acknowledgement can remove no end and is
+        // delivered.
         let _ = tokio::time::timeout(MAX_ACK_DELAY, ended).await;
     }
 
@@ -100,7 +103,7 @@
     }
 }
 
-/// Whether an order acknowledges ends.
+/// Whether a command acknowledges ends.
 fn acknowledges(asked: &Asked) -> bool {
     let body: Value = serde_json::from_slice(&asked.body).unwrap_or_default();
     body["seen_upto"].as_u64().is_some_and(|seen| seen > 0)
@@ -115,7 +118,7 @@
         if asked.path == "/-/run-start" && !delay.is_zero() {
             let (delayed_starts, supervisor) =
                 (self.delayed_starts.clone(), self.supervisor.clone());
-            // It arrives whether its answer is still waited for or not.
+            // The command arrives even if the caller no longer waits for the reply.
             let carried = tokio::spawn(async move {
                 delayed_starts.fetch_add(1, Ordering::Relaxed);
                 tokio::time::sleep(delay).await;
