--- a/crates/cell/tests/delayed_commands.rs
+++ b/crates/cell/tests/delayed_commands.rs
@@ -1,6 +1,6 @@
-//! Workers leave orders unanswered and carry them out seconds later, after the
-//! job was cancelled, or after another process has taken the pool. The judge is
-//! the workers' own log: no task of a cancelled job runs on.
+//! Workers that leave commands unanswered and carry them out seconds later, after the job was
+//! cancelled or another process has taken the pool. The log of the workers must show no task
+//! of a cancelled job that keeps running.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -16,30 +16,30 @@
 
 const JOB: &str = "00000000000000f1";
 
-/// A task that is at work until it is stopped.
-const LONG: &str = "30000";
+/// Payload of a task that runs until it is stopped.
+const LONG_TASK: &str = "30000";
 
-/// Time until a late order is carried out.
-const DELAY: Duration = Duration::from_millis(2200);
+/// Time until a delayed command is carried out.
+const COMMAND_DELAY: Duration = Duration::from_millis(2200);
 
-/// Time within which a task is gone once an owner can see it: a renewal that
-/// gets no answer lasts 0.5 s, and so does a stop.
-const SEEN: Duration = Duration::from_millis(1500);
+/// Time within which a task has to end once workers answer again: a renewal without a reply
+/// takes 0.5 s, and so does a stop.
+const STOP_LIMIT: Duration = Duration::from_millis(1500);
 
-/// Time after its late start within which a task of a cancelled job has to be
-/// gone, whatever share of the orders gets no answer: 3 s for a machine to
-/// count as in touch, 3 s for the cancel and 0.2 s for the stop.
-const GONE: Duration = Duration::from_millis(6200);
+/// Time after its delayed start within which a task of a cancelled job has to end, whatever
+/// share of the commands is unanswered: 3 s for which a machine counts as reachable, 3 s for
+/// the cancel and 0.2 s for the stop.
+const CANCEL_LIMIT: Duration = Duration::from_millis(6200);
 
-/// All orders of some kinds are carried out late.
-fn late(starts: bool, stops: bool, renewals: bool) -> DelayPlan {
-    let share = |late: bool| if late { 1.0 } else { 0.0 };
+/// Returns a plan that delays all commands of the selected kinds.
+fn delay_all(starts: bool, stops: bool, renewals: bool) -> DelayPlan {
+    let share = |delay_all: bool| if delay_all { 1.0 } else { 0.0 };
     DelayPlan {
         starts: share(starts),
         stops: share(stops),
         renewals: share(renewals),
-        min_delay: DELAY,
-        max_delay: DELAY,
+        min_delay: COMMAND_DELAY,
+        max_delay: COMMAND_DELAY,
     }
 }
 
@@ -53,33 +53,38 @@
     format!("/plain/{id}")
 }
 
-/// Waits until something is so.
-async fn wait_for(what: &str, is: impl Fn() -> bool) {
-    let looks = async {
-        while !is() {
+/// Waits until a condition holds.
+async fn wait_for(failure: &str, condition: impl Fn() -> bool) {
+    let polling = async {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    let come = tokio::time::timeout(WAIT_LIMIT, looks).await;
-    assert!(come.is_ok(), "{what}");
+    let reached = tokio::time::timeout(WAIT_LIMIT, polling).await;
+    assert!(reached.is_ok(), "{failure}");
 }
 
-/// Whether workers name their lives.
+/// Whether workers report their incarnations.
 #[derive(Clone, Copy, Debug)]
-enum Lives {
-    Named,
+enum Incarnations {
+    Reported,
     Unreported,
 }
 
-/// Opens a cell whose owner knows its workers, which name their lives.
+/// Opens a cell whose workers report their incarnations, and completes one job, so that the
+/// owner has their reports.
 async fn open(processes: usize, workers: usize) -> (TestCell, Caller) {
-    open_with(processes, workers, Lives::Named).await
+    open_with(processes, workers, Incarnations::Reported).await
 }
 
-async fn open_with(processes: usize, workers: usize, lives: Lives) -> (TestCell, Caller) {
-    let cell = match lives {
-        Lives::Named => TestCell::open(processes, workers).await,
-        Lives::Unreported => TestCell::open_without_incarnations(processes, workers).await,
+async fn open_with(
+    processes: usize,
+    workers: usize,
+    incarnations: Incarnations,
+) -> (TestCell, Caller) {
+    let cell = match incarnations {
+        Incarnations::Reported => TestCell::open(processes, workers).await,
+        Incarnations::Unreported => TestCell::open_without_incarnations(processes, workers).await,
     };
     let caller = Caller::new();
     let first = path("00000000000000f0");
@@ -90,147 +95,162 @@
     (cell, caller)
 }
 
-/// Hands in the job while starts get no answer, and waits for one of those.
-async fn start_late(cell: &TestCell, caller: &Caller, plan: DelayPlan) {
+/// Submits the job while commands are delayed by `plan`, and waits until a worker has received
+/// its start command.
+async fn submit_with_delayed_start(cell: &TestCell, caller: &Caller, plan: DelayPlan) {
     set_delay_plan(cell, plan);
-    let one = job(1, LONG);
-    caller.submit(&cell.servers(), &path(JOB), &one).await;
-    let waits = || {
+    let long_job = job(1, LONG_TASK);
+    caller.submit(&cell.servers(), &path(JOB), &long_job).await;
+    let pending = || {
         cell.workers
             .iter()
             .any(|worker| worker.delayed_starts() > 0)
     };
-    wait_for("no start was sent", waits).await;
+    wait_for("no worker has received a start command", pending).await;
 }
 
-/// Cancels a job; any process may take the cancel.
+/// Cancels a job at whichever process accepts the cancel.
 async fn cancel(cell: &TestCell, caller: &Caller, id: &str) {
     let servers = cell.servers();
     let path = path(id);
-    let tries = async {
+    let attempts = async {
         for server in servers.iter().cycle() {
-            let sent = caller.send(Method::DELETE, *server, &path, &Value::Null);
-            if sent.await.0 == 200 {
+            let reply = caller.send(Method::DELETE, *server, &path, &Value::Null);
+            if reply.await.0 == 200 {
                 return;
             }
         }
     };
-    let taken = tokio::time::timeout(WAIT_LIMIT, tries).await;
-    assert!(taken.is_ok(), "{id} cannot be cancelled");
+    let accepted = tokio::time::timeout(WAIT_LIMIT, attempts).await;
+    assert!(accepted.is_ok(), "no process accepts the cancel of {id}");
 }
 
-/// Waits until no late start is left and no run of the job is at work; gives
-/// its runs.
-async fn wait_gone(cell: &TestCell, id: &str) -> Vec<RunSpan> {
-    let over = || {
-        let waits = cell
+/// Waits until no start command is pending and no run of the job is in progress; returns its
+/// runs.
+async fn wait_ended(cell: &TestCell, id: &str) -> Vec<RunSpan> {
+    let ended = || {
+        let pending = cell
             .workers
             .iter()
             .any(|worker| worker.delayed_starts() > 0);
         let spans = cell.log.spans(id);
-        !waits && spans.iter().all(|span| span.end.is_some())
+        !pending && spans.iter().all(|span| span.end.is_some())
     };
-    wait_for("a task runs on", over).await;
+    wait_for("a task of the job keeps running", ended).await;
     cell.log.spans(id)
 }
 
-/// The runs were stopped within `bound` of `from` or, if that was later, of
-/// their begin.
-fn assert_stopped(spans: &[RunSpan], from: Instant, bound: Duration) {
+/// Asserts that each run was stopped within `limit` of `from` or of its start, whichever is
+/// later.
+fn assert_stopped(spans: &[RunSpan], from: Instant, limit: Duration) {
     for span in spans {
         let Some((end, how)) = &span.end else {
-            panic!("{span:?} runs on");
+            panic!("{span:?} is still running");
         };
         assert_eq!(how, "stopped", "{span:?}");
         let took = end.saturating_duration_since(span.begin.max(from));
-        assert!(took <= bound, "{span:?} ran on for {took:?}");
+        assert!(took <= limit, "{span:?} ran for {took:?} more");
     }
 }
 
 async fn wait_successor(cell: &TestCell, owner: usize) {
     let other = || cell.owner().is_some_and(|next| next != owner);
-    wait_for("nobody takes the pool", other).await;
+    wait_for("no process takes the pool", other).await;
 }
 
-/// Symptom feared: a task of a cancelled job begins seconds later and runs on.
-/// Sequence: its start gets no answer; the job is cancelled; the stop reaches
-/// the worker first, which then refuses the start.
+/// Guards against a task of a cancelled job that starts seconds later and keeps running. Its
+/// start command gets no reply and the job is cancelled; the stop reaches the worker first,
+/// which then refuses the start.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stop_that_comes_before_the_late_start_keeps_it_from_starting() {
-    let (cell, caller) = open_with(2, 2, Lives::Unreported).await;
-    start_late(&cell, &caller, late(true, false, false)).await;
+async fn a_stop_that_overtakes_a_delayed_start_prevents_the_run() {
+    let (cell, caller) = open_with(2, 2, Incarnations::Unreported).await;
+    submit_with_delayed_start(&cell, &caller, delay_all(true, false, false)).await;
 
     cancel(&cell, &caller, JOB).await;
 
-    assert_eq!(wait_gone(&cell, JOB).await.len(), 0, "it never began");
+    assert_eq!(
+        wait_ended(&cell, JOB).await.len(),
+        0,
+        "the task never started"
+    );
     cell.close().await;
 }
 
-/// A start that gets no answer is carried out after the cancel of its job; the stop that is
-/// answered then ends it.
-async fn late_start_is_stopped(lives: Lives, plan: DelayPlan) {
-    let (cell, caller) = open_with(2, 2, lives).await;
-    start_late(&cell, &caller, plan).await;
+/// A start command without a reply is carried out after the cancel of its job; the run has to
+/// be stopped once the worker answers again.
+async fn delayed_start_is_stopped(incarnations: Incarnations, plan: DelayPlan) {
+    let (cell, caller) = open_with(2, 2, incarnations).await;
+    submit_with_delayed_start(&cell, &caller, plan).await;
     cancel(&cell, &caller, JOB).await;
-    wait_for("no late start", || cell.log.starts(JOB) > 0).await;
+    wait_for("the delayed start is not carried out", || {
+        cell.log.starts(JOB) > 0
+    })
+    .await;
 
     set_delay_plan(&cell, DelayPlan::default());
 
-    let spans = wait_gone(&cell, JOB).await;
-    assert_stopped(&spans, Instant::now(), SEEN);
+    let spans = wait_ended(&cell, JOB).await;
+    assert_stopped(&spans, Instant::now(), STOP_LIMIT);
     let took = spans[0].end.as_ref().map(|(end, _)| *end - spans[0].begin);
-    assert!(took.is_some_and(|took| took <= SEEN), "{spans:?}");
+    assert!(took.is_some_and(|took| took <= STOP_LIMIT), "{spans:?}");
     cell.close().await;
 }
 
-/// Guards against a late start that runs on since stops come late, too.
+/// Guards against the run of a delayed start that is not stopped because stops are delayed,
+/// too.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_late_start_is_stopped_though_stops_come_late_too() {
-    late_start_is_stopped(Lives::Unreported, late(true, true, false)).await;
+async fn a_delayed_start_is_stopped_although_stops_are_delayed_too() {
+    delayed_start_is_stopped(Incarnations::Unreported, delay_all(true, true, false)).await;
 }
 
-/// Guards against a late start that begins at a worker which names its lives, though that has
-/// obeyed a renewal since the start was given up.
+/// Guards against a delayed start that is carried out by a worker which reports its
+/// incarnation, although the worker has carried out a renewal since the owner abandoned the
+/// start.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_late_start_does_not_begin_after_a_later_renewal() {
+async fn a_delayed_start_is_refused_after_a_later_renewal() {
     let (cell, caller) = open(2, 2).await;
-    start_late(&cell, &caller, late(true, true, false)).await;
+    submit_with_delayed_start(&cell, &caller, delay_all(true, true, false)).await;
 
     cancel(&cell, &caller, JOB).await;
 
-    assert_eq!(wait_gone(&cell, JOB).await.len(), 0, "it never began");
+    assert_eq!(
+        wait_ended(&cell, JOB).await.len(),
+        0,
+        "the task never started"
+    );
     cell.close().await;
 }
 
-/// Guards against the same where no renewal has overtaken the start, which begins then.
+/// Guards against a run that is not stopped where no renewal has overtaken the start, which is
+/// then carried out.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_late_start_that_no_renewal_has_overtaken_is_stopped() {
-    late_start_is_stopped(Lives::Named, late(true, true, true)).await;
+async fn a_delayed_start_that_no_renewal_has_overtaken_is_stopped() {
+    delayed_start_is_stopped(Incarnations::Reported, delay_all(true, true, true)).await;
 }
 
-/// What a successor has of the workers besides their answers.
+/// Where a successor finds the workers in the store.
 #[derive(Clone, Copy, Debug)]
-enum Known {
-    /// Registration, and row of a worker in use.
+enum WorkerSource {
+    /// Registrations and rows of workers in use.
     Both,
-    /// The registrations have vanished.
+    /// Only the rows of workers in use; the registrations were removed.
     Rows,
-    /// The rows of workers in use are gone.
+    /// Only the registrations; the rows of workers in use were removed.
     Registrations,
 }
 
-/// The owner sends a start that gets no answer and is killed; its successor
-/// gets no answer to its first renewals either, so the start is carried out;
-/// the job is cancelled meanwhile. Once renewals are answered, the task goes.
-async fn late_start_of_a_killed_owner(known: Known) {
+/// The owner sends a start command that gets no reply, and is killed. The first renewals of
+/// its successor get no reply either, so the start is carried out, while the job is cancelled.
+/// The task has to be stopped once renewals are answered.
+async fn delayed_start_of_a_killed_owner(source: WorkerSource) {
     let (mut cell, caller) = open(2, 2).await;
     let owner = cell.owner().expect("an owner");
-    start_late(&cell, &caller, late(true, false, true)).await;
+    submit_with_delayed_start(&cell, &caller, delay_all(true, false, true)).await;
     for at in 0..cell.workers.len() {
-        match known {
-            Known::Both => {}
-            Known::Rows => cell.unregister(at),
-            Known::Registrations => {
+        match source {
+            WorkerSource::Both => {}
+            WorkerSource::Rows => cell.unregister(at),
+            WorkerSource::Registrations => {
                 let id = &cell.workers[at].id;
                 cell.store
                     .remove_from(cell::USED_WORKER_TABLE, cell::OWNER_PART, id);
@@ -240,63 +260,70 @@
     cell.kill(owner).await;
     wait_successor(&cell, owner).await;
     cancel(&cell, &caller, JOB).await;
-    wait_for("no late start", || cell.log.starts(JOB) > 0).await;
+    wait_for("the delayed start is not carried out", || {
+        cell.log.starts(JOB) > 0
+    })
+    .await;
     let answered = Instant::now();
 
     set_delay_plan(&cell, DelayPlan::default());
 
-    let spans = wait_gone(&cell, JOB).await;
-    assert_eq!(spans.len(), 1, "{known:?}");
-    assert_stopped(&spans, answered, SEEN);
+    let spans = wait_ended(&cell, JOB).await;
+    assert_eq!(spans.len(), 1, "{source:?}");
+    assert_stopped(&spans, answered, STOP_LIMIT);
     cell.close().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_killed_owners_late_start_is_stopped_by_its_successor() {
-    late_start_of_a_killed_owner(Known::Both).await;
+async fn a_delayed_start_of_a_killed_owner_is_stopped_by_its_successor() {
+    delayed_start_of_a_killed_owner(WorkerSource::Both).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_successor_finds_workers_whose_registration_has_vanished() {
-    late_start_of_a_killed_owner(Known::Rows).await;
+async fn a_successor_finds_workers_whose_registration_was_removed() {
+    delayed_start_of_a_killed_owner(WorkerSource::Rows).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_successor_finds_registered_workers_without_a_row() {
-    late_start_of_a_killed_owner(Known::Registrations).await;
+    delayed_start_of_a_killed_owner(WorkerSource::Registrations).await;
 }
 
-/// Half of all orders get no answer and are carried out later, half of the jobs
-/// are cancelled, and the owner is killed meanwhile: the tasks of cancelled
-/// jobs go in time, those of the others run once.
-async fn half_of_the_orders_come_late(lives: Lives) {
-    let (mut cell, caller) = open_with(3, 3, lives).await;
-    let half = DelayPlan {
+/// Half of all commands get no reply and are carried out later, half of the jobs are
+/// cancelled, and then the owner is killed. The tasks of cancelled jobs have to end in time,
+/// and those of the others have to run once.
+async fn half_of_the_commands_are_delayed(incarnations: Incarnations) {
+    let (mut cell, caller) = open_with(3, 3, incarnations).await;
+    let half_delayed = DelayPlan {
         starts: 0.5,
         stops: 0.5,
         renewals: 0.5,
         min_delay: Duration::from_secs(2),
         max_delay: Duration::from_secs(5),
     };
-    set_delay_plan(&cell, half);
+    set_delay_plan(&cell, half_delayed);
     let ids = |from: u64| (0..8).map(move |nth| format!("{:016x}", from + nth));
     let mut canceled = Vec::new();
-    for (gone, kept) in ids(0xf100).zip(ids(0xf200)) {
+    for (cancelled, completing) in ids(0xf100).zip(ids(0xf200)) {
         let servers = cell.servers();
-        caller.submit(&servers, &path(&gone), &job(1, LONG)).await;
-        caller.submit(&servers, &path(&kept), &job(1, "300")).await;
-        cancel(&cell, &caller, &gone).await;
-        canceled.push((gone, Instant::now()));
+        caller
+            .submit(&servers, &path(&cancelled), &job(1, LONG_TASK))
+            .await;
+        caller
+            .submit(&servers, &path(&completing), &job(1, "300"))
+            .await;
+        cancel(&cell, &caller, &cancelled).await;
+        canceled.push((cancelled, Instant::now()));
     }
     let owner = cell.owner().expect("an owner");
     cell.kill(owner).await;
     wait_successor(&cell, owner).await;
 
     for (id, at) in canceled {
-        for span in wait_gone(&cell, &id).await {
-            let (end, how) = span.end.expect("it has ended");
+        for span in wait_ended(&cell, &id).await {
+            let (end, how) = span.end.expect("the run has ended");
             let took = end.saturating_duration_since(span.begin.max(at));
-            assert!(took <= GONE, "{id}: {how} after {took:?}");
+            assert!(took <= CANCEL_LIMIT, "{id}: {how} after {took:?}");
         }
     }
 
@@ -311,20 +338,20 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn half_of_the_orders_may_come_late() {
-    half_of_the_orders_come_late(Lives::Named).await;
+async fn half_of_the_commands_may_be_delayed() {
+    half_of_the_commands_are_delayed(Incarnations::Reported).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn half_of_the_orders_may_come_late_at_workers_that_name_no_life() {
-    half_of_the_orders_come_late(Lives::Unreported).await;
+async fn half_of_the_commands_may_be_delayed_at_workers_without_incarnation() {
+    half_of_the_commands_are_delayed(Incarnations::Unreported).await;
 }
 
-/// Answers that were ready came up to 1.7 s late, after their callers' objective:
-/// a call that waits for ends at a worker was left unanswered, and no other was
-/// made until it was given up.
+/// Guards against results that reach callers up to 1.7 s late, after their objective: a call
+/// that waits for ends at a worker got no reply, and the owner made no other call to the
+/// worker until it abandoned that one.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_unanswered_call_hides_an_end_for_a_moment_only() {
+async fn an_unanswered_call_delays_the_report_of_an_end_only_briefly() {
     let cell = TestCell::open(1, 1).await;
     let caller = Caller::new();
     let path = path(JOB);
@@ -339,14 +366,17 @@
         ..DelayPlan::default()
     };
     set_delay_plan(&cell, renewals);
-    wait_for("no call", || cell.workers[0].delayed_renewals() == 1).await;
+    wait_for("no renewal is delayed", || {
+        cell.workers[0].delayed_renewals() == 1
+    })
+    .await;
     set_delay_plan(&cell, DelayPlan::default());
-    let begun = Instant::now();
+    let submitted_at = Instant::now();
 
     caller.submit(&cell.servers(), &path, &job(1, "100")).await;
     caller.wait_state(&cell.servers(), &path, "completed").await;
 
-    let took = begun.elapsed();
+    let took = submitted_at.elapsed();
     assert!(took < Duration::from_millis(1200), "{took:?}");
     cell.close().await;
 }
--- a/crates/cell/tests/failures.rs
+++ b/crates/cell/tests/failures.rs
@@ -1,5 +1,5 @@
-//! Failures of owners, workers and the store, with whole processes. The judge
-//! is the workers' own log: no task in two places, none again when done.
+//! Failures of owners, workers and the store, with whole processes. The log of the workers
+//! must show no task on two workers at a time, and none that runs again after it was done.
 
 use std::time::Duration;
 
@@ -10,12 +10,14 @@
 use site::WAIT_LIMIT;
 use site::job;
 
-/// Submits `count` jobs of two tasks each; gives their paths.
-async fn submit_some(cell: &TestCell, caller: &Caller, count: u32, text: &str) -> Vec<String> {
+/// Submits `count` jobs of two tasks each; returns their paths.
+async fn submit_jobs(cell: &TestCell, caller: &Caller, count: u32, payload: &str) -> Vec<String> {
     let mut paths = Vec::new();
     for nth in 0..count {
         let path = format!("/plain/{:016x}", 0xb000 + nth);
-        caller.submit(&cell.servers(), &path, &job(2, text)).await;
+        caller
+            .submit(&cell.servers(), &path, &job(2, payload))
+            .await;
         paths.push(path);
     }
     paths
@@ -28,25 +30,24 @@
     assert_eq!(cell.log.violations(), Vec::<String>::new());
 }
 
-async fn wait_owner(cell: &TestCell, is: impl Fn(Option<usize>) -> bool) -> usize {
-    let looks = async {
-        while !is(cell.owner()) {
+async fn wait_owner(cell: &TestCell, accepts: impl Fn(Option<usize>) -> bool) -> usize {
+    let polling = async {
+        while !accepts(cell.owner()) {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    let found = tokio::time::timeout(WAIT_LIMIT, looks).await;
-    assert!(found.is_ok(), "no such owner");
+    let found = tokio::time::timeout(WAIT_LIMIT, polling).await;
+    assert!(found.is_ok(), "the expected owner never appeared");
     cell.owner().unwrap_or_default()
 }
 
-/// Symptom: jobs were lost or ran twice when the owner died. Sequence: jobs
-/// run; the owner is killed; another process claims the workers and adopts
-/// what runs there.
+/// Guards against jobs that are lost or run twice when the owner dies. The owner is killed
+/// while tasks run; another process has to claim the workers and adopt their runs.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_killed_owner_is_followed_and_its_tasks_are_adopted() {
+async fn a_successor_adopts_the_tasks_of_a_killed_owner() {
     let mut cell = TestCell::open(3, 3).await;
     let caller = Caller::new();
-    let paths = submit_some(&cell, &caller, 8, "1500").await;
+    let paths = submit_jobs(&cell, &caller, 8, "1500").await;
     let owner = wait_owner(&cell, |owner| owner.is_some()).await;
 
     cell.kill(owner).await;
@@ -56,15 +57,15 @@
     cell.close().await;
 }
 
-/// Symptom: after a take-over, tasks that were done ran again. Sequence: the
-/// store is away, so ends are listed but not recorded; the owner is killed;
-/// the store returns; the successor claims the workers. Cause: ends that a
-/// worker listed before the jobs were read were passed over.
+/// Guards against done tasks that run again after a take-over. The store is down, so ends are
+/// reported but not stored; the owner is killed, the store recovers and the successor claims
+/// the workers. The cause was that the successor ignored ends in worker reports that arrived
+/// before it had read the jobs.
 #[tokio::test(flavor = "multi_thread")]
-async fn ends_that_were_never_recorded_survive_the_owner() {
+async fn ends_that_were_not_stored_survive_a_killed_owner() {
     let mut cell = TestCell::open(3, 3).await;
     let caller = Caller::new();
-    let paths = submit_some(&cell, &caller, 5, "400").await;
+    let paths = submit_jobs(&cell, &caller, 5, "400").await;
     let owner = wait_owner(&cell, |owner| owner.is_some()).await;
     let down = StoreFaults {
         down: true,
@@ -84,13 +85,13 @@
     cell.close().await;
 }
 
-/// Symptom: callers waited out the expiry at each planned stop. Sequence: the
-/// owner is asked to stop; it gives the pool up; another takes it.
+/// Guards against callers that wait for the expiry of the ownership at each planned stop. The
+/// owner is asked to stop and has to release the pool, so that another process can take it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_hands_the_pool_over() {
+async fn a_planned_stop_releases_the_pool() {
     let mut cell = TestCell::open(2, 2).await;
     let caller = Caller::new();
-    let paths = submit_some(&cell, &caller, 4, "1000").await;
+    let paths = submit_jobs(&cell, &caller, 4, "1000").await;
     let owner = wait_owner(&cell, |owner| owner.is_some()).await;
 
     cell.stop(owner).await;
@@ -101,10 +102,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn all_processes_killed_at_once_lose_nothing() {
+async fn no_job_is_lost_when_all_processes_are_killed() {
     let mut cell = TestCell::open(3, 2).await;
     let caller = Caller::new();
-    let paths = submit_some(&cell, &caller, 6, "700").await;
+    let paths = submit_jobs(&cell, &caller, 6, "700").await;
     for at in 0..3 {
         cell.kill(at).await;
     }
@@ -117,14 +118,14 @@
     cell.close().await;
 }
 
-/// Symptom: a job ran twice, or was denied though it was accepted. Sequence:
-/// the store commits the job and its answer is lost; the caller repeats.
-/// Cause ruled out: the row must not exist, so the repetition finds it.
+/// Guards against a job that runs twice, or is rejected although it was accepted. The store
+/// commits the job, its reply is lost and the caller repeats the submission. The write
+/// requires that the row does not exist, so the repetition finds it.
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_answers_of_the_store_make_no_second_job() {
+async fn lost_replies_of_the_store_create_no_second_job() {
     let cell = TestCell::open(2, 2).await;
     let caller = Caller::new();
-    submit_some(&cell, &caller, 1, "20").await;
+    submit_jobs(&cell, &caller, 1, "20").await;
     let lose = StoreFaults {
         lost_replies: 3,
         ..StoreFaults::default()
@@ -140,10 +141,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_that_is_down_refuses_jobs_and_work_goes_on() {
+async fn jobs_are_refused_and_tasks_continue_while_the_store_is_down() {
     let cell = TestCell::open(2, 2).await;
     let caller = Caller::new();
-    let paths = submit_some(&cell, &caller, 3, "500").await;
+    let paths = submit_jobs(&cell, &caller, 3, "500").await;
     let down = StoreFaults {
         down: true,
         ..StoreFaults::default()
@@ -158,17 +159,21 @@
 
     assert_eq!(status, 503);
     wait_completed(&cell, &caller, &paths).await;
-    assert_eq!(cell.log.starts("00000000000000c2"), 0, "it was refused");
+    assert_eq!(
+        cell.log.starts("00000000000000c2"),
+        0,
+        "the job was refused"
+    );
     cell.close().await;
 }
 
-/// Symptom: jobs waited for the feed while the store had dropped its history.
-/// Sequence: the history is dropped; a job is accepted.
+/// Guards against jobs that wait for the change feed after the store has dropped its history:
+/// the history is dropped, then a job is accepted.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_dropped_history_loses_no_job() {
+async fn no_job_is_lost_when_the_store_drops_its_history() {
     let cell = TestCell::open(2, 2).await;
     let caller = Caller::new();
-    submit_some(&cell, &caller, 2, "20").await;
+    submit_jobs(&cell, &caller, 2, "20").await;
     cell.store.forget();
 
     let path = "/plain/00000000000000c3";
@@ -178,14 +183,14 @@
     cell.close().await;
 }
 
-/// Symptom: tasks of a worker that died with its host never ran again.
-/// Sequence: the worker dies silently; the machine list says that its life is
-/// over; its tasks start elsewhere.
+/// Guards against tasks that never run again after their worker has died with its host. The
+/// worker dies without notice; the list of machines shows that its incarnation has ended, and
+/// its tasks have to start elsewhere.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_dead_workers_tasks_run_elsewhere() {
+async fn tasks_of_a_dead_worker_run_elsewhere() {
     let cell = TestCell::open(2, 2).await;
     let caller = Caller::new();
-    let paths = submit_some(&cell, &caller, 4, "1500").await;
+    let paths = submit_jobs(&cell, &caller, 4, "1500").await;
     caller
         .wait_state(&cell.servers(), &paths[3], "active")
         .await;
@@ -196,13 +201,13 @@
     cell.close().await;
 }
 
-/// Symptom: a task ran on two workers. Sequence: a worker is cut off and runs
-/// on; its tasks may start elsewhere only after its lease is over.
+/// Guards against a task that runs on two workers at a time. A worker is cut off and keeps
+/// running; its tasks may start elsewhere only after its lease has expired.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cut_off_workers_tasks_wait_for_its_lease() {
+async fn tasks_of_a_cut_off_worker_wait_for_the_expiry_of_its_lease() {
     let cell = TestCell::open(2, 2).await;
     let caller = Caller::new();
-    let paths = submit_some(&cell, &caller, 2, "8000").await;
+    let paths = submit_jobs(&cell, &caller, 2, "8000").await;
     caller
         .wait_state(&cell.servers(), &paths[1], "active")
         .await;
@@ -213,12 +218,13 @@
     cell.close().await;
 }
 
-/// Symptom: a start whose answer was lost ran beside its repetition.
+/// Guards against a run that is in progress twice: the reply to its start command is lost and
+/// the command is repeated.
 #[tokio::test(flavor = "multi_thread")]
-async fn starts_without_answer_run_once() {
+async fn unanswered_starts_run_once() {
     let cell = TestCell::open(1, 2).await;
     let caller = Caller::new();
-    submit_some(&cell, &caller, 1, "20").await;
+    submit_jobs(&cell, &caller, 1, "20").await;
     for worker in &cell.workers {
         worker.lose_start_replies(2);
     }
@@ -230,15 +236,15 @@
     cell.close().await;
 }
 
-/// Symptom: a task ran on two workers after the owner was cut from the store
-/// alone. Sequence: the owner goes on giving orders; another takes over; the
-/// old one learns of it from the workers, which refuse its epoch, while jobs
-/// come in at all processes.
+/// Guards against a task that runs on two workers at a time after the owner was cut off from
+/// the store only. The owner keeps sending commands while another process takes over; it
+/// learns of this from the workers, which refuse its epoch. Jobs arrive at all processes
+/// meanwhile.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_owner_cut_from_the_store_alone_is_replaced() {
+async fn an_owner_cut_off_from_the_store_only_is_replaced() {
     let cell = TestCell::open(3, 3).await;
     let caller = Caller::new();
-    let mut paths = submit_some(&cell, &caller, 4, "900").await;
+    let mut paths = submit_jobs(&cell, &caller, 4, "900").await;
     let owner = wait_owner(&cell, |owner| owner.is_some()).await;
 
     cell.store_proxies[owner].set_cut(true);
@@ -254,15 +260,15 @@
     cell.close().await;
 }
 
-/// Symptom: callers got no answer while the store was slow, though it accepted
-/// their jobs. Sequence: a transaction takes longer than the time after which
-/// the process tried again. Cause: the first try was given up, and the second
-/// could not end within the caller's time.
+/// Guards against callers that get no reply while the store is slow, although it accepts their
+/// jobs. A transaction takes longer than the time after which the process tries again. The
+/// cause was that the first attempt was abandoned, and the second could not end within the
+/// caller's timeout.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_slow_store_still_accepts_jobs() {
     let cell = TestCell::open(1, 1).await;
     let caller = Caller::new();
-    submit_some(&cell, &caller, 1, "20").await;
+    submit_jobs(&cell, &caller, 1, "20").await;
     let slow = StoreFaults {
         delay: Duration::from_millis(1500),
         ..StoreFaults::default()
@@ -278,15 +284,15 @@
     cell.close().await;
 }
 
-/// Symptom: callers were refused for 0.3 s though the store took every job.
-/// Sequence: the store drops its history; feeds hear nothing for a second and
-/// are cut; calls are answered all the while. Cause: a process whose feed
-/// failed counted the store as silent.
+/// Guards against refusing callers for 0.3 s although the store accepts every job. The store
+/// drops its history; feed calls get no reply for a second and are abandoned, while other
+/// calls are answered. The cause was that a process whose feed call failed took the store for
+/// unreachable.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_hung_feed_refuses_no_job() {
     let cell = TestCell::open(1, 1).await;
     let caller = Caller::new();
-    submit_some(&cell, &caller, 1, "20").await;
+    submit_jobs(&cell, &caller, 1, "20").await;
     let hung = StoreFaults {
         hung_feed: true,
         ..StoreFaults::default()
@@ -294,7 +300,7 @@
     cell.store.set_faults(hung);
     let mut statuses = Vec::new();
 
-    // Longer than the feed's own timeout of 1 s.
+    // Longer than the timeout of 1 s for feed calls.
     for nth in 0..30 {
         let path = format!("/plain/{:016x}", 0xe000 + nth);
         let small = job(1, "20");
@@ -307,16 +313,16 @@
     cell.close().await;
 }
 
-/// Symptom: nothing started for seconds in a planned stop. Sequence: the owner is
-/// asked to stop while the store is slow; its last write takes as long; from the
-/// signal on it starts nothing, and its successor waits for that write. Cause: an
-/// owner that stops did nothing but write.
+/// Guards against a planned stop during which nothing starts for seconds. The owner is asked
+/// to stop while the store is slow, so its last write takes long; it started nothing after the
+/// signal, and its successor waits for that write. The cause was that a stopping owner did
+/// nothing but write.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_owner_that_stops_goes_on_until_the_pool_is_given_up() {
+async fn an_owner_that_stops_starts_tasks_until_it_has_released_the_pool() {
     let mut cell = TestCell::open(2, 1).await;
     let caller = Caller::new();
     let path = "/plain/00000000000000b9";
-    // Six waves of four tasks.
+    // The worker has four cores, so the tasks run in six batches of four.
     caller.submit(&cell.servers(), path, &job(24, "250")).await;
     let log = cell.log.clone();
     while log.starts("00000000000000b9") < 4 {
@@ -329,11 +335,11 @@
     });
     let before = log.starts("00000000000000b9");
 
-    let looks = async {
+    let polling = async {
         tokio::time::sleep(Duration::from_millis(900)).await;
         log.starts("00000000000000b9")
     };
-    let ((), after) = tokio::join!(cell.stop(owner), looks);
+    let ((), after) = tokio::join!(cell.stop(owner), polling);
 
     assert!(after >= before + 4, "{before} starts, then {after}");
     cell.store.set_faults(StoreFaults::default());
--- a/crates/cell/tests/feed.rs
+++ b/crates/cell/tests/feed.rs
@@ -17,14 +17,14 @@
 /// owner read only one reply every 0.4 s, even after a full one.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_feed_is_read_until_a_page_is_not_full() {
-    let stand = FakeStore::new();
+    let fake_store = FakeStore::new();
     let (_stop, stopped) = watch::channel(false);
-    let address = serve(stand.clone(), &stopped).await;
+    let address = serve(fake_store.clone(), &stopped).await;
     let store = Store::new(Client::new(Duration::from_secs(1)), address);
     let mut follower = Follower::new(&store, TABLE, false);
     let first = follower.next(Duration::ZERO).await.expect("full read");
     for nth in 0..1200 {
-        stand.write_row(TABLE, "", &format!("w{nth:04}"), b"{}");
+        fake_store.write_row(TABLE, "", &format!("w{nth:04}"), b"{}");
     }
 
     let change = follower.next(Duration::ZERO).await.expect("changes");
--- a/crates/cell/tests/restarts.rs
+++ b/crates/cell/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Workers that start again under their id, with whole processes.
+//! Workers that restart under the same id, with whole processes.
 
 use std::time::Duration;
 
@@ -11,30 +11,31 @@
 use site::TestCell;
 use site::job;
 
-/// Jobs that give each worker a history before it starts again.
-const HISTORY: u64 = 24;
+/// Number of jobs that run before the workers restart, so that each worker has reported many
+/// ends.
+const HISTORY_JOBS: u64 = 24;
 
 fn path(id: u64) -> String {
     format!("/plain/{id:016x}")
 }
 
 /// Submits `count` jobs of two tasks, with ids from `first` on.
-async fn submit(cell: &TestCell, caller: &Caller, first: u64, count: u64, text: &str) {
+async fn submit(cell: &TestCell, caller: &Caller, first: u64, count: u64, payload: &str) {
     for id in first..first + count {
         caller
-            .submit(&cell.servers(), &path(id), &job(2, text))
+            .submit(&cell.servers(), &path(id), &job(2, payload))
             .await;
     }
 }
 
-/// Waits until the jobs are shown in a state.
-async fn wait(cell: &TestCell, caller: &Caller, first: u64, count: u64, state: &str) {
+/// Waits until the jobs have a status.
+async fn wait_jobs(cell: &TestCell, caller: &Caller, first: u64, count: u64, state: &str) {
     for id in first..first + count {
         caller.wait_state(&cell.servers(), &path(id), state).await;
     }
 }
 
-/// All workers start again at the same time.
+/// Restarts all workers at the same time.
 async fn restart_all(cell: &TestCell, restart: Restart) {
     let mut restarts = tokio::task::JoinSet::new();
     for place in cell.supervisors.clone() {
@@ -43,39 +44,38 @@
     restarts.join_all().await;
 }
 
-/// A cell of two workers, each of which has listed many ends, just before they start
-/// again.
-async fn with_history(caller: &Caller) -> TestCell {
+/// Opens a cell of two workers, each of which has reported many ends.
+async fn open_with_history(caller: &Caller) -> TestCell {
     let cell = TestCell::open_stable_ids(1, 2).await;
-    submit(&cell, caller, 0x100, HISTORY, "30").await;
-    wait(&cell, caller, 0x100, HISTORY, "completed").await;
+    submit(&cell, caller, 0x100, HISTORY_JOBS, "30").await;
+    wait_jobs(&cell, caller, 0x100, HISTORY_JOBS, "completed").await;
     cell
 }
 
-/// Guards against ends of a new life that are taken for those of the former one, and
-/// forgotten by the worker before the owner has heard them.
+/// Guards against ends of a new incarnation that are taken for those of the former one, so
+/// that the worker removes them before the owner has received them.
 #[tokio::test(flavor = "multi_thread")]
-async fn tasks_done_on_workers_that_started_again_do_not_run_again() {
+async fn tasks_done_on_restarted_workers_do_not_run_again() {
     let caller = Caller::new();
-    let cell = with_history(&caller).await;
+    let cell = open_with_history(&caller).await;
 
     restart_all(&cell, Restart::after(Duration::from_millis(300))).await;
     submit(&cell, &caller, 0x200, 12, "60").await;
-    wait(&cell, &caller, 0x200, 12, "completed").await;
+    wait_jobs(&cell, &caller, 0x200, 12, "completed").await;
 
     assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
-/// Guards against failed runs of a new life that count as no attempt.
+/// Guards against failed runs of a new incarnation that are not counted as attempts.
 #[tokio::test(flavor = "multi_thread")]
-async fn failed_runs_on_workers_that_started_again_are_counted() {
+async fn failed_runs_on_restarted_workers_are_counted() {
     let caller = Caller::new();
-    let cell = with_history(&caller).await;
+    let cell = open_with_history(&caller).await;
 
     restart_all(&cell, Restart::after(Duration::from_millis(300))).await;
     submit(&cell, &caller, 0x300, 6, "fail").await;
-    wait(&cell, &caller, 0x300, 6, "failed").await;
+    wait_jobs(&cell, &caller, 0x300, 6, "failed").await;
 
     for id in 0x300..0x306 {
         for index in 0..2 {
@@ -87,33 +87,35 @@
     cell.close().await;
 }
 
-/// Most starts of a task that crashes each worker: the platform bears two more after
-/// three crashes.
-const MOST_STARTS: usize = 5;
+/// Most starts of a task that crashes each worker: the platform allows two more after three
+/// crashes.
+const MAX_STARTS: usize = 5;
 
-/// Guards against a worker's crash that counts for nothing since its id is there again.
+/// Guards against a worker's crash that is not counted because a worker with the same id is
+/// back.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_task_that_crashes_workers_which_start_again_is_given_up() {
+async fn a_task_that_crashes_restarting_workers_fails() {
     let cell = TestCell::open_stable_ids(2, 6).await;
     let caller = Caller::new();
-    let text = job(1, "crash 0 300");
-    caller.submit(&cell.servers(), &path(0xd1), &text).await;
+    let payload = job(1, "crash 0 300");
+    caller.submit(&cell.servers(), &path(0xd1), &payload).await;
     submit(&cell, &caller, 0xe00, 10, "300").await;
 
     let servers = cell.servers();
-    let bad = path(0xd1);
-    let shown = caller.wait_state(&servers, &bad, "failed");
-    let shown = tokio::time::timeout(Duration::from_secs(20), shown).await;
+    let path_of_crashing = path(0xd1);
+    let failed = caller.wait_state(&servers, &path_of_crashing, "failed");
+    let failed = tokio::time::timeout(Duration::from_secs(20), failed).await;
 
     let starts = cell.log.starts("00000000000000d1");
-    assert!(starts <= MOST_STARTS, "{starts} starts");
-    assert!(shown.is_ok(), "not failed after {starts} starts");
-    wait(&cell, &caller, 0xe00, 10, "completed").await;
+    assert!(starts <= MAX_STARTS, "{starts} starts");
+    assert!(failed.is_ok(), "not failed after {starts} starts");
+    wait_jobs(&cell, &caller, 0xe00, 10, "completed").await;
     assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
-/// What is sent to the former lives may reach the next ones seconds later.
+/// Returns a plan that delays a share of the renewals, so that renewals sent to an incarnation
+/// may reach the next one seconds later.
 fn delayed_renewals(share: f64) -> DelayPlan {
     DelayPlan {
         starts: 0.0,
@@ -124,8 +126,8 @@
     }
 }
 
-/// Submits jobs for as long as a few restarts of all workers take; gives how many.
-async fn submit_through(cell: &TestCell, caller: &Caller, restarts: &[Restart]) -> u64 {
+/// Submits jobs while all workers restart several times; returns the number of jobs.
+async fn submit_during(cell: &TestCell, caller: &Caller, restarts: &[Restart]) -> u64 {
     let mut first = 0x1000;
     for restart in restarts {
         let jobs = submit(cell, caller, first, 8, "120");
@@ -136,76 +138,77 @@
     first - 0x1000
 }
 
-/// Plays restarts while jobs come, and holds what workers did against what is promised.
-async fn assert_outlived(cell: TestCell, caller: &Caller, restarts: &[Restart]) {
-    let count = submit_through(&cell, caller, restarts).await;
-    wait(&cell, caller, 0x1000, count, "completed").await;
+/// Restarts all workers while jobs arrive; asserts that the jobs complete without violations.
+async fn assert_jobs_complete(cell: TestCell, caller: &Caller, restarts: &[Restart]) {
+    let count = submit_during(&cell, caller, restarts).await;
+    wait_jobs(&cell, caller, 0x1000, count, "completed").await;
     assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
-/// Guards against renewals of a former life that acknowledge the ends of the next one, or
-/// give it a lease that nobody counts.
+/// Guards against renewals for a former incarnation that acknowledge the ends of the next one,
+/// or give it a lease that the owner does not know of.
 #[tokio::test(flavor = "multi_thread")]
-async fn renewals_that_cross_a_restart_do_no_harm() {
+async fn renewals_delayed_across_a_restart_are_harmless() {
     let caller = Caller::new();
-    let cell = with_history(&caller).await;
+    let cell = open_with_history(&caller).await;
     for place in &cell.supervisors {
         place.current().set_delay_plan(delayed_renewals(0.4));
     }
 
     let restarts = [200, 700, 50].map(|down| Restart::after(Duration::from_millis(down)));
-    assert_outlived(cell, &caller, &restarts).await;
+    assert_jobs_complete(cell, &caller, &restarts).await;
 }
 
-/// Guards against an order of two lives that is told by their clocks.
+/// Guards against inferring the order of two incarnations from their start times.
 #[tokio::test(flavor = "multi_thread")]
-async fn workers_whose_clock_went_back_are_used_again() {
+async fn workers_whose_clock_was_set_back_are_used_again() {
     let caller = Caller::new();
-    let cell = with_history(&caller).await;
+    let cell = open_with_history(&caller).await;
 
     let restart = Restart {
         clock_back: 3_600_000,
         ..Restart::after(Duration::from_millis(200))
     };
-    assert_outlived(cell, &caller, &[restart; 2]).await;
+    assert_jobs_complete(cell, &caller, &[restart; 2]).await;
 }
 
-/// Guards against restarts that no list and no entry shows, since another one follows, and
-/// against entries that come long after a worker has answered.
+/// Guards against restarts that no worker report and no registration shows because another
+/// restart follows, and against registrations that are written long after the worker has
+/// answered.
 #[tokio::test(flavor = "multi_thread")]
-async fn workers_that_start_again_twice_at_once_are_used_again() {
+async fn workers_that_restart_twice_in_a_row_are_used_again() {
     let caller = Caller::new();
-    let cell = with_history(&caller).await;
+    let cell = open_with_history(&caller).await;
 
     let quick = Restart::after(Duration::from_millis(10));
-    let unwritten = Restart {
+    let late_registration = Restart {
         registration_delay: Duration::from_millis(1500),
         ..quick
     };
-    assert_outlived(cell, &caller, &[quick, quick, unwritten, quick]).await;
+    assert_jobs_complete(cell, &caller, &[quick, quick, late_registration, quick]).await;
 }
 
-/// Guards against a list of machines made while a worker was down, which comes when it is
-/// there again and ends its next life.
+/// Guards against a list of machines that was made while a worker was down, arrives after its
+/// restart and ends the next incarnation.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_late_list_of_machines_ends_no_next_life() {
+async fn a_late_list_of_machines_does_not_end_the_next_incarnation() {
     let caller = Caller::new();
-    let cell = with_history(&caller).await;
+    let cell = open_with_history(&caller).await;
     cell.advice.set_list_delay(Duration::from_millis(600));
 
     let restarts = [700, 900].map(|down| Restart::after(Duration::from_millis(down)));
-    assert_outlived(cell, &caller, &restarts).await;
+    assert_jobs_complete(cell, &caller, &restarts).await;
 }
 
-/// Guards against a successor that takes the runs of a life which it never met for those of
-/// the life that its predecessor knew.
+/// Guards against a successor that takes the runs of an incarnation unknown to it for those of
+/// the incarnation that its predecessor used.
 #[tokio::test(flavor = "multi_thread")]
-async fn owners_that_die_while_workers_start_again_do_no_harm() {
+async fn owners_killed_while_workers_restart_cause_no_violations() {
     let caller = Caller::new();
     let mut cell = TestCell::open_stable_ids(3, 3).await;
-    submit(&cell, &caller, 0x100, HISTORY, "30").await;
-    wait(&cell, &caller, 0x100, HISTORY, "completed").await;
+    submit(&cell, &caller, 0x100, HISTORY_JOBS, "30").await;
+    wait_jobs(&cell, &caller, 0x100, HISTORY_JOBS, "completed").await;
 
     let mut first = 0x1000;
     for down in [50, 400] {
@@ -219,17 +222,17 @@
         first += 9;
     }
 
-    wait(&cell, &caller, 0x1000, first - 0x1000, "completed").await;
+    wait_jobs(&cell, &caller, 0x1000, first - 0x1000, "completed").await;
     assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
-/// Guards against workers that are not used any more if they start again while the store is
-/// away, so that neither an entry nor a row can be written.
+/// Guards against workers that are no longer used after they have restarted while the store
+/// was down, when neither their registration nor their row could be written.
 #[tokio::test(flavor = "multi_thread")]
-async fn workers_that_start_again_while_the_store_is_away_are_used_again() {
+async fn workers_that_restart_while_the_store_is_down_are_used_again() {
     let caller = Caller::new();
-    let cell = with_history(&caller).await;
+    let cell = open_with_history(&caller).await;
     submit(&cell, &caller, 0x1000, 6, "400").await;
 
     cell.store.set_faults(StoreFaults {
@@ -240,18 +243,19 @@
     tokio::time::sleep(Duration::from_millis(1500)).await;
     cell.store.set_faults(StoreFaults::default());
     submit(&cell, &caller, 0x1006, 6, "50").await;
-    wait(&cell, &caller, 0x1000, 12, "completed").await;
+    wait_jobs(&cell, &caller, 0x1000, 12, "completed").await;
 
     assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
-/// Guards against a list of another writer that takes a worker's life away: it changes
-/// nothing, and the worker counts as silent until it names its life again.
+/// Guards against a worker report of another writer that ends a worker's incarnation because
+/// it names none. Such reports change nothing, and the worker counts as silent until it
+/// reports its incarnation again.
 #[tokio::test(flavor = "multi_thread")]
-async fn lists_that_name_no_life_change_nothing() {
+async fn worker_reports_without_an_incarnation_are_ignored() {
     let caller = Caller::new();
-    let cell = with_history(&caller).await;
+    let cell = open_with_history(&caller).await;
     submit(&cell, &caller, 0x1000, 4, "600").await;
 
     for place in &cell.supervisors {
@@ -262,36 +266,37 @@
     for place in &cell.supervisors {
         place.current().set_omits_incarnation(false);
     }
-    wait(&cell, &caller, 0x1000, 4, "completed").await;
+    wait_jobs(&cell, &caller, 0x1000, 4, "completed").await;
 
     assert_eq!(cell.log.starts(""), starts);
     assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
-/// Guards against a worker that is asked for good at the address of its former life.
+/// Guards against an owner that keeps calling a worker at the address of its former
+/// incarnation.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_worker_that_starts_again_elsewhere_is_used_again() {
+async fn a_worker_that_restarts_at_another_address_is_used_again() {
     let caller = Caller::new();
     let mut cell = TestCell::open_stable_ids(1, 1).await;
     submit(&cell, &caller, 0x100, 4, "30").await;
-    wait(&cell, &caller, 0x100, 4, "completed").await;
+    wait_jobs(&cell, &caller, 0x100, 4, "completed").await;
 
     let restart = Restart::after(Duration::from_millis(200));
     cell.move_worker(0, restart).await;
     submit(&cell, &caller, 0x1000, 4, "30").await;
-    wait(&cell, &caller, 0x1000, 4, "completed").await;
+    wait_jobs(&cell, &caller, 0x1000, 4, "completed").await;
 
     assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
-/// Guards against an owner that has lost the pool, cannot write, and uses lives that began
-/// after its successor had claimed their workers.
+/// Guards against an owner that has lost the pool, cannot write, and uses incarnations that
+/// started after its successor had claimed their workers.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_life_is_not_used_before_its_row_is_written() {
+async fn an_incarnation_is_not_used_before_its_row_is_written() {
     let caller = Caller::new();
-    let cell = with_history(&caller).await;
+    let cell = open_with_history(&caller).await;
     submit(&cell, &caller, 0x1000, 6, "300").await;
 
     cell.store.set_faults(StoreFaults {
@@ -304,21 +309,21 @@
     tokio::time::sleep(Duration::from_millis(800)).await;
     let after = cell.log.starts("");
     cell.store.set_faults(StoreFaults::default());
-    wait(&cell, &caller, 0x1000, 6, "completed").await;
+    wait_jobs(&cell, &caller, 0x1000, 6, "completed").await;
 
     assert_eq!(after, before);
     assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
-/// Guards against an owner that takes the refusal of a start which reached the next life late
-/// for the word of a successor, and gives the pool up.
+/// Guards against an owner that releases the pool because a start command, delayed until the
+/// next incarnation, was refused, and the owner took the refusal as a sign of a successor.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_start_that_the_next_life_refuses_does_not_depose_the_owner() {
+async fn a_start_refused_by_the_next_incarnation_does_not_depose_the_owner() {
     let caller = Caller::new();
     let cell = TestCell::open_stable_ids(1, 1).await;
     submit(&cell, &caller, 0x100, 4, "30").await;
-    wait(&cell, &caller, 0x100, 4, "completed").await;
+    wait_jobs(&cell, &caller, 0x100, 4, "completed").await;
     let before = cell.epoch();
 
     cell.delay_starts(0, Duration::from_millis(900));
@@ -326,65 +331,65 @@
     restart_all(&cell, Restart::after(Duration::from_millis(30))).await;
     tokio::time::sleep(Duration::from_millis(1500)).await;
     cell.delay_starts(0, Duration::ZERO);
-    wait(&cell, &caller, 0x1000, 1, "completed").await;
+    wait_jobs(&cell, &caller, 0x1000, 1, "completed").await;
 
     assert_eq!(cell.epoch(), before);
     assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
-/// Guards against an acknowledgement for a former life that reaches the next one after a
-/// start has, and forgets its end before anyone has heard of it.
+/// Guards against an acknowledgement for a former incarnation that reaches the next one after
+/// a start command, and removes the end of that run before any owner has received it.
 #[tokio::test(flavor = "multi_thread")]
-async fn acknowledgements_that_reach_the_next_life_forget_no_end() {
+async fn acknowledgements_that_reach_the_next_incarnation_remove_no_end() {
     let caller = Caller::new();
     let cell = TestCell::open_stable_ids(1, 1).await;
-    submit(&cell, &caller, 0x100, HISTORY, "30").await;
-    wait(&cell, &caller, 0x100, HISTORY, "completed").await;
+    submit(&cell, &caller, 0x100, HISTORY_JOBS, "30").await;
+    wait_jobs(&cell, &caller, 0x100, HISTORY_JOBS, "completed").await;
 
     for first in [0x1000, 0x2000, 0x3000] {
         let restarted = cell.restart_before_ack(0);
         tokio::join!(restarted, submit(&cell, &caller, first, 1, "20"));
         submit(&cell, &caller, first + 1, 1, "20").await;
-        wait(&cell, &caller, first, 2, "completed").await;
+        wait_jobs(&cell, &caller, first, 2, "completed").await;
     }
 
     assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
-/// Guards against an acknowledgement that is sent while a start is on its way, which the
-/// next life may carry out first.
+/// Guards against an acknowledgement that is sent while a start command is in transit, which
+/// the next incarnation may carry out first.
 #[tokio::test(flavor = "multi_thread")]
-async fn no_end_is_acknowledged_while_a_start_is_on_its_way() {
+async fn no_end_is_acknowledged_while_a_start_is_in_transit() {
     let caller = Caller::new();
     let cell = TestCell::open_stable_ids(1, 1).await;
     cell.delay_starts(0, Duration::from_millis(60));
 
-    submit(&cell, &caller, 0x100, HISTORY, "30").await;
-    wait(&cell, &caller, 0x100, HISTORY, "completed").await;
+    submit(&cell, &caller, 0x100, HISTORY_JOBS, "30").await;
+    wait_jobs(&cell, &caller, 0x100, HISTORY_JOBS, "completed").await;
 
     assert_eq!(cell.overlapping_acks(0), 0);
     cell.close().await;
 }
 
-/// Guards against an acknowledgement that is sent while a start may still be carried out that
-/// nobody listens for any more.
+/// Guards against an acknowledgement that is sent while a start command that the owner has
+/// abandoned may still be carried out.
 #[tokio::test(flavor = "multi_thread")]
-async fn no_end_is_acknowledged_while_a_start_without_an_answer_may_come() {
+async fn no_end_is_acknowledged_while_an_unanswered_start_may_arrive() {
     let caller = Caller::new();
     let cell = TestCell::open_stable_ids(1, 1).await;
-    submit(&cell, &caller, 0x100, HISTORY, "30").await;
-    wait(&cell, &caller, 0x100, HISTORY, "completed").await;
+    submit(&cell, &caller, 0x100, HISTORY_JOBS, "30").await;
+    wait_jobs(&cell, &caller, 0x100, HISTORY_JOBS, "completed").await;
     cell.delay_starts(0, Duration::from_secs(3));
     submit(&cell, &caller, 0x1000, 1, "30").await;
     tokio::time::sleep(Duration::from_millis(200)).await;
     cell.delay_starts(0, Duration::ZERO);
 
-    // Its task starts again meanwhile, and others end.
-    wait(&cell, &caller, 0x1000, 1, "completed").await;
+    // Meanwhile the task of the unanswered start is started again, and others end.
+    wait_jobs(&cell, &caller, 0x1000, 1, "completed").await;
     submit(&cell, &caller, 0x2000, 2, "30").await;
-    wait(&cell, &caller, 0x2000, 2, "completed").await;
+    wait_jobs(&cell, &caller, 0x2000, 2, "completed").await;
     tokio::time::sleep(Duration::from_millis(1200)).await;
 
     assert_eq!(cell.overlapping_acks(0), 0);
@@ -392,7 +397,7 @@
     cell.close().await;
 }
 
-/// Waits until the worker that is there has seen a higher token than `before`.
+/// Waits until the current incarnation has received a higher fencing token than `before`.
 async fn wait_claimed(cell: &TestCell, before: u64) {
     let claimed = async {
         while cell.supervisors[0].current().token() <= before {
@@ -400,12 +405,13 @@
         }
     };
     let claimed = tokio::time::timeout(Duration::from_secs(10), claimed).await;
-    assert!(claimed.is_ok(), "the next life is not claimed");
+    assert!(claimed.is_ok(), "the next incarnation is not claimed");
 }
 
-/// Guards against orders for a former life that the next one obeys after it was claimed.
+/// Guards against commands for a former incarnation that the next one carries out after it was
+/// claimed.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_next_life_is_claimed_with_a_higher_token() {
+async fn the_next_incarnation_is_claimed_with_a_higher_token() {
     let cell = TestCell::open_stable_ids(1, 1).await;
     wait_claimed(&cell, 0).await;
     let before = cell.supervisors[0].current().token();
@@ -416,14 +422,14 @@
     cell.close().await;
 }
 
-/// Guards against a start that got no answer and reaches the next life after that has obeyed a
-/// renewal: its task may run elsewhere by then.
+/// Guards against an unanswered start command that reaches the next incarnation after that has
+/// carried out a renewal: the task may run elsewhere by then.
 #[tokio::test(flavor = "multi_thread")]
-async fn orders_after_a_start_without_an_answer_carry_a_higher_token() {
+async fn commands_after_an_unanswered_start_have_a_higher_token() {
     let caller = Caller::new();
     let cell = TestCell::open_stable_ids(1, 1).await;
-    submit(&cell, &caller, 0x100, HISTORY, "30").await;
-    wait(&cell, &caller, 0x100, HISTORY, "completed").await;
+    submit(&cell, &caller, 0x100, HISTORY_JOBS, "30").await;
+    wait_jobs(&cell, &caller, 0x100, HISTORY_JOBS, "completed").await;
     tokio::time::sleep(Duration::from_millis(500)).await;
     let before = cell.supervisors[0].current().token();
 
@@ -432,17 +438,17 @@
     tokio::time::sleep(Duration::from_millis(1600)).await;
     let raised = cell.supervisors[0].current().token();
     cell.delay_starts(0, Duration::ZERO);
-    wait(&cell, &caller, 0x1000, 1, "completed").await;
+    wait_jobs(&cell, &caller, 0x1000, 1, "completed").await;
 
     assert!(raised > before, "token {raised}, before {before}");
     assert_eq!(cell.log.violations(), Vec::<String>::new());
     cell.close().await;
 }
 
-/// Guards against a row of the former life, whose write was under way, that lets the next
-/// one be used before its own.
+/// Guards against a row of the former incarnation, whose write was in progress, that allows
+/// the next one to be used before its own row is written.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_row_of_a_former_life_lets_no_other_be_used() {
+async fn the_row_of_a_former_incarnation_does_not_allow_the_next_one() {
     let cell = TestCell::open_stable_ids(1, 1).await;
     wait_claimed(&cell, 0).await;
     let before = cell.supervisors[0].current().token();
--- a/crates/daemon/tests/soak/plan.rs
+++ b/crates/daemon/tests/soak/plan.rs
@@ -133,11 +133,11 @@
     let worker = random.random_range(0..WORKERS);
     let all = random.random_range(0..3) == 0;
     for other in 0..WORKERS {
-        let down = Duration::from_millis(random.random_range(20..1_200));
+        let downtime = Duration::from_millis(random.random_range(20..1_200));
         let late = random.random_range(0..3) == 0;
         let back = random.random_range(0..4) == 0;
         let restart = Restart {
-            down,
+            downtime,
             registration_delay: Duration::from_millis(if late { 700 } else { 0 }),
             clock_back: if back { 2_000 } else { 0 },
         };
--- a/crates/site/src/advice.rs
+++ b/crates/site/src/advice.rs
@@ -78,8 +78,8 @@
 }
 
 impl Handler for FakeAdvice {
-    async fn handle(&self, asked: Asked) -> Whole {
-        if asked.path == "/-/machines" {
+    async fn handle(&self, request: Asked) -> Whole {
+        if request.path == "/-/machines" {
             let body = self.machines();
             self.machine_lists.fetch_add(1, Ordering::Relaxed);
             let delay = *self
@@ -90,7 +90,7 @@
             return web::json(StatusCode::OK, &body);
         }
         self.calls.fetch_add(1, Ordering::Relaxed);
-        let body: Value = serde_json::from_slice(&asked.body).unwrap_or_default();
+        let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
         let named = body["workers"].as_array().cloned().unwrap_or_default();
         let good: Vec<Value> = named.into_iter().map(|id| json!([id, "t"])).collect();
         web::json(StatusCode::OK, &json!({"good": good, "valid_ms": 1500}))
--- a/crates/site/src/caller.rs
+++ b/crates/site/src/caller.rs
@@ -70,13 +70,13 @@
     /// # Panics
     /// Panics if it does not within a minute.
     pub async fn wait_status(&self, server: SocketAddr, path: &str, status: u16) {
-        let poll = async {
+        let polling = async {
             while self.status(server, path).await != status {
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        let given = tokio::time::timeout(WAIT_LIMIT, poll).await;
-        assert!(given.is_ok(), "{path} never gives {status}");
+        let reached = tokio::time::timeout(WAIT_LIMIT, polling).await;
+        assert!(reached.is_ok(), "{path} never gives {status}");
     }
 
     /// Submits a job at each of `servers` in turn until one accepts it.
@@ -103,7 +103,7 @@
     /// Panics if none does within a minute.
     pub async fn wait_state(&self, servers: &[SocketAddr], path: &str, state: &str) {
         let mut last = Value::Null;
-        let poll = async {
+        let polling = async {
             for server in servers.iter().cycle() {
                 let (_, body) = self.send(Method::GET, *server, path, &Value::Null).await;
                 last = body["state"].clone();
@@ -113,8 +113,8 @@
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        let shown = tokio::time::timeout(WAIT_LIMIT, poll).await;
-        assert!(shown.is_ok(), "{path} is shown as {last}, not {state}");
+        let reported = tokio::time::timeout(WAIT_LIMIT, polling).await;
+        assert!(reported.is_ok(), "{path} is shown as {last}, not {state}");
     }
 }
 
--- a/crates/site/src/cell.rs
+++ b/crates/site/src/cell.rs
@@ -69,7 +69,7 @@
     services: SocketAddr,
     stores: Vec<SocketAddr>,
     /// Number in the loopback addresses of the cell, which differs from those of other cells.
-    net: u8,
+    number: u8,
     keep_s: f64,
     restart_id: RestartId,
     /// Link to the workers and its rate in megabits per second; none if it is unlimited.
@@ -157,7 +157,7 @@
             worker_proxies: Vec::new(),
             services,
             stores,
-            net: CELLS.fetch_add(1, Ordering::Relaxed),
+            number: CELLS.fetch_add(1, Ordering::Relaxed),
             keep_s,
             link,
             cores: HashMap::new(),
@@ -167,9 +167,9 @@
         for _ in 0..workers {
             cell.add_worker().await;
         }
-        for at in 0..processes {
+        for index in 0..processes {
             cell.members.push(None);
-            cell.start(at).await;
+            cell.start(index).await;
         }
         cell
     }
@@ -179,13 +179,13 @@
     /// # Panics
     /// Panics if no address can be bound.
     pub async fn add_worker(&mut self) {
-        let at = self.workers.len();
+        let index = self.workers.len();
         let context = WorkerContext {
             store: self.store.clone(),
             advice: self.advice.clone(),
             log: self.log.clone(),
         };
-        let supervisor = WorkerSupervisor::new(&format!("w{at}"), context, self.restart_id);
+        let supervisor = WorkerSupervisor::new(&format!("w{index}"), context, self.restart_id);
         let stop = self.serving.subscribe();
         let proxy = WorkerProxy::new(supervisor.clone());
         let address = serve(proxy.clone(), &stop).await;
@@ -198,20 +198,20 @@
         self.workers.push(supervisor.current());
         self.supervisors.push(supervisor.clone());
         tokio::spawn(supervisor.supervise(address, stop));
-        self.register(at);
+        self.register(index);
     }
 
     /// Delays start commands to a worker; they reach the incarnation that is current after the
     /// delay.
-    pub fn delay_starts(&self, at: usize, delay: Duration) {
-        self.worker_proxies[at].set_start_delay(delay);
+    pub fn delay_starts(&self, index: usize, delay: Duration) {
+        self.worker_proxies[index].set_start_delay(delay);
     }
 
     /// Returns the number of acknowledgements that reached a worker while a start command to
     /// it was delayed.
     #[must_use]
-    pub fn overlapping_acks(&self, at: usize) -> usize {
-        self.worker_proxies[at].overlapping_acks()
+    pub fn overlapping_acks(&self, index: usize) -> usize {
+        self.worker_proxies[index].overlapping_acks()
     }
 
     /// Restarts a worker while the next acknowledgement of its ends is in transit; the
@@ -220,11 +220,11 @@
     ///
     /// # Panics
     /// Panics if no end is acknowledged within a minute.
-    pub async fn restart_before_ack(&self, at: usize) {
-        let mut begun = self.worker_proxies[at].arm_restart();
-        begun.mark_unchanged();
-        let begun = tokio::time::timeout(WAIT_LIMIT, begun.changed()).await;
-        assert!(begun.is_ok(), "no end is acknowledged");
+    pub async fn restart_before_ack(&self, index: usize) {
+        let mut started = self.worker_proxies[index].arm_restart();
+        started.mark_unchanged();
+        let started = tokio::time::timeout(WAIT_LIMIT, started.changed()).await;
+        assert!(started.is_ok(), "no end is acknowledged");
     }
 
     /// Returns the epoch of the current ownership of the pool, as stored.
@@ -242,70 +242,73 @@
     ///
     /// # Panics
     /// Panics if no address can be bound.
-    pub async fn move_worker(&mut self, at: usize, restart: Restart) {
-        let supervisor = self.supervisors[at].clone();
-        self.worker_proxies[at].close();
+    pub async fn move_worker(&mut self, index: usize, restart: Restart) {
+        let supervisor = self.supervisors[index].clone();
+        self.worker_proxies[index].close();
         let proxy = WorkerProxy::new(supervisor.clone());
-        self.addresses[at] = serve(proxy.clone(), &self.serving.subscribe()).await;
-        self.worker_proxies[at] = proxy;
-        supervisor.set_address(self.addresses[at]);
+        self.addresses[index] = serve(proxy.clone(), &self.serving.subscribe()).await;
+        self.worker_proxies[index] = proxy;
+        supervisor.set_address(self.addresses[index]);
         supervisor.restart(restart).await;
     }
 
     /// Writes the registration of the first incarnation of a worker.
-    pub fn register(&self, at: usize) {
-        let worker = &self.workers[at];
-        let registration_row = worker.registration_row(self.addresses[at]);
+    pub fn register(&self, index: usize) {
+        let worker = &self.workers[index];
+        let registration_row = worker.registration_row(self.addresses[index]);
         self.store.write("servers", &worker.id, &registration_row);
     }
 
     /// Changes the number of cores of a worker and of its registration.
-    pub fn resize(&self, at: usize, cores: usize) {
-        self.workers[at].set_cores(cores);
-        let mut resized = self.workers[at].registration_row(self.addresses[at]);
+    pub fn resize(&self, index: usize, cores: usize) {
+        self.workers[index].set_cores(cores);
+        let mut resized = self.workers[index].registration_row(self.addresses[index]);
         resized["capacity"]["cpu"] = json!(cores * 1000);
-        self.store.write("servers", &self.workers[at].id, &resized);
+        self.store
+            .write("servers", &self.workers[index].id, &resized);
     }
 
     /// Removes a worker's registration.
-    pub fn unregister(&self, at: usize) {
-        self.store.remove("servers", &self.workers[at].id);
+    pub fn unregister(&self, index: usize) {
+        self.store.remove("servers", &self.workers[index].id);
     }
 
-    fn host(&self, at: usize) -> LoopbackHost {
-        LoopbackHost::new(self.net, at)
+    fn host(&self, index: usize) -> LoopbackHost {
+        LoopbackHost::new(self.number, index)
     }
 
     /// Returns the address at which a process serves callers.
     #[must_use]
-    pub fn server(&self, at: usize) -> SocketAddr {
-        self.host(at).callers()
+    pub fn server(&self, index: usize) -> SocketAddr {
+        self.host(index).callers()
     }
 
     /// Returns the address at which a process serves its readiness.
     #[must_use]
-    pub fn ready(&self, at: usize) -> SocketAddr {
-        self.host(at).ready()
+    pub fn ready(&self, index: usize) -> SocketAddr {
+        self.host(index).ready()
     }
 
     /// Returns the address at which a process serves its metrics.
     #[must_use]
-    pub fn metrics(&self, at: usize) -> SocketAddr {
-        self.host(at).metrics()
+    pub fn metrics(&self, index: usize) -> SocketAddr {
+        self.host(index).metrics()
     }
 
     /// Returns the addresses at which the processes serve callers.
     #[must_use]
     pub fn servers(&self) -> Vec<SocketAddr> {
-        (0..self.members.len()).map(|at| self.server(at)).collect()
+        (0..self.members.len())
+            .map(|index| self.server(index))
+            .collect()
     }
 
     /// Starts a process that is not running.
     ///
     /// # Panics
     /// Panics if the process cannot start.
-    pub async fn start(&mut self, at: usize) {
-        let settings = self.settings(at);
+    pub async fn start(&mut self, index: usize) {
+        let settings = self.settings(index);
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(1)
             .enable_all()
@@ -324,7 +327,7 @@
             }
         });
         opened.await.expect("process starts");
-        self.members[at] = Some(Member {
+        self.members[index] = Some(Member {
             runtime,
             stop: Some(stop),
             stopped: Some(stopped),
@@ -332,15 +335,15 @@
     }
 
     /// Kills a process: all its tasks end and its connections are reset.
-    pub async fn kill(&mut self, at: usize) {
-        if let Some(member) = self.members[at].take() {
+    pub async fn kill(&mut self, index: usize) {
+        if let Some(member) = self.members[index].take() {
             shut_down(member.runtime).await;
         }
     }
 
     /// Freezes a process: none of its tasks runs for `time`, while its connections stay open.
-    pub fn freeze(&self, at: usize, time: Duration) {
-        if let Some(member) = &self.members[at] {
+    pub fn freeze(&self, index: usize, time: Duration) {
+        if let Some(member) = &self.members[index] {
             // The runtime has one thread, which this blocks.
             member
                 .runtime
@@ -349,14 +352,14 @@
     }
 
     /// Stops a process and waits until it has ended.
-    pub async fn stop(&mut self, at: usize) {
-        self.stop_within(at, WAIT_LIMIT).await;
+    pub async fn stop(&mut self, index: usize) {
+        self.stop_within(index, WAIT_LIMIT).await;
     }
 
     /// Stops a process, and kills it if that takes longer than `grace`; returns whether it
     /// stopped in time.
-    pub async fn stop_within(&mut self, at: usize, grace: Duration) -> bool {
-        let Some(mut member) = self.members[at].take() else {
+    pub async fn stop_within(&mut self, index: usize, grace: Duration) -> bool {
+        let Some(mut member) = self.members[index].take() else {
             return true;
         };
         let mut in_time = false;
@@ -376,20 +379,23 @@
             .store
             .raw(cell::OWNERSHIP_TABLE, cell::OWNER_PART, "owner")?;
         let ownership = cell::decode_ownership(&row).ok()?;
-        let at = (0..self.members.len()).find(|&at| self.host(at).ip() == ownership.address.ip());
-        at.filter(|_| !ownership.released)
+        let index =
+            (0..self.members.len()).find(|&index| self.host(index).ip() == ownership.address.ip());
+        index.filter(|_| !ownership.released)
     }
 
     /// Sets the number of cores of a host, from the next start of its process.
-    pub fn set_cores(&mut self, at: usize, cores: f64) {
-        self.cores.insert(at, cores);
+    pub fn set_cores(&mut self, index: usize, cores: f64) {
+        self.cores.insert(index, cores);
     }
 
-    fn settings(&self, at: usize) -> CellSettings {
-        let text = self.host(at).settings(self.stores[at], Some(self.services));
+    fn settings(&self, index: usize) -> CellSettings {
+        let text = self
+            .host(index)
+            .settings(self.stores[index], Some(self.services));
         let mut settings = CellSettings::parse(&text).expect("settings");
         settings.bounds.keep_s = self.keep_s;
-        settings.cores = self.cores.get(&at).copied().unwrap_or(settings.cores);
+        settings.cores = self.cores.get(&index).copied().unwrap_or(settings.cores);
         if let Some((_, mbps)) = self.link {
             settings.link_mbps = mbps;
         }
@@ -401,7 +407,7 @@
     /// # Panics
     /// Panics if it does not within a minute.
     pub async fn wait_owner(&self, accepts: impl Fn(usize) -> bool) -> usize {
-        let poll = async {
+        let polling = async {
             loop {
                 if let Some(owner) = self.owner().filter(|&owner| accepts(owner)) {
                     return owner;
@@ -409,14 +415,14 @@
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        let found = tokio::time::timeout(WAIT_LIMIT, poll).await;
-        found.expect("no such owner")
+        let found = tokio::time::timeout(WAIT_LIMIT, polling).await;
+        found.expect("no owner as expected")
     }
 
     /// Kills all processes.
     pub async fn close(mut self) {
-        for at in 0..self.members.len() {
-            self.kill(at).await;
+        for index in 0..self.members.len() {
+            self.kill(index).await;
         }
     }
 }
@@ -467,9 +473,9 @@
 /// Returns a job of one step with `count` tasks; `text` is the payload, which determines how
 /// they end.
 #[must_use]
-pub fn job(count: u32, text: &str) -> Value {
+pub fn job(count: u32, payload: &str) -> Value {
     json!({
-        "spec": text,
+        "spec": payload,
         "steps": [{"count": count, "cpu": 1000, "mem_mb": 100, "estimate_ms": 100}],
     })
 }
--- a/crates/site/src/cores.rs
+++ b/crates/site/src/cores.rs
@@ -7,7 +7,8 @@
 pub(crate) const DEFAULT_CORES: usize = 4;
 
 /// Time for which tasks may still start at the former size after a worker has shrunk: the 3 s
-/// for which a process relies on its last contact with the store, and one heartbeat of 1.5 s.
+/// for which an owner may rely on the registrations that it has read, and one heartbeat of 1.5
+/// s.
 const SHRINK_GRACE: Duration = Duration::from_millis(4500);
 
 /// Current number of cores of a worker, and its recent larger sizes.
--- a/crates/site/src/finish.rs
+++ b/crates/site/src/finish.rs
@@ -25,8 +25,8 @@
     /// `fail`, a run time in milliseconds, or `crash INDEX TIME`: the task with this index
     /// crashes its worker, the others succeed after the time. A third number is the time until
     /// the crash.
-    pub(crate) fn from_text(text: &str, task: &str) -> (Finish, Duration) {
-        let mut words = text.split(' ');
+    pub(crate) fn from_text(payload: &str, task: &str) -> (Finish, Duration) {
+        let mut words = payload.split(' ');
         let first = words.next().unwrap_or_default();
         let number = |word: Option<&str>| word.and_then(|word| word.parse().ok());
         let time = |word: Option<&str>| number(word).map(Duration::from_millis);
@@ -34,12 +34,12 @@
             "fail" => (Finish::Fails, DEFAULT_RUN_TIME),
             "crash" => {
                 let index = words.next();
-                let whole = time(words.next()).unwrap_or(DEFAULT_RUN_TIME);
-                let until = time(words.next()).unwrap_or(DEFAULT_CRASH_TIME);
+                let run_time = time(words.next()).unwrap_or(DEFAULT_RUN_TIME);
+                let crash_time = time(words.next()).unwrap_or(DEFAULT_CRASH_TIME);
                 if task.rsplit('.').next() == index {
-                    (Finish::Crashes, until)
+                    (Finish::Crashes, crash_time)
                 } else {
-                    (Finish::Done, whole)
+                    (Finish::Done, run_time)
                 }
             }
             word => (Finish::Done, time(Some(word)).unwrap_or(DEFAULT_RUN_TIME)),
--- a/crates/site/src/loopback.rs
+++ b/crates/site/src/loopback.rs
@@ -20,19 +20,19 @@
 }
 
 impl LoopbackHost {
-    /// Returns host `index` of a cell. `net` is a number that is unique among the cells of a
+    /// Returns host `index` of a cell. `cell_number` is a number that is unique among the cells of a
     /// test program; the address also depends on the id of the test program, so that several
     /// programs can run at the same time.
     ///
     /// # Panics
     /// Panics if a cell has 255 hosts or more.
     #[must_use]
-    pub fn new(net: u8, index: usize) -> LoopbackHost {
+    pub fn new(cell_number: u8, index: usize) -> LoopbackHost {
         let program = u8::try_from(std::process::id() % 200).expect("below 200") + 20;
         let index = u8::try_from(index).expect("few hosts");
         LoopbackHost {
             index,
-            ip: Ipv4Addr::new(127, program, net, index + 1),
+            ip: Ipv4Addr::new(127, program, cell_number, index + 1),
         }
     }
 
--- a/crates/site/src/store.rs
+++ b/crates/site/src/store.rs
@@ -231,8 +231,8 @@
         web::json(StatusCode::OK, &json!({"ver": version, "now_ms": 0}))
     }
 
-    fn read(&self, asked: &Asked) -> Whole {
-        let text = |name: &str| asked.parameter(name).unwrap_or_default();
+    fn read(&self, request: &Asked) -> Whole {
+        let text = |name: &str| request.parameter(name).unwrap_or_default();
         let (table, part, from) = (text("table"), text("part"), text("from"));
         let limit = text("limit").parse().unwrap_or(500);
         let rows = self.lock();
@@ -249,25 +249,25 @@
         web::json(StatusCode::OK, &body)
     }
 
-    fn parts(&self, asked: &Asked) -> Whole {
-        let table = asked.parameter("table").unwrap_or_default();
+    fn parts(&self, request: &Asked) -> Whole {
+        let table = request.parameter("table").unwrap_or_default();
         let rows = self.lock();
         let names = rows.live.keys().filter(|name| name.0 == table);
         let parts: BTreeSet<&String> = names.map(|name| &name.1).collect();
         web::json(StatusCode::OK, &json!({"parts": parts, "has_more": false}))
     }
 
-    async fn feed(&self, asked: &Asked) -> Whole {
-        let number = |name: &str| asked.parameter(name).and_then(|text| text.parse().ok());
-        let table = asked.parameter("table").unwrap_or_default();
+    async fn feed(&self, request: &Asked) -> Whole {
+        let number = |name: &str| request.parameter(name).and_then(|text| text.parse().ok());
+        let table = request.parameter("table").unwrap_or_default();
         let after: u64 = number("after").unwrap_or(0);
         let wait = Duration::from_millis(number("wait_ms").unwrap_or(0));
         let until = tokio::time::Instant::now() + wait;
         let mut version = self.version.subscribe();
         loop {
             version.borrow_and_update();
-            if let Some(whole) = self.changes(&table, after, false) {
-                return whole;
+            if let Some(response) = self.changes(&table, after, false) {
+                return response;
             }
             if tokio::time::timeout_at(until, version.changed())
                 .await
@@ -316,26 +316,26 @@
 }
 
 impl Handler for FakeStore {
-    async fn handle(&self, asked: Asked) -> Whole {
+    async fn handle(&self, request: Asked) -> Whole {
         let faults = self.lock().faults;
         if faults.down {
             return web::error(StatusCode::SERVICE_UNAVAILABLE, "try later");
         }
-        let write = asked.path == "/-/rows-tx";
+        let write = request.path == "/-/rows-tx";
         let refused = match faults.refused_calls {
             RefusedCalls::Nothing => false,
             RefusedCalls::Reads => !write,
             RefusedCalls::Writes => write,
         };
-        let away = faults
+        let part_refused = faults
             .refused_part
-            .is_some_and(|part| concerns_part(&asked, part));
-        if refused || away {
+            .is_some_and(|part| concerns_part(&request, part));
+        if refused || part_refused {
             return web::error(StatusCode::SERVICE_UNAVAILABLE, "try later");
         }
-        match asked.path.as_str() {
+        match request.path.as_str() {
             "/-/rows-tx" => {
-                let body: Value = serde_json::from_slice(&asked.body).unwrap_or_default();
+                let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
                 self.count_transaction(&body);
                 if let Some(scripted_reply) = self.next_scripted(&body) {
                     if scripted_reply.commit {
@@ -344,35 +344,35 @@
                     return scripted_reply.reply().await;
                 }
                 tokio::time::sleep(faults.delay).await;
-                let whole = self.transact(&body);
+                let response = self.transact(&body);
                 if self.loses_reply() {
                     std::future::pending::<()>().await;
                 }
-                whole
+                response
             }
             "/-/rows-get" => {
-                let whole = self.read(&asked);
+                let response = self.read(&request);
                 let slow = faults.slow_rows;
                 if let Some((_, delay)) =
-                    slow.filter(|(table, _)| asked.parameter("table").as_deref() == Some(table))
+                    slow.filter(|(table, _)| request.parameter("table").as_deref() == Some(table))
                 {
                     tokio::time::sleep(delay).await;
                 }
-                whole
+                response
             }
-            "/-/rows-parts" => self.parts(&asked),
+            "/-/rows-parts" => self.parts(&request),
             "/-/rows-feed" => {
-                let whole = self.feed(&asked).await;
+                let response = self.feed(&request).await;
                 let slow = faults.slow_feed;
                 if let Some((_, delay)) =
-                    slow.filter(|(table, _)| asked.parameter("table").as_deref() == Some(table))
+                    slow.filter(|(table, _)| request.parameter("table").as_deref() == Some(table))
                 {
                     tokio::time::sleep(delay).await;
                 }
                 if self.lock().faults.hung_feed {
                     std::future::pending::<()>().await;
                 }
-                whole
+                response
             }
             _ => web::error(StatusCode::NOT_FOUND, "no such call"),
         }
@@ -396,11 +396,11 @@
 }
 
 /// Whether a call reads rows of a part or writes to it.
-fn concerns_part(asked: &Asked, part: &str) -> bool {
-    if asked.path != "/-/rows-tx" {
-        return asked.parameter("part").as_deref() == Some(part);
+fn concerns_part(request: &Asked, part: &str) -> bool {
+    if request.path != "/-/rows-tx" {
+        return request.parameter("part").as_deref() == Some(part);
     }
-    let body: Value = serde_json::from_slice(&asked.body).unwrap_or_default();
+    let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
     list(&body, "puts").iter().any(|put| put["part"] == part)
 }
 
@@ -440,13 +440,13 @@
 }
 
 impl Handler for StoreProxy {
-    async fn handle(&self, asked: Asked) -> Whole {
+    async fn handle(&self, request: Asked) -> Whole {
         self.wait_if_cut().await;
         if self.refused_calls.load(Ordering::Relaxed) {
             return web::error(StatusCode::SERVICE_UNAVAILABLE, "try later");
         }
-        let whole = self.store.handle(asked).await;
+        let response = self.store.handle(request).await;
         self.wait_if_cut().await;
-        whole
+        response
     }
 }
--- a/crates/site/src/supervisor.rs
+++ b/crates/site/src/supervisor.rs
@@ -62,7 +62,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Restart {
     /// Time between the end of the old incarnation and the start of the new one.
-    pub down: Duration,
+    pub downtime: Duration,
     /// Time from the start of the new incarnation until its registration is written.
     pub registration_delay: Duration,
     /// Milliseconds by which the worker's clock is set back during the restart.
@@ -72,9 +72,9 @@
 impl Restart {
     /// Returns a restart that takes `down` and registers at once.
     #[must_use]
-    pub fn after(down: Duration) -> Restart {
+    pub fn after(downtime: Duration) -> Restart {
         Restart {
-            down,
+            downtime,
             registration_delay: Duration::ZERO,
             clock_back: 0,
         }
@@ -170,7 +170,7 @@
     /// Ends the current incarnation and starts the next one under the same id.
     pub async fn restart(&self, restart: Restart) {
         self.current().die();
-        tokio::time::sleep(restart.down).await;
+        tokio::time::sleep(restart.downtime).await;
         self.start_incarnation(restart.clock_back);
         tokio::time::sleep(restart.registration_delay).await;
         self.register();
@@ -212,13 +212,13 @@
 }
 
 impl Handler for WorkerSupervisor {
-    async fn handle(&self, asked: Asked) -> Whole {
+    async fn handle(&self, request: Asked) -> Whole {
         let current = self.current();
-        let target = asked.headers.get(TARGET_INSTANCE);
+        let target = request.headers.get(TARGET_INSTANCE);
         let target = target.and_then(|value| value.to_str().ok());
         if !current.dead() && target.is_some_and(|id| id != current.id) {
             return web::json(StatusCode::MISDIRECTED_REQUEST, &json!({}));
         }
-        current.handle(asked).await
+        current.handle(request).await
     }
 }
--- a/crates/site/src/worker.rs
+++ b/crates/site/src/worker.rs
@@ -41,10 +41,10 @@
 }
 
 impl Run {
-    /// Returns the progress in percent.
+    /// Returns the progress in percent, 0 to 100.
     fn percent(&self) -> u128 {
-        let whole = (self.end - self.begin).as_millis().max(1);
-        (self.begin.elapsed().as_millis() * 100 / whole).min(100)
+        let total = (self.end - self.begin).as_millis().max(1);
+        (self.begin.elapsed().as_millis() * 100 / total).min(100)
     }
 }
 
@@ -70,11 +70,11 @@
 #[derive(Debug, Default)]
 #[allow(clippy::struct_excessive_bools)] // independent facts
 struct State {
-    fence: u64,
+    highest_token: u64,
     lease: u64,
     running: BTreeMap<String, Run>,
     ended: Vec<Ended>,
-    count: u64,
+    end_count: u64,
     /// Ends up to this number were judged when a lease expired or the worker went down.
     discarded_upto: u64,
     latest_ended: HashMap<String, u64>,
@@ -241,13 +241,13 @@
     /// Returns the highest fencing token that this incarnation has received.
     #[must_use]
     pub fn token(&self) -> u64 {
-        self.lock().fence
+        self.lock().highest_token
     }
 
     /// Returns the number of runs that have ended in this incarnation.
     #[must_use]
     pub fn ends(&self) -> u64 {
-        self.lock().count
+        self.lock().end_count
     }
 
     /// Returns the number of start commands that were left unanswered and are not carried out
@@ -314,16 +314,16 @@
             self.log
                 .push(WorkerEvent::Discarded(end.task.clone(), end.run));
         }
-        state.discarded_upto = state.count;
+        state.discarded_upto = state.end_count;
     }
 
     fn end(&self, state: &mut State, task: &str, how: &str) {
         let Some(run) = state.running.remove(task) else {
             return;
         };
-        state.count += 1;
+        state.end_count += 1;
         state.ended.push(Ended {
-            number: state.count,
+            number: state.end_count,
             task: task.to_owned(),
             run: run.number,
             how: how.to_owned(),
@@ -383,7 +383,7 @@
         if state
             .running
             .get(task)
-            .is_some_and(|held| held.number == run)
+            .is_some_and(|started| started.number == run)
         {
             self.end(state, task, "stopped");
         }
@@ -443,19 +443,19 @@
     }
 
     /// Checks and stores the fencing token; returns the refusal of an outdated one.
-    fn fence(&self, state: &mut State, body: &Value) -> Option<Whole> {
-        let fence = body["fencing_token"].as_u64().unwrap_or(0);
-        if fence < state.fence {
+    fn check_token(&self, state: &mut State, body: &Value) -> Option<Whole> {
+        let token = body["fencing_token"].as_u64().unwrap_or(0);
+        if token < state.highest_token {
             return Some(self.refuse("fence"));
         }
-        state.fence = fence;
+        state.highest_token = token;
         None
     }
 
     /// Carries out a command. Returns none for a lease renewal that is not refused, whose
     /// reply may have to wait for an end.
     fn execute(&self, state: &mut State, path: &str, body: &Value) -> Option<Whole> {
-        if let Some(refused) = self.fence(state, body) {
+        if let Some(refused) = self.check_token(state, body) {
             return Some(refused);
         }
         match path {
@@ -467,31 +467,31 @@
 }
 
 impl Handler for FakeWorker {
-    async fn handle(&self, asked: Asked) -> Whole {
-        let body: Value = serde_json::from_slice(&asked.body).unwrap_or_default();
-        let (whole, lost) = {
+    async fn handle(&self, request: Asked) -> Whole {
+        let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
+        let (response, lost) = {
             let mut state = self.lock();
             self.process_due(&mut state);
             let epoch = body["fencing_token"].as_u64().unwrap_or(0);
             let later = state.cut_from.is_some_and(|from| epoch >= from);
             let cut = later || epoch <= state.cut_upto;
-            if state.silent || cut || state.delayed.defer(&asked.path, &body) {
+            if state.silent || cut || state.delayed.defer(&request.path, &body) {
                 (None, true)
             } else {
-                let lost = asked.path == "/-/run-start" && state.lose_start_replies > 0;
+                let lost = request.path == "/-/run-start" && state.lose_start_replies > 0;
                 state.lose_start_replies -= usize::from(lost);
-                (self.execute(&mut state, &asked.path, &body), lost)
+                (self.execute(&mut state, &request.path, &body), lost)
             }
         };
         if lost {
             std::future::pending::<()>().await;
         }
-        let whole = match whole {
-            Some(whole) => whole,
+        let response = match response {
+            Some(response) => response,
             None => self.wait_for_end(&body).await,
         };
         let delay = self.lock().delay;
         tokio::time::sleep(delay).await;
-        whole
+        response
     }
 }
--- a/crates/site/src/worker_proxy.rs
+++ b/crates/site/src/worker_proxy.rs
@@ -79,8 +79,8 @@
         self.restarts.subscribe()
     }
 
-    async fn restart_if_armed(&self, asked: &Asked) {
-        if !acknowledges(asked) || !self.restart_armed.swap(false, Ordering::Relaxed) {
+    async fn restart_if_armed(&self, request: &Asked) {
+        if !acknowledges(request) || !self.restart_armed.swap(false, Ordering::Relaxed) {
             return;
         }
         self.supervisor
@@ -104,18 +104,18 @@
 }
 
 /// Whether a command acknowledges ends.
-fn acknowledges(asked: &Asked) -> bool {
-    let body: Value = serde_json::from_slice(&asked.body).unwrap_or_default();
+fn acknowledges(request: &Asked) -> bool {
+    let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
     body["seen_upto"].as_u64().is_some_and(|seen| seen > 0)
 }
 
 impl Handler for WorkerProxy {
-    async fn handle(&self, asked: Asked) -> Whole {
+    async fn handle(&self, request: Asked) -> Whole {
         if self.closed.load(Ordering::Relaxed) {
             std::future::pending::<()>().await;
         }
         let delay = *self.lock();
-        if asked.path == "/-/run-start" && !delay.is_zero() {
+        if request.path == "/-/run-start" && !delay.is_zero() {
             let (delayed_starts, supervisor) =
                 (self.delayed_starts.clone(), self.supervisor.clone());
             // The command arrives even if the caller no longer waits for the reply.
@@ -123,16 +123,16 @@
                 delayed_starts.fetch_add(1, Ordering::Relaxed);
                 tokio::time::sleep(delay).await;
                 delayed_starts.fetch_sub(1, Ordering::Relaxed);
-                supervisor.handle(asked).await
+                supervisor.handle(request).await
             });
             return carried.await.expect("a late start is carried out");
         }
-        if self.delayed_starts.load(Ordering::Relaxed) > 0 && acknowledges(&asked) {
+        if self.delayed_starts.load(Ordering::Relaxed) > 0 && acknowledges(&request) {
             self.overlapping_acks.fetch_add(1, Ordering::Relaxed);
         }
         if self.restart_armed.load(Ordering::Relaxed) {
-            self.restart_if_armed(&asked).await;
+            self.restart_if_armed(&request).await;
         }
-        self.supervisor.handle(asked).await
+        self.supervisor.handle(request).await
     }
 }
