--- a/crates/cell/tests/delayed_commands.rs
+++ b/crates/cell/tests/delayed_commands.rs
@@ -33,7 +33,7 @@
 
 /// Returns a plan that delays all commands of the selected kinds.
 fn delay_all(starts: bool, stops: bool, renewals: bool) -> DelayPlan {
-    let share = |delay_all: bool| if delay_all { 1.0 } else { 0.0 };
+    let share = |delayed: bool| if delayed { 1.0 } else { 0.0 };
     DelayPlan {
         starts: share(starts),
         stops: share(stops),
--- a/crates/site/src/run_log.rs
+++ b/crates/site/src/run_log.rs
@@ -132,16 +132,19 @@
                 WorkerEvent::Started(worker, task, run) => {
                     if let Some(other) = running.insert(task.clone(), worker.clone()) {
                         violations.push(format!(
-                            "{task} run {run} began on {worker}, runs on {other}"
+                            "{task} run {run} started on {worker} while the task runs on {other}"
                         ));
                     }
                     if done.contains_key(task) {
-                        violations.push(format!("{task} run {run} began on {worker}, was done"));
+                        violations.push(format!(
+                            "{task} run {run} started on {worker} after the task was done"
+                        ));
                     }
                     let failed = failures.get(task).map_or(0, HashSet::len);
                     if failed >= ATTEMPTS {
-                        violations
-                            .push(format!("{task} run {run} began after {failed} failed runs"));
+                        violations.push(format!(
+                            "{task} run {run} started after {failed} failed runs"
+                        ));
                     }
                 }
                 WorkerEvent::Ended(_, task, run, how) => {
