--- a/crates/cell/tests/crashing.rs
+++ b/crates/cell/tests/crashing.rs
@@ -47,8 +47,8 @@
 }
 
 /// Guards against losing the number of crashes when the owner that counted them is killed. Each
-/// owner here is killed one second after a crash, when the crash is known and saved; its
-/// successor knows neither the next run nor the worker that crashed under it.
+/// owner here is killed one second after a crash, when the crash is recorded and stored; its
+/// successor has seen neither the next run nor the worker that this run crashes.
 #[tokio::test(flavor = "multi_thread")]
 async fn crash_counts_survive_killed_owners() {
     let mut cell = TestCell::open(3, 6).await;
--- a/crates/cell/tests/failures.rs
+++ b/crates/cell/tests/failures.rs
@@ -126,11 +126,11 @@
     let cell = TestCell::open(2, 2).await;
     let caller = Caller::new();
     submit_jobs(&cell, &caller, 1, "20").await;
-    let lose = StoreFaults {
+    let lost_replies = StoreFaults {
         lost_replies: 3,
         ..StoreFaults::default()
     };
-    cell.store.set_faults(lose);
+    cell.store.set_faults(lost_replies);
     let path = "/plain/00000000000000c1";
 
     caller.submit(&cell.servers(), path, &job(2, "30")).await;
--- a/crates/cell/tests/restarts.rs
+++ b/crates/cell/tests/restarts.rs
@@ -160,7 +160,8 @@
     assert_jobs_complete(cell, &caller, &restarts).await;
 }
 
-/// Guards against inferring the order of two incarnations from their start times.
+/// Guards against inferring the order of two incarnations from their start times: the clock of a worker may be set
+/// back.
 #[tokio::test(flavor = "multi_thread")]
 async fn workers_whose_clock_was_set_back_are_used_again() {
     let caller = Caller::new();
--- a/crates/site/src/run_log.rs
+++ b/crates/site/src/run_log.rs
@@ -76,10 +76,10 @@
     #[must_use]
     pub fn starts(&self, job: &str) -> usize {
         let events = self.lock();
-        let began = events.iter().filter(
+        let started = events.iter().filter(
             |(_, event)| matches!(event, WorkerEvent::Started(_, task, _) if task.starts_with(job)),
         );
-        began.count()
+        started.count()
     }
 
     /// Returns the runs of the tasks of a job, in the order of their starts.
@@ -95,7 +95,7 @@
                         run: *run,
                         begin: *at,
                         end: None,
-                    })
+                    });
                 }
                 WorkerEvent::Ended(worker, task, run, how) => {
                     let ended = spans
--- a/crates/site/src/worker.rs
+++ b/crates/site/src/worker.rs
@@ -70,19 +70,26 @@
 #[derive(Debug, Default)]
 #[allow(clippy::struct_excessive_bools)] // independent facts
 struct State {
+    /// Highest fencing token received.
     highest_token: u64,
+    /// Expiry of the lease, in milliseconds of the worker's clock.
     lease: u64,
     running: BTreeMap<String, Run>,
     ended: Vec<Ended>,
+    /// Number of runs that have ended, which numbers them.
     end_count: u64,
     /// Ends up to this number were judged when a lease expired or the worker went down.
     discarded_upto: u64,
+    /// Highest run of each task that has ended or was stopped; older starts are refused.
     latest_ended: HashMap<String, u64>,
+    /// Calls get no reply.
     silent: bool,
+    /// The incarnation has ended.
     dead: bool,
     /// A task has crashed the worker.
     crashed: bool,
     capacity: Cores,
+    /// Number of the next start commands that are carried out and not answered.
     lose_start_replies: usize,
     /// Commands of this epoch and later ones do not arrive.
     cut_from: Option<u64>,
