--- a/crates/cell/tests/restarts.rs
+++ b/crates/cell/tests/restarts.rs
@@ -38,8 +38,8 @@
 /// Restarts all workers at the same time.
 async fn restart_all(cell: &TestCell, restart: Restart) {
     let mut restarts = tokio::task::JoinSet::new();
-    for place in cell.supervisors.clone() {
-        restarts.spawn(async move { place.restart(restart).await });
+    for supervisor in cell.supervisors.clone() {
+        restarts.spawn(async move { supervisor.restart(restart).await });
     }
     restarts.join_all().await;
 }
@@ -97,13 +97,15 @@
 async fn a_task_that_crashes_restarting_workers_fails() {
     let cell = TestCell::open_stable_ids(2, 6).await;
     let caller = Caller::new();
-    let payload = job(1, "crash 0 300");
-    caller.submit(&cell.servers(), &path(0xd1), &payload).await;
+    let crashing_job = job(1, "crash 0 300");
+    caller
+        .submit(&cell.servers(), &path(0xd1), &crashing_job)
+        .await;
     submit(&cell, &caller, 0xe00, 10, "300").await;
 
     let servers = cell.servers();
-    let path_of_crashing = path(0xd1);
-    let failed = caller.wait_state(&servers, &path_of_crashing, "failed");
+    let crashing_path = path(0xd1);
+    let failed = caller.wait_state(&servers, &crashing_path, "failed");
     let failed = tokio::time::timeout(Duration::from_secs(20), failed).await;
 
     let starts = cell.log.starts("00000000000000d1");
@@ -152,8 +154,8 @@
 async fn renewals_delayed_across_a_restart_are_harmless() {
     let caller = Caller::new();
     let cell = open_with_history(&caller).await;
-    for place in &cell.supervisors {
-        place.current().set_delay_plan(delayed_renewals(0.4));
+    for supervisor in &cell.supervisors {
+        supervisor.current().set_delay_plan(delayed_renewals(0.4));
     }
 
     let restarts = [200, 700, 50].map(|down| Restart::after(Duration::from_millis(down)));
@@ -259,13 +261,13 @@
     let cell = open_with_history(&caller).await;
     submit(&cell, &caller, 0x1000, 4, "600").await;
 
-    for place in &cell.supervisors {
-        place.current().set_omits_incarnation(true);
+    for supervisor in &cell.supervisors {
+        supervisor.current().set_omits_incarnation(true);
     }
     tokio::time::sleep(Duration::from_millis(1500)).await;
     let starts = cell.log.starts("");
-    for place in &cell.supervisors {
-        place.current().set_omits_incarnation(false);
+    for supervisor in &cell.supervisors {
+        supervisor.current().set_omits_incarnation(false);
     }
     wait_jobs(&cell, &caller, 0x1000, 4, "completed").await;
 
--- a/crates/site/src/worker_proxy.rs
+++ b/crates/site/src/worker_proxy.rs
@@ -125,7 +125,7 @@
                 delayed_starts.fetch_sub(1, Ordering::Relaxed);
                 supervisor.handle(request).await
             });
-            return carried.await.expect("a late start is carried out");
+            return carried.await.expect("the delayed start is carried out");
         }
         if self.delayed_starts.load(Ordering::Relaxed) > 0 && acknowledges(&request) {
             self.overlapping_acks.fetch_add(1, Ordering::Relaxed);
