--- a/crates/bench/benches/main/main.rs
+++ b/crates/bench/benches/main/main.rs
@@ -102,7 +102,7 @@
     let mut term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
         .expect("signal handler");
     let crash = tokio::select! {
-        error = process.crashed() => Some(error),
+        error = process.wait_for_failure() => Some(error),
         _ = term.recv() => None,
     };
     if let Some(error) = crash {
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -1,67 +1,70 @@
-//! Why a process cannot start.
+//! Errors of a process.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use snafu::Snafu;
 
-/// Why a process cannot start, or had to end.
+/// The reason why a process cannot start, or had to stop.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum DaemonError {
     /// The settings file cannot be read.
     #[snafu(display("{}: {source}", path.display()))]
     Read {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// Error of the system.
+        /// Error from the operating system.
         source: std::io::Error,
     },
-    /// The settings are not what they should be.
+    /// The settings file is invalid.
     #[snafu(display("{}: {reason}", path.display()))]
     Settings {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// Line, field, what was found and what is allowed.
+        /// Line and field of the error, the value found and the values allowed.
         reason: String,
     },
     /// The address for callers cannot be bound.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// The address.
+        /// Address from the settings.
         address: SocketAddr,
-        /// Error of the system.
+        /// Error from the operating system.
         source: std::io::Error,
     },
     /// The transport between processes cannot be opened.
     #[snafu(display("{source}"), context(false))]
     Peer {
-        /// Its error.
+        /// Error from the transport.
         source: peer::OpenError,
     },
-    /// The metrics cannot be set up.
+    /// The metrics cannot be registered.
     #[snafu(display("metrics: {source}"), context(false))]
     Metrics {
-        /// Its error.
+        /// Error from the metrics registry.
         source: prometheus::Error,
     },
-    /// The cell was made with other facts.
-    #[snafu(display("cell.shards: found {found}, allowed: {allowed}, as the cell was made"))]
-    Facts {
-        /// Number in the settings.
+    /// The settings name another number of shards than the cell was created with, or the
+    /// facts of the cell have another format.
+    #[snafu(display(
+        "cell.shards: found {found}, allowed: {allowed}, the number that the cell was created with"
+    ))]
+    ShardCount {
+        /// Number of shards in the settings.
         found: u16,
-        /// Number in the table.
+        /// Number of shards in the table.
         allowed: u16,
     },
-    /// The facts of the cell cannot be read.
+    /// The facts of the cell in the table cannot be decoded.
     #[snafu(display("{source}"), context(false))]
     Store {
-        /// Its error.
+        /// Error from decoding the row.
         source: shard::ShardError,
     },
-    /// A task that the process cannot do without has ended.
+    /// An essential task has ended, which none does in normal operation.
     #[snafu(display("the task {task} has ended unexpectedly"))]
-    Crashed {
+    TaskEnded {
         /// Name of the task.
         task: &'static str,
     },
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! Command line of the entry daemon.
+//! Command line of the `clovermountd` daemon.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -6,9 +6,9 @@
 use argh::FromArgs;
 use cell::CellProcess;
 use cell::CellSettings;
-use daemon::Notice;
 use daemon::Process;
 use daemon::Settings;
+use daemon::SignalAction;
 use daemon::Signals;
 
 /// Entry process of a clovermount cell. It runs until SIGTERM or SIGINT, then
@@ -40,7 +40,7 @@
     }
 }
 
-/// Exit code and text of a failed run.
+/// Exit code and error message of a failed run.
 type Failure = (u8, String);
 
 fn failure(code: u8, error: impl std::fmt::Display) -> Failure {
@@ -60,15 +60,15 @@
         .await
         .map_err(|error| failure(1, error))?;
     tokio::select! {
-        error = process.crashed() => return Err(failure(1, error)),
-        () = signals.stop() => {}
+        error = process.wait_for_failure() => return Err(failure(1, error)),
+        () = signals.wait_for_stop() => {}
     }
     process.close().await;
     Ok(())
 }
 
-/// Runs a process on the platform: one thread, since an entry host has a part
-/// of a core.
+/// Runs a process on the platform, on a single thread: an entry host has only a fraction of
+/// a core.
 fn run_cell() -> Result<(), Failure> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -84,15 +84,15 @@
     let path = CellSettings::path().map_err(|error| failure(2, error))?;
     log::info!(code = 105, settings:% = path.display(); "starting");
     let settings = CellSettings::load(&path).map_err(|error| failure(2, error))?;
-    let mut known = settings.clone();
+    let mut current = settings.clone();
     let process = CellProcess::open(settings)
         .await
         .map_err(|error| failure(2, error))?;
     loop {
         tokio::select! {
-            notice = signals.next() => match notice {
-                Notice::Stop => break,
-                Notice::Reload => cell::reload_settings(&path, &mut known),
+            action = signals.next() => match action {
+                SignalAction::Stop => break,
+                SignalAction::Reload => cell::reload_settings(&path, &mut current),
             },
             () = logs.report_dropped() => {}
         }
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -1,9 +1,9 @@
-//! One running process: its supervisor tree, its start and its stop.
+//! One running process: its start and the supervision of its tasks.
 //!
-//! The supervisor owns five tasks: the upload of events, the host list watch, the service for other
-//! processes, the keeper (which in turn owns the shards, and each shard its
-//! links and journal) and the HTTP server. None of them ends by itself; if
-//! one does, the process stops as a whole, and the other processes take over.
+//! [`Process`] owns five tasks: the upload of events, the host list watch, the service for
+//! other processes, the keeper (which owns the shards, each with its journal and its links
+//! to workers) and the HTTP server. None of them ends in normal operation; if one does, the
+//! whole process stops, and the other processes take over its shards.
 
 use std::hash::BuildHasher;
 use std::hash::Hasher;
@@ -55,26 +55,26 @@
 use crate::Settings;
 use crate::upload_events;
 
-/// Threads that run a process's tasks. An entry host is small, and each more
-/// thread costs memory (an arena of its own) and wake-ups.
-const THREADS: usize = 2;
+/// Worker threads of the runtime. Entry hosts are small, and each additional thread costs
+/// memory (an allocator arena of its own) and wake-ups.
+const WORKER_THREADS: usize = 2;
 
-/// The runtime of a process.
+/// Builds the Tokio runtime of a process.
 ///
 /// # Errors
-/// The system gives no threads.
+/// The operating system cannot create the threads.
 pub fn make_runtime() -> std::io::Result<tokio::runtime::Runtime> {
     let mut builder = tokio::runtime::Builder::new_multi_thread();
-    builder.worker_threads(THREADS).enable_all().build()
+    builder.worker_threads(WORKER_THREADS).enable_all().build()
 }
 
-/// Longest wait for one call to a worker.
+/// Timeout of one call to a worker.
 const WORKER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Pause before the facts of the cell are read again.
-const FACTS_PAUSE: Duration = Duration::from_millis(300);
+/// Delay before [`CELL_FACTS`] is read again after the table failed.
+const FACTS_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// The context of a process that talks to the platform over HTTP.
+/// Context of a process that reaches the platform's services over HTTP.
 type HttpContext = Context<HttpTable, HttpObjects, HttpHosts>;
 
 /// A running process.
@@ -91,7 +91,7 @@
     pub(crate) tasks: Tasks,
 }
 
-/// Tasks that the process cannot do without.
+/// Essential tasks: if one of them ends, the process stops.
 #[derive(Debug)]
 pub(crate) struct Tasks {
     hosts: JoinHandle<()>,
@@ -102,7 +102,7 @@
 }
 
 impl Tasks {
-    /// Ends all of them.
+    /// Aborts all tasks.
     pub(crate) fn close(self) {
         let tasks = [self.hosts, self.peers, self.keeper, self.http, self.upload];
         for task in tasks {
@@ -112,7 +112,7 @@
 }
 
 impl Process {
-    /// Starts a process.
+    /// Joins the cell and starts the tasks of the process.
     ///
     /// # Errors
     /// See [`DaemonError`].
@@ -168,7 +168,7 @@
             http: tokio::spawn(web::serve(
                 listener,
                 Arc::new(api),
-                limits(settings),
+                http_limits(settings),
                 stop_view,
             )),
         };
@@ -189,14 +189,15 @@
         })
     }
 
-    /// Where callers reach it.
+    /// The address on which the process serves callers.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns when a task that the process cannot do without has ended.
-    pub async fn crashed(&mut self) -> DaemonError {
+    /// Waits until an essential task has ended, closes the gate so that the shards decide
+    /// nothing more, and returns the error that names the task.
+    pub async fn wait_for_failure(&mut self) -> DaemonError {
         let task = tokio::select! {
             _ = &mut self.tasks.hosts => "hosts",
             _ = &mut self.tasks.peers => "peers",
@@ -207,11 +208,11 @@
         self.context.gate.shut();
         let event = Event::new(Kind::TaskCrashed).detail(task);
         self.context.timeline.record(event);
-        DaemonError::Crashed { task }
+        DaemonError::TaskEnded { task }
     }
 }
 
-fn limits(settings: &Settings) -> web::Limits {
+fn http_limits(settings: &Settings) -> web::Limits {
     web::Limits {
         body_bytes: settings.http.body_bytes,
         head_bytes: settings.http.head_bytes,
@@ -250,9 +251,11 @@
     })
 }
 
-/// The number of shards is fixed when the first process of a cell starts. A
-/// process with another number would route requests to other shards, and the
-/// same id could run twice. Gives the cell, which the first process names.
+/// Checks the settings against the cell's facts in the table and returns the cell's id; the
+/// first process of a cell writes the facts and chooses the id.
+///
+/// The number of shards is fixed from then on. A process with another number would route
+/// requests to other shards, and the same request id could run twice.
 async fn join_cell(context: &HttpContext) -> Result<CellId, DaemonError> {
     let facts = CellFacts {
         format: FORMAT,
@@ -265,22 +268,23 @@
     loop {
         match context.table.get(CELL_FACTS).await {
             Ok(Some(row)) => {
-                let made: CellFacts = decode_row(&row)?;
-                if (made.format, made.shards) == (facts.format, facts.shards) {
-                    return Ok(made.cell);
+                let existing: CellFacts = decode_row(&row)?;
+                if (existing.format, existing.shards) == (facts.format, facts.shards) {
+                    return Ok(existing.cell);
                 }
-                return Err(DaemonError::Facts {
+                return Err(DaemonError::ShardCount {
                     found: facts.shards,
-                    allowed: made.shards,
+                    allowed: existing.shards,
                 });
             }
             Ok(None) => {
-                // Whoever wins, the next read tells.
+                // Other processes may write the row at the same time: the next read returns
+                // the one that was committed.
                 let _ = context.table.commit(&commit).await;
             }
             Err(error) => {
-                log::warn!("waiting for the table: {error}");
-                tokio::time::sleep(FACTS_PAUSE).await;
+                log::warn!("cannot read the facts of the cell, retrying: {error}");
+                tokio::time::sleep(FACTS_RETRY_DELAY).await;
             }
         }
     }
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a process, read from a YAML file and checked as a whole.
+//! Settings of a process: read from a YAML file and validated.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -20,101 +20,101 @@
 pub struct Settings {
     /// Name of the process, unique in the cell, the same after a restart.
     pub name: String,
-    /// Failure domain that it stands in.
+    /// Failure domain of the process.
     pub domain: String,
-    /// Facts of the cell.
+    /// Settings that all processes of the cell share.
     pub cell: CellSettings,
-    /// Where callers and operators reach it.
+    /// HTTP interface for callers and operators.
     pub http: HttpSettings,
-    /// Where the other processes reach it.
+    /// Transport between the processes of the cell.
     pub peer: PeerSettings,
-    /// The platform's services.
+    /// Addresses of the platform's services.
     pub platform: PlatformSettings,
-    /// Time limits of ownership.
+    /// Durations of leases and of stored answers.
     #[serde(default)]
     pub lease: LeaseSettings,
-    /// Tokens of callers and operators.
+    /// Access tokens of callers and operators.
     #[serde(default)]
     pub tokens: Vec<Token>,
 }
 
-/// Facts of the cell, the same in the settings of all its processes.
+/// Settings of the cell, the same for all its processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CellSettings {
-    /// Number of shards, fixed when the cell is made.
+    /// Number of shards, fixed when the first process of the cell starts.
     pub shards: u16,
-    /// Writes a second that the table takes from the whole cell.
+    /// Writes per second that the table accepts from the whole cell.
     pub write_rate: u32,
 }
 
-/// Where callers and operators reach the process.
+/// HTTP interface for callers and operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HttpSettings {
-    /// Address to listen on.
+    /// Listen address.
     pub listen: SocketAddr,
-    /// Most open connections.
+    /// Maximum number of open connections.
     #[serde(default = "default_connections")]
     pub connections: usize,
-    /// Most requests in flight for each team.
+    /// Maximum number of requests in flight for each team.
     #[serde(default = "default_flight")]
     pub in_flight: usize,
-    /// Largest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     #[serde(default = "default_body")]
     pub body_bytes: usize,
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request head (request line and headers), in bytes.
     #[serde(default = "default_head")]
     pub head_bytes: usize,
-    /// Longest silence on a connection, in milliseconds.
+    /// Idle timeout of a connection, in milliseconds.
     #[serde(default = "default_idle")]
     pub idle_millis: u64,
 }
 
-/// Where the other processes reach the process.
+/// Transport between the processes of the cell.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSettings {
-    /// Address to listen on.
+    /// Listen address.
     pub listen: SocketAddr,
-    /// Address that the others use, if it is another.
+    /// Address that the other processes connect to, if it differs from `listen`.
     #[serde(default)]
     pub advertise: Option<SocketAddr>,
     /// Folder with the key files.
     pub keys: PathBuf,
 }
 
-/// The platform's services.
+/// Addresses of the platform's services.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// The transactional table.
+    /// Address of the transactional table.
     pub table: SocketAddr,
-    /// The object store.
+    /// Address of the object store.
     pub objects: SocketAddr,
-    /// The host list.
+    /// Address of the host list.
     pub hosts: SocketAddr,
-    /// Longest wait for one call, in milliseconds.
+    /// Timeout of one call, in milliseconds.
     #[serde(default = "default_timeout")]
     pub timeout_millis: u64,
 }
 
-/// Time limits of ownership.
+/// Durations of leases and of stored answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LeaseSettings {
-    /// Standstill after which another process takes the shards, in
-    /// milliseconds.
+    /// Time without a renewal of the process's lease after which another process takes its
+    /// shards over, in milliseconds.
     pub ttl_millis: u64,
-    /// Interval of renewals, in milliseconds.
+    /// Interval between renewals of the lease, in milliseconds.
     pub renew_millis: u64,
-    /// How long a renewal lets the process act, in milliseconds.
+    /// Time after a renewal for which the process may act on its lease, in milliseconds.
     pub hold_millis: u64,
-    /// Lease of tasks on workers, in milliseconds.
+    /// Duration of the lease under which workers run tasks, in milliseconds.
     pub task_millis: u64,
-    /// How long answers are remembered, in milliseconds.
+    /// Retention time of answers to requests, in milliseconds.
     pub retention_millis: u64,
-    /// Whether a timed-out lease is claimed again with its state kept.
+    /// Whether a process whose lease has expired may claim it again and keep its state.
     pub reclaim: bool,
 }
 
@@ -168,10 +168,11 @@
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// The file cannot be read, or its first mistake with line and field.
+    /// The file cannot be read or is invalid; the error names the first invalid field and its
+    /// line.
     pub fn load(path: &Path) -> Result<Settings, DaemonError> {
         let text = std::fs::read_to_string(path).context(ReadSnafu { path })?;
         Settings::parse(&text).map_err(|reason| DaemonError::Settings {
@@ -180,74 +181,74 @@
         })
     }
 
-    /// Reads and checks a text.
+    /// Parses and validates settings in YAML.
     ///
     /// # Errors
-    /// The first mistake, with line and field where they are known.
+    /// Message that names the first invalid field, and its line if that is known.
     pub fn parse(text: &str) -> Result<Settings, String> {
         let settings: Settings = serde_saphyr::from_str(text).map_err(|error| error.to_string())?;
-        match settings.broken_rule() {
+        match settings.first_violation() {
             None => Ok(settings),
-            Some(rule) => Err(rule.message(text)),
+            Some(violation) => Err(violation.message(text)),
         }
     }
 
-    fn broken_rule(&self) -> Option<Rule> {
+    fn first_violation(&self) -> Option<Violation> {
         let (cell, lease, http) = (&self.cell, &self.lease, &self.http);
-        let renew_most = lease.hold_millis / 2;
-        let hold_most = lease.ttl_millis.saturating_sub(lease.ttl_millis / 10);
-        let rules = [
-            rule("name", &self.name, is_name(&self.name), NAME_RULE),
-            rule("domain", &self.domain, is_name(&self.domain), NAME_RULE),
-            rule(
+        let max_renew = lease.hold_millis / 2;
+        let max_hold = lease.ttl_millis.saturating_sub(lease.ttl_millis / 10);
+        let checks = [
+            violation("name", &self.name, is_name(&self.name), NAME_FORMAT),
+            violation("domain", &self.domain, is_name(&self.domain), NAME_FORMAT),
+            violation(
                 "shards",
                 cell.shards,
                 (1..=1024).contains(&cell.shards),
                 "1 to 1024",
             ),
-            rule(
+            violation(
                 "write_rate",
                 cell.write_rate,
                 (10..=100_000).contains(&cell.write_rate),
                 "10 to 100000",
             ),
-            rule(
+            violation(
                 "connections",
                 http.connections,
                 (1..=100_000).contains(&http.connections),
                 "1 to 100000",
             ),
-            rule(
+            violation(
                 "in_flight",
                 http.in_flight,
                 http.in_flight >= 1,
                 "1 or more",
             ),
-            rule(
+            violation(
                 "ttl_millis",
                 lease.ttl_millis,
                 (500..=3000).contains(&lease.ttl_millis),
                 "500 to 3000",
             ),
-            rule(
+            violation(
                 "hold_millis",
                 lease.hold_millis,
-                (100..=hold_most).contains(&lease.hold_millis),
+                (100..=max_hold).contains(&lease.hold_millis),
                 "100 to nine tenths of ttl_millis",
             ),
-            rule(
+            violation(
                 "renew_millis",
                 lease.renew_millis,
-                (50..=renew_most).contains(&lease.renew_millis),
+                (50..=max_renew).contains(&lease.renew_millis),
                 "50 to half of hold_millis",
             ),
-            rule(
+            violation(
                 "task_millis",
                 lease.task_millis,
                 lease.task_millis >= lease.ttl_millis * 3,
                 "at least three times ttl_millis",
             ),
-            rule(
+            violation(
                 "timeout_millis",
                 self.platform.timeout_millis,
                 (10..=10_000).contains(&self.platform.timeout_millis),
@@ -255,50 +256,51 @@
             ),
         ];
         let tokens = self.tokens.iter().map(|token| {
-            let hex =
+            let is_hex =
                 token.sha256.len() == 64 && token.sha256.bytes().all(|b| b.is_ascii_hexdigit());
-            rule("sha256", &token.sha256, hex, "64 hexadecimal digits")
+            violation("sha256", &token.sha256, is_hex, "64 hexadecimal digits")
         });
-        rules.into_iter().chain(tokens).flatten().next()
+        checks.into_iter().chain(tokens).flatten().next()
     }
 }
 
-const NAME_RULE: &str = "1 to 64 letters, digits, hyphens and dots";
+const NAME_FORMAT: &str = "1 to 64 letters, digits, hyphens and dots";
 
 fn is_name(text: &str) -> bool {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'.');
-    (1..=64).contains(&text.len()) && text.bytes().all(plain)
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'.');
+    (1..=64).contains(&text.len()) && text.bytes().all(is_allowed)
 }
 
-/// A rule that a field breaks.
-struct Rule {
+/// A field whose value is not allowed.
+struct Violation {
     field: &'static str,
     found: String,
     allowed: &'static str,
 }
 
-fn rule(
+fn violation(
     field: &'static str,
     found: impl std::fmt::Display,
-    holds: bool,
+    valid: bool,
     allowed: &'static str,
-) -> Option<Rule> {
-    (!holds).then(|| Rule {
+) -> Option<Violation> {
+    (!valid).then(|| Violation {
         field,
         found: found.to_string(),
         allowed,
     })
 }
 
-impl Rule {
-    /// Names the line of the field, when the text has it.
+impl Violation {
+    /// Formats the violation as an error message, with the line of the field if it is found in
+    /// `text`.
     fn message(&self, text: &str) -> String {
-        let named = |line: &&str| {
+        let names_field = |line: &&str| {
             let line = line.trim_start().trim_start_matches("- ");
             line.starts_with(&format!("{}:", self.field)) && line.contains(&self.found)
         };
-        let number = text.lines().position(|line| named(&line));
-        let line = number.map_or_else(String::new, |index| format!("line {}: ", index + 1));
+        let line_index = text.lines().position(|line| names_field(&line));
+        let line = line_index.map_or_else(String::new, |index| format!("line {}: ", index + 1));
         format!(
             "{line}{}: found {:?}, allowed: {}",
             self.field, self.found, self.allowed
--- a/crates/daemon/src/signals.rs
+++ b/crates/daemon/src/signals.rs
@@ -1,14 +1,14 @@
-//! Signals that the platform sends to a process.
+//! Unix signals by which the platform stops a process or makes it reload its settings.
 
 use tokio::signal::unix::Signal;
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
 
-/// Signals that are handled from the moment of [`Signals::install`] on.
+/// Handlers of SIGTERM, SIGINT and SIGHUP.
 ///
-/// Until then their defaults hold, which end the process: one that was told of
-/// changed settings while it was starting died of it. So they are installed
-/// before anything else is done.
+/// Before [`Signals::install`] the default action of these signals applies, which ends the
+/// process: a SIGHUP for changed settings during the start once killed it. So the handlers
+/// are installed before anything else is done.
 #[derive(Debug)]
 pub struct Signals {
     hangup: Signal,
@@ -17,10 +17,10 @@
 }
 
 impl Signals {
-    /// Installs the handlers; needs a runtime.
+    /// Installs the handlers. Must be called within a Tokio runtime.
     ///
     /// # Errors
-    /// The system refuses a handler.
+    /// The operating system rejects a handler.
     pub fn install() -> std::io::Result<Signals> {
         Ok(Signals {
             hangup: signal(SignalKind::hangup())?,
@@ -29,26 +29,26 @@
         })
     }
 
-    /// Waits for the next signal.
-    pub async fn next(&mut self) -> Notice {
+    /// Waits for the next signal and returns the action that it requests.
+    pub async fn next(&mut self) -> SignalAction {
         tokio::select! {
-            _ = self.terminate.recv() => Notice::Stop,
-            _ = self.interrupt.recv() => Notice::Stop,
-            _ = self.hangup.recv() => Notice::Reload,
+            _ = self.terminate.recv() => SignalAction::Stop,
+            _ = self.interrupt.recv() => SignalAction::Stop,
+            _ = self.hangup.recv() => SignalAction::Reload,
         }
     }
 
-    /// Waits until the process is asked to stop.
-    pub async fn stop(&mut self) {
-        while self.next().await != Notice::Stop {}
+    /// Waits for SIGTERM or SIGINT and ignores SIGHUP.
+    pub async fn wait_for_stop(&mut self) {
+        while self.next().await != SignalAction::Stop {}
     }
 }
 
-/// What a signal asks for.
+/// The action that a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Notice {
-    /// Finish what is under way and end (SIGTERM, SIGINT).
+pub enum SignalAction {
+    /// Finish the requests in progress and exit (SIGTERM, SIGINT).
     Stop,
-    /// Read the settings again (SIGHUP).
+    /// Reload the settings file (SIGHUP).
     Reload,
 }
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -1,8 +1,8 @@
-//! The planned stop of a process: its steps, each within a bound of its own.
+//! The planned stop of a process, in steps that each have a timeout.
 //!
-//! A platform gives a process some 30 s between asking it to stop and killing
-//! it. So the steps together take less, whatever the platform's services, the
-//! other processes or the callers do; what a step left undone is logged.
+//! Platforms kill a process about 30 s after SIGTERM. The timeouts add up to less, so the
+//! stop completes in time even if the platform's services, the other processes or the
+//! callers do not respond. Each step records an event that says what it left undone.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -17,34 +17,35 @@
 use crate::Process;
 use crate::upload_since;
 
-/// Longest wait for the end of the hand-over. A shard has 5 s to finish its
-/// journal, after that a call to the table or two follow.
-const HANDOVER: Duration = Duration::from_secs(8);
+/// Timeout of the hand-over. A shard has 5 s to finish its journal, then one or two calls
+/// to the table follow.
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Time for which a leaving process still takes requests, so that the
-/// balancer has seen its health and none is refused.
+/// Time for which a stopping process still accepts requests, so that the load balancer sees
+/// the failing health check before connections are refused.
 const BALANCER_GRACE: Duration = Duration::from_millis(1500);
 
-/// Longest wait for the answers to requests in progress; as long as a caller
-/// waits who only wants to know that a request was accepted.
-const CALLERS: Duration = Duration::from_secs(10);
+/// Timeout for the answers to requests in progress. Equals the wait of a caller that only
+/// needs to know whether its request was accepted.
+const ANSWERS_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Longest wait for the callers to take in that they have to ask elsewhere,
-/// and for the other processes to take in that this one is gone.
-const FAREWELL: Duration = Duration::from_secs(1);
+/// Timeout for sending the remaining callers their pending answers, and again for closing
+/// the connections to the other processes.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Process {
-    /// Planned stop: hands the shards over, lets the requests in progress
-    /// finish, refuses none. Callers of long tasks are told to ask again.
+    /// Stops the process as planned: hands the shards over and lets the requests in progress
+    /// finish, without refusing any. Callers of long tasks get a pending answer and ask
+    /// another process.
     pub async fn close(mut self) {
         self.context.timeline.record(Event::new(Kind::StopBegan));
         self.leaving.send_replace(true);
         self.hand_over().await;
         tokio::time::sleep(BALANCER_GRACE).await;
         self.stop.send_replace(true);
-        self.serve_out().await;
+        self.drain_callers().await;
         self.tasks.close();
-        let _ = timeout(FAREWELL, self.node.close()).await;
+        let _ = timeout(CLOSE_TIMEOUT, self.node.close()).await;
         self.context.timeline.record(Event::new(Kind::Stopped));
         upload_since(&self.context.objects, &self.context.timeline, 0).await;
     }
@@ -56,35 +57,38 @@
             self.keeper.send(KeeperOrder::Leave(done)).await.ok()?;
             left.await.ok()
         };
-        let how = match timeout(HANDOVER, order).await {
+        let outcome = match timeout(HANDOVER_TIMEOUT, order).await {
             Ok(Some(handover)) => describe(handover),
-            Ok(None) => "hand-over: nobody to make it".to_owned(),
-            Err(_) => "hand-over: cut short".to_owned(),
+            Ok(None) => "hand-over: not made, the keeper task has ended".to_owned(),
+            Err(_) => "hand-over: timed out".to_owned(),
         };
-        self.record_step(began, &how);
+        self.record_step(began, &outcome);
     }
 
-    /// Waits for the callers. A request may run for longer than this process
-    /// has time, wherever it runs; a stop that waits for its answer is killed
-    /// by the platform and breaks the connections of all. So callers that
-    /// still wait are told in time that there is no answer yet.
-    async fn serve_out(&mut self) {
+    /// Waits for the answers to open requests, then dismisses the callers that still wait.
+    ///
+    /// A request may run for longer than the platform lets this process stop. Waiting for its
+    /// answer would end in a kill that breaks all connections, so callers that still wait
+    /// after [`ANSWERS_TIMEOUT`] get a pending answer.
+    async fn drain_callers(&mut self) {
         let began = Instant::now();
-        if timeout(CALLERS, &mut self.tasks.http).await.is_ok() {
+        if timeout(ANSWERS_TIMEOUT, &mut self.tasks.http).await.is_ok() {
             self.record_step(began, "callers: all connections have ended");
             return;
         }
         let open = self.flight.open();
         self.dismiss.send_replace(true);
-        let ended = timeout(FAREWELL, &mut self.tasks.http).await.is_ok();
-        let rest = if ended { "ended" } else { "cut" };
-        let how = format!("callers: {open} requests sent elsewhere, connections {rest}");
-        self.record_step(began, &how);
+        let ended = timeout(CLOSE_TIMEOUT, &mut self.tasks.http).await.is_ok();
+        let connections = if ended { "ended" } else { "cut" };
+        let outcome = format!(
+            "callers: {open} requests dismissed with a pending answer, connections {connections}"
+        );
+        self.record_step(began, &outcome);
     }
 
-    fn record_step(&self, began: Instant, how: &str) {
+    fn record_step(&self, began: Instant, outcome: &str) {
         let took = began.elapsed().as_millis();
-        let event = Event::new(Kind::StopStep).detail(format!("{how}; {took} ms"));
+        let event = Event::new(Kind::StopStep).detail(format!("{outcome}; {took} ms"));
         self.context.timeline.record(event);
     }
 }
--- a/crates/daemon/src/uploader.rs
+++ b/crates/daemon/src/uploader.rs
@@ -1,5 +1,5 @@
-//! Keeps the timeline in the platform's object store, at a bounded rate, so
-//! that the events of a process outlive it.
+//! Uploads the timeline to the platform's object store at a bounded rate, so that the events
+//! of a process can be read after it has ended.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,31 +9,30 @@
 use event::Timeline;
 use store::Objects;
 
-/// Interval of uploads; one object each, if anything happened.
-const INTERVAL: Duration = Duration::from_secs(5);
+/// Interval between uploads. Each writes one object if there are new events.
+const UPLOAD_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Most events in one object; the rest follows with the next.
-const EVENTS: usize = 4000;
+/// Maximum number of events in one object; the rest goes into the next object.
+const MAX_EVENTS: usize = 4000;
 
-/// Uploads new events until the process ends. While the store is down they
-/// stay in the ring in memory, which forgets the oldest.
+/// Uploads new events until the process ends. While the object store is down, events stay in
+/// the timeline's ring buffer, which drops the oldest when it is full.
 pub async fn upload_events<O: Objects>(objects: O, timeline: Arc<Timeline>) {
     let mut after = 0;
     loop {
-        tokio::time::sleep(INTERVAL).await;
+        tokio::time::sleep(UPLOAD_INTERVAL).await;
         after = upload_since(&objects, &timeline, after).await;
     }
 }
 
-/// Uploads what happened after `after`; returns the stamp of the last event
-/// that is stored.
+/// Uploads events newer than `after` and returns the stamp of the last stored event.
 pub async fn upload_since<O: Objects>(objects: &O, timeline: &Timeline, after: Stamp) -> Stamp {
-    let events = timeline.since(after, EVENTS);
+    let events = timeline.since(after, MAX_EVENTS);
     let Some(last) = events.last().map(|event| event.stamp) else {
         return after;
     };
     match objects
-        .put(&object_name(&events, last), lines(&events))
+        .put(&object_name(&events, last), to_json_lines(&events))
         .await
     {
         Ok(()) => {
@@ -41,19 +40,19 @@
             last
         }
         Err(error) => {
-            log::debug!("timeline not stored: {error}");
+            log::debug!("timeline upload failed, will retry: {error}");
             after
         }
     }
 }
 
-/// Names sort by time, whichever process they come from.
+/// Object names begin with the stamp, so that objects of all processes sort by time.
 fn object_name(events: &[Event], last: Stamp) -> String {
     let process = events.first().map_or("", |event| &event.process);
     format!("timeline/{last:020}-{process}")
 }
 
-fn lines(events: &[Event]) -> Vec<u8> {
+fn to_json_lines(events: &[Event]) -> Vec<u8> {
     let mut body = Vec::new();
     for event in events {
         body.extend(serde_json::to_vec(event).unwrap_or_default());
