--- /dev/null
+++ b/crates/daemon/tests/damaged_rows.rs
@@ -0,0 +1,69 @@
+//! Journal rows that are damaged or have an unknown format.
+
+mod support;
+
+use std::time::Duration;
+use std::time::Instant;
+
+use fake::Cell;
+use fake::id_in_shard;
+use fake::restock;
+
+use crate::support::open_cell;
+use crate::support::start;
+
+const TEST_SHARD: u16 = 5;
+
+async fn log_contains(cell: &Cell, index: usize, text: &str) -> bool {
+    let deadline = Instant::now() + Duration::from_secs(20);
+    while Instant::now() < deadline {
+        if cell.log(index).contains(text) {
+            return true;
+        }
+        tokio::time::sleep(Duration::from_millis(50)).await;
+    }
+    false
+}
+
+// Guards against a shard that is served without its recorded requests, which then run again.
+// A row of its journal is damaged while no process runs. The process that reads it must not
+// skip the row: it logs the key and serves the shard only once the row is readable.
+#[tokio::test(flavor = "multi_thread")]
+async fn a_damaged_journal_row_is_logged_and_not_overwritten() {
+    let mut cell = open_cell(1).await;
+    let request = restock(
+        &id_in_shard("kept", TEST_SHARD, 16),
+        Duration::from_millis(10),
+    );
+    let wait = Duration::from_secs(10);
+    let answer = cell
+        .caller
+        .submit(cell.http(0), &request, wait)
+        .await
+        .expect("answer");
+    assert_eq!(answer.number, 100);
+    cell.members[0].kill();
+    let journal_row = cell.platform.table.rows("journal/0005/").remove(0);
+
+    cell.platform
+        .table
+        .damage(&journal_row.key, "{\"format\":9,");
+    start(&mut cell, 0);
+    let key_logged = log_contains(&cell, 0, &journal_row.key).await;
+    let row_after = cell.platform.table.rows(&journal_row.key).remove(0);
+    cell.platform
+        .table
+        .damage(&journal_row.key, &journal_row.value);
+    let repeated = cell
+        .caller
+        .submit(cell.http(0), &request, wait)
+        .await
+        .expect("answer");
+
+    assert!(key_logged, "{}", cell.log(0));
+    assert_eq!(row_after.value, "{\"format\":9,");
+    assert_eq!(repeated.number, 100, "{repeated:?}");
+    let key = format!("stores/{}", request.id);
+    assert_eq!(cell.platform.log.runs_of(&key).len(), 1);
+    cell.close();
+}
--- /dev/null
+++ b/crates/daemon/tests/fencing.rs
@@ -0,0 +1,73 @@
+//! A start that reaches the worker late, with the worker's fence and without it. The test
+//! without the fence shows that the checker detects the failure that the fence prevents.
+
+mod support;
+
+use std::time::Duration;
+
+use fake::Cell;
+use fake::begin_load;
+use fake::confirmation;
+use fake::verify;
+use model::Request;
+
+use crate::support::load_plan;
+use crate::support::open_cell;
+
+/// Delay of starts, longer than a take-over.
+const START_DELAY: Duration = Duration::from_secs(7);
+
+fn nth_confirmation(number: u32) -> Request {
+    confirmation(&format!("confirm-{number}"))
+}
+
+/// Kills a process while its starts are on their way to the workers, which receive them long
+/// after another process has claimed the workers. Returns the violations found.
+async fn kill_owner_with_delayed_starts(cell: &mut Cell) -> Vec<String> {
+    let plan = load_plan(cell, 60, 60, nth_confirmation);
+    for worker in &cell.platform.workers {
+        worker.set(|manner| manner.late_starts = START_DELAY);
+    }
+    let load = begin_load(&cell.caller, plan);
+    tokio::time::sleep(Duration::from_secs(1)).await;
+    cell.members[0].kill();
+    for worker in &cell.platform.workers {
+        worker.set(|manner| manner.late_starts = Duration::ZERO);
+    }
+    let outcomes = load.await.expect("load");
+    tokio::time::sleep(START_DELAY).await;
+    verify(&outcomes, &cell.platform.log.runs(), cell.platform.capacity)
+}
+
+// Guards against a confirmation that runs twice. Its owner sends the start and dies; the
+// successor claims the worker, which does not list the task, and starts it again; then the
+// first start arrives. The worker must refuse starts of an older epoch.
+#[tokio::test(flavor = "multi_thread")]
+async fn a_delayed_start_of_a_dead_owner_is_refused() {
+    let mut cell = open_cell(3).await;
+
+    let violations = kill_owner_with_delayed_starts(&mut cell).await;
+
+    assert!(violations.is_empty(), "{violations:#?}");
+    cell.close();
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn without_the_fence_the_checker_reports_confirmations_run_twice() {
+    let mut cell = open_cell(3).await;
+    for worker in &cell.platform.workers {
+        worker.set(|manner| manner.unfenced = true);
+    }
+
+    let violations = kill_owner_with_delayed_starts(&mut cell).await;
+
+    let repeated = violations
+        .iter()
+        .filter(|text| text.starts_with("RanAgain"))
+        .count();
+    assert!(
+        repeated > 0,
+        "the checker reported no repeated run: {violations:?}"
+    );
+    cell.close();
+}
--- a/crates/daemon/tests/foreign_table.rs
+++ b/crates/daemon/tests/foreign_table.rs
@@ -1,12 +1,11 @@
-//! A process whose table's address leads to the table of another cell.
+//! A process whose table address leads to the table of another cell.
 //!
-//! Symptom: while a process was stopped as planned, some request had no answer for 40 s,
-//! once in 64 runs. Sequence: a test fails and leaves its processes running; a later test's
-//! table gets the port that theirs had; they find no row of their own there, write one, and
-//! claim shards that nobody can reach, since their keys are others. Cause: a process that
-//! has lost its lease did not ask whose table it is. This test makes the same with whole
-//! processes: without the mend requests have no answer for 40 s, and a fourth lease stands
-//! in the table.
+//! Once in 64 runs a request had no answer for 40 s while a process was stopped as planned. A
+//! failed test had left its processes running, and the table of a later test got the port of
+//! theirs. They found no lease row of their own there, wrote one, and claimed shards as owners
+//! that no other process could reach, since their keys differ. A process that has lost its
+//! lease must check that the table belongs to its cell; without this check the first test
+//! finds no answers for 40 s and a fourth lease in the table.
 
 mod support;
 
@@ -17,14 +16,14 @@
 use fake::begin_load;
 use nix::sys::signal::Signal;
 
-use crate::support::check_all_succeeded;
-use crate::support::check_rules;
-use crate::support::mixed;
+use crate::support::assert_all_succeeded;
+use crate::support::assert_no_violations;
+use crate::support::load_plan;
+use crate::support::mixed_request;
 use crate::support::open_cell;
-use crate::support::plan_for;
 
-/// The table's address of a process leads to another cell's table.
-async fn lead_to(cell: &Cell, other: &Cell) {
+/// Redirects the table connection of the first process of `other` to the table of `cell`.
+async fn redirect_table(cell: &Cell, other: &Cell) {
     let table = &other.members[0].table;
     table.set(RelayPlan {
         cut: true,
@@ -37,13 +36,14 @@
     });
 }
 
-/// Guards against shards that a process of another cell takes and nobody can reach.
+/// Guards against shards that are claimed by a process of another cell, which the processes
+/// of this cell cannot reach.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_process_that_finds_another_cells_table_does_not_join() {
+async fn a_process_redirected_to_another_cells_table_does_not_join() {
     let other = open_cell(1).await;
     let mut cell = open_cell(3).await;
-    lead_to(&cell, &other).await;
-    let plan = plan_for(&cell, 60, 600, mixed);
+    redirect_table(&cell, &other).await;
+    let plan = load_plan(&cell, 60, 600, mixed_request);
 
     let load = begin_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(4)).await;
@@ -53,19 +53,19 @@
     let outcomes = load.await.expect("load");
 
     assert_eq!(ended, Some(true), "{}", cell.log(2));
-    check_all_succeeded(&outcomes);
-    check_rules(&cell, &outcomes);
+    assert_all_succeeded(&outcomes);
+    assert_no_violations(&cell, &outcomes);
     assert_eq!(leases.len(), 3, "{leases:#?}");
     cell.close();
     other.close();
 }
 
-/// Guards against a process that stays out for good after its own table was away.
+/// Guards against a process that never rejoins its cell after its table was unreachable.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_process_goes_on_once_its_own_table_is_back() {
+async fn a_process_resumes_when_its_own_table_is_back() {
     let cell = open_cell(1).await;
     let other = open_cell(1).await;
-    lead_to(&other, &cell).await;
+    redirect_table(&other, &cell).await;
     tokio::time::sleep(Duration::from_secs(4)).await;
 
     cell.members[0].table.set(RelayPlan {
@@ -77,7 +77,7 @@
 
     cell.settled(Duration::from_secs(30))
         .await
-        .expect("it serves again");
+        .expect("the process serves again");
     cell.close();
     other.close();
 }
--- a/crates/daemon/tests/harness.rs
+++ b/crates/daemon/tests/harness.rs
@@ -1,4 +1,4 @@
-//! The harness of the other tests: what it leaves behind when one fails.
+//! Clean-up of the test harness after a failed test.
 
 mod support;
 
@@ -8,16 +8,15 @@
 
 use crate::support::open_cell;
 
-// Shards of a cell had no owner that could be reached for the whole of a test,
-// and its callers got no final answer. Their rows named a run of a process that
-// the test had never started: `"owner":"entry-2-1a2390386c9","epoch":2`, while
-// its own was `entry-2-1a2390af470`. An earlier test had failed, which skips the
-// close of its cell; its processes ran on, looked for their table, and found
-// that of the later test, whose port was the same.
+// Guards against processes that outlive a failed test, which drops its cell without closing
+// it. Such processes kept connecting to the port of their table, on which a later test had
+// opened its own, and claimed shards there: rows named `"owner":"entry-2-1a2390386c9",
+// "epoch":2` while the later test's process was `entry-2-1a2390af470`. These owners could not
+// be reached, so callers of the later test got no final answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cell_that_is_not_closed_leaves_no_process() {
+async fn dropping_a_cell_ends_its_processes() {
     let cell = open_cell(1).await;
-    let id = cell.members[0].process_id().expect("it runs");
+    let id = cell.members[0].process_id().expect("a running process");
     let id = Pid::from_raw(i32::try_from(id).expect("id"));
 
     drop(cell);
--- a/crates/daemon/tests/link.rs
+++ b/crates/daemon/tests/link.rs
@@ -1,4 +1,4 @@
-//! A worker that changes owners while its tasks end.
+//! The link of a new owner to a worker whose tasks end during the change of owner.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,24 +28,24 @@
 use worker::Start;
 use worker::WorkerClient;
 
-/// How long the task runs.
-const RUN: Duration = Duration::from_millis(200);
+/// Run time of the task.
+const TASK_TIME: Duration = Duration::from_millis(200);
 
-/// Lease of its worker's tasks.
-const LEASE: Duration = Duration::from_secs(10);
+/// Lease of the tasks on the worker.
+const TASK_LEASE: Duration = Duration::from_secs(10);
 
-/// A worker whose polls of one epoch are on their way until its tasks ended.
+/// A worker that receives the polls of one epoch only after its tasks have ended.
 #[derive(Clone, Debug)]
-struct Delayed {
+struct DelayedPolls {
     worker: FakeWorker,
     epoch: u64,
 }
 
-impl Handler for Delayed {
+impl Handler for DelayedPolls {
     async fn handle(&self, asked: Asked) -> Whole {
         let poll = serde_json::from_slice::<Poll>(&asked.body);
-        let late = poll.is_ok_and(|poll| poll.fence.epoch == self.epoch);
-        while late && self.worker.running() > 0 {
+        let delayed = poll.is_ok_and(|poll| poll.fence.epoch == self.epoch);
+        while delayed && self.worker.running() > 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         self.worker.handle(asked).await
@@ -61,12 +61,12 @@
     FakeWorker::new("w1", capacity, RunLog::default())
 }
 
-/// Serves a worker whose polls of `epoch` are late; it ends with the sender.
+/// Serves a worker that delays the polls of `epoch`, until the returned sender is dropped.
 async fn serve_delayed(worker: &FakeWorker, epoch: u64) -> (SocketAddr, watch::Sender<bool>) {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("bind");
     let address = listener.local_addr().expect("address");
     let (stop, stopped) = watch::channel(false);
-    let handler = Arc::new(Delayed {
+    let handler = Arc::new(DelayedPolls {
         worker: worker.clone(),
         epoch,
     });
@@ -78,7 +78,7 @@
     Fence { assigned: 1, epoch }
 }
 
-/// Claims the worker for the owner of epoch 1 and starts a task there.
+/// Claims the worker for the owner of epoch 1 and starts a task on it.
 async fn start_task(client: &WorkerClient, address: SocketAddr) {
     let claim = Claim {
         fence: fence(1),
@@ -101,14 +101,14 @@
         request: "stores/r1".to_owned(),
         needs: Resources::default(),
         payload: "r1".to_owned(),
-        run_millis: u64::try_from(RUN.as_millis()).expect("millis"),
+        run_millis: u64::try_from(TASK_TIME.as_millis()).expect("millis"),
         checkpoint: String::new(),
     };
     client.start(address, &start).await.expect("start");
 }
 
-/// Opens the link of the owner of epoch 2.
-fn open_link(client: WorkerClient, address: SocketAddr) -> Opened {
+/// Opens a link to the worker for the owner of epoch 2.
+fn open_link(client: WorkerClient, address: SocketAddr) -> TestLink {
     let host = Host {
         id: "w1".to_owned(),
         address,
@@ -121,25 +121,25 @@
     let facts = LinkFacts {
         host: WorkerHost { host, assigned: 1 },
         shard: 0,
-        lease: LEASE,
+        lease: TASK_LEASE,
         client,
         gate,
     };
     let (orders, receiver) = mpsc::unbounded_channel();
     let (sender, inputs) = mpsc::unbounded_channel();
     tokio::spawn(Link::new(facts, fence(2), receiver, sender).run());
-    Opened { orders, inputs }
+    TestLink { orders, inputs }
 }
 
-/// The owner's end of a link.
-struct Opened {
-    /// Keeps the link open.
+/// The owner's side of a link.
+struct TestLink {
+    /// The link ends when this sender is dropped.
     orders: mpsc::UnboundedSender<shard::LinkOrder>,
     inputs: mpsc::UnboundedReceiver<Input>,
 }
 
-impl Opened {
-    /// The first report of an end, after any that the worker lists none in.
+impl TestLink {
+    /// Waits for the first report that lists an ended task, and returns the task.
     async fn first_end(&mut self) -> Option<worker::Task> {
         while let Some(input) = self.inputs.recv().await {
             if let Input::Ended(_, tasks) = input
@@ -156,12 +156,11 @@
     }
 }
 
-// Now and then a restock that was running when its shard changed owners never
-// got an answer, though its worker had run it to its end. The new owner claims
-// the worker, which lists the task as running; the task ends; the poll that
-// follows the claim tells of the end. The link took that reply's number and
-// left its ends aside, and its next poll acknowledged them, so the worker did
-// not tell of them again.
+// Guards against a restock that never gets an answer because it ends while its shard changes
+// owners. The new owner claims the worker, which lists the task as running; the task ends;
+// the reply to the first poll after the claim reports the end. The link used the turn of
+// that reply but ignored the ended tasks, and its next poll acknowledged them, so the worker
+// did not report them again.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_end_just_after_a_claim_is_reported() {
     let worker = make_worker();
@@ -169,12 +168,14 @@
     let client = WorkerClient::new(Duration::from_secs(1));
     start_task(&client, address).await;
 
-    let mut opened = open_link(client, address);
-    let end = tokio::time::timeout(Duration::from_secs(5), opened.first_end()).await;
+    let mut link = open_link(client, address);
+    let end = tokio::time::timeout(Duration::from_secs(5), link.first_end()).await;
 
-    let end = end.expect("the end was never reported").expect("link");
+    let end = end
+        .expect("the end was never reported")
+        .expect("an open link");
     assert_eq!(end.request, "stores/r1");
     assert_eq!(worker.running(), 0);
-    opened.close();
+    link.close();
     stop.send_replace(true);
 }
--- a/crates/daemon/tests/partitions.rs
+++ b/crates/daemon/tests/partitions.rs
@@ -1,4 +1,4 @@
-//! Processes that do not reach each other, in one direction or both.
+//! Packet loss between processes, in one direction or both.
 
 mod support;
 
@@ -8,24 +8,23 @@
 use fake::begin_load;
 use fake::run_load;
 
-use crate::support::check_rules;
-use crate::support::mixed;
+use crate::support::assert_no_violations;
+use crate::support::load_plan;
+use crate::support::mixed_request;
 use crate::support::open_cell;
-use crate::support::owners;
-use crate::support::plan_for;
+use crate::support::shard_rows;
 use crate::support::wait_balanced;
 
-// Symptom: shards were passed to and fro, or requests failed, while one
-// process could be reached by no other, though it reached them all.
-// Sequence: what the others send to it is dropped; all see the table.
-// Cause: judging a process by who reaches it, instead of by its lease.
+// Guards against shards that move back and forth, or requests that fail, while datagrams to
+// one process are dropped but those from it arrive, and all processes reach the table. This
+// happens if a process is judged by its reachability instead of by its lease.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_one_way_partition_ends_in_a_stable_state() {
+async fn a_one_way_partition_moves_no_shards() {
     let cell = open_cell(3).await;
-    let mut plan = plan_for(&cell, 80, 640, mixed);
+    let mut plan = load_plan(&cell, 80, 640, mixed_request);
     plan.patience = Duration::from_secs(25);
     wait_balanced(&cell).await;
-    let before = owners(&cell);
+    let before = shard_rows(&cell);
 
     let load = begin_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(1)).await;
@@ -34,20 +33,20 @@
         ..UdpPlan::default()
     });
     tokio::time::sleep(Duration::from_secs(5)).await;
-    let during = owners(&cell);
+    let during = shard_rows(&cell);
     cell.members[0].peer.set(UdpPlan::default());
     let outcomes = load.await.expect("load");
 
     assert_eq!(before, during, "shards moved");
-    check_rules(&cell, &outcomes);
+    assert_no_violations(&cell, &outcomes);
     cell.close();
 }
 
-// Symptom: an answer was cut, or went to another caller. Sequence: a third of
-// the datagrams between the processes is lost, the others arrive out of order.
-// Cause: replies that are matched by their order.
+// Guards against replies that are truncated or reach another caller. Datagrams between the
+// processes are dropped (in all, about a third of the round trips) or arrive out of order,
+// so replies must not be matched to calls by their order.
 #[tokio::test(flavor = "multi_thread")]
-async fn each_caller_gets_its_own_answer_through_a_bad_network() {
+async fn each_caller_gets_its_own_answer_despite_loss_and_reordering() {
     let cell = open_cell(3).await;
     for member in &cell.members {
         member.peer.set(UdpPlan {
@@ -56,10 +55,10 @@
             jitter: Duration::from_millis(30),
         });
     }
-    let plan = plan_for(&cell, 1000, 1000, mixed);
+    let plan = load_plan(&cell, 1000, 1000, mixed_request);
 
     let outcomes = run_load(&cell.caller, plan).await;
 
-    check_rules(&cell, &outcomes);
+    assert_no_violations(&cell, &outcomes);
     cell.close();
 }
--- a/crates/daemon/tests/patches.rs
+++ b/crates/daemon/tests/patches.rs
@@ -1,4 +1,4 @@
-//! Patches of the configuration: races, lost answers, invalid documents.
+//! Patches of the configuration: concurrent patches, lost answers and invalid documents.
 
 mod support;
 
@@ -19,8 +19,8 @@
 use shard::Patch;
 use web::StatusCode;
 
+use crate::support::load_plan;
 use crate::support::open_cell;
-use crate::support::plan_for;
 use crate::support::start;
 
 fn patch(id: &str, version: u64, percent: u32) -> Patch {
@@ -31,9 +31,9 @@
     }
 }
 
-async fn everywhere(cell: &Cell, index: usize, version: u64) -> bool {
-    let until = Instant::now() + Duration::from_secs(15);
-    while Instant::now() < until {
+async fn wait_everywhere(cell: &Cell, index: usize, version: u64) -> bool {
+    let deadline = Instant::now() + Duration::from_secs(15);
+    while Instant::now() < deadline {
         let config = cell.operator.config(cell.http(index)).await;
         if config.is_ok_and(|config| config.everywhere >= version) {
             return true;
@@ -43,20 +43,20 @@
     false
 }
 
-// Symptom: two operators were both told that theirs is version 2.
-// Sequence: both patch version 1 through two processes at the same time.
-// Cause: checking the version before the write, instead of in it.
+// Guards against two operators who patch version 1 through two processes at the same time
+// and are both told that their patch became version 2. This happens if the version is
+// checked before the write instead of in the same transaction.
 #[tokio::test(flavor = "multi_thread")]
-async fn of_racing_patches_exactly_one_is_accepted() {
+async fn exactly_one_of_two_concurrent_patches_is_accepted() {
     let cell = open_cell(3).await;
     let mut version = 1;
 
     for round in 0..10 {
-        let one = patch(&format!("one-{round}"), version, round);
-        let two = patch(&format!("two-{round}"), version, 50 + round);
+        let first_patch = patch(&format!("first_patch-{round}"), version, round);
+        let second_patch = patch(&format!("second_patch-{round}"), version, 50 + round);
         let (first, second) = tokio::join!(
-            cell.operator.patch(cell.http(0), &one),
-            cell.operator.patch(cell.http(1), &two),
+            cell.operator.patch(cell.http(0), &first_patch),
+            cell.operator.patch(cell.http(1), &second_patch),
         );
         let statuses = [first.expect("reply").status, second.expect("reply").status];
         let accepted = statuses
@@ -71,48 +71,47 @@
         version += 1;
     }
 
-    assert!(everywhere(&cell, 2, version).await);
+    assert!(wait_everywhere(&cell, 2, version).await);
     cell.close();
 }
 
-// Symptom: an operator who repeated a patch after a lost answer was told that
-// it is stale, though it was his own that had been accepted.
-// Sequence: the commit takes effect, its answer is lost, the patch is sent
-// again through another process. Cause: no memory of patch ids.
+// Guards against an operator who repeats a patch after a lost answer and is told that it is
+// stale, although the newer version is that same patch. The commit takes effect, its answer
+// is lost, and the patch is sent again through another process, which must recognise its id.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_patch_whose_answer_was_lost_is_found_by_its_id() {
+async fn a_repeated_patch_is_recognised_by_its_id() {
     let cell = open_cell(2).await;
-    let mine = patch("mine", 1, 7);
+    let lost_patch = patch("lost_patch", 1, 7);
 
     cell.platform
         .table
         .faults
         .set(|faults| faults.lost_answers = 3);
-    let _ = cell.operator.patch(cell.http(0), &mine).await;
-    let again = cell
+    let _ = cell.operator.patch(cell.http(0), &lost_patch).await;
+    let repeated = cell
         .operator
-        .patch(cell.http(1), &mine)
+        .patch(cell.http(1), &lost_patch)
         .await
         .expect("reply");
 
-    assert_eq!(again.status, StatusCode::OK, "{}", again.text());
+    assert_eq!(repeated.status, StatusCode::OK, "{}", repeated.text());
     let config = cell.operator.config(cell.http(1)).await.expect("config");
     assert_eq!((config.version, config.config.pack_percent), (2, 7));
     cell.close();
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_invalid_document_is_refused_whole() {
+async fn an_invalid_document_changes_nothing() {
     let cell = open_cell(1).await;
-    let bad = Patch {
-        id: "bad".to_owned(),
+    let invalid = Patch {
+        id: "invalid".to_owned(),
         version: 1,
         patch: json!({ "pack_percent": 20, "site_watts": 10 }),
     };
 
     let reply = cell
         .operator
-        .patch(cell.http(0), &bad)
+        .patch(cell.http(0), &invalid)
         .await
         .expect("reply");
 
@@ -123,11 +122,11 @@
     cell.close();
 }
 
-// Symptom: a process served an older version than it had shown before.
-// Sequence: a patch is accepted while one process is paused and another is
-// replaced. Cause: trusting whatever version is read or told last.
+// Guards against a process that serves an older version than it has shown before. A patch is
+// accepted while one process is paused and another is replaced; a process must not adopt
+// whichever version it read or received last.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_version_never_reverts_through_pause_and_restart() {
+async fn all_processes_adopt_a_patch_after_a_pause_and_a_restart() {
     let mut cell = open_cell(3).await;
 
     cell.members[1].signal(Signal::SIGSTOP);
@@ -143,32 +142,32 @@
 
     assert_eq!(accepted.status, StatusCode::OK, "{}", accepted.text());
     for index in 0..3 {
-        assert!(everywhere(&cell, index, 2).await, "process {index}");
+        assert!(wait_everywhere(&cell, index, 2).await, "process {index}");
     }
     cell.close();
 }
 
-// Symptom: requests of a small team never started, though it had quota left.
-// Sequence: a quota of 4 slots in a cell of 16 shards. Cause: a part of the
-// quota for each shard, of which most held no whole task.
+// Guards against requests that never start although their team has quota left. With a quota
+// of 4 slots in a cell of 16 shards, an equal part for each shard would not be enough for
+// one task on most shards.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_small_quota_is_used_whole_and_never_exceeded() {
+async fn a_small_quota_is_used_fully_and_never_exceeded() {
     let cell = open_cell(2).await;
     let quota = json!({
         "cpu_milli": 8000, "memory_mib": 8000, "slots": 4, "power_watts": 400,
     });
-    // A team is fixed in its span; so this one is made anew.
+    // The span of an existing team cannot change, so the team is removed and created again.
     let remove = Patch {
         id: "remove".to_owned(),
         version: 1,
         patch: json!({ "teams": { "stores": null } }),
     };
-    let make = Patch {
-        id: "make".to_owned(),
+    let recreate = Patch {
+        id: "recreate".to_owned(),
         version: 2,
         patch: json!({ "teams": { "stores": { "quota": quota, "queue": 1000 } } }),
     };
-    for patch in [remove, make] {
+    for patch in [remove, recreate] {
         let reply = cell
             .operator
             .patch(cell.http(0), &patch)
@@ -176,8 +175,8 @@
             .expect("reply");
         assert_eq!(reply.status, StatusCode::OK, "{}", reply.text());
     }
-    assert!(everywhere(&cell, 1, 3).await);
-    let plan = plan_for(&cell, 200, 100, |number| Request {
+    assert!(wait_everywhere(&cell, 1, 3).await);
+    let plan = load_plan(&cell, 200, 100, |number| Request {
         run_millis: 100,
         ..lookup(&format!("small-{number}"))
     });
@@ -186,7 +185,7 @@
 
     let counts = count_families(&outcomes);
     assert_eq!(counts.get(&Family::Succeeded), Some(&100), "{counts:?}");
-    let team = Resources {
+    let quota_resources = Resources {
         cpu_milli: 8000,
         memory_mib: 8000,
         slots: 4,
@@ -199,13 +198,13 @@
         .runs()
         .into_iter()
         .filter(|run| run.request.contains("small"));
-    // All of the team's tasks taken as one worker: the quota is its capacity.
+    // Checks the quota as the capacity of one worker that ran all tasks of the team.
     let runs: Vec<Run> = runs
         .map(|run| Run {
-            worker: "team".to_owned(),
+            worker: "quota_resources".to_owned(),
             ..run
         })
         .collect();
-    assert_eq!(check_capacity(&runs, team), vec![]);
+    assert_eq!(check_capacity(&runs, quota_resources), vec![]);
     cell.close();
 }
--- a/crates/daemon/tests/path.rs
+++ b/crates/daemon/tests/request_path.rs
@@ -1,4 +1,4 @@
-//! The whole path through real processes: submit, decide, start, answer.
+//! The path of a request through real processes: submit, placement, start and answer.
 
 mod support;
 
@@ -8,7 +8,7 @@
 
 use crate::support::open_cell;
 
-const WAIT: Duration = Duration::from_secs(20);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_is_the_same_through_every_process() {
@@ -17,14 +17,14 @@
 
     let first = cell
         .caller
-        .submit(cell.http(0), &request, WAIT)
+        .submit(cell.http(0), &request, ANSWER_TIMEOUT)
         .await
         .expect("answer");
     let mut retries = Vec::new();
     for member in &cell.members {
         retries.push(
             cell.caller
-                .submit(member.http(), &request, WAIT)
+                .submit(member.http(), &request, ANSWER_TIMEOUT)
                 .await
                 .expect("answer"),
         );
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings as a new user would get them wrong, and the examples.
+//! Validation of settings: typical mistakes of a new user, and the example files.
 
 use std::path::Path;
 
@@ -9,8 +9,8 @@
     std::fs::read_to_string(path).expect("example")
 }
 
-fn error_of(text: &str) -> String {
-    Settings::parse(text).expect_err("a mistake")
+fn parse_error(text: &str) -> String {
+    Settings::parse(text).expect_err("invalid settings")
 }
 
 #[test]
@@ -29,22 +29,22 @@
 
 #[test]
 fn an_unknown_field_is_refused_with_its_line() {
-    let error = error_of(&example().replace("domain: tacoma", "domane: tacoma"));
+    let error = parse_error(&example().replace("domain: tacoma", "domane: tacoma"));
 
     assert!(error.contains("domane"), "{error}");
     assert!(error.contains("line 3"), "{error}");
 }
 
 #[test]
-fn a_wrong_type_is_refused_with_its_line() {
-    let error = error_of(&example().replace("shards: 16", "shards: many"));
+fn a_value_of_the_wrong_type_is_refused_with_its_line() {
+    let error = parse_error(&example().replace("shards: 16", "shards: many"));
 
     assert!(error.contains("line 5"), "{error}");
 }
 
 #[test]
-fn a_hold_beyond_the_ttl_is_refused_with_what_is_allowed() {
-    let error = error_of(&example().replace("hold_millis: 1600", "hold_millis: 1900"));
+fn a_hold_time_near_the_ttl_is_refused_with_the_allowed_range() {
+    let error = parse_error(&example().replace("hold_millis: 1600", "hold_millis: 1900"));
 
     assert!(error.contains("hold_millis: found \"1900\""), "{error}");
     assert!(error.contains("nine tenths"), "{error}");
@@ -53,7 +53,7 @@
 
 #[test]
 fn a_missing_field_is_named() {
-    let error = error_of(&example().replace("name: tacoma-1\n", ""));
+    let error = parse_error(&example().replace("name: tacoma-1\n", ""));
 
     assert!(error.contains("name"), "{error}");
 }
@@ -66,7 +66,7 @@
         .find(|line| line.contains("sha256"))
         .expect("a token");
 
-    let error = error_of(&text.replace(line, "  - sha256: secret"));
+    let error = parse_error(&text.replace(line, "  - sha256: secret"));
 
     assert!(error.contains("64 hexadecimal digits"), "{error}");
 }
--- a/crates/daemon/tests/signals.rs
+++ b/crates/daemon/tests/signals.rs
@@ -1,4 +1,4 @@
-//! Signals that reach a process while it starts.
+//! Signals that arrive while a process starts.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -17,24 +17,24 @@
 use site::LoopbackHost;
 use tempfile::TempDir;
 
-/// Nobody answers there: the process serves its metrics all the same.
-const NOBODY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
+/// Store address on which nothing listens; the process serves its metrics without a store.
+const UNUSED_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
 
-fn end(mut child: Child) {
+fn kill_and_wait(mut child: Child) {
     child.kill().expect("kill");
     child.wait().expect("wait");
 }
 
-/// Symptom: a process ended by itself right after its start (seed 5 of the
-/// soak). Sequence: it starts; it is told that its settings have changed before
-/// it serves. Cause: the handler was installed last, and the signal's default
-/// ends a process. Now the first line says that signals are heeded.
+/// Guards against a process that ends right after its start (seed 5 of the soak). SIGHUP for
+/// changed settings arrived before the process served; its handler was installed last, and
+/// the signal's default action ends the process. Now the first log line (code 105) is written
+/// after the handlers are installed.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_process_told_of_new_settings_while_it_starts_goes_on() {
+async fn a_process_survives_sighup_while_it_starts() {
     let host = LoopbackHost::new(250, 0);
     let folder = TempDir::new().expect("folder");
     let path = folder.path().join("settings");
-    std::fs::write(&path, host.settings(NOBODY, None)).expect("settings");
+    std::fs::write(&path, host.settings(UNUSED_ADDRESS, None)).expect("settings");
     let mut child = Command::new(env!("CARGO_BIN_EXE_clovermountd"))
         .arg("--cell")
         .env("CLOVERMOUNT_BOOT", &path)
@@ -42,9 +42,12 @@
         .stdout(Stdio::piped())
         .spawn()
         .expect("the process starts");
-    let mut lines = BufReader::new(child.stdout.take().expect("its output")).lines();
-    let first = lines.next().expect("a line").expect("readable");
-    assert!(first.contains("\"code\":105"), "{first}");
+    let mut lines = BufReader::new(child.stdout.take().expect("stdout")).lines();
+    let first_line = lines
+        .next()
+        .expect("a first_line line")
+        .expect("readable output");
+    assert!(first_line.contains("\"code\":105"), "{first_line}");
     let id = i32::try_from(child.id()).expect("id");
     kill(Pid::from_raw(id), Signal::SIGHUP).expect("signal");
 
@@ -52,6 +55,6 @@
     let serving = caller.wait_status(host.metrics(), "/metrics", 200);
 
     let served = tokio::time::timeout(Duration::from_secs(20), serving).await;
-    end(child);
+    kill_and_wait(child);
     assert!(served.is_ok(), "the process has ended");
 }
--- a/crates/daemon/tests/store_faults.rs
+++ b/crates/daemon/tests/store_faults.rs
@@ -1,4 +1,4 @@
-//! The platform's table and object store fail, lose answers, or are cut off.
+//! Outages, lost answers and partitions of the platform's table and object store.
 
 mod support;
 
@@ -12,70 +12,69 @@
 use model::Family;
 use model::Request;
 
-use crate::support::check_all_succeeded;
-use crate::support::check_rules;
-use crate::support::mixed;
+use crate::support::assert_all_succeeded;
+use crate::support::assert_no_violations;
+use crate::support::load_plan;
+use crate::support::mixed_request;
 use crate::support::open_cell;
-use crate::support::owners;
-use crate::support::plan_for;
+use crate::support::shard_rows;
 use crate::support::wait_balanced;
 
-/// Longer than the lease of a process.
-const OUTAGE: Duration = Duration::from_secs(6);
+/// Duration of an outage, longer than the lease of a process.
+const OUTAGE_TIME: Duration = Duration::from_secs(6);
 
-fn lookups(number: u32) -> Request {
+fn nth_lookup(number: u32) -> Request {
     lookup(&format!("lookup-{number}"))
 }
 
-fn hasty(number: u32) -> Request {
+fn nth_urgent_confirmation(number: u32) -> Request {
     Request {
         deadline_millis: 1500,
         ..confirmation(&format!("confirm-{number}"))
     }
 }
 
-// Symptom: bearing lookups failed while the table was down.
-// Sequence: the table refuses every call for three lease times, under load.
-// Cause: owners that stop at the end of their lease although nobody else can
-// take their shards.
+// Guards against lookups that fail while the table is down. The table refuses every call for
+// three lease times under load; owners must not stop when their lease expires if no other
+// process can take their shards over.
 #[tokio::test(flavor = "multi_thread")]
-async fn lookups_go_on_through_an_outage() {
+async fn lookups_succeed_during_an_outage() {
     let cell = open_cell(3).await;
     wait_balanced(&cell).await;
-    let before = owners(&cell);
-    let plan = plan_for(&cell, 100, 1000, lookups);
+    let before = shard_rows(&cell);
+    let plan = load_plan(&cell, 100, 1000, nth_lookup);
 
     let load = begin_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(1)).await;
     cell.platform.set_down(true);
-    tokio::time::sleep(OUTAGE).await;
+    tokio::time::sleep(OUTAGE_TIME).await;
     cell.platform.set_down(false);
     let outcomes = load.await.expect("load");
 
-    check_rules(&cell, &outcomes);
-    check_all_succeeded(&outcomes);
-    // Nobody took anything from anybody when the table came back.
-    assert_eq!(owners(&cell), before);
+    assert_no_violations(&cell, &outcomes);
+    assert_all_succeeded(&outcomes);
+    // No shard changed its owner when the table came back.
+    assert_eq!(shard_rows(&cell), before);
     cell.close();
 }
 
-// Symptom: "not run" was said of a confirmation that ran when the table came
-// back. Sequence: its intent cannot be recorded before its deadline; its
-// caller is told so; the commit that was under way succeeds later.
-// Cause: a start that follows its record without a look at what was answered.
+// Guards against a confirmation that was answered "not run" and runs when the table comes
+// back. Its intent cannot be recorded before its deadline, so its caller gets "not run"; the
+// pending commit of the intent succeeds later. The owner must check whether the request was
+// answered before it sends the start.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_could_not_be_recorded_in_time_never_runs() {
+async fn a_request_whose_intent_was_not_recorded_in_time_never_runs() {
     let cell = open_cell(3).await;
-    let plan = plan_for(&cell, 20, 80, hasty);
+    let plan = load_plan(&cell, 20, 80, nth_urgent_confirmation);
 
     cell.platform.set_down(true);
     let load = begin_load(&cell.caller, plan);
-    tokio::time::sleep(OUTAGE).await;
+    tokio::time::sleep(OUTAGE_TIME).await;
     cell.platform.set_down(false);
     let outcomes = load.await.expect("load");
     tokio::time::sleep(Duration::from_secs(3)).await;
 
-    check_rules(&cell, &outcomes);
+    assert_no_violations(&cell, &outcomes);
     let counts = count_families(&outcomes);
     assert!(
         counts.get(&Family::NotRun).is_some_and(|count| *count > 40),
@@ -84,13 +83,13 @@
     cell.close();
 }
 
-// Symptom: a restock ran twice, or was never answered, after the table had
-// lost an answer. Sequence: every few commits take effect without an answer.
-// Cause: taking a lost answer for a failed commit, or for a fence.
+// Guards against a restock that runs twice or is never answered after the table has lost an
+// answer. Every few commits take effect without an answer; that must be treated neither as a
+// failed commit nor as a conflict with a newer owner.
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_answers_of_the_table_change_nothing() {
+async fn lost_answers_of_the_table_break_no_request() {
     let cell = open_cell(3).await;
-    let plan = plan_for(&cell, 100, 800, mixed);
+    let plan = load_plan(&cell, 100, 800, mixed_request);
 
     let load = begin_load(&cell.caller, plan);
     for _ in 0..12 {
@@ -102,18 +101,18 @@
     }
     let outcomes = load.await.expect("load");
 
-    check_rules(&cell, &outcomes);
-    check_all_succeeded(&outcomes);
+    assert_no_violations(&cell, &outcomes);
+    assert_all_succeeded(&outcomes);
     cell.close();
 }
 
-// Symptom: two processes decided for one shard. Sequence: one process alone
-// loses the table; the others reach it and take its shards. Cause: a process
-// that takes its own partition for an outage.
+// Guards against two processes that decide for one shard. One process alone loses the table
+// while the others reach it and take its shards over; it must not treat its own partition as
+// an outage for all.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_process_cut_off_alone_stops_and_the_others_take_over() {
+async fn a_process_that_alone_loses_the_table_is_taken_over() {
     let cell = open_cell(3).await;
-    let plan = plan_for(&cell, 100, 1000, mixed);
+    let plan = load_plan(&cell, 100, 1000, mixed_request);
 
     let load = begin_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(1)).await;
@@ -122,27 +121,27 @@
         ..RelayPlan::default()
     };
     cell.members[0].table.set(cut);
-    tokio::time::sleep(OUTAGE).await;
-    let owned = owners(&cell);
+    tokio::time::sleep(OUTAGE_TIME).await;
+    let rows_in_outage = shard_rows(&cell);
     cell.members[0].table.set(RelayPlan::default());
     let outcomes = load.await.expect("load");
 
-    let alone = owned
+    let still_owned = rows_in_outage
         .values()
         .filter(|row| row.contains("entry-0-"))
         .count();
-    assert_eq!(alone, 0, "{owned:?}");
-    check_rules(&cell, &outcomes);
+    assert_eq!(still_owned, 0, "{rows_in_outage:?}");
+    assert_no_violations(&cell, &outcomes);
     cell.close();
 }
 
-// Symptom: a restock ran twice. Sequence: the table loses the answer of the
-// commit that records its intent, and the owner is killed right after; the
-// next owner finds the intent. Cause: taking an intent for a start.
+// Guards against a restock that runs twice. The table loses the answer to the commit of its
+// intent, the owner is killed right after, and the successor finds the intent. An intent does
+// not prove that the task was started.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_answer_followed_by_the_owners_death() {
+async fn an_intent_with_a_lost_answer_survives_the_owners_death() {
     let mut cell = open_cell(3).await;
-    let plan = plan_for(&cell, 100, 600, mixed);
+    let plan = load_plan(&cell, 100, 600, mixed_request);
 
     let load = begin_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(2)).await;
@@ -154,17 +153,16 @@
     cell.members[1].kill();
     let outcomes = load.await.expect("load");
 
-    check_rules(&cell, &outcomes);
+    assert_no_violations(&cell, &outcomes);
     cell.close();
 }
 
-// Symptom: requests of a dead owner's shards were never served again.
-// Sequence: the table is down, an owner is killed, the table comes back.
-// Cause: ages of leases that were lost, or counted, during the outage.
+// Guards against shards that are never served again when their owner is killed while the
+// table is down. The age of a lease must neither be lost nor grow during the outage.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_that_dies_during_an_outage_is_replaced_after_it() {
     let mut cell = open_cell(3).await;
-    let plan = plan_for(&cell, 100, 900, mixed);
+    let plan = load_plan(&cell, 100, 900, mixed_request);
 
     let load = begin_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(1)).await;
@@ -175,6 +173,6 @@
     cell.platform.set_down(false);
     let outcomes = load.await.expect("load");
 
-    check_rules(&cell, &outcomes);
+    assert_no_violations(&cell, &outcomes);
     cell.close();
 }
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures of the tests with real processes.
+//! Fixtures for tests that run real `clovermountd` processes.
 #![allow(dead_code)]
 
 use std::collections::HashMap;
@@ -18,85 +18,85 @@
 use model::Request;
 use shard::place_shards;
 
-/// The daemon under test.
-pub const DAEMON: &str = env!("CARGO_BIN_EXE_clovermountd");
+/// Path of the daemon under test.
+pub const DAEMON_PATH: &str = env!("CARGO_BIN_EXE_clovermountd");
 
-/// Longest wait for a cell to settle.
-const SETTLE: Duration = Duration::from_mins(1);
+/// Timeout for a new cell to settle.
+const SETTLE_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// A configured cell of `processes` running processes.
+/// Starts a cell of `processes` processes and waits until it is configured and settled.
 pub async fn open_cell(processes: usize) -> Cell {
     let plan = CellPlan {
         processes,
         ..CellPlan::default()
     };
-    open_plan(plan).await
+    open_cell_with(plan).await
 }
 
-/// A configured cell whose processes all run.
-pub async fn open_plan(plan: CellPlan) -> Cell {
+/// Starts a cell from a plan and waits until it is configured and settled.
+pub async fn open_cell_with(plan: CellPlan) -> Cell {
     let mut cell = Cell::open(plan).await.expect("cell");
     for index in 0..cell.members.len() {
         start(&mut cell, index);
     }
-    let mut last = String::new();
+    let mut last_error = String::new();
     for _ in 0..200 {
         match cell.configure().await {
             Ok(()) => {
-                cell.settled(SETTLE).await.expect("settled");
+                cell.settled(SETTLE_TIMEOUT).await.expect("settled");
                 return cell;
             }
-            Err(error) => last = error,
+            Err(error) => last_error = error,
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    panic!("cell not configured: {last}\n{}", cell.log(0));
+    panic!("cell not configured: {last_error}\n{}", cell.log(0));
 }
 
-/// Row of each shard, by its key.
-pub fn owners(cell: &Cell) -> HashMap<String, String> {
+/// The table row of each shard, by key; the row names the shard's owner.
+pub fn shard_rows(cell: &Cell) -> HashMap<String, String> {
     let rows = cell.platform.table.rows("cell/shard/");
     rows.into_iter().map(|row| (row.key, row.value)).collect()
 }
 
-/// Waits until each shard is with the process that should own it.
+/// Waits until each shard is owned by the process that shard placement assigns it to.
 ///
-/// A cell may serve before that: a process that starts first claims more than
-/// its part, and passes the rest on, one shard in three seconds. Such a planned
-/// hand-over may fall into an outage and be made after it.
+/// A cell may serve before that: the process that starts first claims more than its part and
+/// hands the rest over, one shard every three seconds. Such a hand-over may be delayed by an
+/// outage and be made after it.
 pub async fn wait_balanced(cell: &Cell) {
     let names: Vec<String> = (0..cell.members.len())
-        .map(|at| format!("entry-{at}"))
+        .map(|member| format!("entry-{member}"))
         .collect();
-    let shards = u16::try_from(owners(cell).len()).expect("shards");
-    let wanted: Vec<String> = (0..shards)
+    let shards = u16::try_from(shard_rows(cell).len()).expect("shards");
+    let expected: Vec<String> = (0..shards)
         .zip(place_shards(&names, shards))
-        .map(|(shard, at)| format!("cell/shard/{shard:04} entry-{at}-"))
+        .map(|(shard, member)| format!("cell/shard/{shard:04} entry-{member}-"))
         .collect();
     let balanced = || {
-        let rows = owners(cell);
-        wanted.iter().all(|wanted| {
-            let (key, owner) = wanted.split_once(' ').expect("two words");
+        let rows = shard_rows(cell);
+        expected.iter().all(|expected| {
+            let (key, owner) = expected.split_once(' ').expect("two words");
             rows.get(key).is_some_and(|row| row.contains(owner))
         })
     };
-    let looks = async {
+    let polling = async {
         while !balanced() {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     };
-    let balanced = tokio::time::timeout(Duration::from_mins(1), looks).await;
-    assert!(balanced.is_ok(), "{:#?}", owners(cell));
+    let balanced = tokio::time::timeout(Duration::from_mins(1), polling).await;
+    assert!(balanced.is_ok(), "{:#?}", shard_rows(cell));
 }
 
 /// Starts one process of a cell.
 pub fn start(cell: &mut Cell, index: usize) {
-    cell.start(index, Path::new(DAEMON), &[])
+    cell.start(index, Path::new(DAEMON_PATH), &[])
         .expect("daemon starts");
 }
 
-/// A load of `count` requests at `rate` a second on all processes of a cell.
-pub fn plan_for(cell: &Cell, rate: u32, count: u32, request: fn(u32) -> Request) -> LoadPlan {
+/// A load of `count` requests, `rate` per second, spread over all processes of a cell.
+pub fn load_plan(cell: &Cell, rate: u32, count: u32, request: fn(u32) -> Request) -> LoadPlan {
     LoadPlan {
         rate,
         count,
@@ -106,16 +106,16 @@
     }
 }
 
-/// No rule is broken by what was answered and what ran so far.
+/// Asserts that the answers and the runs so far violate no rule of the checker.
 #[track_caller]
-pub fn check_rules(cell: &Cell, outcomes: &[Outcome]) {
-    let wrong = verify(outcomes, &cell.platform.log.runs(), cell.platform.capacity);
-    assert!(wrong.is_empty(), "{wrong:#?}");
+pub fn assert_no_violations(cell: &Cell, outcomes: &[Outcome]) {
+    let violations = verify(outcomes, &cell.platform.log.runs(), cell.platform.capacity);
+    assert!(violations.is_empty(), "{violations:#?}");
 }
 
-/// Requests were sent, and each succeeded.
+/// Asserts that requests were sent and that each succeeded.
 #[track_caller]
-pub fn check_all_succeeded(outcomes: &[Outcome]) {
+pub fn assert_all_succeeded(outcomes: &[Outcome]) {
     assert!(!outcomes.is_empty(), "nothing was sent");
     let failed = outcomes
         .iter()
@@ -125,8 +125,8 @@
     assert!(failed.is_empty(), "{counts:?} {failed:#?}");
 }
 
-/// Lookups, confirmations and restocks in turn.
-pub fn mixed(number: u32) -> Request {
+/// Returns a confirmation, a restock or one of two lookups, in turn by number.
+pub fn mixed_request(number: u32) -> Request {
     match number % 4 {
         0 => confirmation(&format!("confirm-{number}")),
         1 => restock(&format!("restock-{number}"), Duration::from_millis(300)),
--- a/crates/daemon/tests/takeover.rs
+++ b/crates/daemon/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! Processes that die, pause or stop while requests are under way.
+//! Processes that are killed, paused or stopped under load.
 
 mod support;
 
@@ -19,28 +19,27 @@
 use tokio::task::JoinHandle;
 use web::CallError;
 
-use crate::support::check_all_succeeded;
-use crate::support::check_rules;
-use crate::support::mixed;
+use crate::support::assert_all_succeeded;
+use crate::support::assert_no_violations;
+use crate::support::load_plan;
+use crate::support::mixed_request;
 use crate::support::open_cell;
-use crate::support::plan_for;
 use crate::support::start;
 
-// Symptom: requests lost, or run twice, after a process was killed.
-// Sequence: three processes under a mixed load; one is killed; its shards are
-// taken over; callers that lost their connection ask again elsewhere.
-// Cause: a later owner that does not know what the earlier one had started.
+// Guards against requests that are lost or run twice after a process was killed under load.
+// Its shards are taken over, and callers that lost their connection ask another process. The
+// successor must know which tasks the former owner had started.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_killed_process_loses_and_repeats_nothing() {
+async fn no_request_is_lost_or_run_twice_after_a_kill() {
     let mut cell = open_cell(3).await;
-    let plan = plan_for(&cell, 100, 600, mixed);
+    let plan = load_plan(&cell, 100, 600, mixed_request);
 
     let load = begin_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(2)).await;
     cell.members[1].kill();
     let outcomes = load.await.expect("load");
 
-    check_rules(&cell, &outcomes);
+    assert_no_violations(&cell, &outcomes);
     let succeeded = count_families(&outcomes)[&Family::Succeeded];
     assert!(
         succeeded >= outcomes.len() * 99 / 100,
@@ -50,15 +49,13 @@
     cell.close();
 }
 
-// Symptom: a process that was paused past its lease answered "not run" for
-// requests that its successor had run, or started them a second time.
-// Sequence: the process is stopped for twice the TTL, its shards are taken,
-// then it goes on with everything that it had decided before.
-// Cause: deciding on a lease without looking at the clock again.
+// Guards against a process that was paused for twice the TTL and then answers "not run" for
+// requests that its successor has run, or starts them again. This happens if the process
+// resumes with earlier decisions without checking its lease against the clock again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_paused_process_neither_starts_nor_answers_wrongly() {
+async fn a_process_paused_past_its_lease_acts_on_no_old_decision() {
     let cell = open_cell(3).await;
-    let plan = plan_for(&cell, 100, 800, mixed);
+    let plan = load_plan(&cell, 100, 800, mixed_request);
 
     let load = begin_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(2)).await;
@@ -67,17 +64,16 @@
     cell.members[0].signal(Signal::SIGCONT);
     let outcomes = load.await.expect("load");
 
-    check_rules(&cell, &outcomes);
+    assert_no_violations(&cell, &outcomes);
     cell.close();
 }
 
-// Symptom: callers saw errors while a process was replaced as planned.
-// Sequence: SIGTERM under load; the shards move; the process ends.
-// Cause: requests in progress cut off, or refused in between two owners.
+// Guards against errors at callers while a process is replaced as planned: on SIGTERM under
+// load, requests in progress must not be cut off, nor refused between two owners.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_fails_no_request() {
     let mut cell = open_cell(3).await;
-    let plan = plan_for(&cell, 100, 600, mixed);
+    let plan = load_plan(&cell, 100, 600, mixed_request);
 
     let load = begin_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(2)).await;
@@ -86,37 +82,36 @@
     let outcomes = load.await.expect("load");
 
     assert_eq!(ended, Some(true), "{}", cell.log(2));
-    check_all_succeeded(&outcomes);
-    check_rules(&cell, &outcomes);
+    assert_all_succeeded(&outcomes);
+    assert_no_violations(&cell, &outcomes);
     cell.close();
 }
 
-// The load itself is judged too: it must notice a missing answer.
+// Checks the test harness itself: `verify` must report requests that got no answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_load_without_any_server_has_no_answers() {
+async fn verify_reports_requests_without_an_answer() {
     let client = fake::CellClient::new(fake::CALLER_TOKEN);
     let plan = LoadPlan {
         rate: 100,
         count: 3,
-        request: mixed,
+        request: mixed_request,
         servers: vec![fake::free_address()],
         patience: Duration::from_millis(200),
     };
 
     let outcomes = run_load(&client, plan).await;
 
-    let wrong = verify(&outcomes, &[], model::Resources::default());
-    assert_eq!(wrong.len(), 3, "{wrong:?}");
+    let violations = verify(&outcomes, &[], model::Resources::default());
+    assert_eq!(violations.len(), 3, "{violations:?}");
 }
 
-// Symptom: requests through a stopping process waited for a minute and then
-// got "no owner". Sequence: all processes are replaced one after the other
-// under load; shards move on after a process has handed its own over.
-// Cause: a leaving process that no longer followed who owns what.
+// Guards against requests through a stopping process that wait for a minute and then get
+// "no owner". All processes are replaced one after the other, so shards move again after a
+// process has handed its own over. It must keep following the changes of ownership.
 #[tokio::test(flavor = "multi_thread")]
 async fn all_processes_are_replaced_without_a_failed_request() {
     let mut cell = open_cell(3).await;
-    let plan = plan_for(&cell, 60, 1500, mixed);
+    let plan = load_plan(&cell, 60, 1500, mixed_request);
 
     let load = begin_load(&cell.caller, plan);
     for index in 0..3 {
@@ -130,27 +125,27 @@
     }
     let outcomes = load.await.expect("load");
 
-    check_all_succeeded(&outcomes);
-    check_rules(&cell, &outcomes);
+    assert_all_succeeded(&outcomes);
+    assert_no_violations(&cell, &outcomes);
     cell.close();
 }
 
-fn restocks(number: u32) -> Request {
+fn nth_restock(number: u32) -> Request {
     restock(&format!("restock-{number}"), Duration::from_secs(1))
 }
 
-// Restocks that ran while their shard was handed over got no answer, and the
-// process through which they had been sent waited for them when it was stopped
-// in turn. The workers answer slowly, as on a busy machine, so many a task ends
-// between the claim of its worker and the poll that follows it. That poll's
-// reply told of the ends; it was acknowledged, and the ends were left aside.
+// Guards against restocks without an answer after their shard was handed over while they
+// ran; the process that had accepted the calls then waited for them in its own stop. The
+// workers answer slowly, as on a busy machine, so many tasks end between the new owner's
+// claim of the worker and its first poll. The reply to that poll reported the ends; the
+// owner acknowledged it without handling them.
 #[tokio::test(flavor = "multi_thread")]
 async fn tasks_that_end_while_their_shard_is_handed_over_are_answered() {
     let cell = open_cell(3).await;
     for worker in &cell.platform.workers {
         worker.set(|manner| manner.latency = Duration::from_millis(250));
     }
-    let mut plan = plan_for(&cell, 80, 480, restocks);
+    let mut plan = load_plan(&cell, 80, 480, nth_restock);
     plan.servers.remove(0);
     plan.patience = Duration::from_secs(20);
     let client = cell.caller.clone();
@@ -165,13 +160,13 @@
         .filter(|outcome| outcome.family() != Family::Succeeded);
     let failed: Vec<&Outcome> = failed.collect();
     assert!(failed.is_empty(), "{failed:#?}");
-    let wrong = verify(&outcomes, &cell.platform.log.runs(), cell.platform.capacity);
-    assert!(wrong.is_empty(), "{wrong:#?}");
+    let violations = verify(&outcomes, &cell.platform.log.runs(), cell.platform.capacity);
+    assert!(violations.is_empty(), "{violations:#?}");
     cell.close();
 }
 
-/// Submits a task of a minute through a process and waits until it runs.
-async fn submit_long(cell: &Cell, index: usize) -> JoinHandle<Result<AnswerBody, CallError>> {
+/// Submits a task of one minute through a process and waits until a worker runs it.
+async fn submit_long_task(cell: &Cell, index: usize) -> JoinHandle<Result<AnswerBody, CallError>> {
     let (client, server) = (cell.caller.clone(), cell.http(index));
     let request = restock("long", Duration::from_mins(1));
     let patience = Duration::from_mins(2);
@@ -183,35 +178,35 @@
     caller
 }
 
-// A process that was asked to stop did not end within the half minute that
-// platforms give, and was killed with its callers' connections. It had handed
-// its shards over within 0.1 s; then it waited for the answers to requests that
-// ran elsewhere, for up to a minute. Nothing is lost by not waiting: the caller
-// is told that there is no answer yet, and asks another process.
+// Guards against a planned stop that takes longer than the half minute that platforms allow,
+// so that the process is killed and its callers' connections break. The process had handed
+// its shards over within 0.1 s, then waited up to a minute for the answers to requests that
+// ran under other owners. It need not wait: callers get a pending answer and ask another
+// process.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_does_not_wait_for_long_tasks() {
     let mut cell = open_cell(2).await;
-    let caller = submit_long(&cell, 1).await;
+    let caller = submit_long_task(&cell, 1).await;
 
     cell.members[1].signal(Signal::SIGTERM);
     let ended = cell.members[1].ended(Duration::from_secs(25)).await;
 
     assert_eq!(ended, Some(true), "{}", cell.log(1));
-    let answer = caller.await.expect("caller").expect("a whole answer");
+    let answer = caller.await.expect("caller").expect("a complete answer");
     assert_eq!(answer.family, Family::Pending, "{answer:?}");
     let status = cell.caller.status(cell.http(0), "long").await;
     let status = status.expect("status").expect("known");
     assert_eq!(status.family, Family::Pending, "{status:?}");
     let runs = cell.platform.log.runs();
     let long = runs.iter().filter(|run| run.request.ends_with("/long"));
-    assert_eq!(long.count(), 1, "it was started again");
+    assert_eq!(long.count(), 1, "the task was started again");
     cell.close();
 }
 
-// A process that was asked to stop while the table was away did not end within
-// the half minute that platforms give. It hands its shards over only after it
-// has renewed its lease, so it waited for the end of a hand-over that had not
-// begun, for up to a minute. The others can take its shards without it.
+// Guards against a planned stop that takes longer than the half minute that platforms allow
+// while the table is down. A process renews its lease before it hands its shards over, so it
+// waited up to a minute for a hand-over that had not begun. The other processes can take the
+// shards over without it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_does_not_wait_for_the_table() {
     let mut cell = open_cell(2).await;
--- a/crates/daemon/tests/workers.rs
+++ b/crates/daemon/tests/workers.rs
@@ -1,4 +1,5 @@
-//! Workers that leave, restart, vanish, fail everything, or hold back.
+//! Workers that leave, restart, pause, fail every task or answer late, and gangs and shards
+//! that compete for them.
 
 mod support;
 
@@ -14,68 +15,67 @@
 use model::Family;
 use model::Request;
 
-use crate::support::check_all_succeeded;
-use crate::support::check_rules;
-use crate::support::mixed;
+use crate::support::assert_all_succeeded;
+use crate::support::assert_no_violations;
+use crate::support::load_plan;
+use crate::support::mixed_request;
 use crate::support::open_cell;
-use crate::support::plan_for;
 
-fn lookups(number: u32) -> Request {
+fn nth_lookup(number: u32) -> Request {
     lookup(&format!("lookup-{number}"))
 }
 
-fn long_restocks(number: u32) -> Request {
+fn nth_long_restock(number: u32) -> Request {
     restock(&format!("long-{number}"), Duration::from_secs(6))
 }
 
-/// Workers with work, the busiest first.
-fn busiest(cell: &Cell) -> Vec<fake::FakeWorker> {
+/// All workers, sorted by their number of running tasks, highest first.
+fn workers_by_load(cell: &Cell) -> Vec<fake::FakeWorker> {
     let mut workers = cell.platform.workers.clone();
     workers.sort_by_cached_key(|worker| std::cmp::Reverse(worker.running()));
     workers
 }
 
-// Symptom: a worker that was being taken away was given new tasks.
-// Sequence: the host list marks it as leaving, under load.
-// Cause: a host list that is read too seldom, or only when a shard opens.
+// Guards against new tasks on a worker that the host list marks as leaving, under load. This
+// happens if the host list is read too seldom, or only when a shard opens.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaving_worker_gets_nothing_new_after_two_seconds() {
+async fn a_leaving_worker_gets_no_new_task_after_two_seconds() {
     let cell = open_cell(2).await;
-    let plan = plan_for(&cell, 150, 900, lookups);
+    let plan = load_plan(&cell, 150, 900, nth_lookup);
     let leaving = cell.platform.workers[5].id.clone();
 
     let load = begin_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(1)).await;
     cell.platform.hosts.leave(&leaving);
-    let quiet = cell.platform.log.now() + Duration::from_secs(2);
+    let grace_end = cell.platform.log.now() + Duration::from_secs(2);
     let outcomes = load.await.expect("load");
 
     let runs = cell.platform.log.runs();
     let before = runs
         .iter()
-        .filter(|run| run.worker == leaving && run.from < quiet)
+        .filter(|run| run.worker == leaving && run.from < grace_end)
         .count();
     let late = runs
         .iter()
-        .filter(|run| run.worker == leaving && run.from >= quiet)
+        .filter(|run| run.worker == leaving && run.from >= grace_end)
         .count();
-    assert!(before > 0, "the worker was never used");
+    assert!(before > 0, "the worker was never writes_used");
     assert_eq!(late, 0);
-    check_rules(&cell, &outcomes);
+    assert_no_violations(&cell, &outcomes);
     cell.close();
 }
 
-// Symptom: long restocks on a leaving worker were lost, or began anew.
-// Sequence: the worker leaves while they run. Cause: only new work was kept
-// away from it.
+// Guards against long restocks that are lost or start from the beginning when their worker
+// leaves while they run. It isn't enough to place no new tasks on a leaving worker: running
+// tasks must be checkpointed and moved.
 #[tokio::test(flavor = "multi_thread")]
-async fn long_work_on_a_leaving_worker_moves_by_checkpoint() {
+async fn long_tasks_on_a_leaving_worker_move_by_checkpoint() {
     let cell = open_cell(2).await;
-    let plan = plan_for(&cell, 100, 60, long_restocks);
+    let plan = load_plan(&cell, 100, 60, nth_long_restock);
 
     let load = begin_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let worker = busiest(&cell).remove(0);
+    let worker = workers_by_load(&cell).remove(0);
     cell.platform.hosts.leave(&worker.id);
     let outcomes = load.await.expect("load");
 
@@ -85,64 +85,65 @@
         .filter(|run| run.result == Some(worker::EndResult::Checkpointed))
         .count();
     assert!(moved > 0, "nothing was checkpointed");
-    check_rules(&cell, &outcomes);
-    check_all_succeeded(&outcomes);
+    assert_no_violations(&cell, &outcomes);
+    assert_all_succeeded(&outcomes);
     cell.close();
 }
 
-// Symptom: a confirmation that ran on a restarted worker was run again.
-// Sequence: workers restart and forget everything, under load.
-// Cause: taking "the worker does not know it" for "it was not started".
+// Guards against a confirmation that runs again after its worker restarted under load and
+// lost its state. That the worker does not list a task does not prove that the task was
+// never started.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_restarted_worker_is_not_taken_for_one_that_never_started() {
+async fn tasks_of_a_restarted_worker_do_not_count_as_never_started() {
     let cell = open_cell(2).await;
-    let plan = plan_for(&cell, 150, 900, mixed);
+    let plan = load_plan(&cell, 150, 900, mixed_request);
 
     let load = begin_load(&cell.caller, plan);
     for round in 0..5 {
         tokio::time::sleep(Duration::from_millis(800)).await;
-        for worker in busiest(&cell).iter().take(3 + round) {
+        for worker in workers_by_load(&cell).iter().take(3 + round) {
             worker.restart();
         }
     }
     let outcomes = load.await.expect("load");
 
-    check_rules(&cell, &outcomes);
+    assert_no_violations(&cell, &outcomes);
     cell.close();
 }
 
-// Symptom: a restock ran in two places. Sequence: its worker's process stands
-// still for longer than the task lease, its owner gives it up and starts it
-// elsewhere, the worker goes on. Cause: a lease that the worker does not judge
-// by its own clock before it reads what has queued up.
+// Guards against a restock that runs on two workers. Its worker's process is paused for
+// longer than the task lease, the owner starts the restock on another worker, and the first
+// worker resumes. The worker must check the lease against its own clock before it handles
+// the messages that have queued up.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_worker_that_stands_still_past_the_lease_runs_nothing_twice() {
+async fn a_worker_paused_past_its_lease_runs_no_task_twice() {
     let cell = open_cell(2).await;
-    let plan = plan_for(&cell, 60, 120, long_restocks);
+    let plan = load_plan(&cell, 60, 120, nth_long_restock);
 
     let load = begin_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let still: Vec<fake::FakeWorker> = busiest(&cell).into_iter().take(4).collect();
-    for worker in &still {
+    let paused_workers: Vec<fake::FakeWorker> =
+        workers_by_load(&cell).into_iter().take(4).collect();
+    for worker in &paused_workers {
         worker.set(|manner| manner.paused = true);
     }
     tokio::time::sleep(Duration::from_secs(14)).await;
-    for worker in &still {
+    for worker in &paused_workers {
         worker.set(|manner| manner.paused = false);
     }
     let outcomes = load.await.expect("load");
 
-    check_rules(&cell, &outcomes);
+    assert_no_violations(&cell, &outcomes);
     cell.close();
 }
 
-// Symptom: most lookups failed although only a few workers were bad.
-// Sequence: three workers fail everything at once, and so are always free.
-// Cause: placing on the idlest worker without looking at what becomes of it.
+// Guards against most lookups failing because of a few bad workers. Three workers fail each
+// task at once, so they are always idle; placement must consider the results of a worker,
+// not only its load.
 #[tokio::test(flavor = "multi_thread")]
 async fn workers_that_fail_everything_do_not_attract_all_work() {
     let cell = open_cell(2).await;
-    let plan = plan_for(&cell, 200, 1200, lookups);
+    let plan = load_plan(&cell, 200, 1200, nth_lookup);
     let client = cell.caller.clone();
     for index in [3, 20, 40] {
         cell.platform.workers[index].set(|manner| manner.fails = true);
@@ -156,11 +157,11 @@
     cell.close();
 }
 
-// Symptom: ten thousand withdrawn restocks took minutes and a write each.
-// Sequence: a day's restocks are queued and withdrawn by one call.
-// Cause: a record for each request. Nothing may start once the call returned.
+// Guards against cancelling with one record for each request: cancelling ten thousand queued
+// restocks of one day by their label then took minutes and one write each. No cancelled
+// request may start after the call has returned.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_withdrawn_day_takes_few_writes_and_starts_nothing() {
+async fn cancelling_a_label_takes_few_writes_and_starts_nothing() {
     let cell = open_cell(2).await;
     let mut submits = tokio::task::JoinSet::new();
     for number in 0..2000 {
@@ -185,26 +186,26 @@
         .cancel_label(cell.http(0), "day")
         .await
         .expect("cancel");
-    let used = cell.platform.table.counts().writes - writes;
+    let writes_used = cell.platform.table.counts().writes - writes;
     let returned = cell.platform.log.now();
     tokio::time::sleep(Duration::from_secs(3)).await;
 
     assert_eq!(cancelled, 2000);
-    assert!(used <= 40, "{used} writes");
+    assert!(writes_used <= 40, "{writes_used} writes");
     let started = cell.platform.log.runs();
-    // A start that was on its way when the call was made may still arrive;
-    // it is stopped at once.
+    // A start that was already sent when the cancel call was made may still arrive; the task
+    // is then stopped at once.
     let late = started
         .iter()
         .filter(|run| run.from > returned && run.request.contains("day-"));
-    let ran_on = late.filter(|run| run.result != Some(worker::EndResult::Stopped));
-    assert_eq!(ran_on.count(), 0);
+    let not_stopped = late.filter(|run| run.result != Some(worker::EndResult::Stopped));
+    assert_eq!(not_stopped.count(), 0);
     cell.close();
 }
 
-// Symptom: a gang ran with a member missing, or two gangs waited for each
-// other. Sequence: gangs and single tasks compete for the same slots.
-// Cause: taking slots one by one.
+// Guards against a gang that runs with a member missing, and against two gangs that wait for
+// each other, while gangs and single tasks compete for the same slots. This happens if slots
+// are booked one by one.
 #[tokio::test(flavor = "multi_thread")]
 async fn gangs_start_whole() {
     let cell = open_cell(2).await;
@@ -214,7 +215,7 @@
         run_millis: 300,
         ..lookup(&format!("gang-{number}"))
     };
-    let plan = plan_for(&cell, 20, 60, gangs);
+    let plan = load_plan(&cell, 20, 60, gangs);
 
     let outcomes = run_load(&cell.caller, plan).await;
 
@@ -231,13 +232,13 @@
     cell.close();
 }
 
-// Symptom: lookups waited for seconds, or were refused, while most of the cell
-// was idle. Sequence: all requests of a rush belong to one shard, whose three
-// workers hold 24 tasks. Cause: a shard that could not use the others' room.
+// Guards against lookups that wait for seconds or are refused while most of the cell is idle.
+// All requests belong to one shard, whose three workers have slots for 24 tasks; the shard
+// must be able to use the free resources of other shards.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_shard_without_room_lends_its_work() {
+async fn a_shard_without_free_resources_uses_workers_of_other_shards() {
     let cell = open_cell(2).await;
-    let plan = plan_for(&cell, 200, 600, |number| Request {
+    let plan = load_plan(&cell, 200, 600, |number| Request {
         run_millis: 300,
         deadline_millis: 2000,
         ..lookup(&fake::id_in_shard(&format!("hot-{number}"), 3, 16))
@@ -245,21 +246,21 @@
 
     let outcomes = run_load(&cell.caller, plan).await;
 
-    check_all_succeeded(&outcomes);
+    assert_all_succeeded(&outcomes);
     let runs = cell.platform.log.runs();
     let lent = runs
         .iter()
         .filter(|run| run.request.contains("hot-") && run.attempt.contains('~'));
     assert!(lent.count() > 100);
-    check_rules(&cell, &outcomes);
+    assert_no_violations(&cell, &outcomes);
     cell.close();
 }
 
-// A caller who asked how a request stands was told that it ran on a worker,
-// which had not even got the order to start it. Whatever was sent counted as
-// running; only the worker's own word tells that it does.
+// Guards against a status that says a request is running on a worker that has not yet
+// received the start. A start that was only sent does not count as running; the worker must
+// have confirmed it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_is_not_called_running_before_its_worker_said_so() {
+async fn a_request_is_shown_as_running_only_after_its_worker_confirmed_the_start() {
     let cell = open_cell(1).await;
     for worker in &cell.platform.workers {
         worker.set(|manner| manner.late_starts = Duration::from_secs(3));
