--- a/crates/daemon/tests/shown/answers.rs
+++ b/crates/daemon/tests/shown/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of a process that is not the owner of a shard.
+//! Answers of a process that doesn't own the shard of a request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 use web::Handler;
 use web::Method;
 
-use crate::house::House;
+use crate::house::Fixture;
 use crate::house::call;
 
 fn lookup() -> Request {
@@ -38,14 +38,13 @@
     }
 }
 
-// A caller asked for a request that nobody had ever submitted, and was told
-// that it is pending (500). The owner of its shard could not be reached, so
-// nothing at all was known of the request.
+// Guards against the status "pending" (500) for a request that was never submitted. The
+// owner of its shard could not be reached, so the process could not know the request's state.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_whose_owner_is_silent_is_not_said_to_be_pending() {
-    let house = House::new();
+async fn a_request_whose_owner_does_not_answer_is_not_shown_as_pending() {
+    let fixture = Fixture::new();
 
-    let reply = house
+    let reply = fixture
         .api
         .handle(call(Method::GET, "/v1/requests/r1", ""))
         .await;
@@ -53,18 +52,17 @@
     assert_eq!(reply.status().as_u16(), 503);
 }
 
-// A caller was told "not run" of a request that had run. The first owner had
-// started it and ended; the process that took the call asked the next owner,
-// on the caller's behalf, without telling that this was a second try. The next
-// owner found no trace, and took it for a new request.
+// Guards against the answer "not run" for a request that has run. The first owner started it
+// and ended; the entry host submitted it again to the successor without saying that this was
+// a second try. The successor found no record of it and handled it as a new request.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_second_try_tells_when_the_first_was_made() {
-    let house = House::new();
+async fn a_second_try_carries_the_time_of_the_first() {
+    let fixture = Fixture::new();
     let (owner, mut inbox) = mpsc::unbounded_channel();
     let mut view = View::default();
     view.local.insert(0, owner);
     let (_publish, view) = watch::channel(Arc::new(view));
-    let (node, _) = house.other_node();
+    let (node, _) = fixture.other_node();
     let router = Router::new(node, 1, view);
     let submission = Submission {
         request: lookup(),
@@ -75,19 +73,20 @@
 
     let (_dismiss, dismissed) = watch::channel(false);
     let patience = Duration::from_secs(5);
-    let asking = tokio::spawn(async move { router.submit(submission, patience, dismissed).await });
+    let submitting =
+        tokio::spawn(async move { router.submit(submission, patience, dismissed).await });
     let first = next_submission(&mut inbox, None).await;
     let ok = Answer::bare("r1", Code::Ok, "");
     let second = next_submission(&mut inbox, Some(ok)).await;
-    asking.await.expect("an answer");
+    submitting.await.expect("an answer");
 
     assert_eq!(first.request.sent_millis, 0);
     let sent = second.request.sent_millis;
     assert!((before..=event::wall_millis()).contains(&sent), "{sent}");
 }
 
-/// The next submission that an owner gets. It is answered, or its owner ends
-/// without a reply.
+/// Receives the next submission as the owner of its shard. Sends `answer`, or with `None`
+/// drops the reply channel, as an owner that ends.
 async fn next_submission(
     inbox: &mut mpsc::UnboundedReceiver<OwnerMessage>,
     answer: Option<Answer>,
@@ -98,7 +97,7 @@
     if let Some(answer) = answer {
         reply
             .send(ShardReply::Answer(answer))
-            .expect("a caller that waits");
+            .expect("a waiting caller");
     }
     submission
 }
--- a/crates/daemon/tests/shown/cell.rs
+++ b/crates/daemon/tests/shown/cell.rs
@@ -1,4 +1,4 @@
-//! What a process shows of the cell and of the platform's table.
+//! Events, metrics and replies that describe the cell and the platform's table.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -18,43 +18,43 @@
 use web::Handler;
 use web::Method;
 
-use crate::house::House;
+use crate::house::Fixture;
 use crate::house::call;
-use crate::house::nowhere;
+use crate::house::unused_address;
 use crate::stubs::Fault;
 
-/// Another process, which says whether the table answers it.
+/// Service of another process; its replies say whether that process reaches the table.
 #[derive(Clone, Debug, Default)]
-struct Neighbour {
-    reaches: Arc<AtomicBool>,
+struct OtherProcess {
+    table_reachable: Arc<AtomicBool>,
 }
 
-impl Service for Neighbour {
+impl Service for OtherProcess {
     type Ask = Ask;
     type Reply = Reply;
 
     async fn answer(&self, _ask: Ask) -> Reply {
         Reply::Pong(TableHealth {
             process: "b-1".to_owned(),
-            reachable: self.reaches.load(Ordering::Acquire),
+            reachable: self.table_reachable.load(Ordering::Acquire),
         })
     }
 }
 
-/// A table with configuration version 3.
-fn configured() -> House {
-    let house = House::new();
+/// A fixture whose table holds version 3 of the configuration.
+fn with_config() -> Fixture {
+    let fixture = Fixture::new();
     let mut config = first_config();
     config.version = 3;
-    house.table.put(CONFIG_HEAD, "3");
-    house.table.put(CONFIG_CURRENT, &encode_row(&config));
-    house
+    fixture.table.put(CONFIG_HEAD, "3");
+    fixture.table.put(CONFIG_CURRENT, &encode_row(&config));
+    fixture
 }
 
-/// Waits for what the process believes; false if it did not come, in 5 s.
-async fn comes(house: &House, wanted: impl Fn(&View) -> bool) -> bool {
+/// Waits until the view of the process matches; returns false if it does not within 5 s.
+async fn wait_for_view(fixture: &Fixture, expected: impl Fn(&View) -> bool) -> bool {
     for _ in 0..250 {
-        if wanted(&house.believes()) {
+        if expected(&fixture.current_view()) {
             return true;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -62,114 +62,131 @@
     false
 }
 
-// The time line said that the table answers again (205) in the middle of an
-// outage. A neighbour had confirmed the outage and the shards went on; then
-// the neighbour reached the table and this process did not, so its shards
-// stopped. The end of the confirmation was taken for the end of the outage.
+// Guards against the event that the table answers again (205) in the middle of an outage.
+// Another process had confirmed the outage, so the shards went on; then that process reached
+// the table again and this one did not, so the shards stopped. The end of the confirmation is
+// not the end of the outage.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_outage_has_not_ended_while_the_table_is_silent() {
-    let mut house = House::new();
-    let neighbour = Neighbour::default();
-    let (node, address) = house.other_node();
-    let service = neighbour.clone();
+async fn an_outage_does_not_end_while_the_table_does_not_answer() {
+    let mut fixture = Fixture::new();
+    let other = OtherProcess::default();
+    let (node, address) = fixture.other_node();
+    let service = other.clone();
     tokio::spawn(async move { node.serve(service).await });
-    house.add_member(address, LeaseState::Live);
-    house.keep();
-    assert!(comes(&house, |view| view.members.len() == 2).await);
-
-    house.table.fail(Fault::Refuses(String::new()));
-    assert!(house.hears("outage_entered").await, "{:?}", house.events());
-    neighbour.reaches.store(true, Ordering::Release);
-    let unconfirmed = house.hears("outage_unconfirmed").await;
-
-    assert!(unconfirmed, "{:?}", house.events());
-    assert!(!house.events().contains(&"outage_left".to_owned()));
+    fixture.add_member(address, LeaseState::Live);
+    fixture.start_keeper();
+    assert!(wait_for_view(&fixture, |view| view.members.len() == 2).await);
+
+    fixture.table.set_fault(Fault::RefuseReads(String::new()));
+    assert!(
+        fixture.wait_for_event("outage_entered").await,
+        "{:?}",
+        fixture.events()
+    );
+    other.table_reachable.store(true, Ordering::Release);
+    let unconfirmed = fixture.wait_for_event("outage_unconfirmed").await;
+
+    assert!(unconfirmed, "{:?}", fixture.events());
+    assert!(!fixture.events().contains(&"outage_left".to_owned()));
 }
 
-// Operators were told of a damaged row (600), which is for their hands to
-// mend, and found the row whole. The table had refused the read; whatever went
-// wrong while the configuration was read counted as damage.
+// Guards against reporting a damaged row (600), which an operator has to repair, when the
+// table only refused the read. Any error while the configuration was read counted as damage.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_read_that_is_refused_is_no_damaged_row() {
-    let mut house = configured();
-    house.table.fail(Fault::Refuses(CONFIG_CURRENT.to_owned()));
-
-    house.keep();
-    let claimed = house.hears("shard_claimed").await;
+async fn a_refused_read_is_not_reported_as_a_damaged_row() {
+    let mut fixture = with_config();
+    fixture
+        .table
+        .set_fault(Fault::RefuseReads(CONFIG_CURRENT.to_owned()));
+
+    fixture.start_keeper();
+    let shard_claimed = fixture.wait_for_event("shard_claimed").await;
     tokio::time::sleep(Duration::from_secs(1)).await;
 
-    assert!(claimed, "{:?}", house.events());
-    assert!(!house.events().contains(&"row_damaged".to_owned()));
+    assert!(shard_claimed, "{:?}", fixture.events());
+    assert!(!fixture.events().contains(&"row_damaged".to_owned()));
 }
 
-// The same of the journal of a shard that a process takes over.
+// As above, for the journal of a shard that the process takes over.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_journal_that_cannot_be_read_now_is_not_damaged() {
-    let mut house = House::new();
-    house.table.fail(Fault::Refuses("journal/".to_owned()));
-
-    house.keep();
-    let claimed = house.hears("shard_claimed").await;
+async fn a_refused_read_of_a_journal_is_not_reported_as_damage() {
+    let mut fixture = Fixture::new();
+    fixture
+        .table
+        .set_fault(Fault::RefuseReads("journal/".to_owned()));
+
+    fixture.start_keeper();
+    let shard_claimed = fixture.wait_for_event("shard_claimed").await;
     tokio::time::sleep(Duration::from_secs(1)).await;
 
-    assert!(claimed, "{:?}", house.events());
-    assert!(!house.events().contains(&"row_damaged".to_owned()));
+    assert!(shard_claimed, "{:?}", fixture.events());
+    assert!(!fixture.events().contains(&"row_damaged".to_owned()));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_row_that_makes_no_sense_is_damaged() {
-    let mut house = configured();
-    house.table.put(CONFIG_CURRENT, "{");
+async fn a_row_that_cannot_be_decoded_is_reported_as_damaged() {
+    let mut fixture = with_config();
+    fixture.table.put(CONFIG_CURRENT, "{");
 
-    house.keep();
+    fixture.start_keeper();
 
-    assert!(house.hears("row_damaged").await, "{:?}", house.events());
+    assert!(
+        fixture.wait_for_event("row_damaged").await,
+        "{:?}",
+        fixture.events()
+    );
 }
 
-// A configuration was said to be in force everywhere while a process still
-// decided by the one before. That process was leaving, and went on with its
-// shards until they were handed over; only processes that take new shards were
-// asked.
+// Guards against reporting a configuration as in force everywhere while a leaving process
+// still uses the previous version. A leaving process runs its shards until they are handed
+// over, but only processes that accept new shards were counted.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaving_process_counts_for_what_is_in_force_everywhere() {
-    let mut house = configured();
-    house.add_member(nowhere(), LeaseState::Leaving);
+async fn a_leaving_process_counts_for_the_lowest_configuration_version() {
+    let mut fixture = with_config();
+    fixture.add_member(unused_address(), LeaseState::Leaving);
 
-    house.keep();
-    let here = |view: &View| view.members.iter().any(|member| member.config == 3);
-    let adopted = comes(&house, here).await;
+    fixture.start_keeper();
+    let is_adopted = |view: &View| view.members.iter().any(|member| member.config == 3);
+    let adopted = wait_for_view(&fixture, is_adopted).await;
 
-    assert!(adopted, "{:?}", house.believes());
-    assert_eq!(house.believes().lowest_config(), 0);
+    assert!(adopted, "{:?}", fixture.current_view());
+    assert_eq!(fixture.current_view().lowest_config(), 0);
 }
 
-// A process said that the table answers (the gauge was 1) while it had waited
-// for an answer for seconds. What it believes is published between two calls,
-// and it was in the middle of one.
+// Guards against a gauge that shows the table as reachable (1) while a call has waited for an
+// answer for seconds. The view is published between calls, so it does not change during one.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_silent_table_is_not_shown_as_one_that_answers() {
-    let mut house = House::new();
-    house.keep();
-    assert!(house.hears("shard_claimed").await, "{:?}", house.events());
-
-    house.table.fail(Fault::Hangs);
+async fn a_table_that_does_not_answer_is_not_shown_as_reachable() {
+    let mut fixture = Fixture::new();
+    fixture.start_keeper();
+    assert!(
+        fixture.wait_for_event("shard_claimed").await,
+        "{:?}",
+        fixture.events()
+    );
+
+    fixture.table.set_fault(Fault::Hang);
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let text = house.metrics();
+    let text = fixture.metrics();
 
     assert!(text.contains("clovermount_table_reachable 0"), "{text}");
 }
 
-// A process showed three live members of a cell in which it had been alone for
-// minutes. It could not read the table, and nothing told how old its view was.
+// Guards against an outdated view that can't be recognised as such: a process that could not
+// read the table showed three live members of a cell in which it had been alone for minutes.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_age_of_the_view_is_shown() {
-    let mut house = House::new();
-    house.keep();
-    assert!(house.hears("shard_claimed").await, "{:?}", house.events());
-
-    house.table.fail(Fault::Hangs);
+    let mut fixture = Fixture::new();
+    fixture.start_keeper();
+    assert!(
+        fixture.wait_for_event("shard_claimed").await,
+        "{:?}",
+        fixture.events()
+    );
+
+    fixture.table.set_fault(Fault::Hang);
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let text = house.metrics();
+    let text = fixture.metrics();
     let age = text
         .lines()
         .find_map(|line| line.strip_prefix("clovermount_view_age_seconds "))
@@ -178,20 +195,20 @@
     assert!(age.is_some_and(|age| age > 2.0), "{text}");
 }
 
-// An operator found that a patch was refused (502) in the time line, and in
-// force on all processes. The answer of the table was lost, so the caller was
-// told that the outcome is unknown; the event told of a refusal.
+// Guards against an event that reports a patch as refused (502) although it is in force on
+// all processes. The answer of the table was lost, so the caller was told that the outcome is
+// unknown; the event must say the same.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_patch_whose_outcome_is_unknown_is_not_recorded_as_refused() {
-    let house = configured();
-    house.table.fail(Fault::LosesCommits);
+    let fixture = with_config();
+    fixture.table.set_fault(Fault::LoseCommits);
     let patch = r#"{"id": "p1", "version": 3, "patch": {"pack_percent": 40}}"#;
 
-    let reply = house
+    let reply = fixture
         .api
         .handle(call(Method::POST, "/v1/config", patch))
         .await;
 
     assert_eq!(reply.status().as_u16(), 504);
-    assert_eq!(house.events(), ["patch_unknown"]);
+    assert_eq!(fixture.events(), ["patch_unknown"]);
 }
--- a/crates/daemon/tests/shown/house.rs
+++ b/crates/daemon/tests/shown/house.rs
@@ -1,4 +1,4 @@
-//! One process's keeper and interface over the stand-ins.
+//! A process's keeper and API on top of the stubs.
 
 use std::net::SocketAddr;
 use std::net::UdpSocket;
@@ -42,37 +42,37 @@
 use crate::stubs::StubObjects;
 use crate::stubs::StubTable;
 
-/// Token of an operator.
-pub(crate) const OPERATOR: &str = "the-operator";
+/// Access token of the operator.
+pub(crate) const OPERATOR_TOKEN: &str = "the-operator_tokens";
 
-/// One process over the stand-ins.
-pub(crate) struct House {
+/// The parts of one process, on top of the stubs.
+pub(crate) struct Fixture {
     pub(crate) table: StubTable,
     pub(crate) timeline: Arc<Timeline>,
     pub(crate) view: watch::Receiver<Arc<View>>,
     pub(crate) api: Api<StubTable, StubObjects>,
     keys: TempDir,
-    publish: Option<watch::Sender<Arc<View>>>,
+    view_sender: Option<watch::Sender<Arc<View>>>,
     orders: Option<mpsc::Receiver<KeeperOrder>>,
     context: Arc<Context<StubTable, StubObjects, StubHosts>>,
 }
 
-impl House {
-    /// A process whose keeper does not run yet.
-    pub(crate) fn new() -> House {
+impl Fixture {
+    /// Creates the process; its keeper does not run until [`Fixture::start_keeper`].
+    pub(crate) fn new() -> Fixture {
         let keys = tempfile::tempdir().expect("folder");
         peer::make_keys(&keys.path().join("keys")).expect("keys");
         let table = StubTable::default();
         let timeline = Arc::new(Timeline::new("a-1"));
         let node = open_node(&keys, ([127, 0, 0, 1], 0).into(), timeline.clone());
-        let (publish, view) = watch::channel(Arc::new(View::default()));
+        let (view_sender, view) = watch::channel(Arc::new(View::default()));
         let (keeper, orders) = mpsc::channel(4);
         let gate = Arc::new(Gate::new());
         let api = Api {
             router: Router::new(node.clone(), 1, view.clone()),
             table: table.clone(),
             objects: StubObjects,
-            tokens: operator(),
+            tokens: operator_tokens(),
             flight: Flight::new(8),
             metrics: Metrics::new().expect("metrics"),
             timeline: timeline.clone(),
@@ -86,8 +86,8 @@
             name: "a".to_owned(),
             process: "a-1".to_owned(),
             domain: "tacoma".to_owned(),
-            peer: nowhere(),
-            http: nowhere(),
+            peer: unused_address(),
+            http: unused_address(),
             cell: 0,
             shards: 1,
             write_rate: 100,
@@ -102,27 +102,28 @@
             gate,
             pacer: Pacer::new(100.0),
         };
-        House {
+        Fixture {
             table,
             timeline,
             view,
             api,
             keys,
-            publish: Some(publish),
+            view_sender: Some(view_sender),
             orders: Some(orders),
             context: Arc::new(context),
         }
     }
 
-    /// A node of another process of the cell, and its address.
+    /// Opens the node of another process of the cell; returns it and its address.
     pub(crate) fn other_node(&self) -> (Node, SocketAddr) {
-        let free = UdpSocket::bind(("127.0.0.1", 0)).and_then(|socket| socket.local_addr());
-        let address = free.expect("a free address");
+        let local_address =
+            UdpSocket::bind(("127.0.0.1", 0)).and_then(|socket| socket.local_addr());
+        let address = local_address.expect("a local_address address");
         let timeline = Arc::new(Timeline::new("b-1"));
         (open_node(&self.keys, address, timeline), address)
     }
 
-    /// Writes the lease of another process, `b-1`.
+    /// Writes the member and lease rows of another process, `b-1`.
     pub(crate) fn add_member(&self, peer: SocketAddr, state: LeaseState) {
         let lease = LeaseRow {
             format: FORMAT,
@@ -134,7 +135,7 @@
             format: FORMAT,
             name: "b".to_owned(),
             peer,
-            http: nowhere(),
+            http: unused_address(),
             domain: "tacoma".to_owned(),
         };
         self.table.put(&member_key("b-1"), &encode_row(&member));
@@ -142,27 +143,27 @@
     }
 
     /// Starts the keeper.
-    pub(crate) fn keep(&mut self) {
+    pub(crate) fn start_keeper(&mut self) {
         let ports = KeeperPorts {
             hosts: watch::channel(None).1,
-            view: self.publish.take().expect("a keeper that does not run"),
+            view: self.view_sender.take().expect("a keeper that does not run"),
             hints: Arc::default(),
             orders: self.orders.take().expect("a keeper that does not run"),
         };
         tokio::spawn(Keeper::new(self.context.clone(), ports).run());
     }
 
-    /// What the process believes now.
-    pub(crate) fn believes(&self) -> Arc<View> {
+    /// The view of the cell that the keeper published last.
+    pub(crate) fn current_view(&self) -> Arc<View> {
         self.view.borrow().clone()
     }
 
-    /// Its metrics now.
+    /// The current metrics as text.
     pub(crate) fn metrics(&self) -> String {
-        self.api.metrics.render(&self.believes(), 0.0)
+        self.api.metrics.render(&self.current_view(), 0.0)
     }
 
-    /// Names of the events so far.
+    /// Names of the events recorded so far.
     pub(crate) fn events(&self) -> Vec<String> {
         let events = self.timeline.since(0, 1000);
         events
@@ -171,8 +172,8 @@
             .collect()
     }
 
-    /// Waits until an event was recorded; false if it was not, in 8 s.
-    pub(crate) async fn hears(&self, event: &str) -> bool {
+    /// Waits until an event is recorded; returns false if it is not within 8 s.
+    pub(crate) async fn wait_for_event(&self, event: &str) -> bool {
         for _ in 0..160 {
             if self.events().iter().any(|name| name == event) {
                 return true;
@@ -183,21 +184,21 @@
     }
 }
 
-/// A call of the operator.
+/// An HTTP request with the operator's token.
 pub(crate) fn call(method: Method, path: &str, body: &str) -> Asked {
     Asked {
         method,
         path: path.to_owned(),
         query: String::new(),
-        token: Some(OPERATOR.to_owned()),
+        token: Some(OPERATOR_TOKEN.to_owned()),
         host: String::new(),
         headers: hyper::HeaderMap::new(),
         body: body.to_owned().into(),
     }
 }
 
-/// An address where nobody listens.
-pub(crate) fn nowhere() -> SocketAddr {
+/// An address on which nothing listens.
+pub(crate) fn unused_address() -> SocketAddr {
     ([127, 0, 0, 1], 1).into()
 }
 
@@ -208,9 +209,9 @@
     Node::open(listen, &keys, timeline).expect("node")
 }
 
-fn operator() -> Tokens {
+fn operator_tokens() -> Tokens {
     let token = Token {
-        sha256: model::digest(OPERATOR),
+        sha256: model::digest(OPERATOR_TOKEN),
         role: Role::Operator,
         team: "stores".to_owned(),
     };
--- a/crates/daemon/tests/shown/links.rs
+++ b/crates/daemon/tests/shown/links.rs
@@ -1,4 +1,4 @@
-//! What the link to a worker tells its shard.
+//! Reports of a link to a worker, sent to its shard.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -34,8 +34,8 @@
 use worker::RefusalReason;
 use worker::WorkerClient;
 
-/// Waits no longer than this for what a link tells.
-const WAIT: Duration = Duration::from_secs(5);
+/// Timeout for the next report of a link.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(Debug, Default)]
 struct State {
@@ -45,15 +45,15 @@
     stops: u32,
 }
 
-/// A worker that carries out the first start, loses its answer and restarts;
-/// the answer to the first stop is lost as well, before it was carried out.
+/// A worker that fails the first stop without carrying it out. With `restarts`, it also
+/// carries out the first start, loses the answer and restarts.
 #[derive(Clone, Debug, Default)]
-struct Clumsy {
+struct FaultyWorker {
     state: Arc<Mutex<State>>,
     restarts: bool,
 }
 
-impl Clumsy {
+impl FaultyWorker {
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -120,7 +120,7 @@
     web::json(StatusCode::CONFLICT, &refusal)
 }
 
-impl Handler for Clumsy {
+impl Handler for FaultyWorker {
     async fn handle(&self, asked: Asked) -> Whole {
         match asked.path.as_str() {
             "/v1/claim" => self.claim(),
@@ -131,37 +131,37 @@
     }
 }
 
-/// A link to a worker, as its shard sees it.
-struct Linked {
-    worker: Clumsy,
+/// The shard's side of a link to a worker.
+struct TestLink {
+    worker: FaultyWorker,
     orders: mpsc::UnboundedSender<LinkOrder>,
-    news: mpsc::UnboundedReceiver<Input>,
+    reports: mpsc::UnboundedReceiver<Input>,
     _stop: watch::Sender<bool>,
 }
 
-impl Linked {
-    async fn open(worker: Clumsy) -> Linked {
+impl TestLink {
+    async fn open(worker: FaultyWorker) -> TestLink {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let (stop, stopped) = watch::channel(false);
         let handler = Arc::new(worker.clone());
         tokio::spawn(web::serve(listener, handler, Limits::default(), stopped));
         let (orders, receiver) = mpsc::unbounded_channel();
-        let (owner, news) = mpsc::unbounded_channel();
+        let (owner, reports) = mpsc::unbounded_channel();
         tokio::spawn(Link::new(facts(address), Fence::default(), receiver, owner).run());
-        Linked {
+        TestLink {
             worker,
             orders,
-            news,
+            reports,
             _stop: stop,
         }
     }
 
-    /// The next news but those of ended tasks.
+    /// The next report, except lists of ended tasks.
     async fn next(&mut self) -> Input {
         loop {
-            let news = tokio::time::timeout(WAIT, self.news.recv()).await;
-            let input = news.expect("news in time").expect("an open link");
+            let reports = tokio::time::timeout(REPORT_TIMEOUT, self.reports.recv()).await;
+            let input = reports.expect("a report in time").expect("an open link");
             if !matches!(input, Input::Ended(..)) {
                 return input;
             }
@@ -200,65 +200,70 @@
     })
 }
 
-// A confirmation ran twice, and a lookup that had run was answered "not run".
-// The worker carried out the start, its answer was lost, and it restarted; the
-// start was sent again and refused, since the new run was not claimed. The
-// refusal speaks of the second message alone, and was taken for a word on
-// both: "it was certainly not started".
+// Guards against a confirmation that runs twice and a lookup that has run but is answered
+// "not run". The worker carries out the start, its answer is lost, and it restarts; the start
+// is sent again and refused, since the new incarnation is not claimed. The refusal concerns
+// only the second message and does not prove that the first one started nothing.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_refusal_after_a_lost_answer_is_no_proof_that_nothing_started() {
-    let worker = Clumsy {
+async fn a_refusal_after_a_lost_answer_does_not_prove_that_nothing_started() {
+    let worker = FaultyWorker {
         restarts: true,
-        ..Clumsy::default()
+        ..FaultyWorker::default()
     };
-    let mut linked = Linked::open(worker).await;
-    let first = linked.next().await;
+    let mut link = TestLink::open(worker).await;
+    let first = link.next().await;
 
-    linked.orders.send(start()).expect("an open link");
-    let mut told = Vec::new();
-    while !told.iter().any(|input| matches!(input, Input::Claimed(..))) {
-        told.push(linked.next().await);
+    link.orders.send(start()).expect("an open link");
+    let mut inputs = Vec::new();
+    while !inputs
+        .iter()
+        .any(|input| matches!(input, Input::Claimed(..)))
+    {
+        inputs.push(link.next().await);
     }
 
     assert!(matches!(first, Input::Claimed(..)), "{first:?}");
-    let early = |input: &Input| matches!(input, Input::NotStarted(..));
-    assert!(!told.iter().any(early), "{told:?}");
+    let is_not_started = |input: &Input| matches!(input, Input::NotStarted(..));
+    assert!(!inputs.iter().any(is_not_started), "{inputs:?}");
 }
 
-// The time line said that a worker does not answer (302), when it had answered
-// with a refusal: it had restarted and was to be claimed again.
+// Guards against the event that a worker does not answer (302) when it has answered with a
+// refusal because it restarted and must be claimed again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_worker_that_refuses_is_not_said_to_be_silent() {
-    let worker = Clumsy {
+async fn a_worker_that_refuses_is_not_reported_as_silent() {
+    let worker = FaultyWorker {
         restarts: true,
-        ..Clumsy::default()
+        ..FaultyWorker::default()
     };
-    let mut linked = Linked::open(worker).await;
-    linked.next().await;
+    let mut link = TestLink::open(worker).await;
+    link.next().await;
 
-    linked.orders.send(start()).expect("an open link");
-    let mut told = Vec::new();
-    while !told.iter().any(|input| matches!(input, Input::Claimed(..))) {
-        told.push(linked.next().await);
+    link.orders.send(start()).expect("an open link");
+    let mut inputs = Vec::new();
+    while !inputs
+        .iter()
+        .any(|input| matches!(input, Input::Claimed(..)))
+    {
+        inputs.push(link.next().await);
     }
 
-    let named = |input: &Input| format!("{input:?}").starts_with("WorkerRefused");
-    assert!(told.iter().any(named), "{told:?}");
+    let is_refused = |input: &Input| format!("{input:?}").starts_with("WorkerRefused");
+    assert!(inputs.iter().any(is_refused), "{inputs:?}");
 }
 
-// A task that its caller had cancelled ran to its end. The call that stops it
-// failed once; it was made once.
+// Guards against a cancelled task that runs to its end because the call to stop it failed
+// once and was not repeated.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stop_that_was_lost_is_sent_again() {
-    let mut linked = Linked::open(Clumsy::default()).await;
-    linked.next().await;
-    linked.orders.send(start()).expect("an open link");
-    linked.next().await;
+async fn a_lost_stop_is_sent_again() {
+    let mut link = TestLink::open(FaultyWorker::default()).await;
+    link.next().await;
+    link.orders.send(start()).expect("an open link");
+    link.next().await;
 
     let attempt = "stores/r1#1.1.0".to_owned();
     let stop = LinkOrder::Stop(attempt, StopMode::Kill);
-    linked.orders.send(stop).expect("an open link");
+    link.orders.send(stop).expect("an open link");
     tokio::time::sleep(Duration::from_secs(1)).await;
 
-    assert_eq!(linked.worker.lock().stops, 2);
+    assert_eq!(link.worker.lock().stops, 2);
 }
--- a/crates/daemon/tests/shown/main.rs
+++ b/crates/daemon/tests/shown/main.rs
@@ -1,5 +1,5 @@
-//! What a process shows of itself and of the cell rests on what it knows, not
-//! on what it has ordered or assumes.
+//! What a process reports about itself and the cell (answers, events, metrics) rests on
+//! confirmed facts, not on calls that it has sent or on assumptions.
 
 mod answers;
 mod cell;
--- a/crates/daemon/tests/shown/stubs.rs
+++ b/crates/daemon/tests/shown/stubs.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the platform, in memory, that fail on demand.
+//! In-memory stubs of the platform's services; the table can be made to fail.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,28 +16,28 @@
 use store::StoreError;
 use store::Table;
 
-/// How a table fails.
+/// A fault of the table.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// Not at all.
+    /// The table works.
     #[default]
     None,
-    /// Reads of keys that begin so are refused.
-    Refuses(String),
-    /// The answer of each transaction is lost; it took no effect.
-    LosesCommits,
-    /// Nothing is answered, nor refused.
-    Hangs,
+    /// Reads of keys with this prefix are refused.
+    RefuseReads(String),
+    /// No transaction takes effect, and its outcome is reported as unknown.
+    LoseCommits,
+    /// Calls are never answered.
+    Hang,
 }
 
 #[derive(Debug, Default)]
 struct State {
     rows: BTreeMap<String, Row>,
     fault: Fault,
-    newest: u64,
+    last_version: u64,
 }
 
-/// A table in memory.
+/// An in-memory table.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StubTable {
     state: Arc<Mutex<State>>,
@@ -48,21 +48,21 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes how it fails.
-    pub(crate) fn fail(&self, fault: Fault) {
+    /// Sets the fault of the table.
+    pub(crate) fn set_fault(&self, fault: Fault) {
         self.lock().fault = fault;
     }
 
-    /// Writes a row as another process would.
+    /// Writes a row without a transaction, as if another process had.
     pub(crate) fn put(&self, key: &str, value: &str) {
         self.lock().put(key, value);
     }
 
-    async fn read(&self, key: &str) -> Result<(), StoreError> {
+    async fn check_fault(&self, key: &str) -> Result<(), StoreError> {
         let fault = self.lock().fault.clone();
         match fault {
-            Fault::Hangs => std::future::pending().await,
-            Fault::Refuses(prefix) if key.starts_with(&prefix) => {
+            Fault::Hang => std::future::pending().await,
+            Fault::RefuseReads(prefix) if key.starts_with(&prefix) => {
                 let reason = "refused".to_owned();
                 Err(StoreError::Unavailable { reason })
             }
@@ -73,34 +73,34 @@
 
 impl State {
     fn put(&mut self, key: &str, value: &str) -> u64 {
-        self.newest += 1;
+        self.last_version += 1;
         let row = Row {
             key: key.to_owned(),
-            version: self.newest,
+            version: self.last_version,
             value: value.to_owned(),
         };
         self.rows.insert(key.to_owned(), row);
-        self.newest
+        self.last_version
     }
 }
 
 impl Table for StubTable {
     async fn get(&self, key: &str) -> Result<Option<Row>, StoreError> {
-        self.read(key).await?;
+        self.check_fault(key).await?;
         Ok(self.lock().rows.get(key).cloned())
     }
 
     async fn range(&self, prefix: &str) -> Result<Vec<Row>, StoreError> {
-        self.read(prefix).await?;
+        self.check_fault(prefix).await?;
         let state = self.lock();
         let found = state.rows.values().filter(|r| r.key.starts_with(prefix));
         Ok(found.cloned().collect())
     }
 
     async fn commit(&self, commit: &Commit) -> Result<Committed, StoreError> {
-        self.read("commit").await?;
+        self.check_fault("commit").await?;
         let mut state = self.lock();
-        if state.fault == Fault::LosesCommits {
+        if state.fault == Fault::LoseCommits {
             let reason = "lost".to_owned();
             return Err(StoreError::Unknown { reason });
         }
