--- a/crates/daemon/tests/patches.rs
+++ b/crates/daemon/tests/patches.rs
@@ -52,8 +52,8 @@
     let mut version = 1;
 
     for round in 0..10 {
-        let first_patch = patch(&format!("first_patch-{round}"), version, round);
-        let second_patch = patch(&format!("second_patch-{round}"), version, 50 + round);
+        let first_patch = patch(&format!("one-{round}"), version, round);
+        let second_patch = patch(&format!("two-{round}"), version, 50 + round);
         let (first, second) = tokio::join!(
             cell.operator.patch(cell.http(0), &first_patch),
             cell.operator.patch(cell.http(1), &second_patch),
@@ -81,7 +81,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_repeated_patch_is_recognised_by_its_id() {
     let cell = open_cell(2).await;
-    let lost_patch = patch("lost_patch", 1, 7);
+    let lost_patch = patch("mine", 1, 7);
 
     cell.platform
         .table
@@ -104,7 +104,7 @@
 async fn an_invalid_document_changes_nothing() {
     let cell = open_cell(1).await;
     let invalid = Patch {
-        id: "invalid".to_owned(),
+        id: "bad".to_owned(),
         version: 1,
         patch: json!({ "pack_percent": 20, "site_watts": 10 }),
     };
@@ -163,7 +163,7 @@
         patch: json!({ "teams": { "stores": null } }),
     };
     let recreate = Patch {
-        id: "recreate".to_owned(),
+        id: "make".to_owned(),
         version: 2,
         patch: json!({ "teams": { "stores": { "quota": quota, "queue": 1000 } } }),
     };
@@ -201,7 +201,7 @@
     // Checks the quota as the capacity of one worker that ran all tasks of the team.
     let runs: Vec<Run> = runs
         .map(|run| Run {
-            worker: "quota_resources".to_owned(),
+            worker: "team".to_owned(),
             ..run
         })
         .collect();
--- a/crates/daemon/tests/shown/house.rs
+++ b/crates/daemon/tests/shown/house.rs
@@ -43,7 +43,7 @@
 use crate::stubs::StubTable;
 
 /// Access token of the operator.
-pub(crate) const OPERATOR_TOKEN: &str = "the-operator_tokens";
+pub(crate) const OPERATOR_TOKEN: &str = "the-operator";
 
 /// The parts of one process, on top of the stubs.
 pub(crate) struct Fixture {
@@ -118,7 +118,7 @@
     pub(crate) fn other_node(&self) -> (Node, SocketAddr) {
         let local_address =
             UdpSocket::bind(("127.0.0.1", 0)).and_then(|socket| socket.local_addr());
-        let address = local_address.expect("a local_address address");
+        let address = local_address.expect("a free address");
         let timeline = Arc::new(Timeline::new("b-1"));
         (open_node(&self.keys, address, timeline), address)
     }
--- a/crates/daemon/tests/signals.rs
+++ b/crates/daemon/tests/signals.rs
@@ -45,7 +45,7 @@
     let mut lines = BufReader::new(child.stdout.take().expect("stdout")).lines();
     let first_line = lines
         .next()
-        .expect("a first_line line")
+        .expect("a first line")
         .expect("readable output");
     assert!(first_line.contains("\"code\":105"), "{first_line}");
     let id = i32::try_from(child.id()).expect("id");
--- a/crates/daemon/tests/soak/blame.rs
+++ b/crates/daemon/tests/soak/blame.rs
@@ -1,48 +1,53 @@
-//! Which jobs may be shown as failed, since workers went down under their tasks.
+//! Decides which jobs may be shown as failed because workers crashed while running their tasks.
 //!
-//! A sound task under which workers go down for other reasons can't be told from one that
-//! takes them down. It may be given up as that one is, and no sooner.
+//! A sound task whose workers go down for other reasons can't be distinguished from a task
+//! that crashes them. So it may be given up under the same rules, and no earlier.
 
 use std::time::Duration;
 
 use site::RunLog;
 use site::Span;
 
-/// Crashes of a task after which it is given up, whatever else went down.
-const MOST_CRASHES: usize = 5;
+/// Number of crashes after which a task is given up, whether or not other tasks ran on the
+/// workers.
+const MAX_CRASHES: usize = 5;
 
-/// Least crashes of a task that is given up for the last one, which it met alone.
-const FEWEST_CRASHES: usize = 3;
+/// Minimum number of crashes after which a task is given up if it was the only one on the
+/// worker at the last crash.
+const MIN_CRASHES: usize = 3;
 
-/// Time within which the runs of a worker that goes down end.
-const AT_ONCE: Duration = Duration::from_millis(5);
+/// Maximum time between the ends of two runs that a crash of their worker ended.
+const SAME_CRASH: Duration = Duration::from_millis(5);
 
-/// Whether some task of a job has met the crashes for which it may be given up.
+/// Whether a task of the job has had enough crashes to be given up.
 pub fn may_be_given_up(log: &RunLog, job: &str) -> bool {
     let lost: Vec<Span> = log.spans("").into_iter().filter(Span::lost).collect();
-    let own: Vec<&Span> = lost
+    let job_runs: Vec<&Span> = lost
         .iter()
         .filter(|span| span.task.starts_with(job))
         .collect();
-    own.iter().any(|last| {
-        let crashes = own.iter().filter(|span| span.task == last.task).count();
-        let before = own
+    job_runs.iter().any(|last| {
+        let crashes = job_runs
+            .iter()
+            .filter(|span| span.task == last.task)
+            .count();
+        let so_far = job_runs
             .iter()
             .filter(|span| span.task == last.task && span.begin <= last.begin)
             .count();
-        crashes >= MOST_CRASHES || before >= FEWEST_CRASHES && alone(last, &lost)
+        crashes >= MAX_CRASHES || so_far >= MIN_CRASHES && crashed_alone(last, &lost)
     })
 }
 
-/// Whether no other run was on the worker when it went down.
-fn alone(one: &Span, lost: &[Span]) -> bool {
-    let together = |other: &&Span| {
-        let ends = one.end.as_ref().zip(other.end.as_ref());
-        let near = ends.is_some_and(|((one, _), (other, _))| {
-            let apart = one.saturating_duration_since(*other);
-            apart.max(other.saturating_duration_since(*one)) < AT_ONCE
+/// Whether no other task ran on the worker when it crashed.
+fn crashed_alone(run: &Span, lost: &[Span]) -> bool {
+    let same_crash = |other: &&Span| {
+        let ends = run.end.as_ref().zip(other.end.as_ref());
+        let simultaneous = ends.is_some_and(|((run, _), (other, _))| {
+            let gap = run.saturating_duration_since(*other);
+            gap.max(other.saturating_duration_since(*run)) < SAME_CRASH
         });
-        other.worker == one.worker && other.task != one.task && near
+        other.worker == run.worker && other.task != run.task && simultaneous
     };
-    !lost.iter().any(|other| together(&other))
+    !lost.iter().any(|other| same_crash(&other))
 }
--- a/crates/daemon/tests/soak/field.rs
+++ b/crates/daemon/tests/soak/field.rs
@@ -1,4 +1,4 @@
-//! A cell of real processes, with a relay on each of their ways.
+//! A cell of real processes, with a relay on each connection to the store and the workers.
 
 use std::fs::File;
 use std::net::SocketAddr;
@@ -36,51 +36,52 @@
 use crate::plan::Event;
 use crate::plan::HOSTS;
 use crate::plan::WORKERS;
-use crate::plan::lasting;
-use crate::plan::thin;
+use crate::plan::has_restarts;
+use crate::plan::has_thin_link;
 
-/// The program under test.
-const DAEMON: &str = env!("CARGO_BIN_EXE_clovermountd");
+/// Path of the daemon under test.
+const DAEMON_PATH: &str = env!("CARGO_BIN_EXE_clovermountd");
 
-/// Time that a process has to end after it was asked to: its settings say 6 s.
-const GRACE: Duration = Duration::from_secs(8);
+/// Timeout for a process to end after SIGTERM, and to write its first log line. Its settings
+/// allow 6 s for a stop.
+const STOP_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Time between two looks.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+/// Interval at which the state of a process is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Rate of a thin link, in megabits a second: a dozen starts at once fill it for half a
-/// second.
-const THIN_MBPS: f64 = 0.15;
+/// Bandwidth of a thin link, in megabits per second: a dozen simultaneous starts occupy it for
+/// half a second.
+const THIN_LINK_MBPS: f64 = 0.15;
 
-/// Part of a core that the first host has beside a thin link.
-const SMALL_CORES: f64 = 0.1;
+/// Cores of the first host in a seed with a thin link: a fraction of one.
+const SMALL_HOST_CORES: f64 = 0.1;
 
-/// Settings of a host beside a thin link.
-fn thin_settings(text: &str, at: usize) -> String {
+/// Adapts the settings of a host to a seed with a thin link.
+fn thin_link_settings(text: &str, index: usize) -> String {
     let mut settings: Value = serde_json::from_str(text).expect("settings are JSON");
-    settings["link_mbps"] = json!(THIN_MBPS);
-    if at == 0 {
-        settings["cores"] = json!(SMALL_CORES);
+    settings["link_mbps"] = json!(THIN_LINK_MBPS);
+    if index == 0 {
+        settings["cores"] = json!(SMALL_HOST_CORES);
     }
     settings.to_string()
 }
 
 struct Host {
-    place: LoopbackHost,
-    store_way: Relay,
+    addresses: LoopbackHost,
+    store_relay: Relay,
     settings: PathBuf,
     child: Option<Child>,
-    /// It was asked to stop.
+    /// Whether SIGTERM was sent to the running process.
     stopping: bool,
-    /// Bytes in its log when it was started last.
-    logged: usize,
+    /// Size of the log file in bytes at the last start of the process.
+    log_offset: usize,
 }
 
 impl Host {
     fn signal(&self, signal: Signal) {
         let id = self.child.as_ref().map(Child::id);
         if let Some(id) = id.and_then(|id| i32::try_from(id).ok()) {
-            // It may have ended by itself; that is noticed elsewhere.
+            // Fails if the process has ended by itself, which `check_unexpected_end` reports.
             let _ = kill(Pid::from_raw(id), signal);
         }
     }
@@ -93,13 +94,13 @@
         self.stopping = false;
     }
 
-    /// Whether it runs and has written its first line, or does not run.
-    fn begun(&mut self, log: &Path) -> bool {
-        // Of this start alone: one that was killed 36 ms after its start had written
-        // none, and counted over all starts the next one seemed to say nothing.
+    /// Whether the process has written its first log line since its last start, or has ended.
+    fn started(&mut self, log: &Path) -> bool {
+        // Only lines since the last start count. A process that was killed 36 ms after its
+        // start had written none, so counting the lines of all starts missed the next one.
         let text = std::fs::read(log).unwrap_or_default();
-        let since = text.get(self.logged..).unwrap_or_default();
-        String::from_utf8_lossy(since).contains("\"code\":105") || self.ended()
+        let new_text = text.get(self.log_offset..).unwrap_or_default();
+        String::from_utf8_lossy(new_text).contains("\"code\":105") || self.ended()
     }
 
     fn ended(&mut self) -> bool {
@@ -108,131 +109,131 @@
     }
 }
 
-/// The cell and everything around it.
-pub struct Field {
+/// A cell with the stubs of its platform.
+pub struct Testbed {
     pub log: RunLog,
-    /// What processes did that they must not.
+    /// Descriptions of processes that ended by themselves or did not stop.
     pub faults: Vec<String>,
-    /// How often a process was killed or stopped.
-    pub ends: usize,
+    /// Number of times that a process was killed or stopped.
+    pub process_ends: usize,
     store: Arc<StoreStand>,
     workers: Vec<Arc<WorkerPlace>>,
-    worker_ways: Vec<Relay>,
+    worker_relays: Vec<Relay>,
     hosts: Vec<Host>,
     folder: TempDir,
-    /// Ends the stand-ins when it is dropped.
+    /// Stops the stubs when it is dropped.
     _serving: watch::Sender<bool>,
 }
 
-impl Field {
-    /// Opens the stand-ins and starts the processes.
-    pub async fn open(seed: u64) -> Field {
+impl Testbed {
+    /// Starts the stubs of the platform, then the processes.
+    pub async fn open(seed: u64) -> Testbed {
         let (serving, stop) = watch::channel(false);
         let log = RunLog::default();
         let store = StoreStand::new();
         let store_address = serve(store.clone(), &stop).await;
         let advice = AdviceStand::new(Vec::new());
         let mut workers = Vec::new();
-        let mut worker_ways = Vec::new();
-        let comes_back = if lasting(seed) {
+        let mut worker_relays = Vec::new();
+        let comes_back_as = if has_restarts(seed) {
             ComesBack::InTurn
         } else {
             ComesBack::Renamed
         };
-        let link = thin(seed).then(|| ThinLink::new(THIN_MBPS));
-        for at in 0..WORKERS {
-            let around = Surroundings {
+        let link = has_thin_link(seed).then(|| ThinLink::new(THIN_LINK_MBPS));
+        for index in 0..WORKERS {
+            let surroundings = Surroundings {
                 store: store.clone(),
                 advice: advice.clone(),
                 log: log.clone(),
             };
-            let worker = WorkerPlace::new(&format!("w{at}"), around, comes_back);
+            let worker = WorkerPlace::new(&format!("w{index}"), surroundings, comes_back_as);
             let mut address = serve(worker.clone(), &stop).await;
             if let Some(link) = &link {
                 address = link.front(address, stop.clone()).await;
             }
-            let way = Relay::open(address).await.expect("relay");
-            let first = worker.current();
-            let entry = registration(way.address(), first.born);
-            store.write("servers", &first.id, &entry);
-            tokio::spawn(worker.clone().live(way.address(), stop.clone()));
+            let relay = Relay::open(address).await.expect("relay");
+            let incarnation = worker.current();
+            let entry = registration(relay.address(), incarnation.born);
+            store.write("servers", &incarnation.id, &entry);
+            tokio::spawn(worker.clone().live(relay.address(), stop.clone()));
             workers.push(worker);
-            worker_ways.push(way);
+            worker_relays.push(relay);
         }
         let services = serve(advice, &stop).await;
         store.write("op", "config", &config(1));
         let folder = TempDir::new().expect("folder");
         let net = u8::try_from(seed % 100).expect("below 100") + 100;
         let mut hosts = Vec::new();
-        for at in 0..HOSTS {
-            let place = LoopbackHost::new(net, at);
-            let store_way = Relay::open(store_address).await.expect("relay");
-            let settings = folder.path().join(format!("entry-{at}.json"));
-            let mut text = place.settings(store_way.address(), Some(services));
-            if thin(seed) {
-                text = thin_settings(&text, at);
+        for index in 0..HOSTS {
+            let addresses = LoopbackHost::new(net, index);
+            let store_relay = Relay::open(store_address).await.expect("relay");
+            let settings = folder.path().join(format!("entry-{index}.json"));
+            let mut text = addresses.settings(store_relay.address(), Some(services));
+            if has_thin_link(seed) {
+                text = thin_link_settings(&text, index);
             }
             std::fs::write(&settings, text).expect("settings");
             hosts.push(Host {
-                place,
-                store_way,
+                addresses,
+                store_relay,
                 settings,
                 child: None,
                 stopping: false,
-                logged: 0,
+                log_offset: 0,
             });
         }
-        let mut field = Field {
+        let mut testbed = Testbed {
             log,
             faults: Vec::new(),
-            ends: 0,
+            process_ends: 0,
             store,
             workers,
-            worker_ways,
+            worker_relays,
             hosts,
             folder,
             _serving: serving,
         };
-        for at in 0..HOSTS {
-            field.start(at).await;
+        for index in 0..HOSTS {
+            testbed.start(index).await;
         }
-        field
+        testbed
     }
 
-    /// Where callers reach the processes.
+    /// Addresses on which the processes serve callers.
     pub fn servers(&self) -> Vec<SocketAddr> {
         let hosts = self.hosts.iter();
-        hosts.map(|host| host.place.callers()).collect()
+        hosts.map(|host| host.addresses.callers()).collect()
     }
 
-    /// Waits until each process says that it is ready.
-    pub async fn wait_serving(&self, most: Duration) {
+    /// Waits until each process reports that it is ready.
+    pub async fn wait_ready(&self, limit: Duration) {
         let caller = Caller::new();
         let ready = async {
             for host in &self.hosts {
-                let server = host.place.ready();
+                let server = host.addresses.ready();
                 caller.wait_status(server, "/-/readyz", 200).await;
             }
         };
-        let ready = tokio::time::timeout(most, ready).await;
-        assert!(ready.is_ok(), "the cell does not get ready");
+        let ready = tokio::time::timeout(limit, ready).await;
+        assert!(ready.is_ok(), "the cell did not become ready");
     }
 
-    async fn start(&mut self, at: usize) {
-        self.check_ended(at);
-        if self.hosts[at].stopping {
-            self.wait_stopped(at).await;
+    async fn start(&mut self, index: usize) {
+        self.check_unexpected_end(index);
+        if self.hosts[index].stopping {
+            self.wait_stopped(index).await;
         }
-        let host = &mut self.hosts[at];
+        let host = &mut self.hosts[index];
         if host.child.is_some() {
             return;
         }
-        let path = self.folder.path().join(format!("entry-{at}.log"));
+        let path = self.folder.path().join(format!("entry-{index}.log"));
         let log = File::options().create(true).append(true).open(path);
         let log = log.expect("log file");
-        let logged = log.metadata().expect("log file").len();
-        host.logged = usize::try_from(logged).expect("a short log");
-        let child = Command::new(DAEMON)
+        let log_offset = log.metadata().expect("log file").len();
+        host.log_offset = usize::try_from(log_offset).expect("a short log");
+        let child = Command::new(DAEMON_PATH)
             .arg("--cell")
             .env("CLOVERMOUNT_BOOT", &host.settings)
             .stdin(Stdio::null())
@@ -242,111 +243,113 @@
         host.child = Some(child.expect("the process starts"));
     }
 
-    /// Waits until a process heeds signals, as its first line says: no program
-    /// can before its handlers are installed.
-    async fn wait_begun(&mut self, at: usize) {
-        let path = self.folder.path().join(format!("entry-{at}.log"));
-        let begun = async {
-            while !self.hosts[at].begun(&path) {
-                tokio::time::sleep(LOOK_EVERY).await;
+    /// Waits until a process handles signals. Its first log line is written after the
+    /// handlers are installed; until then, a signal ends the process.
+    async fn wait_started(&mut self, index: usize) {
+        let path = self.folder.path().join(format!("entry-{index}.log"));
+        let started = async {
+            while !self.hosts[index].started(&path) {
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        let begun = tokio::time::timeout(GRACE, begun).await;
-        assert!(begun.is_ok(), "entry-{at} says nothing");
+        let started = tokio::time::timeout(STOP_TIMEOUT, started).await;
+        assert!(started.is_ok(), "entry-{index} wrote no first log line");
     }
 
-    /// A process that was asked to stop must have ended within its grace.
-    async fn wait_stopped(&mut self, at: usize) {
-        let host = &mut self.hosts[at];
+    /// Waits until a process that got SIGTERM has ended, and records a fault if it does not
+    /// end within [`STOP_TIMEOUT`].
+    async fn wait_stopped(&mut self, index: usize) {
+        let host = &mut self.hosts[index];
         host.signal(Signal::SIGCONT);
         let ended = async {
             while !host.ended() {
-                tokio::time::sleep(LOOK_EVERY).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        if tokio::time::timeout(GRACE, ended).await.is_err() {
-            self.faults.push(format!("entry-{at} does not stop"));
+        if tokio::time::timeout(STOP_TIMEOUT, ended).await.is_err() {
+            self.faults
+                .push(format!("entry-{index} did not stop after SIGTERM"));
         }
-        self.hosts[at].kill();
+        self.hosts[index].kill();
     }
 
-    /// A process must not end unless it was asked to.
-    fn check_ended(&mut self, at: usize) {
-        let host = &mut self.hosts[at];
+    /// Records a fault if a process has ended without SIGTERM.
+    fn check_unexpected_end(&mut self, index: usize) {
+        let host = &mut self.hosts[index];
         if host.child.is_some() && !host.stopping && host.ended() {
-            self.faults.push(format!("entry-{at} ended by itself"));
-            self.hosts[at].kill();
+            self.faults.push(format!("entry-{index} ended by itself"));
+            self.hosts[index].kill();
         }
     }
 
-    /// Does one thing to the cell.
+    /// Applies one event of the plan to the cell.
     pub async fn apply(&mut self, event: &Event) {
-        self.ends += usize::from(matches!(event, Event::Kill(_) | Event::Stop(_)));
+        self.process_ends += usize::from(matches!(event, Event::Kill(_) | Event::Stop(_)));
         match *event {
-            Event::Kill(at) => {
-                self.check_ended(at);
-                self.hosts[at].kill();
+            Event::Kill(index) => {
+                self.check_unexpected_end(index);
+                self.hosts[index].kill();
             }
-            Event::Stop(at) => {
-                self.check_ended(at);
-                self.hosts[at].signal(Signal::SIGTERM);
-                self.hosts[at].stopping = self.hosts[at].child.is_some();
+            Event::Stop(index) => {
+                self.check_unexpected_end(index);
+                self.hosts[index].signal(Signal::SIGTERM);
+                self.hosts[index].stopping = self.hosts[index].child.is_some();
             }
-            Event::Start(at) => self.start(at).await,
-            Event::Pause(at) => self.hosts[at].signal(Signal::SIGSTOP),
-            Event::Resume(at) => self.hosts[at].signal(Signal::SIGCONT),
-            Event::Reload(at) => {
-                self.wait_begun(at).await;
-                self.hosts[at].signal(Signal::SIGHUP);
+            Event::Start(index) => self.start(index).await,
+            Event::Pause(index) => self.hosts[index].signal(Signal::SIGSTOP),
+            Event::Resume(index) => self.hosts[index].signal(Signal::SIGCONT),
+            Event::Reload(index) => {
+                self.wait_started(index).await;
+                self.hosts[index].signal(Signal::SIGHUP);
             }
-            Event::StoreWay(at, plan) => self.hosts[at].store_way.set(plan),
-            Event::WorkerWay(at, plan) => self.worker_ways[at].set(plan),
+            Event::StoreRelay(index, plan) => self.hosts[index].store_relay.set(plan),
+            Event::WorkerRelay(index, plan) => self.worker_relays[index].set(plan),
             Event::Store(faults) => self.store.set_faults(faults),
-            Event::Forget => self.store.forget(),
-            Event::LoseStarts(at, count) => self.workers[at].current().lose_starts(count),
-            Event::Resize(at, cores) => self.resize(at, cores),
-            Event::Restart(at, restart) => {
-                let worker = self.workers[at].clone();
+            Event::DropHistory => self.store.forget(),
+            Event::LoseStarts(index, count) => self.workers[index].current().lose_starts(count),
+            Event::Resize(index, cores) => self.resize(index, cores),
+            Event::Restart(index, restart) => {
+                let worker = self.workers[index].clone();
                 tokio::spawn(async move { worker.restart(restart).await });
             }
             Event::Configure(version) => self.store.write("op", "config", &config(version)),
         }
     }
 
-    fn resize(&self, at: usize, cores: usize) {
-        let worker = self.workers[at].current();
-        // One that is down has nothing to say; it comes back at its usual size.
+    fn resize(&self, index: usize, cores: usize) {
+        let worker = self.workers[index].current();
+        // A worker that is down cannot register; it comes back with its usual capacity.
         if worker.dead() {
             return;
         }
         worker.set_cores(cores);
-        let mut resized = registration(self.worker_ways[at].address(), worker.born);
+        let mut resized = registration(self.worker_relays[index].address(), worker.born);
         resized["capacity"]["cpu"] = json!(cores * 1000);
         self.store.write("servers", &worker.id, &resized);
     }
 
-    /// Ends all faults.
-    pub async fn heal(&mut self) {
+    /// Ends all faults and starts the processes that do not run.
+    pub async fn end_faults(&mut self) {
         self.store.set_faults(StoreFaults::default());
-        for way in &self.worker_ways {
-            way.set(RelayPlan::default());
+        for relay in &self.worker_relays {
+            relay.set(RelayPlan::default());
         }
-        for at in 0..HOSTS {
-            self.hosts[at].store_way.set(RelayPlan::default());
-            self.hosts[at].signal(Signal::SIGCONT);
-            self.start(at).await;
+        for index in 0..HOSTS {
+            self.hosts[index].store_relay.set(RelayPlan::default());
+            self.hosts[index].signal(Signal::SIGCONT);
+            self.start(index).await;
         }
     }
 
-    /// Ends the processes and removes their logs.
+    /// Kills the processes and deletes their logs.
     pub fn close(mut self) {
         for host in &mut self.hosts {
             host.kill();
         }
     }
 
-    /// Ends the processes and keeps their logs; gives the folder.
-    pub fn keep(mut self) -> PathBuf {
+    /// Kills the processes, keeps their logs and returns the folder.
+    pub fn close_keeping_logs(mut self) -> PathBuf {
         for host in &mut self.hosts {
             host.kill();
         }
--- a/crates/daemon/tests/soak/main.rs
+++ b/crates/daemon/tests/soak/main.rs
@@ -1,8 +1,8 @@
-//! Randomized fault soak: real processes on loopback, with faults from outside
-//! them, judged by what callers and workers see.
+//! Randomized soak test: real processes on loopback under injected faults, checked by what
+//! callers and workers observe.
 //!
-//! `SOAK_SEEDS=FIRST_START-LAST` plays other seeds than the few of CI. The log of each
-//! process of a seed that fails is kept, and its folder printed.
+//! `SOAK_SEEDS=FIRST-LAST` runs these seeds instead of those of CI. For a seed that fails, the
+//! logs of the processes are kept and their folder is printed.
 
 mod blame;
 mod field;
@@ -13,45 +13,47 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use field::Field;
+use field::Testbed;
 use plan::Event;
 use plan::FAULT_TIME;
 use plan::Plan;
 use traffic::Traffic;
 
-/// Seeds of CI: two of the first, two with tasks that crash and workers that change
-/// their size, two behind a thin link, three with workers that start again under their
-/// ids, and those that have ever failed.
+/// Seeds that CI runs: two without special faults, two with tasks that crash workers and
+/// workers that change their capacity, two with a thin link, three with workers that restart
+/// under their ids, and those that have failed before.
 ///
-/// - 5: a process was told of changed settings before it heeded signals, and
-///   ended by itself;
-/// - 12, 48, 57: the judge took ends for good that had not been taken note of
-///   when their worker's lease ran out; the platform lets such tasks run again;
-/// - 197: the harness waited for good for the first line of a process, since an earlier
-///   one had been killed before it wrote its own;
-/// - 444: an acknowledgement reached the next life of a worker;
-/// - 642: the judge called a job lost that had met five crashes.
+/// - 5: a process got SIGHUP for changed settings before it handled signals, and ended;
+/// - 12, 48, 57: the checker counted ends of tasks that had not been acknowledged when their
+///   worker's lease expired; the platform lets such tasks run again;
+/// - 197: the harness waited forever for the first log line of a process, since an earlier
+///   process had been killed before it wrote its own;
+/// - 444: an acknowledgement reached the next incarnation of a worker;
+/// - 642: the checker reported a job as lost whose task had met five crashes.
 const SEEDS: [u64; 16] = [
     1, 2, 5, 12, 48, 57, 100, 101, 197, 300, 301, 400, 401, 402, 444, 642,
 ];
 
-/// Seeds played at the same time: each has 4 processes and 5 relays.
-const AT_ONCE: usize = 2;
+/// Number of seeds that run in parallel; each has 4 processes and 8 relays.
+const PARALLEL_SEEDS: usize = 2;
 
-/// Longest time in which a process serves its first caller.
-const START_TIME: Duration = Duration::from_secs(20);
+/// Timeout for all processes to become ready after their start.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[tokio::test(flavor = "multi_thread")]
-async fn promises_hold_through_random_faults() {
+async fn guarantees_hold_under_random_faults() {
     let seeds = seeds();
-    let mut wrong = Vec::new();
-    for few in seeds.chunks(AT_ONCE) {
-        let plays: Vec<_> = few.iter().map(|&seed| tokio::spawn(play(seed))).collect();
-        for play in plays {
-            wrong.extend(play.await.expect("a play ends"));
+    let mut violations = Vec::new();
+    for batch in seeds.chunks(PARALLEL_SEEDS) {
+        let runs: Vec<_> = batch
+            .iter()
+            .map(|&seed| tokio::spawn(run_seed(seed)))
+            .collect();
+        for run in runs {
+            violations.extend(run.await.expect("a seed runs to its end"));
         }
     }
-    assert!(wrong.is_empty(), "{wrong:#?}");
+    assert!(violations.is_empty(), "{violations:#?}");
 }
 
 fn seeds() -> Vec<u64> {
@@ -63,33 +65,33 @@
     (number(first)..=number(last)).collect()
 }
 
-/// Plays one seed; gives what was wrong.
-async fn play(seed: u64) -> Vec<String> {
+/// Runs one seed and returns the violations found.
+async fn run_seed(seed: u64) -> Vec<String> {
     let plan = Plan::new(seed);
-    let mut field = Field::open(seed).await;
-    field.wait_serving(START_TIME).await;
-    let traffic = Traffic::begin(seed, field.servers());
+    let mut testbed = Testbed::open(seed).await;
+    testbed.wait_ready(START_TIMEOUT).await;
+    let traffic = Traffic::begin(seed, testbed.servers());
     let begin = Instant::now();
     for (at, event) in &plan.events {
         tokio::time::sleep(at.saturating_sub(begin.elapsed())).await;
-        field.apply(event).await;
+        testbed.apply(event).await;
     }
     tokio::time::sleep(FAULT_TIME.saturating_sub(begin.elapsed())).await;
-    field.heal().await;
+    testbed.end_faults().await;
     let jobs = traffic.end().await;
-    let mut wrong = verdict::judge(&field, &jobs).await;
-    wrong.append(&mut field.faults);
+    let mut violations = verdict::find_violations(&testbed, &jobs).await;
+    violations.append(&mut testbed.faults);
     let summary = verdict::summary(&jobs);
     let faults: Vec<&Event> = plan.events.iter().map(|(_, event)| event).collect();
     println!("seed {seed}: {summary}; {} events", faults.len());
-    if wrong.is_empty() {
-        field.close();
-        return wrong;
+    if violations.is_empty() {
+        testbed.close();
+        return violations;
     }
-    wrong.truncate(20);
-    wrong.push(format!("events: {:?}", plan.events));
-    let folder = field.keep();
-    let head = format!("seed {seed}, logs in {}", folder.display());
-    wrong.insert(0, head);
-    wrong
+    violations.truncate(20);
+    violations.push(format!("events: {:?}", plan.events));
+    let folder = testbed.close_keeping_logs();
+    let summary_line = format!("seed {seed}, logs in {}", folder.display());
+    violations.insert(0, summary_line);
+    violations
 }
--- a/crates/daemon/tests/soak/plan.rs
+++ b/crates/daemon/tests/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What happens when, drawn from a seed.
+//! The faults of a soak run and their times, drawn from a seed.
 
 use std::time::Duration;
 
@@ -10,110 +10,111 @@
 use site::Restart;
 use site::StoreFaults;
 
-/// Processes of a cell.
+/// Number of processes in the cell, each on its own host.
 pub const HOSTS: usize = 4;
 
-/// Workers of four cores each.
+/// Number of workers, with four cores each.
 pub const WORKERS: usize = 4;
 
-/// Cores of a worker that has not changed.
+/// Cores of a worker before and after a resize.
 const USUAL_CORES: usize = 4;
 
-/// Time in which faults happen; all are over at its end.
+/// Duration of the phase with faults; all faults have ended at its end.
 pub const FAULT_TIME: Duration = Duration::from_secs(12);
 
-/// Faults of a seed.
+/// Number of faults of a seed.
 const FAULTS: std::ops::Range<usize> = 5..10;
 
-/// First seed whose workers change their size, and whose tasks may crash them. The
-/// plans of the seeds before stay as they were.
-const ROUGH_SEEDS: u64 = 100;
+/// First seed with workers that change their capacity and tasks that may crash them. The plans
+/// of smaller seeds draw no such faults, so that they stay reproducible.
+const FIRST_CRASH_SEED: u64 = 100;
 
-/// Changes of the size of a worker, in a rough seed.
+/// Number of capacity changes of a worker in a seed with crashes.
 const RESIZES: std::ops::Range<usize> = 3..7;
 
-/// Whether workers change their size, and tasks may crash them.
-pub fn rough(seed: u64) -> bool {
-    seed >= ROUGH_SEEDS
+/// Whether workers change their capacity and tasks may crash them.
+pub fn has_crashes(seed: u64) -> bool {
+    seed >= FIRST_CRASH_SEED
 }
 
-/// First seed whose workers stand behind a thin link, and whose first host is small.
-const THIN_SEEDS: u64 = 300;
+/// First seed with a thin link to the workers and a small first host.
+const FIRST_THIN_SEED: u64 = 300;
 
-/// Whether the workers stand behind a thin link, and the first host is small.
-pub fn thin(seed: u64) -> bool {
-    seed >= THIN_SEEDS && (!lasting(seed) || seed.is_multiple_of(THIN_ONE_IN))
+/// Whether the link to the workers is thin and the first host is small.
+pub fn has_thin_link(seed: u64) -> bool {
+    seed >= FIRST_THIN_SEED && (!has_restarts(seed) || seed.is_multiple_of(THIN_LINK_RATIO))
 }
 
-/// First seed whose workers start again under their ids.
-const LASTING_SEEDS: u64 = 400;
+/// First seed with workers that restart under their ids.
+const FIRST_RESTART_SEED: u64 = 400;
 
-/// One in so many of these stands behind a thin link.
-const THIN_ONE_IN: u64 = 4;
+/// One in this number of seeds with restarts has a thin link.
+const THIN_LINK_RATIO: u64 = 4;
 
-/// Restarts of one worker or of all, in such a seed.
+/// Number of restarts in such a seed, each of one worker or of all.
 const RESTARTS: std::ops::Range<usize> = 3..8;
 
-/// Whether workers start again under their ids.
-pub fn lasting(seed: u64) -> bool {
-    seed >= LASTING_SEEDS
+/// Whether workers restart under their ids.
+pub fn has_restarts(seed: u64) -> bool {
+    seed >= FIRST_RESTART_SEED
 }
 
-/// One thing that is done to the cell.
+/// A fault, or another action on the cell. The first number is the index of a process or
+/// worker, except for `Configure`.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
-    /// A process is killed.
+    /// Kills a process.
     Kill(usize),
-    /// It is asked to stop.
+    /// Sends SIGTERM to a process.
     Stop(usize),
-    /// It starts, if it does not run.
+    /// Starts a process unless it runs.
     Start(usize),
-    /// It stands still.
+    /// Pauses a process (SIGSTOP).
     Pause(usize),
-    /// It goes on.
+    /// Resumes a paused process (SIGCONT).
     Resume(usize),
-    /// It is told that its settings have changed.
+    /// Makes a process reload its settings (SIGHUP).
     Reload(usize),
-    /// The way of a process to the store.
-    StoreWay(usize, RelayPlan),
-    /// The way of all processes to a worker.
-    WorkerWay(usize, RelayPlan),
-    /// The store itself.
+    /// Changes the relay between a process and the store.
+    StoreRelay(usize, RelayPlan),
+    /// Changes the relay between all processes and a worker.
+    WorkerRelay(usize, RelayPlan),
+    /// Sets the faults of the store.
     Store(StoreFaults),
-    /// The store drops its history.
-    Forget,
-    /// So many starts at a worker are carried out and not answered.
+    /// Makes the store drop its history of changes.
+    DropHistory,
+    /// Lets a worker carry out this number of starts without answering them.
     LoseStarts(usize, usize),
-    /// A newer configuration.
+    /// Writes this version of the configuration.
     Configure(u64),
-    /// A worker has so many cores from now on.
+    /// Changes the capacity of a worker to this number of cores.
     Resize(usize, usize),
-    /// A worker goes down and starts again under its id.
+    /// Takes a worker down and restarts it under its id.
     Restart(usize, Restart),
 }
 
-/// Events in the order of their times.
+/// The events of a soak run, sorted by time.
 pub struct Plan {
-    /// Time from the begin, and what happens.
+    /// Time since the begin of the run, and the event.
     pub events: Vec<(Duration, Event)>,
 }
 
 impl Plan {
-    /// The plan of a seed.
+    /// Draws the plan of a seed.
     pub fn new(seed: u64) -> Plan {
-        let mut random = StdRng::seed_from_u64(seed);
+        let mut rng = StdRng::seed_from_u64(seed);
         let mut events = Vec::new();
-        for _ in 0..random.random_range(FAULTS) {
-            add_fault(&mut random, &mut events);
+        for _ in 0..rng.random_range(FAULTS) {
+            add_fault(&mut rng, &mut events);
         }
-        if rough(seed) {
-            for _ in 0..random.random_range(RESIZES) {
-                add_resize(&mut random, &mut events);
+        if has_crashes(seed) {
+            for _ in 0..rng.random_range(RESIZES) {
+                add_resize(&mut rng, &mut events);
             }
         }
-        if lasting(seed) {
-            for _ in 0..random.random_range(RESTARTS) {
-                add_restart(&mut random, &mut events);
+        if has_restarts(seed) {
+            for _ in 0..rng.random_range(RESTARTS) {
+                add_restart(&mut rng, &mut events);
             }
         }
         events.sort_by_key(|(at, _)| *at);
@@ -128,18 +129,18 @@
     }
 }
 
-fn add_restart(random: &mut StdRng, events: &mut Vec<(Duration, Event)>) {
-    let at = Duration::from_millis(random.random_range(0..9_000));
-    let worker = random.random_range(0..WORKERS);
-    let all = random.random_range(0..3) == 0;
+fn add_restart(rng: &mut StdRng, events: &mut Vec<(Duration, Event)>) {
+    let at = Duration::from_millis(rng.random_range(0..9_000));
+    let worker = rng.random_range(0..WORKERS);
+    let all = rng.random_range(0..3) == 0;
     for other in 0..WORKERS {
-        let down = Duration::from_millis(random.random_range(20..1_200));
-        let late = random.random_range(0..3) == 0;
-        let back = random.random_range(0..4) == 0;
+        let down = Duration::from_millis(rng.random_range(20..1_200));
+        let late_entry = rng.random_range(0..3) == 0;
+        let clock_steps_back = rng.random_range(0..4) == 0;
         let restart = Restart {
             down,
-            entry_after: Duration::from_millis(if late { 700 } else { 0 }),
-            clock_back: if back { 2_000 } else { 0 },
+            entry_after: Duration::from_millis(if late_entry { 700 } else { 0 }),
+            clock_back: if clock_steps_back { 2_000 } else { 0 },
         };
         if all || other == worker {
             events.push((at, Event::Restart(other, restart)));
@@ -147,23 +148,23 @@
     }
 }
 
-fn add_resize(random: &mut StdRng, events: &mut Vec<(Duration, Event)>) {
-    let begin = Duration::from_millis(random.random_range(0..8_000));
-    let end = begin + Duration::from_millis(random.random_range(300..4_000));
-    let worker = random.random_range(0..WORKERS);
-    events.push((begin, Event::Resize(worker, random.random_range(1..4))));
+fn add_resize(rng: &mut StdRng, events: &mut Vec<(Duration, Event)>) {
+    let begin = Duration::from_millis(rng.random_range(0..8_000));
+    let end = begin + Duration::from_millis(rng.random_range(300..4_000));
+    let worker = rng.random_range(0..WORKERS);
+    events.push((begin, Event::Resize(worker, rng.random_range(1..4))));
     events.push((end, Event::Resize(worker, USUAL_CORES)));
 }
 
-fn add_fault(random: &mut StdRng, events: &mut Vec<(Duration, Event)>) {
-    let begin = Duration::from_millis(random.random_range(0..8_000));
-    let end = begin + Duration::from_millis(random.random_range(300..4_000));
-    let host = random.random_range(0..HOSTS);
-    let worker = random.random_range(0..WORKERS);
-    let way = broken_way(random);
-    let well = RelayPlan::default();
+fn add_fault(rng: &mut StdRng, events: &mut Vec<(Duration, Event)>) {
+    let begin = Duration::from_millis(rng.random_range(0..8_000));
+    let end = begin + Duration::from_millis(rng.random_range(300..4_000));
+    let host = rng.random_range(0..HOSTS);
+    let worker = rng.random_range(0..WORKERS);
+    let link_fault = draw_link_fault(rng);
+    let healthy = RelayPlan::default();
     let mut add = |at: Duration, event: Event| events.push((at, event));
-    match random.random_range(0..14) {
+    match rng.random_range(0..14) {
         0 | 1 => {
             add(begin, Event::Kill(host));
             add(end, Event::Start(host));
@@ -183,7 +184,7 @@
             }
         }
         6 => {
-            // Replaced one after the other.
+            // A rolling restart of all processes.
             for host in 0..HOSTS {
                 let at = begin + Duration::from_millis(800) * u32::try_from(host).unwrap_or(0);
                 add(at, Event::Stop(host));
@@ -191,25 +192,25 @@
             }
         }
         7 | 8 => {
-            add(begin, Event::StoreWay(host, way));
-            add(end, Event::StoreWay(host, well));
+            add(begin, Event::StoreRelay(host, link_fault));
+            add(end, Event::StoreRelay(host, healthy));
         }
         9 => {
             for host in 0..HOSTS {
-                add(begin, Event::StoreWay(host, way));
-                add(end, Event::StoreWay(host, well));
+                add(begin, Event::StoreRelay(host, link_fault));
+                add(end, Event::StoreRelay(host, healthy));
             }
         }
         10 => {
-            add(begin, Event::WorkerWay(worker, way));
-            add(end, Event::WorkerWay(worker, well));
+            add(begin, Event::WorkerRelay(worker, link_fault));
+            add(end, Event::WorkerRelay(worker, healthy));
         }
         11 => {
-            add(begin, Event::Store(store_faults(random)));
+            add(begin, Event::Store(draw_store_faults(rng)));
             add(end, Event::Store(StoreFaults::default()));
         }
         12 => {
-            add(begin, Event::Forget);
+            add(begin, Event::DropHistory);
             add(begin, Event::Configure(0));
             add(end, Event::Reload(host));
         }
@@ -217,12 +218,12 @@
     }
 }
 
-fn broken_way(random: &mut StdRng) -> RelayPlan {
+fn draw_link_fault(rng: &mut StdRng) -> RelayPlan {
     let mute = |mute: Mute| RelayPlan {
         mute,
         ..RelayPlan::default()
     };
-    match random.random_range(0..5) {
+    match rng.random_range(0..5) {
         0 => RelayPlan {
             cut: true,
             ..RelayPlan::default()
@@ -237,9 +238,9 @@
     }
 }
 
-fn store_faults(random: &mut StdRng) -> StoreFaults {
+fn draw_store_faults(rng: &mut StdRng) -> StoreFaults {
     let mut faults = StoreFaults::default();
-    match random.random_range(0..4) {
+    match rng.random_range(0..4) {
         0 => faults.down = true,
         1 => faults.delay = Duration::from_millis(700),
         2 => faults.lose = 5,
--- a/crates/daemon/tests/soak/traffic.rs
+++ b/crates/daemon/tests/soak/traffic.rs
@@ -1,5 +1,5 @@
-//! Callers: they submit jobs all the while, repeat what got no answer, and
-//! withdraw some.
+//! Callers that submit jobs at a fixed rate, retry calls without a success reply, and cancel
+//! some jobs.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,121 +15,127 @@
 use tokio::task::JoinHandle;
 use tokio::task::JoinSet;
 
-use crate::plan::rough;
+use crate::plan::has_crashes;
 
-/// Time between two jobs.
-const JOB_EVERY: Duration = Duration::from_millis(90);
+/// Interval between two jobs.
+const JOB_INTERVAL: Duration = Duration::from_millis(90);
 
-/// Tries of a caller before it gives up.
-const TRIES: usize = 5;
+/// Maximum number of tries of a call.
+const MAX_TRIES: usize = 5;
 
 /// Pause between two tries.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// One job in so many has a task that takes each worker down, in a rough seed.
-const CRASHES_ONE_IN: u32 = 40;
+/// In a seed with crashes, on average one in this number of jobs has a task that
+/// crashes each worker.
+const CRASH_RATIO: u32 = 40;
 
-/// What became of a job, as its caller saw it.
+/// The outcome of submitting and cancelling a job, as its caller saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    /// It was accepted.
+pub enum Outcome {
+    /// The job was accepted.
     Accepted,
-    /// It was accepted, and its cancel too.
+    /// The job was accepted, and so was its cancellation.
     Canceled,
-    /// Each try was told that it was not accepted.
+    /// Each try was answered with a refusal.
     Refused,
-    /// Some try got no certain answer.
+    /// No try was accepted and some try had no clear result, or the cancellation was not
+    /// confirmed.
     Unknown,
 }
 
 /// A job that a caller has submitted.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// Its id, as callers write it.
+    /// Id of the job, as in its path.
     pub id: String,
-    /// Its path.
+    /// Path of the job in the HTTP interface.
     pub path: String,
-    /// Its tasks fail each time.
+    /// Whether each run of its tasks fails.
     pub fails: bool,
-    /// Its first task takes each worker down.
+    /// Whether the first task of its first step crashes each worker that runs it.
     pub crashes: bool,
-    /// What became of it.
-    pub fate: Fate,
+    /// Outcome of the caller's calls.
+    pub outcome: Outcome,
 }
 
-/// Callers at work.
+/// Callers that run in the background.
 pub struct Traffic {
     stop: watch::Sender<bool>,
-    calling: JoinHandle<Vec<Job>>,
+    jobs: JoinHandle<Vec<Job>>,
 }
 
 impl Traffic {
-    /// Begins to submit jobs to `servers`.
+    /// Starts to submit jobs to `servers`.
     pub fn begin(seed: u64, servers: Vec<SocketAddr>) -> Traffic {
         let (stop, stopped) = watch::channel(false);
-        let calling = tokio::spawn(call(seed, servers, stopped));
-        Traffic { stop, calling }
+        let jobs = tokio::spawn(run_callers(seed, servers, stopped));
+        Traffic { stop, jobs }
     }
 
-    /// Ends it; gives all jobs, once their callers have an answer or gave up.
+    /// Stops submitting and returns all jobs, once their callers have finished their tries.
     pub async fn end(self) -> Vec<Job> {
         self.stop.send_replace(true);
-        self.calling.await.expect("callers end")
+        self.jobs.await.expect("callers end")
     }
 }
 
-async fn call(seed: u64, servers: Vec<SocketAddr>, stopped: watch::Receiver<bool>) -> Vec<Job> {
-    let mut random = StdRng::seed_from_u64(!seed);
+async fn run_callers(
+    seed: u64,
+    servers: Vec<SocketAddr>,
+    stopped: watch::Receiver<bool>,
+) -> Vec<Job> {
+    let mut rng = StdRng::seed_from_u64(!seed);
     let caller = Caller::new();
     let mut callers = JoinSet::new();
     let mut number = 0;
     while !*stopped.borrow() {
         number += 1;
-        let draw = Draw::new(&mut random, &servers, rough(seed));
-        callers.spawn(draw.submit(caller.clone(), (seed << 32) + number));
-        tokio::time::sleep(JOB_EVERY).await;
+        let call_plan = CallPlan::new(&mut rng, &servers, has_crashes(seed));
+        callers.spawn(call_plan.submit(caller.clone(), (seed << 32) + number));
+        tokio::time::sleep(JOB_INTERVAL).await;
     }
     callers.join_all().await
 }
 
-/// What one caller is going to do.
-struct Draw {
+/// The calls that one caller is going to make.
+struct CallPlan {
     body: Value,
     fails: bool,
     crashes: bool,
-    /// Time after which an accepted job is withdrawn.
+    /// Time after which an accepted job is cancelled; `None` if it is not.
     cancel: Option<Duration>,
     servers: Vec<SocketAddr>,
 }
 
-impl Draw {
-    fn new(random: &mut StdRng, servers: &[SocketAddr], rough: bool) -> Draw {
-        let fails = random.random_range(0..20) == 0;
-        let crashes = rough && !fails && random.random_range(0..CRASHES_ONE_IN) == 0;
-        let text = if fails {
+impl CallPlan {
+    fn new(rng: &mut StdRng, servers: &[SocketAddr], has_crashes: bool) -> CallPlan {
+        let fails = rng.random_range(0..20) == 0;
+        let crashes = has_crashes && !fails && rng.random_range(0..CRASH_RATIO) == 0;
+        let spec = if fails {
             "fail".to_owned()
         } else if crashes {
-            // At once, or after a while.
-            let after = [10, 400][random.random_range(0..2)];
+            // The worker crashes after 10 ms or after 400 ms.
+            let after = [10, 400][rng.random_range(0..2)];
             format!("crash 0 300 {after}")
         } else {
-            random.random_range(20..900).to_string()
+            rng.random_range(20..900).to_string()
         };
         let step =
             |count: u32| json!({"count": count, "cpu": 1000, "mem_mb": 100, "estimate_ms": 300});
-        let mut steps = vec![step(random.random_range(1..4))];
-        if random.random_range(0..4) == 0 {
+        let mut steps = vec![step(rng.random_range(1..4))];
+        if rng.random_range(0..4) == 0 {
             let mut second = step(1);
             second["after"] = json!([0]);
             steps.push(second);
         }
-        let cancel = random.random_range(0..10) == 0;
-        let cancel = cancel.then(|| Duration::from_millis(random.random_range(0..600)));
+        let cancel = rng.random_range(0..10) == 0;
+        let cancel = cancel.then(|| Duration::from_millis(rng.random_range(0..600)));
         let mut servers = servers.to_vec();
-        let first = random.random_range(0..servers.len());
+        let first = rng.random_range(0..servers.len());
         servers.rotate_left(first);
-        Draw {
-            body: json!({"spec": text, "steps": steps}),
+        CallPlan {
+            body: json!({"spec": spec, "steps": steps}),
             fails,
             crashes,
             cancel,
@@ -140,41 +146,41 @@
     async fn submit(self, caller: Caller, number: u64) -> Job {
         let id = format!("{number:016x}");
         let path = format!("/plain/{id}");
-        let mut fate = Fate::Refused;
-        for server in self.servers.iter().cycle().take(TRIES) {
+        let mut outcome = Outcome::Refused;
+        for server in self.servers.iter().cycle().take(MAX_TRIES) {
             let (status, _) = caller.send(Method::POST, *server, &path, &self.body).await;
             match status {
-                200 => fate = Fate::Accepted,
+                200 => outcome = Outcome::Accepted,
                 429 | 503 => {}
-                _ => fate = Fate::Unknown,
+                _ => outcome = Outcome::Unknown,
             }
             if status == 200 {
                 break;
             }
             tokio::time::sleep(RETRY_PAUSE).await;
         }
-        if let (Some(after), Fate::Accepted) = (self.cancel, fate) {
+        if let (Some(after), Outcome::Accepted) = (self.cancel, outcome) {
             tokio::time::sleep(after).await;
-            fate = self.cancel(&caller, &path).await;
+            outcome = self.cancel(&caller, &path).await;
         }
         Job {
             id,
             path,
             fails: self.fails,
             crashes: self.crashes,
-            fate,
+            outcome,
         }
     }
 
-    async fn cancel(&self, caller: &Caller, path: &str) -> Fate {
-        for server in self.servers.iter().cycle().take(TRIES) {
+    async fn cancel(&self, caller: &Caller, path: &str) -> Outcome {
+        for server in self.servers.iter().cycle().take(MAX_TRIES) {
             let send = caller.send(Method::DELETE, *server, path, &Value::Null);
             if send.await.0 == 200 {
-                return Fate::Canceled;
+                return Outcome::Canceled;
             }
             tokio::time::sleep(RETRY_PAUSE).await;
         }
-        // It may have been cancelled: no state of it is wrong.
-        Fate::Unknown
+        // The job may have been cancelled or not, so any state of it is correct.
+        Outcome::Unknown
     }
 }
--- a/crates/daemon/tests/soak/verdict.rs
+++ b/crates/daemon/tests/soak/verdict.rs
@@ -1,4 +1,4 @@
-//! What callers and workers have seen, held against what is promised.
+//! Checks what callers and workers have observed against the guarantees of the scheduler.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,78 +10,78 @@
 use site::Deed;
 
 use crate::blame::may_be_given_up;
-use crate::field::Field;
-use crate::traffic::Fate;
+use crate::field::Testbed;
 use crate::traffic::Job;
+use crate::traffic::Outcome;
 
-/// Longest time from the end of all faults until each job has ended.
-const PATIENCE: Duration = Duration::from_mins(1);
+/// Timeout from the end of all faults until each job has ended.
+const END_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// States in which a job has ended: none of them changes any more.
-const FINAL: [&str; 3] = ["completed", "failed", "canceled"];
+/// States of a job that has ended; they never change again.
+const FINAL_STATES: [&str; 3] = ["completed", "failed", "canceled"];
 
-/// Time between two looks at a job.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Interval at which the state of a job is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Most starts of a task that takes each worker down, and one more for each process
-/// that was killed or stopped: an owner that dies before it has recorded a first crash
-/// takes it along.
-const MOST_STARTS: usize = 5;
+/// Maximum number of starts of a task that crashes each worker. One more is allowed for each
+/// time that a process was killed or stopped: an owner that dies before it has recorded the
+/// task's first crash loses the count.
+const MAX_STARTS: usize = 5;
 
-/// Tasks of one core that a worker of four has room for.
-const ROOM: usize = 4;
+/// Cores of a worker, and so the maximum number of tasks of one core that it may run.
+const WORKER_CORES: usize = 4;
 
-/// Everything that is wrong, in words.
-pub async fn judge(field: &Field, jobs: &[Job]) -> Vec<String> {
+/// Checks all jobs and runs, and returns a description of each violation.
+pub async fn find_violations(testbed: &Testbed, jobs: &[Job]) -> Vec<String> {
     let caller = Caller::new();
-    let servers = field.servers();
-    let mut wrong = Vec::new();
-    let until = tokio::time::Instant::now() + PATIENCE;
+    let servers = testbed.servers();
+    let mut violations = Vec::new();
+    let deadline = tokio::time::Instant::now() + END_TIMEOUT;
     for job in jobs {
-        let expected: &[&str] = match (job.fate, job.fails || job.crashes) {
-            (Fate::Accepted, false) => &["completed"],
-            (Fate::Accepted, true) => &["failed"],
-            (Fate::Canceled, _) => &["canceled", "completed", "failed"],
-            (Fate::Refused | Fate::Unknown, _) => continue,
+        let expected: &[&str] = match (job.outcome, job.fails || job.crashes) {
+            (Outcome::Accepted, false) => &["completed"],
+            (Outcome::Accepted, true) => &["failed"],
+            (Outcome::Canceled, _) => &["canceled", "completed", "failed"],
+            (Outcome::Refused | Outcome::Unknown, _) => continue,
         };
-        let looks = wait_final(&caller, &servers, &job.path);
-        let shown = match tokio::time::timeout_at(until, looks).await {
+        let polling = wait_final(&caller, &servers, &job.path);
+        let shown = match tokio::time::timeout_at(deadline, polling).await {
             Ok(shown) => shown,
             Err(_) => state(&caller, servers[0], &job.path).await,
         };
-        let right = expected.iter().any(|state| shown == *state);
-        let given_up = || shown == "failed" && may_be_given_up(&field.log, &job.id);
-        if !right && !given_up() {
-            wrong.push(format!("{}: {:?}, shown as {shown}", job.id, job.fate));
+        let as_expected = expected.iter().any(|state| shown == *state);
+        let given_up = || shown == "failed" && may_be_given_up(&testbed.log, &job.id);
+        if !as_expected && !given_up() {
+            violations.push(format!("{}: {:?}, shown as {shown}", job.id, job.outcome));
         }
     }
-    for job in jobs.iter().filter(|job| job.fate == Fate::Refused) {
-        if field.log.starts(&job.id) > 0 {
-            wrong.push(format!("{}: was refused, and has run", job.id));
+    for job in jobs.iter().filter(|job| job.outcome == Outcome::Refused) {
+        if testbed.log.starts(&job.id) > 0 {
+            violations.push(format!("{}: was refused, but has run", job.id));
         }
     }
     for job in jobs.iter().filter(|job| job.crashes) {
-        let starts = field.log.starts(&format!("{}.0.0.0", job.id));
-        if starts > MOST_STARTS + field.ends {
-            wrong.push(format!(
+        let starts = testbed.log.starts(&format!("{}.0.0.0", job.id));
+        if starts > MAX_STARTS + testbed.process_ends {
+            violations.push(format!(
                 "{}: {starts} starts of a task that crashes",
                 job.id
             ));
         }
     }
-    wrong.extend(field.log.faults());
-    wrong.extend(over_capacity(&field.log.deeds()));
-    wrong
+    violations.extend(testbed.log.faults());
+    violations.extend(over_capacity(&testbed.log.deeds()));
+    violations
 }
 
-/// The state in which a job has ended, once some server shows one.
+/// Polls the servers in turn until one shows a final state of the job, and returns it.
 async fn wait_final(caller: &Caller, servers: &[SocketAddr], path: &str) -> Value {
     for server in servers.iter().cycle() {
         let shown = state(caller, *server, path).await;
-        if FINAL.iter().any(|state| shown == *state) {
+        if FINAL_STATES.iter().any(|state| shown == *state) {
             return shown;
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     Value::Null
 }
@@ -91,17 +91,17 @@
     body["state"].clone()
 }
 
-/// Workers that ever ran more tasks than they have cores.
+/// Reports each start on a worker that was already running as many tasks as it has cores.
 fn over_capacity(deeds: &[Deed]) -> Vec<String> {
     let mut running: HashMap<&str, usize> = HashMap::new();
-    let mut wrong = Vec::new();
+    let mut violations = Vec::new();
     for deed in deeds {
         match deed {
             Deed::Began(worker, task, _) => {
                 let count = running.entry(worker).or_default();
                 *count += 1;
-                if *count > ROOM {
-                    wrong.push(format!("{worker}: {task} is one too many"));
+                if *count > WORKER_CORES {
+                    violations.push(format!("{worker}: {task} is one too many"));
                 }
             }
             Deed::Ended(worker, ..) => {
@@ -111,18 +111,18 @@
             Deed::Void(..) | Deed::Noted(..) | Deed::Over(..) => {}
         }
     }
-    wrong
+    violations
 }
 
-/// Jobs by what became of them.
+/// Formats the number of jobs by outcome.
 pub fn summary(jobs: &[Job]) -> String {
-    let count = |fate: Fate| jobs.iter().filter(|job| job.fate == fate).count();
+    let count = |outcome: Outcome| jobs.iter().filter(|job| job.outcome == outcome).count();
     format!(
         "{} jobs: {} accepted, {} cancelled, {} refused, {} unknown",
         jobs.len(),
-        count(Fate::Accepted),
-        count(Fate::Canceled),
-        count(Fate::Refused),
-        count(Fate::Unknown)
+        count(Outcome::Accepted),
+        count(Outcome::Canceled),
+        count(Outcome::Refused),
+        count(Outcome::Unknown)
     )
 }
--- a/crates/daemon/tests/workers.rs
+++ b/crates/daemon/tests/workers.rs
@@ -59,7 +59,7 @@
         .iter()
         .filter(|run| run.worker == leaving && run.from >= grace_end)
         .count();
-    assert!(before > 0, "the worker was never writes_used");
+    assert!(before > 0, "the worker was never used");
     assert_eq!(late, 0);
     assert_no_violations(&cell, &outcomes);
     cell.close();
