--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -50,6 +50,7 @@
         upload_since(&self.context.objects, &self.context.timeline, 0).await;
     }
 
+    /// Orders the keeper to hand the shards over and records the result.
     async fn hand_over(&self) {
         let began = Instant::now();
         let order = async {
@@ -86,6 +87,7 @@
         self.record_step(began, &outcome);
     }
 
+    /// Records an event with the outcome and the duration of a step of the stop.
     fn record_step(&self, began: Instant, outcome: &str) {
         let took = began.elapsed().as_millis();
         let event = Event::new(Kind::StopStep).detail(format!("{outcome}; {took} ms"));
--- a/crates/daemon/tests/shown/cell.rs
+++ b/crates/daemon/tests/shown/cell.rs
@@ -42,7 +42,7 @@
 }
 
 /// A fixture whose table holds version 3 of the configuration.
-fn with_config() -> Fixture {
+fn fixture_with_config() -> Fixture {
     let fixture = Fixture::new();
     let mut config = first_config();
     config.version = 3;
@@ -94,7 +94,7 @@
 // table only refused the read. Any error while the configuration was read counted as damage.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_refused_read_is_not_reported_as_a_damaged_row() {
-    let mut fixture = with_config();
+    let mut fixture = fixture_with_config();
     fixture
         .table
         .set_fault(Fault::RefuseReads(CONFIG_CURRENT.to_owned()));
@@ -125,7 +125,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_row_that_cannot_be_decoded_is_reported_as_damaged() {
-    let mut fixture = with_config();
+    let mut fixture = fixture_with_config();
     fixture.table.put(CONFIG_CURRENT, "{");
 
     fixture.start_keeper();
@@ -142,7 +142,7 @@
 // over, but only processes that accept new shards were counted.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_process_counts_for_the_lowest_configuration_version() {
-    let mut fixture = with_config();
+    let mut fixture = fixture_with_config();
     fixture.add_member(unused_address(), LeaseState::Leaving);
 
     fixture.start_keeper();
@@ -200,7 +200,7 @@
 // unknown; the event must say the same.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_patch_whose_outcome_is_unknown_is_not_recorded_as_refused() {
-    let fixture = with_config();
+    let fixture = fixture_with_config();
     fixture.table.set_fault(Fault::LoseCommits);
     let patch = r#"{"id": "p1", "version": 3, "patch": {"pack_percent": 40}}"#;
 
--- a/crates/daemon/tests/shown/links.rs
+++ b/crates/daemon/tests/shown/links.rs
@@ -39,6 +39,7 @@
 
 #[derive(Debug, Default)]
 struct State {
+    /// Number of the current incarnation of the worker.
     run: u32,
     claimed: bool,
     starts: u32,
@@ -160,8 +161,8 @@
     /// The next report, except lists of ended tasks.
     async fn next(&mut self) -> Input {
         loop {
-            let reports = tokio::time::timeout(REPORT_TIMEOUT, self.reports.recv()).await;
-            let input = reports.expect("a report in time").expect("an open link");
+            let report = tokio::time::timeout(REPORT_TIMEOUT, self.reports.recv()).await;
+            let input = report.expect("a report in time").expect("an open link");
             if !matches!(input, Input::Ended(..)) {
                 return input;
             }
--- a/crates/daemon/tests/store_faults.rs
+++ b/crates/daemon/tests/store_faults.rs
@@ -139,7 +139,7 @@
 // intent, the owner is killed right after, and the successor finds the intent. An intent does
 // not prove that the task was started.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_intent_with_a_lost_answer_survives_the_owners_death() {
+async fn no_task_runs_twice_after_a_lost_answer_and_the_owners_death() {
     let mut cell = open_cell(3).await;
     let plan = load_plan(&cell, 100, 600, mixed_request);
 
