--- a/crates/daemon/tests/shown/answers.rs
+++ b/crates/daemon/tests/reporting/answers.rs
@@ -19,8 +19,8 @@
 use web::Handler;
 use web::Method;
 
-use crate::house::Fixture;
-use crate::house::call;
+use crate::fixture::Fixture;
+use crate::fixture::call;
 
 fn lookup() -> Request {
     Request {
--- a/crates/daemon/tests/shown/cell.rs
+++ b/crates/daemon/tests/reporting/cell.rs
@@ -18,9 +18,9 @@
 use web::Handler;
 use web::Method;
 
-use crate::house::Fixture;
-use crate::house::call;
-use crate::house::unused_address;
+use crate::fixture::Fixture;
+use crate::fixture::call;
+use crate::fixture::unused_address;
 use crate::stubs::Fault;
 
 /// Service of another process; its replies say whether that process reaches the table.
--- a/crates/daemon/tests/shown/main.rs
+++ b/crates/daemon/tests/reporting/main.rs
@@ -3,6 +3,6 @@
 
 mod answers;
 mod cell;
-mod house;
+mod fixture;
 mod links;
 mod stubs;
--- a/crates/daemon/tests/soak/verdict.rs
+++ b/crates/daemon/tests/soak/checker.rs
@@ -9,8 +9,8 @@
 use site::Caller;
 use site::Deed;
 
-use crate::blame::may_be_given_up;
-use crate::field::Testbed;
+use crate::give_up::may_be_given_up;
+use crate::testbed::Testbed;
 use crate::traffic::Job;
 use crate::traffic::Outcome;
 
--- a/crates/daemon/tests/soak/main.rs
+++ b/crates/daemon/tests/soak/main.rs
@@ -4,19 +4,19 @@
 //! `SOAK_SEEDS=FIRST-LAST` runs these seeds instead of those of CI. For a seed that fails, the
 //! logs of the processes are kept and their folder is printed.
 
-mod blame;
-mod field;
+mod checker;
+mod give_up;
 mod plan;
+mod testbed;
 mod traffic;
-mod verdict;
 
 use std::time::Duration;
 use std::time::Instant;
 
-use field::Testbed;
 use plan::Event;
 use plan::FAULT_TIME;
 use plan::Plan;
+use testbed::Testbed;
 use traffic::Traffic;
 
 /// Seeds that CI runs: two without special faults, two with tasks that crash workers and
@@ -79,9 +79,9 @@
     tokio::time::sleep(FAULT_TIME.saturating_sub(begin.elapsed())).await;
     testbed.end_faults().await;
     let jobs = traffic.end().await;
-    let mut violations = verdict::find_violations(&testbed, &jobs).await;
+    let mut violations = checker::find_violations(&testbed, &jobs).await;
     violations.append(&mut testbed.faults);
-    let summary = verdict::summary(&jobs);
+    let summary = checker::summary(&jobs);
     let faults: Vec<&Event> = plan.events.iter().map(|(_, event)| event).collect();
     println!("seed {seed}: {summary}; {} events", faults.len());
     if violations.is_empty() {
