--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -85,8 +85,11 @@
     address: SocketAddr,
     pub(crate) keeper: mpsc::Sender<KeeperOrder>,
     pub(crate) flight: Flight,
+    /// Set when a planned stop begins.
     pub(crate) leaving: watch::Sender<bool>,
+    /// Set to make the HTTP server accept no more connections and finish.
     pub(crate) stop: watch::Sender<bool>,
+    /// Set to give callers that still wait a pending answer.
     pub(crate) dismiss: watch::Sender<bool>,
     pub(crate) tasks: Tasks,
 }
