--- a/crates/bench/benches/days/ablate.rs
+++ b/crates/bench/benches/days/ablate.rs
@@ -1,45 +1,58 @@
-//! Plays days with each mechanism of the policy switched off in turn.
+//! `ablate`: plays the days with each mechanism of the scheduling policy
+//! switched off in turn.
 
 use std::path::Path;
 
 use crate::options::Options;
-use crate::play::Played;
+use crate::play::PlayResult;
+use crate::play::faulty_day_worths;
 use crate::play::play_all;
 use crate::play::summary;
-use crate::play::troubled;
 
-/// Settings template of this working tree.
+/// Settings template of this working tree, relative to the repository root.
 const TEMPLATE: &str = "deploy/settings.yaml";
 
-/// Prints a row for each mechanism.
+/// Plays the days once with all mechanisms and once without each selected one,
+/// and prints a table row for each. The settings template is restored after
+/// each change.
 pub fn run(options: &Options) -> Result<(), String> {
     let template = Path::new(TEMPLATE);
-    let whole = std::fs::read_to_string(template).map_err(|error| error.to_string())?;
+    let settings = std::fs::read_to_string(template).map_err(|error| error.to_string())?;
     let only = options.names("only");
     let mechanisms = job::Mechanism::all();
-    let wanted = |name: &str| only.as_ref().is_none_or(|only| only.contains(&name));
-    let base = play_all(options, "all on")?;
-    println!("| off | mean worth, days with trouble | difference | broken |\n|---|---|---|---|");
-    row("(nothing)", &base, &base);
+    let selected = |name: &str| only.as_ref().is_none_or(|only| only.contains(&name));
+    let baseline = play_all(options, "all on")?;
+    println!(
+        "| off | mean worth, days with faults | difference | days with violations |\n|---|---|---|---|"
+    );
+    print_row("(nothing)", &baseline, &baseline);
     for mechanism in mechanisms {
         let name = mechanism.to_string();
-        if !wanted(&name) {
+        if !selected(&name) {
             continue;
         }
-        let without = format!("{whole}\noff: [{name}]\n");
-        let written = std::fs::write(template, without);
+        let ablated = format!("{settings}\noff: [{name}]\n");
+        let written = std::fs::write(template, ablated);
         let played = written
             .map_err(|error| error.to_string())
             .and_then(|()| play_all(options, &format!("without {name}")));
-        std::fs::write(template, &whole).map_err(|error| error.to_string())?;
-        row(&name, &played?, &base);
+        std::fs::write(template, &settings).map_err(|error| error.to_string())?;
+        print_row(&name, &played?, &baseline);
     }
     Ok(())
 }
 
-fn row(name: &str, played: &[Played], base: &[Played]) {
-    let mean = summary(&troubled(played)).0;
-    let before = summary(&troubled(base)).0;
-    let broken = played.iter().filter(|one| !one.broken.is_empty()).count();
-    println!("| {name} | {mean:.3} | {:+.3} | {broken} |", mean - before);
+/// Prints the mean worth of days with faults, its difference from the baseline,
+/// and the number of plays that broke a rule.
+fn print_row(name: &str, played: &[PlayResult], baseline: &[PlayResult]) {
+    let mean = summary(&faulty_day_worths(played)).0;
+    let baseline_mean = summary(&faulty_day_worths(baseline)).0;
+    let violations = played
+        .iter()
+        .filter(|result| !result.violations.is_empty())
+        .count();
+    println!(
+        "| {name} | {mean:.3} | {:+.3} | {violations} |",
+        mean - baseline_mean
+    );
 }
--- a/crates/bench/benches/days/account.rs
+++ b/crates/bench/benches/days/account.rs
@@ -1,152 +1,165 @@
-//! Where the worth of a day went: each job that did not earn its whole worth
-//! falls under the one cause that took most of its time.
+//! `account`: explains which part of a day's worth was lost. Each job that did
+//! not earn its full worth is counted under the one cause that took most of its
+//! time.
 
 use std::collections::BTreeMap;
 
 use crate::bound;
 use crate::bound::Demand;
+use crate::history::DayLog;
+use crate::history::JobHistory;
 use crate::options::Options;
-use crate::story::Log;
-use crate::story::Story;
 
-/// Worth of a job of mean size by priority, unless told otherwise.
+/// Default worth of a job of mean size, by priority from 0.
 const WORTHS: &str = "1,10,3";
 
-/// Beyond this multiple of the objective an answer earns nothing.
+/// A job that takes longer than this multiple of its objective earns nothing.
 const LATE_FACTOR: f64 = 3.0;
 
-/// Share of the worth that a late answer earns.
-const LATE: f64 = 0.2;
+/// Share of its worth that a job earns when it ends after its objective, but
+/// within [`LATE_FACTOR`] times the objective.
+const LATE_SHARE: f64 = 0.2;
 
-/// Prints the table and the bound.
+/// Prints a table of the worth lost by priority and cause, and the share of the
+/// worth that a scheduler with perfect knowledge could have earned.
 pub fn run(options: &Options) -> Result<(), String> {
     let path = options.file(0, "LOG")?;
     let text = std::fs::read_to_string(path).map_err(|error| format!("{path}: {error}"))?;
     let worths: Vec<f64> = options.numbers("worth", WORTHS)?;
-    let mut log = Log::read(&text);
-    log.fill_unknown();
+    let mut log = DayLog::read(&text);
+    log.estimate_unfinished();
     let means = log.mean_work();
-    let mut lost: BTreeMap<(usize, &'static str), (u32, f64)> = BTreeMap::new();
-    let (mut owed, mut earned) = (BTreeMap::new(), 0.0);
+    let mut losses: BTreeMap<(usize, &'static str), (u32, f64)> = BTreeMap::new();
+    let (mut offered, mut earned) = (BTreeMap::new(), 0.0);
     let mut demands = Vec::new();
-    for story in log.jobs.values() {
-        if story.outcome == "canceled" {
+    for history in log.jobs.values() {
+        if history.outcome == "canceled" {
             continue;
         }
-        let worth = worth(story, &worths, &means);
-        *owed.entry(story.priority).or_insert(0.0) += worth;
-        let (part, cause) = verdict(story, &log.take_overs);
-        earned += worth * part;
-        if part < 1.0 {
-            let row = lost.entry((story.priority, cause)).or_default();
+        let worth = worth(history, &worths, &means);
+        *offered.entry(history.priority).or_insert(0.0) += worth;
+        let (fraction, main_cause) = assess(history, &log.take_overs);
+        earned += worth * fraction;
+        if fraction < 1.0 {
+            let row = losses.entry((history.priority, main_cause)).or_default();
             row.0 += 1;
-            row.1 += worth * (1.0 - part);
+            row.1 += worth * (1.0 - fraction);
         }
         demands.push(Demand {
-            sent: story.sent,
-            due: story.sent + story.objective,
-            work: story.work,
+            first_seen: history.first_seen,
+            due: history.first_seen + history.objective,
+            work: history.work,
             worth,
         });
     }
-    let all: f64 = owed.values().sum();
+    let total_worth: f64 = offered.values().sum();
     println!(
-        "jobs owed: {}; earned by this account: {:.3}",
+        "jobs not canceled: {}; estimated share of worth earned: {:.3}",
         demands.len(),
-        earned / all
+        earned / total_worth
     );
-    println!("| priority | cause | jobs | share of all worth |\n|---|---|---|---|");
-    let mut rows: Vec<_> = lost.into_iter().collect();
+    println!("| priority | cause | jobs | share of total worth |\n|---|---|---|---|");
+    let mut rows: Vec<_> = losses.into_iter().collect();
     rows.sort_by(|one, other| other.1.1.total_cmp(&one.1.1));
-    for ((priority, cause), (jobs, worth)) in rows {
-        println!("| {priority} | {cause} | {jobs} | {:.4} |", worth / all);
+    for ((priority, main_cause), (jobs, worth)) in rows {
+        println!(
+            "| {priority} | {main_cause} | {jobs} | {:.4} |",
+            worth / total_worth
+        );
     }
     let cores = log.cores.clone();
-    let bound = bound::share(&demands, |time| cores_at(&cores, time));
-    println!("bound of perfect knowledge: {bound:.3}");
+    let bound = bound::best_share(&demands, |time| cores_at(&cores, time));
+    println!("bound with perfect knowledge: {bound:.3}");
     Ok(())
 }
 
-/// Processors at a time: those of the newest report, or of the first.
+/// Returns the usable processors at a time: those of the newest nonzero load
+/// report up to then, or of the first nonzero one if there is none yet.
 fn cores_at(cores: &[(f64, f64)], time: f64) -> f64 {
-    let first = cores.iter().find(|(_, cores)| *cores > 0.0);
-    let newest = cores
+    let first_report = cores.iter().find(|(_, cores)| *cores > 0.0);
+    let latest_report = cores
         .iter()
         .rev()
         .find(|(at, cores)| *at <= time && *cores > 0.0);
-    newest.or(first).map_or(0.0, |(_, cores)| *cores)
+    latest_report
+        .or(first_report)
+        .map_or(0.0, |(_, cores)| *cores)
 }
 
-fn worth(story: &Story, worths: &[f64], means: &BTreeMap<usize, f64>) -> f64 {
-    let base = worths.get(story.priority).copied().unwrap_or(1.0);
-    let mean = means.get(&story.priority).copied().unwrap_or(1.0);
-    base * (0.3 + 0.7 * story.work / mean.max(1e-9)).min(4.0)
+/// Worth of a job: it grows with the job's work relative to the mean of its
+/// priority, up to four times the base worth of the priority.
+fn worth(history: &JobHistory, worths: &[f64], means: &BTreeMap<usize, f64>) -> f64 {
+    let base = worths.get(history.priority).copied().unwrap_or(1.0);
+    let mean = means.get(&history.priority).copied().unwrap_or(1.0);
+    base * (0.3 + 0.7 * history.work / mean.max(1e-9)).min(4.0)
 }
 
-/// Part of its worth that a job earned, and what took most of its time.
-fn verdict(story: &Story, take_overs: &[(f64, f64)]) -> (f64, &'static str) {
-    let took = story.ended.map(|ended| ended - story.sent);
-    let part = match took {
-        Some(took) if took <= story.objective => 1.0,
-        Some(took) if took <= story.objective * LATE_FACTOR => LATE,
+/// Returns the fraction of its worth that a job earned, and the cause that took
+/// most of its time.
+fn assess(history: &JobHistory, take_overs: &[(f64, f64)]) -> (f64, &'static str) {
+    let elapsed = history.ended.map(|ended| ended - history.first_seen);
+    let fraction = match elapsed {
+        Some(elapsed) if elapsed <= history.objective => 1.0,
+        Some(elapsed) if elapsed <= history.objective * LATE_FACTOR => LATE_SHARE,
         _ => 0.0,
     };
-    (part, cause(story, take_overs))
+    (fraction, main_cause(history, take_overs))
 }
 
-fn cause(story: &Story, take_overs: &[(f64, f64)]) -> &'static str {
-    let Some(accepted) = story.accepted else {
-        return "refused, store away or without answer";
+/// Returns the cause that took most of the job's time.
+fn main_cause(history: &JobHistory, take_overs: &[(f64, f64)]) -> &'static str {
+    let Some(accepted) = history.accepted else {
+        return "not accepted: refused, or the store unreachable or silent";
     };
-    let Some(ended) = story.ended else {
+    let Some(ended) = history.ended else {
         return "no end recorded";
     };
-    if story.outcome == "failed" {
+    if history.outcome == "failed" {
         return "failed";
     }
-    let started = story.started.unwrap_or(ended);
-    let advised = story
+    let started = history.started.unwrap_or(ended);
+    let advised = history
         .advised
         .unwrap_or(started)
         .clamp(accepted, started.max(accepted));
-    let listed = story.listed.unwrap_or(ended);
+    let tasks_ended = history.tasks_ended.unwrap_or(ended);
     let spans = take_overs.iter();
-    let overlap = spans.map(|(from, to)| (to.min(ended) - from.max(accepted)).max(0.0));
-    let again = story.restarted.map_or(0.0, |again| again - started);
-    let rerun = match (story.preempted, story.broken, story.failed) {
-        (0, 0, 0) => "started again after a lost or unanswered run",
-        (0, 0, _) => "failed and run again",
-        (0, _, _) => "gang broken and run again",
+    let overlaps = spans.map(|(from, to)| (to.min(ended) - from.max(accepted)).max(0.0));
+    let rerun_time = history.restarted.map_or(0.0, |latest| latest - started);
+    let rerun = match (history.preemptions, history.gang_breaks, history.failures) {
+        (0, 0, 0) => "restarted after a lost run or an unanswered start",
+        (0, 0, _) => "retried after a failure",
+        (0, _, _) => "rerun after its gang was broken",
         _ => "preempted",
     };
-    let run = listed - story.last_start;
-    let chained = (story.last_start - started - again).max(0.0);
-    let parts = [
+    let run = tasks_ended - history.last_start;
+    let start_span = (history.last_start - started - rerun_time).max(0.0);
+    let phases = [
         (
-            story.accepted.map_or(0.0, |at| at - story.sent),
-            "came back late after a refusal",
+            history.accepted.map_or(0.0, |at| at - history.first_seen),
+            "accepted late after a refusal",
         ),
-        (overlap.sum::<f64>(), "take-over"),
+        (overlaps.sum::<f64>(), "take-over"),
         (advised - accepted, "waited for advice"),
-        (started - advised, "waited for room"),
-        (again, rerun),
+        (started - advised, "waited for free capacity"),
+        (rerun_time, rerun),
         (
-            chained + run - story.chain,
-            "ran longer than declared, or its tasks one after the other",
+            start_span + run - history.critical_path,
+            "ran longer than declared, or its tasks ran one after another",
         ),
-        (ended - listed, "end recorded late"),
+        (ended - tasks_ended, "end recorded late"),
     ];
-    let most = parts.iter().max_by(|one, other| one.0.total_cmp(&other.0));
-    most.map_or("", |(_, cause)| *cause)
+    let longest = phases.iter().max_by(|one, other| one.0.total_cmp(&other.0));
+    longest.map_or("", |(_, main_cause)| *main_cause)
 }
 
-impl Log {
-    /// Mean work by priority.
+impl DayLog {
+    /// Mean work of the ended jobs, in core-seconds, by priority.
     fn mean_work(&self) -> BTreeMap<usize, f64> {
         let mut sums: BTreeMap<usize, (f64, f64)> = BTreeMap::new();
-        for story in self.jobs.values().filter(|story| story.ended.is_some()) {
-            let sum = sums.entry(story.priority).or_default();
-            sum.0 += story.work;
+        for history in self.jobs.values().filter(|history| history.ended.is_some()) {
+            let sum = sums.entry(history.priority).or_default();
+            sum.0 += history.work;
             sum.1 += 1.0;
         }
         let means = sums.into_iter();
@@ -155,22 +168,27 @@
             .collect()
     }
 
-    /// Jobs without an end have no size on record: they count as the mean of
-    /// their queue; those of no known queue as the most urgent, of which there
-    /// are most.
-    fn fill_unknown(&mut self) {
-        let ended = self.jobs.values().filter(|story| story.ended.is_some());
-        let known: Vec<(String, Story)> = ended
-            .map(|story| (story.queue.clone(), story.clone()))
+    /// Estimates jobs without a logged end, whose size was therefore not logged:
+    /// each gets the priority and objective of its queue and the mean work of that
+    /// priority. A job of an unknown queue counts as priority 0, which most jobs
+    /// have.
+    fn estimate_unfinished(&mut self) {
+        let ended = self.jobs.values().filter(|history| history.ended.is_some());
+        let ended_jobs: Vec<(String, JobHistory)> = ended
+            .map(|history| (history.queue.clone(), history.clone()))
             .collect();
         let means = self.mean_work();
-        for story in self.jobs.values_mut().filter(|story| story.ended.is_none()) {
-            let like = known.iter().find(|(queue, _)| *queue == story.queue);
-            let like = like.or(known.iter().find(|(_, one)| one.priority == 0));
-            if let Some((_, like)) = like {
-                story.priority = like.priority;
-                story.objective = like.objective;
-                story.work = means.get(&like.priority).copied().unwrap_or_default();
+        for history in self
+            .jobs
+            .values_mut()
+            .filter(|history| history.ended.is_none())
+        {
+            let similar = ended_jobs.iter().find(|(queue, _)| *queue == history.queue);
+            let similar = similar.or(ended_jobs.iter().find(|(_, one)| one.priority == 0));
+            if let Some((_, similar)) = similar {
+                history.priority = similar.priority;
+                history.objective = similar.objective;
+                history.work = means.get(&similar.priority).copied().unwrap_or_default();
             }
         }
     }
--- a/crates/bench/benches/days/bound.rs
+++ b/crates/bench/benches/days/bound.rs
@@ -1,77 +1,83 @@
-//! What perfect knowledge could have earned: a relaxation.
+//! Upper bound of the worth that a scheduler with perfect knowledge could have
+//! earned, computed on a relaxed problem.
 //!
-//! Work is divisible and may run anywhere, at any width and with any
-//! interruption, from when the job was first sent until its objective; sizes
-//! are as declared; the processors that workers had are known beforehand; no
-//! advice, memory, gang, fault or store stands in the way. The sets of work that
-//! can be done in time form a polymatroid, so serving in order of worth a
-//! core-second is optimal for it. A late answer earns a share that depends on
-//! its queue; here, what is not done in time earns [`LATE_REPLY`] of the rest.
+//! The relaxation assumes that work is divisible and may run on any worker, at
+//! any parallelism and with any interruption, between the first log line of the
+//! job and its objective; that sizes are as declared; that the processors of the
+//! workers are known in advance; and that advice, memory, gangs, faults and the
+//! store impose no constraint. The sets of work that can be done in time form a
+//! polymatroid, so the greedy order by worth per core-second is optimal. The
+//! share that a late answer earns depends on its queue; here, the part of a job
+//! that is not done in time always earns [`LATE_SHARE`] of its worth.
 
-/// Part of the worth that a late answer earns.
-const LATE: f64 = 0.2;
+/// Share of its worth that late work earns.
+const LATE_SHARE: f64 = 0.2;
 
-/// Length of a slot, in seconds.
-const SLOT: f64 = 0.5;
+/// Length of a time slot, in seconds.
+const SLOT_SECONDS: f64 = 0.5;
 
-/// A job for the bound.
+/// A job as the bound sees it.
 #[derive(Clone, Debug)]
 pub struct Demand {
-    /// Seconds from the start of the log.
-    pub sent: f64,
+    /// First log line that names the job, in seconds of the log.
+    pub first_seen: f64,
+    /// End of the job's objective, in seconds of the log.
     pub due: f64,
-    /// Core-seconds.
+    /// Declared work, in core-seconds.
     pub work: f64,
+    /// Worth of the job if it ends within its objective.
     pub worth: f64,
 }
 
-/// Share of all worth that could have been earned. `cores` gives the
-/// processors that were there in a second.
-pub fn share(demands: &[Demand], cores: impl Fn(f64) -> f64) -> f64 {
+/// Returns the share of the total worth that could have been earned. `cores`
+/// returns the usable processors at a time in seconds of the log.
+pub fn best_share(demands: &[Demand], cores: impl Fn(f64) -> f64) -> f64 {
     let end = demands.iter().map(|one| one.due).fold(0.0, f64::max);
     let slots = slot(end) + 2;
-    let mut slack = slacks(slots, cores);
+    let mut slack = interval_slacks(slots, cores);
     let mut order: Vec<&Demand> = demands.iter().filter(|one| one.work > 0.0).collect();
     order.sort_by(|one, other| (other.worth / other.work).total_cmp(&(one.worth / one.work)));
-    let (mut earned, mut owed) = (0.0, 0.0);
+    let (mut earned, mut offered) = (0.0, 0.0);
     for demand in order {
-        let (from, to) = (slot(demand.sent), slot(demand.due));
-        let fits = take(&mut slack, slots, from, to, demand.work);
-        let part = fits / demand.work;
-        earned += demand.worth * (part + (1.0 - part) * LATE);
-        owed += demand.worth;
+        let (from, to) = (slot(demand.first_seen), slot(demand.due));
+        let booked = book_work(&mut slack, slots, from, to, demand.work);
+        let fraction = booked / demand.work;
+        earned += demand.worth * (fraction + (1.0 - fraction) * LATE_SHARE);
+        offered += demand.worth;
     }
-    earned / f64::max(owed, 1e-9)
+    earned / f64::max(offered, 1e-9)
 }
 
+/// Returns the index of the slot that contains a time in seconds.
 fn slot(time: f64) -> usize {
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    let slot = (time / SLOT).max(0.0) as usize;
+    let slot = (time / SLOT_SECONDS).max(0.0) as usize;
     slot
 }
 
-/// For each interval of slots, from its first (row) to its last (column), what
-/// can still be done within it.
-fn slacks(slots: usize, cores: impl Fn(f64) -> f64) -> Vec<f64> {
+/// Returns the core-seconds available in each interval of slots, as a square
+/// matrix: the row is the first slot of the interval, the column its last.
+fn interval_slacks(slots: usize, cores: impl Fn(f64) -> f64) -> Vec<f64> {
     let mut slack = vec![0.0; slots * slots];
     for first in 0..slots {
         let mut sum = 0.0;
         for last in first..slots {
             #[allow(clippy::cast_precision_loss)]
-            let time = last as f64 * SLOT;
-            sum += cores(time) * SLOT;
+            let time = last as f64 * SLOT_SECONDS;
+            sum += cores(time) * SLOT_SECONDS;
             slack[first * slots + last] = sum;
         }
     }
     slack
 }
 
-/// Takes as much of `work` as still fits between two slots.
-fn take(slack: &mut [f64], slots: usize, from: usize, to: usize, work: f64) -> f64 {
+/// Books as much of `work` as still fits from slot `from` to slot `to`, in every
+/// interval that contains both, and returns the booked core-seconds.
+fn book_work(slack: &mut [f64], slots: usize, from: usize, to: usize, work: f64) -> f64 {
     let rows = (0..=from).map(|first| first * slots + to..(first + 1) * slots);
-    let within = rows.flatten();
-    let fits = within.clone().map(|at| slack[at]).fold(work, f64::min);
-    let fits = fits.max(0.0);
-    within.for_each(|at| slack[at] -= fits);
-    fits
+    let affected = rows.flatten();
+    let booked = affected.clone().map(|at| slack[at]).fold(work, f64::min);
+    let booked = booked.max(0.0);
+    affected.for_each(|at| slack[at] -= booked);
+    booked
 }
--- a/crates/bench/benches/days/options.rs
+++ b/crates/bench/benches/days/options.rs
@@ -1,23 +1,27 @@
-//! The command line: a verb, its files, and options with one value each.
+//! Command line of the program: a subcommand, its files, and options with one
+//! value each; only `--vary` has none.
 
 use std::collections::HashMap;
 
-/// What was asked for.
+/// Parsed command line.
 pub struct Options {
-    pub verb: String,
+    /// Name of the subcommand; empty if none was given.
+    pub command: String,
+    /// Positional arguments after the subcommand.
     pub files: Vec<String>,
-    named: HashMap<String, String>,
-    /// Times and figures of the days are varied.
+    /// Values of the options by name, without the leading dashes.
+    values: HashMap<String, String>,
+    /// Whether the bench varies the times and figures of the days.
     pub vary: bool,
 }
 
 impl Options {
-    /// Reads the words of the command line.
+    /// Parses the command-line arguments; `--bench`, which cargo adds, is ignored.
     pub fn parse(words: impl Iterator<Item = String>) -> Result<Options, String> {
         let mut options = Options {
-            verb: String::new(),
+            command: String::new(),
             files: Vec::new(),
-            named: HashMap::new(),
+            values: HashMap::new(),
             vary: false,
         };
         let mut words = words.filter(|word| word != "--bench");
@@ -26,10 +30,10 @@
                 options.vary = true;
             } else if let Some(name) = word.strip_prefix("--") {
                 let value = words.next();
-                let value = value.ok_or(format!("--{name}: found nothing, wanted a value"))?;
-                options.named.insert(name.to_owned(), value);
-            } else if options.verb.is_empty() {
-                options.verb = word;
+                let value = value.ok_or(format!("--{name} requires a value"))?;
+                options.values.insert(name.to_owned(), value);
+            } else if options.command.is_empty() {
+                options.command = word;
             } else {
                 options.files.push(word);
             }
@@ -37,29 +41,35 @@
         Ok(options)
     }
 
+    /// Value of an option, if it was given.
     pub fn text(&self, name: &str) -> Option<&str> {
-        self.named.get(name).map(String::as_str)
+        self.values.get(name).map(String::as_str)
     }
 
-    /// A list of numbers, or `usual` if it was not given.
-    pub fn numbers<T: std::str::FromStr>(&self, name: &str, usual: &str) -> Result<Vec<T>, String> {
-        let text = self.text(name).unwrap_or(usual);
-        let each = text.split(',').filter(|word| !word.is_empty());
-        each.map(|word| {
+    /// Parses an option as a comma-separated list of numbers; uses `default` if
+    /// the option was not given.
+    pub fn numbers<T: std::str::FromStr>(
+        &self,
+        name: &str,
+        default: &str,
+    ) -> Result<Vec<T>, String> {
+        let text = self.text(name).unwrap_or(default);
+        let items = text.split(',').filter(|word| !word.is_empty());
+        items.map(|word| {
             let number = word.parse();
-            number.map_err(|_| format!("--{name}: found {word:?}, wanted numbers with commas"))
+            number.map_err(|_| format!("--{name}: invalid number {word:?}; expected a comma-separated list of numbers"))
         })
         .collect()
     }
 
-    /// Names that were listed; nothing if none were.
+    /// Comma-separated names of an option; `None` if it was not given.
     pub fn names(&self, name: &str) -> Option<Vec<&str>> {
         self.text(name).map(|text| text.split(',').collect())
     }
 
-    /// The nth file.
-    pub fn file(&self, at: usize, what: &str) -> Result<&str, String> {
-        let file = self.files.get(at).map(String::as_str);
-        file.ok_or(format!("{what}: found nothing, wanted a path"))
+    /// Positional argument at an index; `label` names it in the error message.
+    pub fn file(&self, index: usize, label: &str) -> Result<&str, String> {
+        let file = self.files.get(index).map(String::as_str);
+        file.ok_or(format!("missing argument {label}: expected a path"))
     }
 }
--- a/crates/bench/benches/days/play.rs
+++ b/crates/bench/benches/days/play.rs
@@ -1,4 +1,4 @@
-//! Plays days and prints their worth, by seed.
+//! `play`: plays days with several seeds and prints the worth of each.
 
 use std::process::Command;
 use std::sync::Mutex;
@@ -7,58 +7,80 @@
 
 use crate::options::Options;
 
-/// Days played at the same time, unless told otherwise: half the processors of
-/// the machines that the figures of the pages come from.
-const JOBS: &str = "4";
+/// Default number of days played at the same time: half the processors of the
+/// machines on which the documented figures were measured.
+const DEFAULT_JOBS: &str = "4";
 
-/// One play.
+/// A day to be played with one seed.
 #[derive(Clone, Debug)]
 pub struct Play {
+    /// Name of the day in the site file, or path of a day file.
     pub day: String,
     pub seed: u64,
 }
 
-/// What a play came to.
+/// Result of one play.
 #[derive(Clone, Debug)]
-pub struct Played {
+pub struct PlayResult {
+    /// Name of the day in the site file, or path of a day file.
     pub day: String,
     pub seed: u64,
+    /// Score of the day, `G` in the report of the bench.
     pub worth: f64,
-    /// Rules that were broken, and faults.
-    pub broken: Vec<String>,
+    /// Rules that were broken, expectations that were missed, and an error of the
+    /// bench itself.
+    pub violations: Vec<String>,
 }
 
-/// Prints a row for each day.
+/// Plays all days and prints a table row for each.
 pub fn run(options: &Options) -> Result<(), String> {
     let played = play_all(options, "play")?;
     println!("| day | worth by seed | mean | spread |\n|---|---|---|---|");
     for day in days(options)? {
-        let of_day: Vec<&Played> = played.iter().filter(|one| one.day == day).collect();
-        let worths: Vec<f64> = of_day.iter().map(|one| one.worth).collect();
-        let each: Vec<String> = worths.iter().map(|worth| format!("{worth:.3}")).collect();
+        let day_results: Vec<&PlayResult> = played
+            .iter()
+            .filter(|day_result| day_result.day == day)
+            .collect();
+        let worths: Vec<f64> = day_results
+            .iter()
+            .map(|day_result| day_result.worth)
+            .collect();
+        let formatted: Vec<String> = worths.iter().map(|worth| format!("{worth:.3}")).collect();
         let (mean, spread) = summary(&worths);
-        println!("| {day} | {} | {mean:.3} | {spread:.3} |", each.join(", "));
+        println!(
+            "| {day} | {} | {mean:.3} | {spread:.3} |",
+            formatted.join(", ")
+        );
     }
-    let troubled: Vec<f64> = troubled(&played);
-    println!("| days with trouble | | {:.3} | |", summary(&troubled).0);
-    for one in played.iter().filter(|one| !one.broken.is_empty()) {
+    let faulty_day_worths: Vec<f64> = faulty_day_worths(&played);
+    println!(
+        "| days with faults | | {:.3} | |",
+        summary(&faulty_day_worths).0
+    );
+    for day_result in played
+        .iter()
+        .filter(|day_result| !day_result.violations.is_empty())
+    {
         println!(
             "BROKEN {} seed {}: {}",
-            one.day,
-            one.seed,
-            one.broken.join("; ")
+            day_result.day,
+            day_result.seed,
+            day_result.violations.join("; ")
         );
     }
     Ok(())
 }
 
-/// Worth of the plays of days with trouble.
-pub fn troubled(played: &[Played]) -> Vec<f64> {
-    let troubled = played.iter().filter(|one| !one.day.starts_with("quiet"));
-    troubled.map(|one| one.worth).collect()
+/// Worth of each play of a day with faults, which is any day whose name does not
+/// start with `quiet`.
+pub fn faulty_day_worths(played: &[PlayResult]) -> Vec<f64> {
+    let faulty = played
+        .iter()
+        .filter(|day_result| !day_result.day.starts_with("quiet"));
+    faulty.map(|day_result| day_result.worth).collect()
 }
 
-/// Mean, and distance between the highest and the lowest.
+/// Returns the mean, and the difference between the highest and the lowest.
 pub fn summary(worths: &[f64]) -> (f64, f64) {
     #[allow(clippy::cast_precision_loss)]
     let mean = worths.iter().sum::<f64>() / worths.len().max(1) as f64;
@@ -67,7 +89,7 @@
     (mean, (high - low).max(0.0))
 }
 
-/// Names of the days to be played.
+/// Returns the days to be played: those of `--days`, or all of the site file.
 pub fn days(options: &Options) -> Result<Vec<String>, String> {
     if let Some(names) = options.names("days") {
         return Ok(names.into_iter().map(str::to_owned).collect());
@@ -87,7 +109,7 @@
 }
 
 /// Plays each day with each seed.
-pub fn play_all(options: &Options, label: &str) -> Result<Vec<Played>, String> {
+pub fn play_all(options: &Options, label: &str) -> Result<Vec<PlayResult>, String> {
     let seeds: Vec<u64> = options.numbers("seeds", "1,2,3")?;
     let mut plays = Vec::new();
     for day in days(options)? {
@@ -99,16 +121,20 @@
     play_each(options, plays, label)
 }
 
-/// Plays these days, several at the same time.
+/// Plays the given days, several at the same time, and returns the results
+/// sorted by day and seed.
 pub fn play_each(
     options: &Options,
     mut plays: Vec<Play>,
     label: &str,
-) -> Result<Vec<Played>, String> {
-    let jobs: Vec<usize> = options.numbers("jobs", JOBS)?;
+) -> Result<Vec<PlayResult>, String> {
+    let jobs: Vec<usize> = options.numbers("jobs", DEFAULT_JOBS)?;
     plays.reverse();
-    // The first play builds, the others find everything built.
-    let first = plays.pop().ok_or("no day to be played")?;
+    // The first play runs alone because it builds the programs, which the
+    // following plays reuse.
+    let first = plays
+        .pop()
+        .ok_or("no day to play: the list of days or seeds is empty")?;
     let mut played = vec![play(options, &first, label)?];
     let queue = Mutex::new(plays);
     let results = Mutex::new(Vec::new());
@@ -116,26 +142,32 @@
         for _ in 0..jobs.first().copied().unwrap_or(1) {
             scope.spawn(|| {
                 loop {
-                    let next = queue.lock().expect("no thread panics").pop();
+                    let next = queue.lock().expect("a playing thread panicked").pop();
                     let Some(next) = next else { return };
                     let result = play(options, &next, label);
-                    results.lock().expect("no thread panics").push(result);
+                    results
+                        .lock()
+                        .expect("a playing thread panicked")
+                        .push(result);
                 }
             });
         }
     });
-    for result in results.into_inner().expect("no thread panics") {
+    for result in results.into_inner().expect("a playing thread panicked") {
         played.push(result?);
     }
-    played.sort_by(|one, other| (&one.day, one.seed).cmp(&(&other.day, other.seed)));
+    played.sort_by(|day_result, other| {
+        (&day_result.day, day_result.seed).cmp(&(&other.day, other.seed))
+    });
     Ok(played)
 }
 
-fn play(options: &Options, play: &Play, label: &str) -> Result<Played, String> {
+/// Runs the bench for one day and seed and reads its report.
+fn play(options: &Options, play: &Play, label: &str) -> Result<PlayResult, String> {
     let bench = options.file(0, "BENCH")?;
     let site = options.file(1, "SITE")?;
     let Play { day, seed } = play;
-    // A day may be a file.
+    // The day may be the path of a file, so its separators are replaced.
     let name = day.replace(['/', '.'], "-");
     let process = std::process::id();
     let report = std::env::temp_dir().join(format!("clovermount-day-{process}-{name}-{seed}.json"));
@@ -153,27 +185,28 @@
         .map_err(|error| format!("{bench}: {error}"))?;
     let text = std::fs::read_to_string(&report);
     let Ok(text) = text else {
-        let said = String::from_utf8_lossy(&output.stdout);
+        let printed = String::from_utf8_lossy(&output.stdout);
         return Err(format!(
-            "{day} seed {seed}: no report; the bench said: {said}"
+            "{day} seed {seed}: the bench wrote no report; its output: {printed}"
         ));
     };
     let _ = std::fs::remove_file(&report);
     let report: Value = serde_json::from_str(&text).map_err(|error| format!("{day}: {error}"))?;
-    let mut broken: Vec<String> = list(&report["breaks"]);
-    broken.extend(list(&report["missed"]));
+    let mut violations: Vec<String> = item_strings(&report["breaks"]);
+    violations.extend(item_strings(&report["missed"]));
     if !report["fault"].is_null() {
-        broken.push(report["fault"].to_string());
+        violations.push(report["fault"].to_string());
     }
-    Ok(Played {
+    Ok(PlayResult {
         day: day.clone(),
         seed: *seed,
         worth: report["G"].as_f64().unwrap_or(0.0),
-        broken,
+        violations,
     })
 }
 
-fn list(value: &Value) -> Vec<String> {
+/// Converts the items of a JSON array to strings; any other value gives none.
+fn item_strings(value: &Value) -> Vec<String> {
     let items = value.as_array().cloned().unwrap_or_default();
     items.iter().map(Value::to_string).collect()
 }
