--- a/crates/bench/benches/main/cell.rs
+++ b/crates/bench/benches/main/cell.rs
@@ -1,4 +1,4 @@
-//! A cell of real processes for a measurement.
+//! Starts a cell of real processes for a benchmark.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,36 +10,41 @@
 
 use crate::DAEMON;
 
-/// Processes, as the users have today.
+/// Number of processes, the same as in the users' present deployments.
 const PROCESSES: usize = 8;
 
-/// Longest wait for a cell to settle.
-const SETTLE: Duration = Duration::from_mins(1);
+/// Maximum time for a started cell to settle.
+const SETTLE_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// A configured cell of 8 processes and 48 workers.
+/// Starts and configures a cell of 8 processes and 48 workers.
 pub(crate) async fn open_cell() -> Cell {
     let plan = CellPlan {
         processes: PROCESSES,
         ..CellPlan::default()
     };
-    open_plan(plan).await
+    open_planned_cell(plan).await
 }
 
-/// A configured cell whose processes all run.
-pub(crate) async fn open_plan(plan: CellPlan) -> Cell {
-    let mut cell = Cell::open(plan).await.expect("cell");
-    let program = std::env::current_exe().expect("own program");
+/// Starts all processes of a planned cell, configures it and waits until it has
+/// settled.
+pub(crate) async fn open_planned_cell(plan: CellPlan) -> Cell {
+    let mut cell = Cell::open(plan).await.expect("failed to open the cell");
+    let program = std::env::current_exe().expect("path of this program is unavailable");
     for index in 0..cell.members.len() {
-        cell.start(index, &program, &[DAEMON]).expect("daemon");
+        cell.start(index, &program, &[DAEMON])
+            .expect("failed to start the daemon");
     }
     while cell.configure().await.is_err() {
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    cell.settled(SETTLE).await.expect("settled");
+    cell.settled(SETTLE_TIMEOUT)
+        .await
+        .expect("cell did not settle in time");
     cell
 }
 
-/// A load on all processes for some seconds.
+/// Returns a load of `rate` requests per second for some seconds, spread over all
+/// processes.
 pub(crate) fn load(cell: &Cell, rate: u32, seconds: u32, request: fn(u32) -> Request) -> LoadPlan {
     let servers: Vec<SocketAddr> = cell.members.iter().map(fake::Member::http).collect();
     LoadPlan {
--- a/crates/bench/benches/main/control.rs
+++ b/crates/bench/benches/main/control.rs
@@ -1,6 +1,6 @@
-//! `control`: what one process costs, idle and under load. Processor time and
-//! memory come from the system's process table; bytes are those of the table's
-//! and the peers' sockets as the system counts them for the loopback.
+//! `control`: resource usage of one process, idle and under load. Processor time
+//! and memory are read from `/proc`; bytes are counted by the relays in front of
+//! the store's table and the peers.
 
 use std::time::Duration;
 
@@ -13,18 +13,20 @@
 use crate::cell::open_cell;
 use crate::figures::print;
 
-/// Length of each measurement.
-const SPAN: Duration = Duration::from_secs(10);
+/// Duration of each measurement.
+const MEASURE_TIME: Duration = Duration::from_secs(10);
 
-/// Ticks of processor time a second, as the system reports them.
-const TICKS: f64 = 100.0;
+/// Clock ticks per second in which `/proc` reports processor time.
+const TICKS_PER_SECOND: f64 = 100.0;
 
-fn lookups(number: u32) -> Request {
+/// Returns a lookup request with its own id.
+fn lookup_request(number: u32) -> Request {
     lookup(&format!("lookup-{number}"))
 }
 
-/// Processor time, in seconds, and memory, in MiB, of a process.
-fn cost(id: u32) -> (f64, f64) {
+/// Returns the processor time in seconds and the resident memory in MiB of a
+/// process.
+fn usage(id: u32) -> (f64, f64) {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
     let fields: Vec<&str> = stat
         .rsplit(')')
@@ -33,7 +35,8 @@
         .split_whitespace()
         .collect();
     let ticks = |index: usize| fields.get(index).and_then(|f| f.parse::<f64>().ok());
-    let seconds = (ticks(11).unwrap_or_default() + ticks(12).unwrap_or_default()) / TICKS;
+    let seconds =
+        (ticks(11).unwrap_or_default() + ticks(12).unwrap_or_default()) / TICKS_PER_SECOND;
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
     let line = status
         .lines()
@@ -46,6 +49,7 @@
     (seconds, kib.unwrap_or_default() / 1024.0)
 }
 
+/// Runs the benchmark.
 pub(crate) async fn run() {
     let cell = open_cell().await;
     tokio::time::sleep(Duration::from_secs(2)).await;
@@ -54,71 +58,76 @@
     cell.close();
 }
 
+/// Measures an open cell under a load of `rate` requests per second and prints
+/// the figures.
 async fn measure(name: &str, cell: &Cell, rate: u32) {
-    let cost = measure_cost(cell, rate).await;
-    print(&format!("{name}.core"), cost.core, "percent");
-    print(&format!("{name}.memory.max"), cost.memory, "MiB");
-    print(&format!("{name}.table_and_peer_bytes"), cost.bytes, "B/s");
-    print(&format!("{name}.table_writes"), cost.writes, "rows/s");
-    print(&format!("{name}.table_reads"), cost.reads, "reads/s");
+    let usage = measure_usage(cell, rate).await;
+    print(&format!("{name}.core"), usage.core, "percent");
+    print(&format!("{name}.memory.max"), usage.memory, "MiB");
+    print(&format!("{name}.table_and_peer_bytes"), usage.bytes, "B/s");
+    print(&format!("{name}.table_writes"), usage.writes, "rows/s");
+    print(&format!("{name}.table_reads"), usage.reads, "reads/s");
 }
 
-/// Cost of one process; writes and reads are those of the whole cell.
+/// Resource usage of one process; writes and reads are those of the whole cell.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Cost {
-    /// Processor time, in percent of a core; the mean of all processes.
+pub(crate) struct Usage {
+    /// Processor time in percent of a core, the mean of all processes.
     pub(crate) core: f64,
     /// Resident memory of the largest process, in MiB.
     pub(crate) memory: f64,
-    /// Bytes a second to and from table and peers, the mean of all processes.
+    /// Bytes per second to and from the table and the peers, the mean of all
+    /// processes.
     pub(crate) bytes: f64,
-    /// Rows written a second.
+    /// Table rows written per second.
     pub(crate) writes: f64,
-    /// Reads a second.
+    /// Table reads per second.
     pub(crate) reads: f64,
 }
 
-/// Cost of a process of an idle cell.
-pub(crate) async fn measure_idle(cell: &Cell) -> Cost {
-    measure_cost(cell, 0).await
+/// Measures the usage of a process of an idle cell.
+pub(crate) async fn measure_idle(cell: &Cell) -> Usage {
+    measure_usage(cell, 0).await
 }
 
-async fn measure_cost(cell: &Cell, rate: u32) -> Cost {
+/// Measures the usage of a process under a load of `rate` requests per second.
+async fn measure_usage(cell: &Cell, rate: u32) -> Usage {
     let ids: Vec<u32> = cell
         .members
         .iter()
         .filter_map(fake::Member::process_id)
         .collect();
-    let before: Vec<(f64, f64)> = ids.iter().map(|id| cost(*id)).collect();
+    let usage_before: Vec<(f64, f64)> = ids.iter().map(|id| usage(*id)).collect();
     let bytes = bytes(cell);
-    let counts = cell.platform.table.counts();
+    let table_before = cell.platform.table.counts();
     if rate == 0 {
-        tokio::time::sleep(SPAN).await;
+        tokio::time::sleep(MEASURE_TIME).await;
     } else {
-        let seconds = u32::try_from(SPAN.as_secs()).unwrap_or_default();
-        run_load(&cell.caller, load(cell, rate, seconds, lookups)).await;
+        let seconds = u32::try_from(MEASURE_TIME.as_secs()).unwrap_or_default();
+        run_load(&cell.caller, load(cell, rate, seconds, lookup_request)).await;
     }
-    let after = cell.platform.table.counts();
+    let table_after = cell.platform.table.counts();
     let processes = f64::from(u32::try_from(ids.len()).unwrap_or_default());
-    let span = SPAN.as_secs_f64();
+    let span = MEASURE_TIME.as_secs_f64();
     let per_second =
-        |now: u64, then: u64| f64::from(u32::try_from(now - then).unwrap_or(u32::MAX)) / span;
-    let mut total = Cost {
+        |now: u64, earlier: u64| f64::from(u32::try_from(now - earlier).unwrap_or(u32::MAX)) / span;
+    let mut total = Usage {
         core: 0.0,
         memory: 0.0,
         bytes: per_second(self::bytes(cell), bytes) / processes,
-        writes: per_second(after.writes, counts.writes),
-        reads: per_second(after.reads, counts.reads),
+        writes: per_second(table_after.writes, table_before.writes),
+        reads: per_second(table_after.reads, table_before.reads),
     };
-    for (id, (seconds, _)) in ids.iter().zip(before) {
-        let (now, mib) = cost(*id);
+    for (id, (seconds, _)) in ids.iter().zip(usage_before) {
+        let (now, mib) = usage(*id);
         total.core += (now - seconds) / span * 100.0 / processes;
         total.memory = total.memory.max(mib);
     }
     total
 }
 
-/// Bytes that the relays in front of table and processes have passed.
+/// Returns the bytes that the relays in front of the table and the peers have
+/// passed so far.
 fn bytes(cell: &Cell) -> u64 {
     cell.members
         .iter()
--- a/crates/bench/benches/main/decide.rs
+++ b/crates/bench/benches/main/decide.rs
@@ -1,4 +1,5 @@
-//! `decide`: decisions a second of the pure core on one thread.
+//! `decide`: decisions per second of the scheduling core, which does no I/O, on
+//! one thread.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -14,18 +15,19 @@
 use sched::Policy;
 use sched::Weighted;
 
-use crate::cores::TEAM;
-use crate::cores::capped_core;
 use crate::figures::count;
 use crate::figures::new_histogram;
 use crate::figures::print;
+use crate::sched_core::TEAM;
+use crate::sched_core::power_capped_core;
 
-/// Decisions of each measurement.
+/// Number of decisions in each measurement.
 const DECISIONS: usize = 200_000;
 
-/// A core with workers of 8 slots and one team without practical limits.
+/// Returns a scheduling core with workers of 8 slots and one team without
+/// practical limits.
 pub(crate) fn core<P: Policy>(policy: P, workers: usize) -> Core<P> {
-    let mut core = capped_core(policy, u32::MAX, u32::MAX);
+    let mut core = power_capped_core(policy, u32::MAX, u32::MAX);
     let capacity = Resources {
         cpu_milli: 16_000,
         memory_mib: 65_536,
@@ -39,8 +41,8 @@
     core
 }
 
-/// A short job.
-pub(crate) fn spec() -> JobSpec {
+/// Returns a short interactive job.
+pub(crate) fn short_job() -> JobSpec {
     JobSpec {
         team: TEAM.to_owned(),
         class: Class::Interactive,
@@ -58,8 +60,9 @@
     }
 }
 
-/// Time for one decision with `running` tasks on `workers` workers: one task
-/// ends, one is submitted and placed. Also the 99th percentile.
+/// Measures decisions with `running` tasks on `workers` workers. In each decision
+/// one task ends and another is submitted and placed. Returns the decisions per
+/// second and the 99th percentile of the time of one decision in microseconds.
 pub(crate) fn measure<P: Policy>(
     policy: P,
     workers: usize,
@@ -69,7 +72,7 @@
     let mut core = core(policy, workers);
     let now = Duration::from_secs(1);
     let mut placed = std::collections::VecDeque::new();
-    let mut times: Histogram<u64> = new_histogram();
+    let mut durations: Histogram<u64> = new_histogram();
     let mut total = Duration::ZERO;
     for number in 0..running + decisions {
         let start = Instant::now();
@@ -78,7 +81,8 @@
         {
             core.release(job, worker);
         }
-        core.submit(now, spec()).expect("room in the queue");
+        core.submit(now, short_job())
+            .expect("queue of the team is full");
         for decision in core.decide(now) {
             if let Decision::Start { job, workers } = decision {
                 placed.push_back((job, workers[0]));
@@ -87,16 +91,17 @@
         if number >= running {
             let took = start.elapsed();
             total += took;
-            times.saturating_record(u64::try_from(took.as_nanos()).unwrap_or(u64::MAX));
+            durations.saturating_record(u64::try_from(took.as_nanos()).unwrap_or(u64::MAX));
         }
     }
-    let p99 = Duration::from_nanos(times.value_at_quantile(0.99));
+    let p99 = Duration::from_nanos(durations.value_at_quantile(0.99));
     (
         count(decisions) / total.as_secs_f64(),
         p99.as_secs_f64() * 1e6,
     )
 }
 
+/// Runs the benchmark for every policy, with two cell sizes.
 pub(crate) fn run() {
     for (workers, running) in [(48, 200), (3400, 12_000)] {
         let weighted = Weighted { pack_percent: 0 };
@@ -118,6 +123,7 @@
     }
 }
 
+/// Prints the result of one measurement.
 fn report(policy: &str, workers: usize, (rate, p99): (f64, f64)) {
     print(&format!("decide.{workers}.{policy}"), rate, "decisions/s");
     print(&format!("decide.{workers}.{policy}.p99"), p99, "us");
--- a/crates/bench/benches/main/faults.rs
+++ b/crates/bench/benches/main/faults.rs
@@ -1,5 +1,5 @@
-//! `takeover`, `handover`, `pause`, `outage`, `config`, `drain` and
-//! `cancelwave`.
+//! Benchmarks of faults and operator actions: `takeover`, `handover`, `pause`,
+//! `outage`, `config`, `drain` and `cancelwave`.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -21,49 +21,61 @@
 
 use crate::cell::load;
 use crate::cell::open_cell;
-use crate::cell::open_plan;
+use crate::cell::open_planned_cell;
 use crate::figures::count;
 use crate::figures::millis;
 use crate::figures::new_histogram;
 use crate::figures::print;
 use crate::figures::print_families;
 use crate::figures::print_quantiles;
-use crate::figures::waits;
+use crate::figures::start_waits;
 
-fn lookups(number: u32) -> Request {
+/// Returns a lookup request with its own id.
+fn lookup_request(number: u32) -> Request {
     lookup(&format!("lookup-{number}"))
 }
 
-fn mixed(number: u32) -> Request {
+/// Returns a confirmation for every fourth number and a lookup for the others.
+fn mixed_request(number: u32) -> Request {
     match number % 4 {
         0 => confirmation(&format!("confirm-{number}")),
-        _ => lookups(number),
+        _ => lookup_request(number),
     }
 }
 
-fn violations(name: &str, cell: &Cell, outcomes: &[Outcome]) {
-    let wrong = verify(outcomes, &cell.platform.log.runs(), cell.platform.capacity);
-    for line in &wrong {
+/// Verifies the outcomes against the run log and prints each violation and their
+/// number.
+fn print_violations(name: &str, cell: &Cell, outcomes: &[Outcome]) {
+    let violations = verify(outcomes, &cell.platform.log.runs(), cell.platform.capacity);
+    for line in &violations {
         println!("# {line}");
     }
-    print(&format!("{name}.violations"), count(wrong.len()), "count");
+    print(
+        &format!("{name}.violations"),
+        count(violations.len()),
+        "count",
+    );
 }
 
-/// Kills a process; the gap is the longest wait that a request had.
+/// Kills a process under load; the gap is the longest wait of a request.
 pub(crate) async fn run_takeover() {
     let mut gaps = Vec::new();
     for round in 0..3 {
         let mut cell = open_cell().await;
-        let plan = load(&cell, 400, 8, lookups);
-        let began = cell.platform.log.now();
-        let task = begin_load(&cell.caller, plan);
+        let plan = load(&cell, 400, 8, lookup_request);
+        let load_start = cell.platform.log.now();
+        let load_task = begin_load(&cell.caller, plan);
         tokio::time::sleep(Duration::from_secs(2)).await;
         cell.members[round].kill();
-        let outcomes = task.await.expect("load");
-        let all = waits(&outcomes, &cell.platform.log.runs(), began);
-        let longest = all.values().map(Histogram::max).max().unwrap_or_default();
+        let outcomes = load_task.await.expect("load task panicked");
+        let histograms = start_waits(&outcomes, &cell.platform.log.runs(), load_start);
+        let longest = histograms
+            .values()
+            .map(Histogram::max)
+            .max()
+            .unwrap_or_default();
         gaps.push(Duration::from_micros(longest));
-        violations("takeover", &cell, &outcomes);
+        print_violations("takeover", &cell, &outcomes);
         print_families("takeover", &outcomes);
         cell.close();
     }
@@ -72,12 +84,12 @@
     print("takeover.gap.max", millis(gaps[2]), "ms");
 }
 
-/// A planned stop under load.
+/// Stops a process under load with SIGTERM, so that it hands over its shards.
 pub(crate) async fn run_handover() {
     let mut cell = open_cell().await;
-    let plan = load(&cell, 2000, 8, lookups);
-    let began = cell.platform.log.now();
-    let task = begin_load(&cell.caller, plan);
+    let plan = load(&cell, 2000, 8, lookup_request);
+    let load_start = cell.platform.log.now();
+    let load_task = begin_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(3)).await;
     cell.members[3].signal(Signal::SIGTERM);
     let stop = Instant::now();
@@ -88,17 +100,18 @@
         count(usize::from(ended == Some(true))),
         "count",
     );
-    let outcomes = task.await.expect("load");
-    let all = waits(&outcomes, &cell.platform.log.runs(), began);
-    for histogram in all.values() {
+    let outcomes = load_task.await.expect("load task panicked");
+    let histograms = start_waits(&outcomes, &cell.platform.log.runs(), load_start);
+    for histogram in histograms.values() {
         print_quantiles("handover.wait", histogram);
     }
     print_families("handover", &outcomes);
-    violations("handover", &cell, &outcomes);
+    print_violations("handover", &cell, &outcomes);
     cell.close();
 }
 
-/// A pause past the lease, with the state kept and without.
+/// Pauses a process beyond the expiry of its lease, with and without reclaiming
+/// its shards afterwards.
 pub(crate) async fn run_pause() {
     for (name, reclaim) in [("pause.reclaim", true), ("pause.drop", false)] {
         for (kind, pause) in [("short", 1900), ("long", 4000)] {
@@ -107,7 +120,7 @@
                 ..CellPlan::default()
             };
             plan.lease.reclaim = reclaim;
-            let cell = open_plan(plan).await;
+            let cell = open_planned_cell(plan).await;
             pause_once(
                 &format!("{name}.{kind}"),
                 &cell,
@@ -119,33 +132,34 @@
     }
 }
 
+/// Pauses a process of an open cell under load and prints the figures.
 async fn pause_once(name: &str, cell: &Cell, pause: Duration) {
-    let plan = load(cell, 400, 10, mixed);
-    let began = cell.platform.log.now();
-    let task = begin_load(&cell.caller, plan);
+    let plan = load(cell, 400, 10, mixed_request);
+    let load_start = cell.platform.log.now();
+    let load_task = begin_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(2)).await;
     cell.members[1].signal(Signal::SIGSTOP);
     tokio::time::sleep(pause).await;
     cell.members[1].signal(Signal::SIGCONT);
-    let outcomes = task.await.expect("load");
-    let all = waits(&outcomes, &cell.platform.log.runs(), began);
-    for (class, histogram) in &all {
+    let outcomes = load_task.await.expect("load task panicked");
+    let histograms = start_waits(&outcomes, &cell.platform.log.runs(), load_start);
+    for (class, histogram) in &histograms {
         print_quantiles(&format!("{name}.{class}.wait"), histogram);
     }
     print_families(name, &outcomes);
-    violations(name, cell, &outcomes);
+    print_violations(name, cell, &outcomes);
 }
 
-/// The table is down for 30 s.
+/// Takes the table down for 30 s under load.
 pub(crate) async fn run_outage() {
     let cell = open_cell().await;
-    let plan = load(&cell, 200, 45, lookups);
-    let durable = load(&cell, 50, 45, |number| Request {
+    let plan = load(&cell, 200, 45, lookup_request);
+    let confirmation_plan = load(&cell, 50, 45, |number| Request {
         deadline_millis: 5000,
         ..confirmation(&format!("confirm-{number}"))
     });
-    let lookups = begin_load(&cell.caller, plan);
-    let confirmations = begin_load(&cell.caller, durable);
+    let lookup_load = begin_load(&cell.caller, plan);
+    let confirmation_load = begin_load(&cell.caller, confirmation_plan);
     tokio::time::sleep(Duration::from_secs(5)).await;
     cell.platform.set_down(true);
     tokio::time::sleep(Duration::from_secs(30)).await;
@@ -153,12 +167,12 @@
     cell.platform.set_down(false);
     tokio::time::sleep(Duration::from_secs(3)).await;
     let after = cell.platform.table.counts();
-    let outcomes = lookups.await.expect("load");
+    let outcomes = lookup_load.await.expect("load task panicked");
     print_families("outage.lookups", &outcomes);
-    violations("outage.lookups", &cell, &outcomes);
-    let outcomes = confirmations.await.expect("load");
+    print_violations("outage.lookups", &cell, &outcomes);
+    let outcomes = confirmation_load.await.expect("load task panicked");
     print_families("outage.confirmations", &outcomes);
-    violations("outage.confirmations", &cell, &outcomes);
+    print_violations("outage.confirmations", &cell, &outcomes);
     let writes = u32::try_from(after.writes - before.writes).unwrap_or(u32::MAX);
     print("outage.recovery_writes", f64::from(writes) / 3.0, "rows/s");
     let refused = u32::try_from(after.refused - before.refused).unwrap_or(u32::MAX);
@@ -166,7 +180,8 @@
     cell.close();
 }
 
-/// From a patch to its version in force on all live processes.
+/// Measures the time from sending a configuration patch until all live processes
+/// apply its version, with all processes running and with one paused.
 pub(crate) async fn run_config() {
     let cell = open_cell().await;
     let mut version = 1;
@@ -177,6 +192,7 @@
     cell.close();
 }
 
+/// Sends patches one after another and prints the quantiles of their times.
 async fn measure_patches(name: &str, cell: &Cell, version: &mut u64, rounds: u32) {
     let mut times: Histogram<u64> = new_histogram();
     for round in 0..rounds {
@@ -190,7 +206,7 @@
             .operator
             .patch(cell.http(0), &patch)
             .await
-            .expect("reply");
+            .expect("patch call got no reply");
         assert!(reply.status.is_success(), "{}", reply.text());
         *version += 1;
         loop {
@@ -206,29 +222,29 @@
     print_quantiles(name, &times);
 }
 
-/// A worker that leaves under load: when its last task starts.
+/// Drains a worker under load and measures when its last task starts.
 pub(crate) async fn run_drain() {
     let cell = open_cell().await;
-    let plan = load(&cell, 1000, 8, lookups);
-    let task = begin_load(&cell.caller, plan);
+    let plan = load(&cell, 1000, 8, lookup_request);
+    let load_task = begin_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let leaving = cell.platform.workers[9].id.clone();
-    let marked = cell.platform.log.now();
-    cell.platform.hosts.leave(&leaving);
-    let outcomes = task.await.expect("load");
+    let drained = cell.platform.workers[9].id.clone();
+    let drain_start = cell.platform.log.now();
+    cell.platform.hosts.leave(&drained);
+    let outcomes = load_task.await.expect("load task panicked");
     let runs = cell.platform.log.runs();
-    let last = runs
+    let last_start = runs
         .iter()
-        .filter(|run| run.worker == leaving)
+        .filter(|run| run.worker == drained)
         .map(|run| run.from)
         .max();
-    let last = last.unwrap_or_default().saturating_sub(marked);
-    print("drain.last_start", millis(last), "ms");
-    violations("drain", &cell, &outcomes);
+    let last_start = last_start.unwrap_or_default().saturating_sub(drain_start);
+    print("drain.last_start", millis(last_start), "ms");
+    print_violations("drain", &cell, &outcomes);
     cell.close();
 }
 
-/// 10,000 queued restocks withdrawn by one call.
+/// Cancels 10,000 queued restocks with one call.
 pub(crate) async fn run_cancel_wave() {
     const RESTOCKS: u32 = 10_000;
     let cell = open_cell().await;
@@ -251,7 +267,7 @@
         .caller
         .cancel_label(cell.http(0), "day")
         .await
-        .expect("cancel");
+        .expect("cancel call failed");
     print("cancelwave.took", millis(start.elapsed()), "ms");
     let after = cell.platform.table.counts();
     let returned = cell.platform.log.now();
@@ -260,7 +276,7 @@
     let writes = u32::try_from(after.writes - before.writes).unwrap_or(u32::MAX);
     print("cancelwave.writes", f64::from(writes), "rows");
     let runs = cell.platform.log.runs();
-    let late = runs.iter().filter(|run| run.from > returned).count();
-    print("cancelwave.started_after", count(late), "count");
+    let started_after = runs.iter().filter(|run| run.from > returned).count();
+    print("cancelwave.started_after", count(started_after), "count");
     cell.close();
 }
--- a/crates/bench/benches/main/figures.rs
+++ b/crates/bench/benches/main/figures.rs
@@ -1,4 +1,4 @@
-//! Printing of figures, and waits from request to start.
+//! Prints measured figures and computes the waits from request to start.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,56 +10,59 @@
 use model::Family;
 use model::request_key;
 
-/// An hour, in nanoseconds.
-const LONGEST: u64 = 3_600_000_000_000;
+/// Largest value of a histogram: one hour in nanoseconds.
+const MAX_NANOS: u64 = 3_600_000_000_000;
 
-/// Prints one figure.
+/// Prints one figure as `name value unit`.
 pub(crate) fn print(name: &str, value: f64, unit: &str) {
     println!("{name} {value:.3} {unit}");
 }
 
-/// A duration in milliseconds.
+/// Converts a duration to milliseconds.
 pub(crate) fn millis(duration: Duration) -> f64 {
     duration.as_secs_f64() * 1000.0
 }
 
-/// A count as a figure.
+/// Converts a count to a figure; saturates at `u32::MAX`.
 pub(crate) fn count(number: usize) -> f64 {
     f64::from(u32::try_from(number).unwrap_or(u32::MAX))
 }
 
-/// Waits from request to first start, by class, in microseconds: from when
-/// the caller sent it to when the worker started it.
-pub(crate) fn waits(
+/// Returns a histogram per class of the waits in microseconds, each from when the
+/// caller sent the request until a worker first started it. Requests that never
+/// started are left out.
+pub(crate) fn start_waits(
     outcomes: &[Outcome],
     runs: &[Run],
-    load_began: Duration,
+    load_start: Duration,
 ) -> HashMap<Class, Histogram<u64>> {
     let mut starts: HashMap<&str, Duration> = HashMap::new();
     for run in runs {
         starts.entry(&run.request).or_insert(run.from);
     }
-    let mut classes: HashMap<Class, Histogram<u64>> = HashMap::new();
+    let mut histograms: HashMap<Class, Histogram<u64>> = HashMap::new();
     for outcome in outcomes {
         let key = request_key(fake::TEAM, &outcome.request.id);
         let Some(start) = starts.get(key.as_str()) else {
             continue;
         };
-        let wait = start.saturating_sub(load_began + outcome.sent);
-        let histogram = classes
+        let wait = start.saturating_sub(load_start + outcome.sent);
+        let histogram = histograms
             .entry(outcome.request.class)
             .or_insert_with(new_histogram);
         histogram.saturating_record(u64::try_from(wait.as_micros()).unwrap_or(u64::MAX));
     }
-    classes
+    histograms
 }
 
-/// A histogram of times up to an hour, in microseconds or nanoseconds.
+/// Returns an empty histogram for times up to an hour, in microseconds or
+/// nanoseconds.
 pub(crate) fn new_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST, 3).expect("constant bounds")
+    Histogram::new_with_bounds(1, MAX_NANOS, 3).expect("histogram bounds are valid")
 }
 
-/// Prints quantiles of a histogram of microseconds, in milliseconds.
+/// Prints the median, the 99th percentile and the maximum, in milliseconds, of a
+/// histogram in microseconds.
 pub(crate) fn print_quantiles(name: &str, histogram: &Histogram<u64>) {
     let quantile = |q| millis(Duration::from_micros(histogram.value_at_quantile(q)));
     print(&format!("{name}.p50"), quantile(0.5), "ms");
@@ -71,13 +74,14 @@
     );
 }
 
-/// Most answers without success that are shown in full.
-const SHOWN: usize = 6;
+/// Maximum number of unsuccessful requests that are printed in full.
+const MAX_PRINTED: usize = 6;
 
-/// Prints how many requests did not succeed, and by what family.
+/// Prints the first unsuccessful requests in full, and the number of requests in
+/// all and by family of answer.
 pub(crate) fn print_families(name: &str, outcomes: &[Outcome]) {
-    let bad = outcomes.iter().filter(|o| o.family() != Family::Succeeded);
-    for outcome in bad.take(SHOWN) {
+    let unsuccessful = outcomes.iter().filter(|o| o.family() != Family::Succeeded);
+    for outcome in unsuccessful.take(MAX_PRINTED) {
         let answer = outcome
             .answer
             .as_ref()
@@ -88,7 +92,7 @@
         );
     }
     print(&format!("{name}.requests"), count(outcomes.len()), "count");
-    for (what, family) in [
+    for (label, family) in [
         ("succeeded", Family::Succeeded),
         ("failed", Family::Failed),
         ("not_run", Family::NotRun),
@@ -96,6 +100,6 @@
         ("unanswered", Family::Pending),
     ] {
         let number = outcomes.iter().filter(|o| o.family() == family).count();
-        print(&format!("{name}.{what}"), count(number), "count");
+        print(&format!("{name}.{label}"), count(number), "count");
     }
 }
--- a/crates/bench/benches/main/main.rs
+++ b/crates/bench/benches/main/main.rs
@@ -1,10 +1,10 @@
-//! Measurements. `cargo bench -p bench -- NAME...` runs the named ones, or all
-//! without a name, and prints lines of `name value unit`. Each that needs a
-//! cell starts real processes: this program again, as the daemon.
+//! Benchmarks. `cargo bench -p bench --bench main -- NAME...` runs the named ones, or all if
+//! no name is given, and prints lines of the form `name value unit`. A benchmark
+//! that needs a cell starts this program again as the daemon, once per process
+//! of the cell.
 
 mod cell;
 mod control;
-mod cores;
 mod decide;
 mod faults;
 mod figures;
@@ -12,6 +12,7 @@
 mod path;
 mod plan;
 mod scale;
+mod sched_core;
 mod slopes;
 
 use std::path::PathBuf;
@@ -20,34 +21,34 @@
 use daemon::Process;
 use daemon::Settings;
 
-/// First argument with which this program runs as the daemon.
+/// First argument that makes this program run as the daemon.
 const DAEMON: &str = "daemon";
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     if arguments.first().is_some_and(|first| first == DAEMON) {
-        let file = PathBuf::from(arguments.last().expect("a settings file"));
-        let runtime = daemon::make_runtime().expect("a runtime");
+        let file = PathBuf::from(arguments.last().expect("settings file argument is missing"));
+        let runtime = daemon::make_runtime().expect("failed to create the runtime");
         return runtime.block_on(run_daemon(file));
     }
-    let runtime = tokio::runtime::Runtime::new().expect("a runtime");
+    let runtime = tokio::runtime::Runtime::new().expect("failed to create the runtime");
     let names: Vec<&str> = arguments
         .iter()
         .map(String::as_str)
         .filter(|name| !name.starts_with("--"))
         .collect();
-    let wanted = |name: &str| names.is_empty() || names.contains(&name);
-    for (name, run) in plain() {
-        if wanted(name) {
+    let selected = |name: &str| names.is_empty() || names.contains(&name);
+    for (name, run) in without_cell() {
+        if selected(name) {
             run();
         }
     }
-    runtime.block_on(run_cells(wanted));
+    runtime.block_on(run_with_cell(selected));
     ExitCode::SUCCESS
 }
 
-/// Measurements that need no cell.
-fn plain() -> [(&'static str, fn()); 4] {
+/// Benchmarks that need no cell, by name.
+fn without_cell() -> [(&'static str, fn()); 4] {
     [
         ("decide", decide::run),
         ("pack", pack::run),
@@ -56,56 +57,59 @@
     ]
 }
 
-async fn run_cells(wanted: impl Fn(&str) -> bool) {
-    if wanted("path") {
+/// Runs the selected benchmarks that need a cell.
+async fn run_with_cell(selected: impl Fn(&str) -> bool) {
+    if selected("path") {
         path::run().await;
     }
-    if wanted("durable") {
+    if selected("durable") {
         path::run_durable().await;
     }
-    if wanted("spill") {
+    if selected("spill") {
         path::run_spill().await;
     }
-    if wanted("takeover") {
+    if selected("takeover") {
         faults::run_takeover().await;
     }
-    if wanted("handover") {
+    if selected("handover") {
         faults::run_handover().await;
     }
-    if wanted("pause") {
+    if selected("pause") {
         faults::run_pause().await;
     }
-    if wanted("outage") {
+    if selected("outage") {
         faults::run_outage().await;
     }
-    if wanted("config") {
+    if selected("config") {
         faults::run_config().await;
     }
-    if wanted("drain") {
+    if selected("drain") {
         faults::run_drain().await;
     }
-    if wanted("cancelwave") {
+    if selected("cancelwave") {
         faults::run_cancel_wave().await;
     }
-    if wanted("scale") {
+    if selected("scale") {
         scale::run().await;
     }
-    if wanted("control") {
+    if selected("control") {
         control::run().await;
     }
 }
 
-/// Runs the daemon until it is asked to stop, or one of its tasks ends.
+/// Runs the daemon until it receives SIGTERM or one of its tasks ends.
 async fn run_daemon(file: PathBuf) -> ExitCode {
-    let settings = Settings::load(&file).expect("settings");
-    let mut process = Process::open(&settings).await.expect("process");
+    let settings = Settings::load(&file).expect("failed to load the settings");
+    let mut process = Process::open(&settings)
+        .await
+        .expect("failed to open the process");
     let mut term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
-        .expect("signal handler");
-    let crash = tokio::select! {
+        .expect("failed to install the signal handler");
+    let task_error = tokio::select! {
         error = process.crashed() => Some(error),
         _ = term.recv() => None,
     };
-    if let Some(error) = crash {
+    if let Some(error) = task_error {
         eprintln!("{error}");
         return ExitCode::FAILURE;
     }
--- a/crates/bench/benches/main/pack.rs
+++ b/crates/bench/benches/main/pack.rs
@@ -1,5 +1,5 @@
-//! `pack`: work packed against an upper bound, by policy, and the price of
-//! cutting a cell into shards.
+//! `pack`: utilisation relative to an upper bound, by policy, and the utilisation
+//! that is lost when a cell is divided into shards.
 
 use std::time::Duration;
 
@@ -14,19 +14,23 @@
 use sched::Weighted;
 use shard::share;
 
-use crate::cores::TEAM;
-use crate::cores::capped_core;
 use crate::figures::print;
+use crate::sched_core::TEAM;
+use crate::sched_core::power_capped_core;
 
+/// Number of workers of each site.
 const WORKERS: u32 = 48;
 
-/// A deployment of the brief.
+/// Size of the workers and power limit of a deployment named in the users'
+/// requirements.
 struct Site {
     name: &'static str,
+    /// Processor capacity of a worker, in thousandths of a core.
     cpu_milli: u32,
+    /// Memory capacity of a worker.
     memory_mib: u32,
-    /// Cap on the site's power, in watts.
-    watts: u32,
+    /// Power limit of the site, in watts.
+    site_watts: u32,
 }
 
 const SITES: [Site; 2] = [
@@ -34,34 +38,36 @@
         name: "halvorsen",
         cpu_milli: 16_000,
         memory_mib: 65_536,
-        watts: 20_000,
+        site_watts: 20_000,
     },
     Site {
         name: "kanuri",
         cpu_milli: 32_000,
         memory_mib: 131_072,
-        watts: 24_000,
+        site_watts: 24_000,
     },
 ];
 
-/// Numbers that look random and are the same in every run (splitmix64).
-struct Mix(u64);
+/// Deterministic pseudo-random number generator (splitmix64).
+struct SplitMix(u64);
 
-impl Mix {
-    fn next(&mut self, most: u32) -> u32 {
+impl SplitMix {
+    /// Returns a number below `limit`.
+    fn next_below(&mut self, limit: u32) -> u32 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut value = self.0;
         value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        u32::try_from((value ^ (value >> 31)) % u64::from(most)).unwrap_or_default()
+        u32::try_from((value ^ (value >> 31)) % u64::from(limit)).unwrap_or_default()
     }
 }
 
-fn job(site: &Site, mix: &mut Mix) -> JobSpec {
-    let large = mix.next(5) == 0;
-    let part = if large { 2 } else { 10 };
-    let cpu_milli = site.cpu_milli / 20 + mix.next(site.cpu_milli / part);
-    let memory_mib = site.memory_mib / 40 + mix.next(site.memory_mib / part);
+/// Returns a random job; one in five is large.
+fn job(site: &Site, rng: &mut SplitMix) -> JobSpec {
+    let large = rng.next_below(5) == 0;
+    let divisor = if large { 2 } else { 10 };
+    let cpu_milli = site.cpu_milli / 20 + rng.next_below(site.cpu_milli / divisor);
+    let memory_mib = site.memory_mib / 40 + rng.next_below(site.memory_mib / divisor);
     JobSpec {
         team: TEAM.to_owned(),
         class: Class::Batch,
@@ -79,14 +85,20 @@
     }
 }
 
+/// Returns the scheduling core of a shard, with its share of the workers and of
+/// the site's power.
 fn shard_core<P: Policy>(policy: P, site: &Site, shard: u16, shards: u16) -> Core<P> {
-    let mut core = capped_core(policy, share(site.watts, shard, shards), site.watts);
+    let mut core = power_capped_core(
+        policy,
+        share(site.site_watts, shard, shards),
+        site.site_watts,
+    );
     let capacity = Resources {
         cpu_milli: site.cpu_milli,
         memory_mib: site.memory_mib,
         accelerators: 0,
         slots: 8,
-        power_watts: site.watts,
+        power_watts: site.site_watts,
     };
     for worker in (0..WORKERS).filter(|worker| worker % u32::from(shards) == u32::from(shard)) {
         core.add_worker(&format!("w{worker}"), &format!("r{}", worker / 8), capacity);
@@ -94,41 +106,41 @@
     core
 }
 
-/// Share of the binding resource that was used, in percent of the bound that
-/// no placement can exceed.
-fn fill<P: Policy + Copy>(policy: P, site: &Site, shards: u16) -> f64 {
+/// Packs random jobs and returns the usage of the most used resource in percent
+/// of its total, which no placement can exceed.
+fn utilisation<P: Policy + Copy>(policy: P, site: &Site, shards: u16) -> f64 {
     let mut cores: Vec<Core<P>> = (0..shards)
         .map(|shard| shard_core(policy, site, shard, shards))
         .collect();
-    let mut mix = Mix(7);
+    let mut rng = SplitMix(7);
     let mut used = Resources::default();
     let now = Duration::from_secs(1);
-    // Far more jobs than fit, dealt to the shards like request ids.
+    // Far more jobs than fit, assigned to random shards as request ids are.
     for _ in 0..1500 {
-        let spec = job(site, &mut mix);
+        let spec = job(site, &mut rng);
         let needs = spec.needs;
-        let shard = usize::try_from(mix.next(u32::from(shards))).unwrap_or_default();
+        let shard = usize::try_from(rng.next_below(u32::from(shards))).unwrap_or_default();
         let core = &mut cores[shard];
         let Ok(job) = core.submit(now, spec) else {
             continue;
         };
-        let started = core.decide(now);
-        if started
-            .iter()
-            .any(|d| matches!(d, Decision::Start { job: s, .. } if *s == job))
-        {
+        let decisions = core.decide(now);
+        if decisions.iter().any(
+            |decision| matches!(decision, Decision::Start { job: started, .. } if *started == job),
+        ) {
             used = used.plus(&needs);
         } else {
             core.withdraw(job);
         }
     }
-    let share = |used: u32, all: u32| f64::from(used) * 100.0 / f64::from(all);
-    share(used.cpu_milli, site.cpu_milli * WORKERS)
-        .max(share(used.memory_mib, site.memory_mib * WORKERS))
-        .max(share(used.power_watts, site.watts))
-        .max(share(used.slots, 8 * WORKERS))
+    let usage = |used: u32, all: u32| f64::from(used) * 100.0 / f64::from(all);
+    usage(used.cpu_milli, site.cpu_milli * WORKERS)
+        .max(usage(used.memory_mib, site.memory_mib * WORKERS))
+        .max(usage(used.power_watts, site.site_watts))
+        .max(usage(used.slots, 8 * WORKERS))
 }
 
+/// Runs the benchmark for every site.
 pub(crate) fn run() {
     for site in &SITES {
         let name = site.name;
@@ -138,25 +150,25 @@
             };
             print(
                 &format!("pack.{name}.weighted{percent}"),
-                fill(policy, site, 1),
+                utilisation(policy, site, 1),
                 "percent",
             );
         }
         print(
             &format!("pack.{name}.first_fit"),
-            fill(FirstFit, site, 1),
+            utilisation(FirstFit, site, 1),
             "percent",
         );
         print(
             &format!("pack.{name}.least_loaded"),
-            fill(LeastLoaded, site, 1),
+            utilisation(LeastLoaded, site, 1),
             "percent",
         );
         for shards in [1, 8, 16, 32] {
             let policy = Weighted { pack_percent: 100 };
             print(
                 &format!("pack.{name}.shards{shards}"),
-                fill(policy, site, shards),
+                utilisation(policy, site, shards),
                 "percent",
             );
         }
--- a/crates/bench/benches/main/path.rs
+++ b/crates/bench/benches/main/path.rs
@@ -1,5 +1,5 @@
-//! `path` and `durable`: waiting from request to start under an open-loop
-//! load through 8 processes and 48 workers.
+//! `path`, `durable` and `spill`: wait from request to start under an open-loop
+//! load on 8 processes and 48 workers.
 
 use fake::confirmation;
 use fake::lookup;
@@ -14,12 +14,13 @@
 use crate::figures::print;
 use crate::figures::print_families;
 use crate::figures::print_quantiles;
-use crate::figures::waits;
+use crate::figures::start_waits;
 
-/// Seconds of each load.
+/// Duration of each load, in seconds.
 const SECONDS: u32 = 10;
 
-fn lookups(number: u32) -> Request {
+/// Returns a lookup request; one in 20 is urgent.
+fn lookup_request(number: u32) -> Request {
     let class = match number % 20 {
         0 => Class::Urgent,
         _ => Class::Interactive,
@@ -30,26 +31,28 @@
     }
 }
 
-fn confirmations(number: u32) -> Request {
+/// Returns a confirmation request with its own id.
+fn confirmation_request(number: u32) -> Request {
     confirmation(&format!("confirm-{number}"))
 }
 
-/// Idempotent interactive work at growing rates.
+/// Measures idempotent requests at growing rates.
 pub(crate) async fn run() {
     for rate in [500, 2000, 4000] {
-        measure(&format!("path.{rate}"), rate, lookups).await;
+        measure(&format!("path.{rate}"), rate, lookup_request).await;
     }
 }
 
-/// Non-idempotent work, each start recorded first.
+/// Measures non-idempotent requests, whose starts are recorded in the table before
+/// they are sent to a worker.
 pub(crate) async fn run_durable() {
     for rate in [250, 1000] {
-        measure(&format!("durable.{rate}"), rate, confirmations).await;
+        measure(&format!("durable.{rate}"), rate, confirmation_request).await;
     }
 }
 
-/// All requests belong to one shard, which has room for 24 of the 60 that run
-/// at a time.
+/// Measures a load whose requests all belong to one shard. The shard's workers
+/// have capacity for 24 of the 60 requests that would run at a time.
 pub(crate) async fn run_spill() {
     measure("spill.one_shard", 200, |number| Request {
         run_millis: 300,
@@ -58,27 +61,34 @@
     .await;
 }
 
+/// Measures one load on a cell of its own and prints the figures.
 async fn measure(name: &str, rate: u32, request: fn(u32) -> Request) {
     let cell = open_cell().await;
     let before = cell.platform.table.counts();
-    let began = cell.platform.log.now();
+    let load_start = cell.platform.log.now();
     let outcomes = run_load(&cell.caller, load(&cell, rate, SECONDS, request)).await;
     let after = cell.platform.table.counts();
     let runs = cell.platform.log.runs();
-    let wrong = verify(&outcomes, &runs, cell.platform.capacity);
-    let mut classes: Vec<_> = waits(&outcomes, &runs, began).into_iter().collect();
-    classes.sort_by_key(|(class, _)| *class);
-    for (class, histogram) in classes {
+    let violations = verify(&outcomes, &runs, cell.platform.capacity);
+    let mut histograms: Vec<_> = start_waits(&outcomes, &runs, load_start)
+        .into_iter()
+        .collect();
+    histograms.sort_by_key(|(class, _)| *class);
+    for (class, histogram) in histograms {
         print_quantiles(&format!("{name}.{class}.wait"), &histogram);
     }
     print_families(name, &outcomes);
-    print(&format!("{name}.violations"), count(wrong.len()), "count");
+    print(
+        &format!("{name}.violations"),
+        count(violations.len()),
+        "count",
+    );
     let writes = after.writes - before.writes;
     let seconds = cell
         .platform
         .log
         .now()
-        .checked_sub(began)
+        .checked_sub(load_start)
         .unwrap_or_default()
         .as_secs_f64();
     let writes = f64::from(u32::try_from(writes).unwrap_or(u32::MAX));
--- a/crates/bench/benches/main/plan.rs
+++ b/crates/bench/benches/main/plan.rs
@@ -1,4 +1,5 @@
-//! `plan`: one round of the pool's planner with work that waits.
+//! `plan`: time of one round of the planner of a worker pool while steps wait for
+//! free capacity.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -17,12 +18,13 @@
 
 use crate::figures::print;
 
-/// Rounds of each measurement.
+/// Number of rounds in each measurement.
 const ROUNDS: u32 = 200;
 
 /// Time between two rounds.
-const ROUND_GAP: Duration = Duration::from_millis(4);
+const ROUND_INTERVAL: Duration = Duration::from_millis(4);
 
+/// Returns a queue that requires advice.
 fn queue(name: &str, priority: u32) -> Queue {
     Queue {
         name: name.to_owned(),
@@ -42,28 +44,36 @@
     }
 }
 
-/// A full pool with `waiting` steps that have tickets for a quarter of the
-/// workers and find no room; a fifth are gangs.
-fn pool(workers: usize, waiting: u64) -> Planner {
+/// Returns the planner of a full pool with `waiting` steps. Each step has tickets
+/// for a quarter of the workers, but none of these has free capacity; a fifth of
+/// the steps are gangs.
+fn full_pool(workers: usize, waiting: u64) -> Planner {
     let mut planner = Planner::new(Policy::default(), 1, Duration::ZERO, Duration::ZERO);
-    for at in 0..workers {
+    for index in 0..workers {
         let info = WorkerInfo {
-            id: format!("worker-{at:04}"),
+            id: format!("worker-{index:04}"),
             incarnation: None,
             service: "desk".to_owned(),
             address: ([127, 0, 0, 1], 1).into(),
-            capacity: room(16_000, 64_000),
+            capacity: resources(16_000, 64_000),
             labels: vec!["a".to_owned()],
             draining: false,
             remaining: None,
         };
-        let key = planner.register_worker(info).expect("new worker");
+        let key = planner
+            .register_worker(info)
+            .expect("worker is registered twice");
         planner.apply_report(key, Duration::ZERO, &WorkerReport::default());
     }
-    let filling = u32::try_from(workers).unwrap_or(u32::MAX) * 5;
-    let mut plain = queue("filling", 0);
-    plain.advice = None;
-    planner.add_job(0, spec(plain, filling, 3_000, false), None, false);
+    let filler_tasks = u32::try_from(workers).unwrap_or(u32::MAX) * 5;
+    let mut filler_queue = queue("filling", 0);
+    filler_queue.advice = None;
+    planner.add_job(
+        0,
+        spec(filler_queue, filler_tasks, 3_000, false),
+        None,
+        false,
+    );
     planner.plan();
     for id in 1..=waiting {
         let gang = id.is_multiple_of(5);
@@ -75,23 +85,26 @@
             step: 0,
         };
         let offset = usize::try_from(id).unwrap_or(0);
-        let named = (0..workers).filter(|at| (at + offset).is_multiple_of(4));
-        let asked: Vec<String> = named.map(|at| format!("worker-{at:04}")).collect();
-        let tickets: Vec<Ticket> = asked
+        let candidates = (0..workers).filter(|index| (index + offset).is_multiple_of(4));
+        let candidate_ids: Vec<String> = candidates
+            .map(|index| format!("worker-{index:04}"))
+            .collect();
+        let tickets: Vec<Ticket> = candidate_ids
             .iter()
             .map(|worker| Ticket {
                 worker: worker.clone(),
                 text: "ticket".to_owned(),
             })
             .collect();
-        let until = Duration::from_mins(10);
-        planner.handle_advice(step, &asked, &tickets, until);
+        let valid_until = Duration::from_mins(10);
+        planner.handle_advice(step, &candidate_ids, &tickets, valid_until);
     }
     planner.take_commands();
     planner
 }
 
-fn room(cpu: u64, memory: u64) -> Resources {
+/// Returns resources without accelerators.
+fn resources(cpu: u64, memory: u64) -> Resources {
     Resources {
         cpu,
         memory,
@@ -99,10 +112,11 @@
     }
 }
 
+/// Returns a job of one step.
 fn spec(queue: Queue, count: u32, cpu: u64, gang: bool) -> JobSpec {
     let step = StepSpec {
         count,
-        need: room(cpu, 1_000),
+        need: resources(cpu, 1_000),
         estimate: Duration::from_secs(3),
         gang,
         ..StepSpec::default()
@@ -117,25 +131,26 @@
     }
 }
 
-/// Prints the time of a round, and of a search for the next call for advice.
+/// Prints the mean time of a planning round and of a search for the next advice
+/// call.
 pub(crate) fn run() {
     for (workers, waiting) in [(48, 20), (48, 200), (350, 50), (350, 300)] {
-        let mut planner = pool(workers, waiting);
+        let mut planner = full_pool(workers, waiting);
         let mut now = Duration::from_secs(1);
-        let begin = Instant::now();
+        let start = Instant::now();
         for _ in 0..ROUNDS {
-            now += ROUND_GAP;
+            now += ROUND_INTERVAL;
             planner.advance(now);
             planner.plan();
         }
-        let round = begin.elapsed() / ROUNDS;
-        let begin = Instant::now();
+        let round = start.elapsed() / ROUNDS;
+        let start = Instant::now();
         for _ in 0..ROUNDS {
             planner.next_advice_request(FreeHelpers::Some);
         }
-        let ask = begin.elapsed() / ROUNDS;
+        let search = start.elapsed() / ROUNDS;
         let name = format!("plan.{workers}x{waiting}");
         print(&format!("{name}.round"), round.as_secs_f64() * 1e6, "us");
-        print(&format!("{name}.ask"), ask.as_secs_f64() * 1e6, "us");
+        print(&format!("{name}.ask"), search.as_secs_f64() * 1e6, "us");
     }
 }
--- a/crates/bench/benches/main/scale.rs
+++ b/crates/bench/benches/main/scale.rs
@@ -1,4 +1,4 @@
-//! `scale`: what an idle cell costs by number of workers and of processes.
+//! `scale`: resource usage of an idle cell by number of workers and of processes.
 
 use std::time::Duration;
 
@@ -6,34 +6,37 @@
 use fake::PlatformPlan;
 use fake::TableRates;
 
-use crate::cell::open_plan;
-use crate::control::Cost;
+use crate::cell::open_planned_cell;
+use crate::control::Usage;
 use crate::control::measure_idle;
 use crate::figures::print;
 use crate::slopes::Point;
 use crate::slopes::report;
 
-/// Rest before an idle cell is measured.
-const REST: Duration = Duration::from_secs(4);
+/// Time between the start of a cell and its measurement, in which it becomes
+/// idle.
+const IDLE_DELAY: Duration = Duration::from_secs(4);
 
+/// Runs the benchmark.
 pub(crate) async fn run() {
-    let mut costs = Vec::new();
+    let mut usages = Vec::new();
     for workers in [48, 200, 400, 800] {
-        costs.push((
+        usages.push((
             f64::from(workers),
-            idle(4, usize::try_from(workers).unwrap_or_default()).await,
+            measure_idle_cell(4, usize::try_from(workers).unwrap_or_default()).await,
         ));
     }
-    report_costs("workers_of_4_processes", "worker", &costs);
-    let mut costs = Vec::new();
+    report_usages("workers_of_4_processes", "worker", &usages);
+    let mut usages = Vec::new();
     for processes in [2, 4, 8, 16] {
         let count = usize::try_from(processes).unwrap_or_default();
-        costs.push((f64::from(processes), idle(count, 48).await));
+        usages.push((f64::from(processes), measure_idle_cell(count, 48).await));
     }
-    report_costs("processes", "process", &costs);
+    report_usages("processes", "process", &usages);
 }
 
-async fn idle(processes: usize, workers: usize) -> Cost {
+/// Measures the usage of a process of an idle cell of the given size.
+async fn measure_idle_cell(processes: usize, workers: usize) -> Usage {
     let platform = PlatformPlan {
         workers,
         rates: TableRates {
@@ -47,35 +50,41 @@
         platform,
         ..CellPlan::default()
     };
-    let cell = open_plan(plan).await;
-    tokio::time::sleep(REST).await;
-    let cost = measure_idle(&cell).await;
+    let cell = open_planned_cell(plan).await;
+    tokio::time::sleep(IDLE_DELAY).await;
+    let usage = measure_idle(&cell).await;
     cell.close();
-    cost
+    usage
 }
 
-/// A part of the cost: its name, its unit, and how it is read.
-type Part = (&'static str, &'static str, fn(&Cost) -> f64);
+/// A figure of the usage: its name, its unit and its accessor.
+type Figure = (&'static str, &'static str, fn(&Usage) -> f64);
 
-const PARTS: [Part; 5] = [
-    ("core", "percent", |cost| cost.core),
-    ("memory", "MiB", |cost| cost.memory),
-    ("bytes", "B/s", |cost| cost.bytes),
-    ("writes", "rows/s", |cost| cost.writes),
-    ("reads", "reads/s", |cost| cost.reads),
+const FIGURES: [Figure; 5] = [
+    ("core", "percent", |usage| usage.core),
+    ("memory", "MiB", |usage| usage.memory),
+    ("bytes", "B/s", |usage| usage.bytes),
+    ("writes", "rows/s", |usage| usage.writes),
+    ("reads", "reads/s", |usage| usage.reads),
 ];
 
-fn report_costs(by: &str, per: &str, costs: &[(f64, Cost)]) {
-    for (what, unit, pick) in PARTS {
-        let points: Vec<Point> = costs
+/// Reports every figure of the usage by cell size.
+fn report_usages(size_name: &str, size_unit: &str, usages: &[(f64, Usage)]) {
+    for (figure, unit, value) in FIGURES {
+        let points: Vec<Point> = usages
             .iter()
-            .map(|(size, cost)| (*size, pick(cost)))
+            .map(|(size, usage)| (*size, value(usage)))
             .collect();
-        report(&format!("idle_{what}_by_{by}"), unit, per, &points);
+        report(
+            &format!("idle_{figure}_by_{size_name}"),
+            unit,
+            size_unit,
+            &points,
+        );
     }
     print(
-        &format!("scale.{by}.sizes"),
-        f64::from(u32::try_from(costs.len()).unwrap_or(0)),
+        &format!("scale.{size_name}.sizes"),
+        f64::from(u32::try_from(usages.len()).unwrap_or(0)),
         "count",
     );
 }
--- a/crates/bench/benches/main/cores.rs
+++ b/crates/bench/benches/main/sched_core.rs
@@ -1,4 +1,4 @@
-//! Cores of the measurements that need no cell.
+//! Scheduling cores for the benchmarks that need no cell.
 
 use model::Resources;
 use sched::Core;
@@ -6,11 +6,12 @@
 use sched::Policy;
 use sched::TeamGrant;
 
-/// Team that all jobs are of.
+/// Team of all jobs in these benchmarks.
 pub(crate) const TEAM: &str = "stores";
 
-/// A core without workers, whose one team is held back by power only.
-pub(crate) fn capped_core<P: Policy>(policy: P, site_watts: u32, rack_watts: u32) -> Core<P> {
+/// Returns a scheduling core without workers, whose one team is limited only by
+/// the power of the site and of the racks.
+pub(crate) fn power_capped_core<P: Policy>(policy: P, site_watts: u32, rack_watts: u32) -> Core<P> {
     let quota = Resources {
         cpu_milli: u32::MAX,
         memory_mib: u32::MAX,
--- a/crates/bench/benches/main/slopes.rs
+++ b/crates/bench/benches/main/slopes.rs
@@ -1,5 +1,5 @@
-//! `slopes`: how cost grows with size, at four sizes and more, with the line
-//! that fits best and its largest error.
+//! `slopes`: growth of cost with size, measured at four sizes or more, with the
+//! best-fitting line and its largest error.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,37 +24,38 @@
 use crate::figures::count;
 use crate::figures::print;
 
-/// One measured point: size and cost.
+/// A measured point: size and cost.
 pub(crate) type Point = (f64, f64);
 
-/// Least-squares line through the points, and its largest error in percent
-/// of the largest cost.
+/// Fits a least-squares line through the points. Returns its intercept, its slope,
+/// and its largest error in percent of the largest cost.
 fn fit(points: &[Point]) -> (f64, f64, f64) {
     let number = count(points.len());
-    let mean = |pick: fn(&Point) -> f64| points.iter().map(pick).sum::<f64>() / number;
+    let mean = |coordinate: fn(&Point) -> f64| points.iter().map(coordinate).sum::<f64>() / number;
     let (mean_x, mean_y) = (mean(|p| p.0), mean(|p| p.1));
-    let cross: f64 = points.iter().map(|p| (p.0 - mean_x) * (p.1 - mean_y)).sum();
-    let square: f64 = points.iter().map(|p| (p.0 - mean_x).powi(2)).sum();
-    let slope = cross / square;
-    let base = mean_y - slope * mean_x;
-    let error = |p: &Point| (p.1 - base - slope * p.0).abs();
+    let cross_sum: f64 = points.iter().map(|p| (p.0 - mean_x) * (p.1 - mean_y)).sum();
+    let square_sum: f64 = points.iter().map(|p| (p.0 - mean_x).powi(2)).sum();
+    let slope = cross_sum / square_sum;
+    let intercept = mean_y - slope * mean_x;
+    let error = |p: &Point| (p.1 - intercept - slope * p.0).abs();
     let worst = points.iter().map(error).fold(0.0, f64::max);
-    let top = points.iter().map(|p| p.1).fold(f64::MIN_POSITIVE, f64::max);
-    (base, slope, worst * 100.0 / top)
+    let highest = points.iter().map(|p| p.1).fold(f64::MIN_POSITIVE, f64::max);
+    (intercept, slope, worst * 100.0 / highest)
 }
 
+/// Prints the points, the line through them and its error.
 pub(crate) fn report(name: &str, unit: &str, per: &str, points: &[Point]) {
     for (size, cost) in points {
         print(&format!("slopes.{name}.at{size}"), *cost, unit);
     }
-    let (base, slope, error) = fit(points);
-    println!("slopes.{name}.base {base:.6} {unit}");
+    let (intercept, slope, error) = fit(points);
+    println!("slopes.{name}.base {intercept:.6} {unit}");
     println!("slopes.{name}.slope {slope:.6} {unit}/{per}");
     print(&format!("slopes.{name}.error"), error, "percent");
 }
 
-/// Microseconds that `work` takes, at best of a few rounds.
-fn micros(rounds: u32, mut work: impl FnMut()) -> f64 {
+/// Returns the shortest time of `work` over some rounds, in microseconds.
+fn best_micros(rounds: u32, mut work: impl FnMut()) -> f64 {
     let mut best = Duration::MAX;
     for _ in 0..rounds {
         let start = Instant::now();
@@ -64,6 +65,7 @@
     best.as_secs_f64() * 1e6
 }
 
+/// Runs the benchmark.
 pub(crate) fn run() {
     let sizes = [48, 106, 212, 425, 850, 1700, 3400];
     let points: Vec<Point> = sizes
@@ -75,12 +77,13 @@
         })
         .collect();
     report("decision_by_workers", "us", "worker", &points);
-    recover_points();
-    journal_points();
-    config_points();
-    placement_points();
+    measure_recovery();
+    measure_journal();
+    measure_config();
+    measure_placement();
 }
 
+/// Returns journal records that accept the given number of requests.
 fn records(requests: u32) -> Vec<Record> {
     let request = |number: u32| Request {
         team: "stores".to_owned(),
@@ -95,13 +98,14 @@
     (0..requests).map(accept).collect()
 }
 
-/// A later owner's work on the records that it has read.
-fn recover_points() {
+/// Measures how long a successor takes to rebuild the state of a shard from the
+/// records that it has read.
+fn measure_recovery() {
     let points: Vec<Point> = [500, 2000, 8000, 32_000]
         .iter()
         .map(|requests| {
             let records = records(*requests);
-            let cost = micros(3, || {
+            let cost = best_micros(3, || {
                 let mut ledger = Ledger::default();
                 for record in &records {
                     ledger.replay(record, Times::default());
@@ -123,18 +127,19 @@
     report("recovery_by_requests", "us", "request", &points);
 }
 
-/// Bytes of one batch of the journal.
-fn journal_points() {
+/// Measures the size of a journal batch in bytes.
+fn measure_journal() {
     let points: Vec<Point> = [1, 10, 100, 1000]
         .iter()
         .map(|requests| {
-            let text = shard::encode_row(&records(*requests));
-            (f64::from(*requests), count(text.len()))
+            let encoded = shard::encode_row(&records(*requests));
+            (f64::from(*requests), count(encoded.len()))
         })
         .collect();
     report("journal_bytes_by_records", "B", "record", &points);
 }
 
+/// Returns a configuration with the given number of teams.
 fn config(teams: u32) -> Arc<Numbered> {
     let mut config = Config::default();
     let quota = Resources {
@@ -160,8 +165,9 @@
     })
 }
 
-/// Bytes of a configuration, and a shard's work on it.
-fn config_points() {
+/// Measures the size of a configuration in bytes, and the time to compute a
+/// shard's grants from it.
+fn measure_config() {
     let teams = [10, 20, 40, 81, 160];
     let bytes: Vec<Point> = teams
         .iter()
@@ -177,7 +183,7 @@
         .iter()
         .map(|number| {
             let numbered = config(*number);
-            let cost = micros(20, || {
+            let cost = best_micros(20, || {
                 assert!(!shard_grants(&numbered.config, 0, 16).teams.is_empty());
             });
             (f64::from(*number), cost)
@@ -186,13 +192,13 @@
     report("config_cost_by_teams", "us", "team", &costs);
 }
 
-/// Work of placing all shards on the live processes.
-fn placement_points() {
+/// Measures the time to place all shards on the live processes.
+fn measure_placement() {
     let points: Vec<Point> = [8usize, 16, 32, 64]
         .iter()
         .map(|processes| {
             let names: Vec<String> = (0..*processes).map(|index| format!("p{index}")).collect();
-            let cost = micros(20, || assert_eq!(place_shards(&names, 64).len(), 64));
+            let cost = best_micros(20, || assert_eq!(place_shards(&names, 64).len(), 64));
             (count(*processes), cost)
         })
         .collect();
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,1 +1,2 @@
-//! Measurements live in the bench target: `cargo bench -p bench -- NAME`.
+//! This library is empty. The benchmarks are the bench targets `main` and `days`:
+//! `cargo bench -p bench --bench main -- NAME`.
