--- a/crates/bench/benches/main/main.rs
+++ b/crates/bench/benches/main/main.rs
@@ -1,7 +1,7 @@
-//! Benchmarks. `cargo bench -p bench --bench main -- NAME...` runs the named ones, or all if
-//! no name is given, and prints lines of the form `name value unit`. A benchmark
-//! that needs a cell starts this program again as the daemon, once per process
-//! of the cell.
+//! Benchmarks. `cargo bench -p bench --bench main -- NAME...` runs the named ones,
+//! or all if no name is given, and prints lines of the form `name value unit`. A
+//! benchmark that needs a cell starts this program again as the daemon, once per
+//! process of the cell.
 
 mod cell;
 mod control;
--- a/crates/bench/benches/main/pack.rs
+++ b/crates/bench/benches/main/pack.rs
@@ -30,7 +30,7 @@
     /// Memory capacity of a worker.
     memory_mib: u32,
     /// Power limit of the site, in watts.
-    site_watts: u32,
+    power_limit: u32,
 }
 
 const SITES: [Site; 2] = [
@@ -38,13 +38,13 @@
         name: "halvorsen",
         cpu_milli: 16_000,
         memory_mib: 65_536,
-        site_watts: 20_000,
+        power_limit: 20_000,
     },
     Site {
         name: "kanuri",
         cpu_milli: 32_000,
         memory_mib: 131_072,
-        site_watts: 24_000,
+        power_limit: 24_000,
     },
 ];
 
@@ -90,15 +90,15 @@
 fn shard_core<P: Policy>(policy: P, site: &Site, shard: u16, shards: u16) -> Core<P> {
     let mut core = power_capped_core(
         policy,
-        share(site.site_watts, shard, shards),
-        site.site_watts,
+        share(site.power_limit, shard, shards),
+        site.power_limit,
     );
     let capacity = Resources {
         cpu_milli: site.cpu_milli,
         memory_mib: site.memory_mib,
         accelerators: 0,
         slots: 8,
-        power_watts: site.site_watts,
+        power_watts: site.power_limit,
     };
     for worker in (0..WORKERS).filter(|worker| worker % u32::from(shards) == u32::from(shard)) {
         core.add_worker(&format!("w{worker}"), &format!("r{}", worker / 8), capacity);
@@ -136,7 +136,7 @@
     let usage = |used: u32, all: u32| f64::from(used) * 100.0 / f64::from(all);
     usage(used.cpu_milli, site.cpu_milli * WORKERS)
         .max(usage(used.memory_mib, site.memory_mib * WORKERS))
-        .max(usage(used.power_watts, site.site_watts))
+        .max(usage(used.power_watts, site.power_limit))
         .max(usage(used.slots, 8 * WORKERS))
 }
 
