--- a/crates/bench/benches/main/control.rs
+++ b/crates/bench/benches/main/control.rs
@@ -20,7 +20,7 @@
 const TICKS_PER_SECOND: f64 = 100.0;
 
 /// Returns a lookup request with its own id.
-fn lookup_request(number: u32) -> Request {
+fn numbered_lookup(number: u32) -> Request {
     lookup(&format!("lookup-{number}"))
 }
 
@@ -104,7 +104,7 @@
         tokio::time::sleep(MEASURE_TIME).await;
     } else {
         let seconds = u32::try_from(MEASURE_TIME.as_secs()).unwrap_or_default();
-        run_load(&cell.caller, load(cell, rate, seconds, lookup_request)).await;
+        run_load(&cell.caller, load(cell, rate, seconds, numbered_lookup)).await;
     }
     let table_after = cell.platform.table.counts();
     let processes = f64::from(u32::try_from(ids.len()).unwrap_or_default());
--- a/crates/bench/benches/main/faults.rs
+++ b/crates/bench/benches/main/faults.rs
@@ -31,7 +31,7 @@
 use crate::figures::start_waits;
 
 /// Returns a lookup request with its own id.
-fn lookup_request(number: u32) -> Request {
+fn numbered_lookup(number: u32) -> Request {
     lookup(&format!("lookup-{number}"))
 }
 
@@ -39,7 +39,7 @@
 fn mixed_request(number: u32) -> Request {
     match number % 4 {
         0 => confirmation(&format!("confirm-{number}")),
-        _ => lookup_request(number),
+        _ => numbered_lookup(number),
     }
 }
 
@@ -62,7 +62,7 @@
     let mut gaps = Vec::new();
     for round in 0..3 {
         let mut cell = open_cell().await;
-        let plan = load(&cell, 400, 8, lookup_request);
+        let plan = load(&cell, 400, 8, numbered_lookup);
         let load_start = cell.platform.log.now();
         let load_task = begin_load(&cell.caller, plan);
         tokio::time::sleep(Duration::from_secs(2)).await;
@@ -87,7 +87,7 @@
 /// Stops a process under load with SIGTERM, so that it hands over its shards.
 pub(crate) async fn run_handover() {
     let mut cell = open_cell().await;
-    let plan = load(&cell, 2000, 8, lookup_request);
+    let plan = load(&cell, 2000, 8, numbered_lookup);
     let load_start = cell.platform.log.now();
     let load_task = begin_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(3)).await;
@@ -153,7 +153,7 @@
 /// Takes the table down for 30 s under load.
 pub(crate) async fn run_outage() {
     let cell = open_cell().await;
-    let plan = load(&cell, 200, 45, lookup_request);
+    let plan = load(&cell, 200, 45, numbered_lookup);
     let confirmation_plan = load(&cell, 50, 45, |number| Request {
         deadline_millis: 5000,
         ..confirmation(&format!("confirm-{number}"))
@@ -225,7 +225,7 @@
 /// Drains a worker under load and measures when its last task starts.
 pub(crate) async fn run_drain() {
     let cell = open_cell().await;
-    let plan = load(&cell, 1000, 8, lookup_request);
+    let plan = load(&cell, 1000, 8, numbered_lookup);
     let load_task = begin_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(2)).await;
     let drained = cell.platform.workers[9].id.clone();
--- a/crates/bench/benches/main/path.rs
+++ b/crates/bench/benches/main/path.rs
@@ -20,7 +20,7 @@
 const SECONDS: u32 = 10;
 
 /// Returns a lookup request; one in 20 is urgent.
-fn lookup_request(number: u32) -> Request {
+fn numbered_lookup(number: u32) -> Request {
     let class = match number % 20 {
         0 => Class::Urgent,
         _ => Class::Interactive,
@@ -32,14 +32,14 @@
 }
 
 /// Returns a confirmation request with its own id.
-fn confirmation_request(number: u32) -> Request {
+fn numbered_confirmation(number: u32) -> Request {
     confirmation(&format!("confirm-{number}"))
 }
 
 /// Measures idempotent requests at growing rates.
 pub(crate) async fn run() {
     for rate in [500, 2000, 4000] {
-        measure(&format!("path.{rate}"), rate, lookup_request).await;
+        measure(&format!("path.{rate}"), rate, numbered_lookup).await;
     }
 }
 
@@ -47,7 +47,7 @@
 /// they are sent to a worker.
 pub(crate) async fn run_durable() {
     for rate in [250, 1000] {
-        measure(&format!("durable.{rate}"), rate, confirmation_request).await;
+        measure(&format!("durable.{rate}"), rate, numbered_confirmation).await;
     }
 }
 
