--- a/crates/bench/benches/main/slopes.rs
+++ b/crates/bench/benches/main/slopes.rs
@@ -112,7 +112,7 @@
                     epoch: 2,
                     takeover_millis: 1,
                     retention: Duration::from_mins(10),
-                    missing_at: Duration::from_secs(20),
+                    claim_deadline: Duration::from_secs(20),
                 };
                 let machine = Machine::new(facts, ledger, config(1), Times::default());
                 assert!(!machine.ledger().is_empty());
--- a/crates/daemon/tests/link.rs
+++ b/crates/daemon/tests/link.rs
@@ -11,7 +11,7 @@
 use shard::Input;
 use shard::LeaseGate;
 use shard::Link;
-use shard::LinkFacts;
+use shard::LinkParams;
 use shard::WorkerHost;
 use store::Host;
 use store::HostState;
@@ -118,7 +118,7 @@
     };
     let gate = Arc::new(LeaseGate::new());
     gate.extend(Instant::now() + Duration::from_mins(1));
-    let facts = LinkFacts {
+    let facts = LinkParams {
         host: WorkerHost { host, assigned: 1 },
         shard: 0,
         lease: LEASE,
@@ -134,7 +134,7 @@
 /// The owner's end of a link.
 struct Opened {
     /// Keeps the link open.
-    orders: mpsc::UnboundedSender<shard::LinkOrder>,
+    orders: mpsc::UnboundedSender<shard::LinkCommand>,
     inputs: mpsc::UnboundedReceiver<Input>,
 }
 
--- a/crates/daemon/tests/shown/links.rs
+++ b/crates/daemon/tests/shown/links.rs
@@ -12,10 +12,10 @@
 use shard::Input;
 use shard::LeaseGate;
 use shard::Link;
-use shard::LinkFacts;
-use shard::LinkOrder;
-use shard::StartOrder;
+use shard::LinkCommand;
+use shard::LinkParams;
 use shard::StopMode;
+use shard::UnfencedStart;
 use shard::WorkerHost;
 use store::Host;
 use store::HostState;
@@ -134,7 +134,7 @@
 /// A link to a worker, as its shard sees it.
 struct Linked {
     worker: Clumsy,
-    orders: mpsc::UnboundedSender<LinkOrder>,
+    orders: mpsc::UnboundedSender<LinkCommand>,
     news: mpsc::UnboundedReceiver<Input>,
     _stop: watch::Sender<bool>,
 }
@@ -169,7 +169,7 @@
     }
 }
 
-fn facts(address: SocketAddr) -> LinkFacts {
+fn facts(address: SocketAddr) -> LinkParams {
     let gate = LeaseGate::new();
     gate.extend(Instant::now() + Duration::from_mins(1));
     let host = Host {
@@ -179,7 +179,7 @@
         rack: "r0".to_owned(),
         state: HostState::Live,
     };
-    LinkFacts {
+    LinkParams {
         host: WorkerHost { host, assigned: 1 },
         shard: 0,
         lease: Duration::from_secs(10),
@@ -188,8 +188,8 @@
     }
 }
 
-fn start() -> LinkOrder {
-    LinkOrder::Start(StartOrder {
+fn start() -> LinkCommand {
+    LinkCommand::Start(UnfencedStart {
         attempt: "stores/r1#1.1.0".to_owned(),
         incarnation: "run-0".to_owned(),
         request: "stores/r1".to_owned(),
@@ -256,7 +256,7 @@
     linked.next().await;
 
     let attempt = "stores/r1#1.1.0".to_owned();
-    let stop = LinkOrder::Stop(attempt, StopMode::Kill);
+    let stop = LinkCommand::Stop(attempt, StopMode::Kill);
     linked.orders.send(stop).expect("an open link");
     tokio::time::sleep(Duration::from_secs(1)).await;
 
--- a/crates/model/src/id.rs
+++ b/crates/model/src/id.rs
@@ -30,16 +30,16 @@
 }
 
 /// Key of a request that its own shard has no free resources for and has
-/// lent to shard `to`, which runs it.
+/// offloaded to shard `to`, which runs it.
 #[must_use]
-pub fn lent_key(key: &str, to: ShardId) -> String {
+pub fn offload_key(key: &str, to: ShardId) -> String {
     format!("{key}~{to}")
 }
 
-/// Returns the shard that runs a lent request; none if `key` is not the key
-/// of a lent request.
+/// Returns the shard that runs an offloaded request; none if `key` is not
+/// the key of an offloaded request.
 #[must_use]
-pub fn lent_to(key: &str) -> Option<ShardId> {
+pub fn offload_target(key: &str) -> Option<ShardId> {
     key.rsplit_once('~')
         .and_then(|(_, shard)| shard.parse().ok())
 }
--- a/crates/sched/src/budget.rs
+++ b/crates/sched/src/budget.rs
@@ -81,7 +81,8 @@
 }
 
 impl TeamEntry {
-    /// Highest booked share among the resources of the quota, in thousandths.
+    /// Highest booked share among processor, memory, slots and power of the
+    /// quota, in thousandths.
     #[must_use]
     pub fn share(&self) -> u32 {
         let share = |booked: u32, total: u32| match total {
--- a/crates/sched/src/core.rs
+++ b/crates/sched/src/core.rs
@@ -41,7 +41,7 @@
     jobs: SlotMap<JobKey, Job>,
     pub(crate) budgets: Budgets,
     pub(crate) queues: Queues,
-    /// Jobs that another shard lent to this one and whose quota is charged
+    /// Jobs that another shard offloaded to this one and whose quota is charged
     /// there.
     pub(crate) quota_exempt: HashSet<JobKey>,
     /// Number of jobs submitted so far, which ranks jobs by arrival.
@@ -94,8 +94,8 @@
         all_known && !was_known
     }
 
-    /// Whether a job would fit if nothing else ran. Also true while not all
-    /// workers are known.
+    /// Whether a job would fit if nothing else ran. Also true while there are no
+    /// workers or not all of them were added.
     #[must_use]
     pub fn could_hold(&self, spec: &JobSpec) -> bool {
         !self.all_known || self.pool.is_empty() || self.pool.could_hold(&spec.needs, spec.members)
--- a/crates/sched/src/job.rs
+++ b/crates/sched/src/job.rs
@@ -32,7 +32,8 @@
     pub deadline: Timestamp,
     /// Expected run time of the job.
     pub run_time: Duration,
-    /// Workers on which an earlier attempt failed; they are not chosen again.
+    /// Workers of the previous attempt, on which a job with one member is not
+    /// placed again.
     pub avoid: Vec<WorkerKey>,
 }
 
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -6,7 +6,7 @@
 mod core;
 mod health;
 mod job;
-mod lend;
+mod offload;
 mod policy;
 mod pool;
 mod queue;
--- a/crates/sched/src/lend.rs
+++ b/crates/sched/src/offload.rs
@@ -1,5 +1,5 @@
-//! Lending: a job whose own shard has no free capacity runs on the workers of
-//! another shard.
+//! Offloading: a job whose own shard has no free capacity runs on the workers
+//! of another shard.
 //!
 //! The team's quota is charged in the shard where the job was submitted,
 //! workers and power in the shard where it runs. So no limit is exceeded, and
@@ -17,7 +17,7 @@
     /// Removes a waiting job from the queue so that another shard can run it,
     /// and charges its team's quota. Returns false, and changes nothing, if the
     /// job is not waiting for workers of this shard.
-    pub fn lend(&mut self, job: JobKey) -> bool {
+    pub fn offload(&mut self, job: JobKey) -> bool {
         if self.blocking_limit(job) != Some(Limit::Workers) {
             return false;
         }
@@ -32,8 +32,9 @@
         true
     }
 
-    /// Releases the quota of a lent job that has ended or was returned.
-    pub fn release_lent(&mut self, spec: &JobSpec) {
+    /// Releases the quota of an offloaded job that has ended, or that no other
+    /// shard could run.
+    pub fn release_offloaded(&mut self, spec: &JobSpec) {
         let team = self.budgets.team(&spec.team);
         self.budgets.unbook_quota(team, &spec.needs);
         self.queues.unblock();
@@ -41,7 +42,11 @@
 
     /// Places a job of another shard at once, or not at all, since this shard's
     /// own waiting jobs go first. The quota is charged in the other shard.
-    pub fn place_lent(&mut self, now: Timestamp, spec: JobSpec) -> Option<(JobKey, WorkerKey)> {
+    pub fn place_offloaded(
+        &mut self,
+        now: Timestamp,
+        spec: JobSpec,
+    ) -> Option<(JobKey, WorkerKey)> {
         if !self.queues.is_empty() || !self.budgets.site_admits(&spec.needs) {
             return None;
         }
--- a/crates/sched/src/worker.rs
+++ b/crates/sched/src/worker.rs
@@ -22,8 +22,8 @@
     Ready,
     /// Not claimed by this shard, or not answering; treated as full.
     Lost,
-    /// Has just refused a start; gets no tasks for a short time.
-    Held,
+    /// Has just refused a start; gets no new tasks for a short time.
+    Paused,
     /// Being removed: running tasks may finish, no new ones start.
     Leaving,
 }
@@ -59,7 +59,8 @@
         self.state == WorkerState::Ready && needs.fits(&self.free) && self.health.admits(self.tasks)
     }
 
-    /// Highest utilisation among the worker's resources, in thousandths.
+    /// Highest booked share among the worker's processor, memory, slots and
+    /// accelerators, in thousandths.
     #[must_use]
     pub fn load(&self) -> u32 {
         let share = |free: u32, total: u32| match total {
--- a/crates/shard/src/answers.rs
+++ b/crates/shard/src/answers.rs
@@ -46,7 +46,8 @@
             _ => interrupted = true,
         }
     }
-    let answer = |code, reason: &str| AttemptOutcome::Answer(bare(entry, code, reason));
+    let answer =
+        |code, reason: &str| AttemptOutcome::Answer(answer_without_output(entry, code, reason));
     if unreachable {
         return answer(
             Code::HostLost,
@@ -90,22 +91,22 @@
     answer(Code::HostLost, "it was interrupted; it may have run")
 }
 
-/// Answer to a request that was cancelled while it ran. It depends on how the
-/// task ended, not on the stop that was sent: a task that had ended by itself
-/// before the stop arrived was once answered as stopped, and its caller, who
-/// took that for a failure, submitted it again.
+/// Answer to a request that was cancelled after its start was sent. It depends on how the
+/// task ended, not on the stop that was sent: if a task that ended by itself
+/// before the stop arrived were answered as stopped, its caller would take that
+/// for a failure and submit it again.
 fn stop_answer(entry: &Entry, ends: &[(&str, &End)], interrupted: bool) -> Answer {
     if interrupted || entry.history == RunHistory::EndUnknown {
         let reason = "cancelled, but nobody knows how it ended; it may have run";
-        return bare(entry, Code::HostLost, reason);
+        return answer_without_output(entry, Code::HostLost, reason);
     }
     if ends.iter().any(|(_, end)| end.result == EndResult::Failed) {
         return failure_answer(entry, ends);
     }
-    bare(entry, Code::TaskStopped, "stopped by its caller")
+    answer_without_output(entry, Code::TaskStopped, "stopped by its caller")
 }
 
-fn bare(entry: &Entry, code: Code, reason: &str) -> Answer {
+fn answer_without_output(entry: &Entry, code: Code, reason: &str) -> Answer {
     let mut answer = Answer::without_output(&entry.request.id, code, reason);
     answer.waited_millis = entry.waited_millis;
     answer
@@ -117,13 +118,16 @@
         .all(|(_, end)| digest(&end.output) == end.digest);
     if !is_intact {
         let reason = "its output was damaged on the way from the worker";
-        return bare(entry, Code::HostLost, reason);
+        return answer_without_output(entry, Code::HostLost, reason);
     }
-    with_output(bare(entry, Code::Ok, ""), ends)
+    with_output(answer_without_output(entry, Code::Ok, ""), ends)
 }
 
 fn failure_answer(entry: &Entry, ends: &[(&str, &End)]) -> Answer {
-    with_output(bare(entry, Code::TaskFailed, "the task failed"), ends)
+    with_output(
+        answer_without_output(entry, Code::TaskFailed, "the task failed"),
+        ends,
+    )
 }
 
 fn with_output(mut answer: Answer, ends: &[(&str, &End)]) -> Answer {
--- a/crates/shard/src/assign.rs
+++ b/crates/shard/src/assign.rs
@@ -176,8 +176,8 @@
                 .check(key.clone(), *version)
                 .put(key, encode_row(&row));
         }
-        let committed = table.commit(&commit).await?;
-        Ok(matches!(committed, CommitOutcome::Done(_)))
+        let outcome = table.commit(&commit).await?;
+        Ok(matches!(outcome, CommitOutcome::Done(_)))
     }
 }
 
--- a/crates/shard/src/cancel.rs
+++ b/crates/shard/src/cancel.rs
@@ -19,8 +19,9 @@
 /// Effects of a cancel call on the requests processed so far.
 #[derive(Debug, Default)]
 struct CancelProgress {
-    /// Keys of waiting requests whose cancellation goes into one common record.
-    waiting: Vec<String>,
+    /// Keys of requests withdrawn before any start; one common record cancels
+    /// them.
+    withdrawn: Vec<String>,
     /// Number of requests that count as cancelled by the call.
     count: u32,
     /// Whether the record of some request's answer is already being written.
@@ -41,50 +42,50 @@
         for key in keys {
             self.cancel_one(key, &mut progress);
         }
-        if progress.waiting.is_empty() && !progress.recording {
+        if progress.withdrawn.is_empty() && !progress.recording {
             self.reply(waiter, ShardReply::Cancelled(progress.count));
             return;
         }
-        self.close_withdrawn(&progress.waiting);
+        self.close_withdrawn(&progress.withdrawn);
         let record = Record::Cancel {
-            keys: progress.waiting.clone(),
+            keys: progress.withdrawn.clone(),
             at_millis: self.times.wall_millis,
         };
-        let withdrawn = CancelCall {
-            keys: progress.waiting,
+        let call = CancelCall {
+            keys: progress.withdrawn,
             count: progress.count,
             waiter,
         };
-        self.append(record, PendingRecord::Cancelled(withdrawn));
+        self.append(record, PendingRecord::Cancelled(call));
     }
 
     /// Cancels one request. A request that an earlier call cancelled counts
     /// again: a caller that lost the reply repeats the call, and would
-    /// otherwise be told that nothing was cancelled. The reply waits until the
-    /// records of the answers are in the table.
+    /// otherwise get the reply that nothing was cancelled. The reply waits until
+    /// the records of the answers are in the table.
     fn cancel_one(&mut self, key: String, progress: &mut CancelProgress) {
         let Some(entry) = self.ledger.get(&key) else {
             return;
         };
-        let (may_have_run, durable) = (entry.may_have_run(), entry.recorded);
+        let (may_have_run, recorded) = (entry.may_have_run(), entry.recorded);
         match &entry.stage {
             Stage::Done(answer) => progress.count += u32::from(is_cancelled(answer.code)),
             Stage::Closing(answer) if is_cancelled(answer.code) => {
                 progress.count += 1;
-                progress.recording |= durable;
+                progress.recording |= recorded;
             }
             Stage::Closing(_) => {}
             Stage::Waiting(_) | Stage::Recording(_) => {
                 progress.count += 1;
                 self.withdraw(&key);
-                if durable && !may_have_run {
-                    progress.waiting.push(key);
+                if recorded && !may_have_run {
+                    progress.withdrawn.push(key);
                 } else {
-                    progress.recording |= durable;
+                    progress.recording |= recorded;
                     self.finish_cancelled(&key);
                 }
             }
-            Stage::Lent | Stage::Running(_) => {
+            Stage::Offloaded | Stage::Running(_) => {
                 progress.count += 1;
                 self.stop_running(&key);
             }
@@ -102,7 +103,7 @@
                 (Code::HostLost, "cancelled; an earlier attempt may have run")
             }
         };
-        self.finish_bare(key, code, reason);
+        self.finish_without_output(key, code, reason);
     }
 
     /// Closes cancelled requests, so that they can't start any more. Their
--- a/crates/shard/src/cell_reads.rs
+++ b/crates/shard/src/cell_reads.rs
@@ -76,7 +76,7 @@
         Ok(())
     }
 
-    /// Adds the constant facts of each process, which are read only once.
+    /// Adds the constant properties of each process, which are read only once.
     pub(crate) async fn join_members(
         &self,
         found: Vec<(Incarnation, RowVersion, LeaseRow)>,
@@ -129,8 +129,8 @@
     /// Reads the newest configuration document and adopts it.
     pub(crate) async fn fetch_config(&mut self) -> Result<(), ShardError> {
         match read_config(&self.context.table).await {
-            Ok((numbered, _)) => {
-                self.adopt_config(&Arc::new(numbered));
+            Ok((versioned, _)) => {
+                self.adopt_config(&Arc::new(versioned));
                 Ok(())
             }
             Err(PatchError::Damaged { reason }) => {
--- a/crates/shard/src/claiming.rs
+++ b/crates/shard/src/claiming.rs
@@ -50,9 +50,9 @@
 impl<T: Table, O: ObjectStore, H: HostList> ShardManager<T, O, H> {
     /// Rechecks all running shards after another process had expired this
     /// process's lease. The expiry alone fences nothing: if a shard's row is
-    /// unchanged, no process has taken the shard, and none can any more on the
-    /// basis of that expiry, since the lease is renewed. Such shards keep their
-    /// state; the others are dropped. (KIP-588 likewise separates timeouts
+    /// unchanged, no process has claimed the shard, and a claim that relies on
+    /// that expiry fails, since the renewal has changed the lease row. Such
+    /// shards keep their state; the others are dropped. (KIP-588 likewise separates timeouts
     /// from fencing.)
     pub(crate) async fn recheck_shards(&mut self) -> Result<(), ShardError> {
         if !self.context.reclaim {
@@ -258,9 +258,9 @@
             epoch = row.epoch + 1;
         }
         commit = commit.put(shard_key(shard), encode_row(&self.own_shard_row(epoch)));
-        let committed = self.context.table.commit(&commit).await?;
+        let outcome = self.context.table.commit(&commit).await?;
         self.outage.record_answer();
-        if let CommitOutcome::Done(versions) = committed {
+        if let CommitOutcome::Done(versions) = outcome {
             let fence = versions.first().copied().unwrap_or_default();
             let event = Event::new(Kind::ShardClaimed).shard(shard);
             self.record_event(event.detail(format!("epoch {epoch}")));
--- a/crates/shard/src/entry.rs
+++ b/crates/shard/src/entry.rs
@@ -17,7 +17,7 @@
 /// State of one member of an attempt, as far as the shard knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberState {
-    /// An earlier owner recorded the intent, and the worker has not been
+    /// A former owner recorded the intent, and the worker has not been
     /// claimed since.
     Unknown,
     /// The start was sent or is about to be sent; its reply is outstanding.
@@ -67,8 +67,8 @@
     /// Placed; its intent is being written to the table and no start was sent.
     Recording(JobKey),
     /// Offered to other shards, one of which may be running it.
-    Lent,
-    /// Starts were sent, or an earlier owner may have sent them. There is no
+    Offloaded,
+    /// Starts were sent, or a former owner may have sent them. There is no
     /// job until the worker of a recovered member lists its task.
     Running(Option<JobKey>),
     /// The answer is decided but not yet final: its record may still be on the
@@ -81,7 +81,7 @@
 /// How the shard learnt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// From its caller, or from an earlier owner's journal.
+    /// From its caller, or from a former owner's journal.
     Caller,
     /// Only from a worker's report or the record of its end; most fields of
     /// the request are unknown.
@@ -266,7 +266,7 @@
         match self.stage {
             Stage::Waiting(job) | Stage::Recording(job) => Some(job),
             Stage::Running(job) => job,
-            Stage::Lent | Stage::Closing(_) | Stage::Done(_) => None,
+            Stage::Offloaded | Stage::Closing(_) | Stage::Done(_) => None,
         }
     }
 
--- a/crates/shard/src/fleet.rs
+++ b/crates/shard/src/fleet.rs
@@ -24,7 +24,7 @@
 use crate::WorkerHost;
 
 /// Time for which no tasks are placed on a worker that has refused a start.
-const HOLD_TIME: Duration = Duration::from_millis(200);
+const PAUSE_TIME: Duration = Duration::from_millis(200);
 
 impl Machine {
     pub(crate) fn on_workers(&mut self, workers: Vec<WorkerHost>) {
@@ -212,7 +212,7 @@
     /// Whether requests with this key belong to this shard under the current
     /// configuration. True if the team is not known.
     pub(crate) fn belongs_here(&self, key: &str) -> bool {
-        if let Some(shard) = model::lent_to(key) {
+        if let Some(shard) = model::offload_target(key) {
             return shard == self.params.shard;
         }
         let team = key.split_once('/').map_or(key, |(team, _)| team);
@@ -233,7 +233,7 @@
 
     /// Adds a task listed by a worker to the ledger and the core. Returns false
     /// if the task is no longer needed, for instance because its request was
-    /// answered under an earlier owner.
+    /// answered under a former owner.
     fn adopt(&mut self, id: &str, task: &Task) -> bool {
         let key = &task.request;
         if self.ledger.get(key).is_none() && task.end.is_none() {
@@ -302,19 +302,19 @@
     /// start. Without the pause, a shard with a wrong view of a worker would
     /// place the same job there again at once, and be refused as fast as the
     /// network allows.
-    pub(crate) fn hold_worker(&mut self, id: &str) {
+    pub(crate) fn pause_worker(&mut self, id: &str) {
         let Some(worker) = self.core.worker(id) else {
             return;
         };
         let is_ready = |w: &sched::WorkerEntry| w.state == WorkerState::Ready;
         if self.core.worker_entry(worker).is_some_and(is_ready) {
-            self.core.set_state(worker, WorkerState::Held);
+            self.core.set_state(worker, WorkerState::Paused);
             self.paused_workers
-                .push((self.times.now + HOLD_TIME, id.to_owned()));
+                .push((self.times.now + PAUSE_TIME, id.to_owned()));
         }
     }
 
-    pub(crate) fn release_held(&mut self) {
+    pub(crate) fn resume_paused(&mut self) {
         while self
             .paused_workers
             .first()
@@ -324,8 +324,8 @@
             let Some(worker) = self.core.worker(&id) else {
                 continue;
             };
-            let is_held = |w: &sched::WorkerEntry| w.state == WorkerState::Held;
-            if self.core.worker_entry(worker).is_some_and(is_held) {
+            let is_paused = |w: &sched::WorkerEntry| w.state == WorkerState::Paused;
+            if self.core.worker_entry(worker).is_some_and(is_paused) {
                 self.core.set_state(worker, WorkerState::Ready);
             }
         }
@@ -352,14 +352,14 @@
     /// unreachable and not run again.
     pub(crate) fn on_worker_reassigned(&mut self, id: &str) {
         self.on_worker_refused(id, "another shard holds it");
-        self.settle_all(id, &MemberState::Unreachable);
+        self.settle_members_on(id, &MemberState::Unreachable);
     }
 
     pub(crate) fn on_lease_expired(&mut self, id: &str) {
-        self.settle_all(id, &MemberState::Interrupted);
+        self.settle_members_on(id, &MemberState::Interrupted);
     }
 
-    fn settle_all(&mut self, id: &str, state: &MemberState) {
+    fn settle_members_on(&mut self, id: &str, state: &MemberState) {
         let mut settled = Vec::new();
         for (key, entry) in self.ledger.iter().filter(|(_, entry)| !entry.is_closed()) {
             if matches!(entry.stage, Stage::Recording(_)) {
@@ -375,7 +375,7 @@
     }
 
     /// Settles recovered intents on workers that could not be claimed in time.
-    /// Their callers are told that the request may have run.
+    /// The answer to their callers says that the request may have run.
     pub(crate) fn settle_unclaimed(&mut self) {
         let mut unclaimed = Vec::new();
         for (_, entry) in self.ledger.iter().filter(|(_, entry)| !entry.is_closed()) {
@@ -386,14 +386,14 @@
             unclaimed.extend(unknown.map(|m| m.worker.clone()));
         }
         for id in unclaimed {
-            self.settle_unknown(&id);
+            self.settle_if_unclaimed(&id);
         }
     }
 
-    fn settle_unknown(&mut self, id: &WorkerId) {
+    fn settle_if_unclaimed(&mut self, id: &WorkerId) {
         let claimed = self.incarnations.contains_key(id);
         if !claimed {
-            self.settle_all(id, &MemberState::Unreachable);
+            self.settle_members_on(id, &MemberState::Unreachable);
         }
     }
 }
--- a/crates/shard/src/handover.rs
+++ b/crates/shard/src/handover.rs
@@ -43,7 +43,7 @@
         let desired = self.desired_owners();
         for shard in 0..self.context.shards {
             // When leaving without another live process, the shards are
-            // released all the same; a process that joins later claims them.
+            // released anyway; a process that joins later claims them.
             let owner = desired.get(usize::from(shard));
             let keep = !leaving && owner.is_none_or(|owner| *owner == self.context.process);
             let Some(running) = self.running.get_mut(&shard) else {
--- a/crates/shard/src/intake.rs
+++ b/crates/shard/src/intake.rs
@@ -49,7 +49,7 @@
     fn on_submit(&mut self, submission: Submission, waiter: WaiterKey) {
         let key = request_key(&submission.request.team, &submission.request.id);
         if self.ledger.get(&key).is_some() {
-            self.attach_to_known(&key, &submission, waiter);
+            self.answer_repeated(&key, &submission, waiter);
             return;
         }
         if !self.belongs_here(&key) {
@@ -69,7 +69,7 @@
     }
 
     /// Answers a repeated submission of a known id like the first one.
-    pub(crate) fn attach_to_known(
+    pub(crate) fn answer_repeated(
         &mut self,
         key: &str,
         submission: &Submission,
@@ -159,13 +159,13 @@
         }
         self.ledger.insert(key, entry);
         if !durable {
-            self.note_lendable(key);
+            self.note_offload_candidate(key);
         }
     }
 
     /// Refuses a request. Its id is kept in the ledger like any other: a
     /// delayed duplicate of the submission must not run after its caller was
-    /// told that it did not run.
+    /// answered that it did not run.
     fn refuse(&mut self, key: &str, entry: Entry, refused: SubmitError, waiter: WaiterKey) {
         let id = entry.request.id.clone();
         let (code, reason) = refusal_code(refused);
--- a/crates/shard/src/journal.rs
+++ b/crates/shard/src/journal.rs
@@ -132,19 +132,19 @@
     /// Runs until closed, fenced, or until the shard's task has ended.
     pub async fn run(mut self) {
         let mut records = Vec::new();
-        let mut last = 0;
+        let mut last_ticket = 0;
         loop {
             if records.is_empty() && !self.closing {
                 let Some(command) = self.commands.recv().await else {
                     return;
                 };
-                self.apply(command, &mut records, &mut last);
+                self.apply(command, &mut records, &mut last_ticket);
             }
             while records.len() < BATCH_RECORDS {
                 let Ok(command) = self.commands.try_recv() else {
                     break;
                 };
-                self.apply(command, &mut records, &mut last);
+                self.apply(command, &mut records, &mut last_ticket);
             }
             if records.is_empty() && self.closing {
                 return;
@@ -156,7 +156,7 @@
                 let _ = self.events.send(JournalEvent::Fenced);
                 return;
             }
-            let written = JournalEvent::Written(last, self.position.next_seq - 1);
+            let written = JournalEvent::Written(last_ticket, self.position.next_seq - 1);
             if self.events.send(written).is_err() {
                 return;
             }
@@ -165,11 +165,16 @@
 
     /// Handles one command: collects its records and their ticket, the new
     /// segment list, or the request to end.
-    fn apply(&mut self, command: JournalCommand, records: &mut Vec<Record>, last: &mut Ticket) {
+    fn apply(
+        &mut self,
+        command: JournalCommand,
+        records: &mut Vec<Record>,
+        last_ticket: &mut Ticket,
+    ) {
         match command {
             JournalCommand::Append(ticket, mut added) => {
                 records.append(&mut added);
-                *last = ticket;
+                *last_ticket = ticket;
             }
             JournalCommand::Segments(newer) => self.latest_segments = newer,
             JournalCommand::Close => self.closing = true,
--- a/crates/shard/src/launch.rs
+++ b/crates/shard/src/launch.rs
@@ -1,5 +1,5 @@
-//! From a placement to the starts. For a request that must not run twice, the
-//! intent is written to the table before any start is sent.
+//! Starts placed requests. For a request that must not run twice, the intent is
+//! written to the table before any start is sent.
 
 use event::Event;
 use event::Kind;
@@ -17,8 +17,8 @@
 use crate::Record;
 use crate::ShardReply;
 use crate::Stage;
-use crate::StartOrder;
 use crate::Ticket;
+use crate::UnfencedStart;
 use crate::attempt_id;
 use crate::intake::pending_answer;
 use crate::machine::PendingRecord;
@@ -40,11 +40,11 @@
         entry.attempt += 1;
         entry.epoch = self.params.epoch;
         let (epoch, attempt) = (entry.epoch, entry.attempt);
-        let runs = &self.incarnations;
+        let incarnations = &self.incarnations;
         let member = |(index, worker): (usize, &String)| Member {
             attempt: attempt_id(&key, epoch, attempt, index),
             worker: worker.clone(),
-            incarnation: runs.get(worker).cloned().unwrap_or_default(),
+            incarnation: incarnations.get(worker).cloned().unwrap_or_default(),
             state: MemberState::Sent,
         };
         entry.members = worker_ids.iter().enumerate().map(member).collect();
@@ -85,13 +85,13 @@
         let starts: Vec<Output> = entry
             .members
             .iter()
-            .map(|member| Output::Start(member.worker.clone(), start_order(entry, key, member)))
+            .map(|member| Output::Start(member.worker.clone(), unfenced_start(entry, key, member)))
             .collect();
         self.outputs.extend(starts);
     }
 
     pub(crate) fn on_written(&mut self, ticket: Ticket) {
-        self.stalled = false;
+        self.journal_stalled = false;
         let unwritten = self.pending.split_off(&(ticket + 1));
         let written = std::mem::replace(&mut self.pending, unwritten);
         for pending in written.into_values().flatten() {
@@ -104,11 +104,11 @@
             PendingRecord::Intent(key, attempt) => self.on_intent(&key, attempt),
             PendingRecord::End(key) => self.close(&key),
             PendingRecord::Accepted(key) => self.on_accepted(&key),
-            PendingRecord::Cancelled(withdrawn) => {
-                for key in withdrawn.keys {
+            PendingRecord::Cancelled(call) => {
+                for key in call.keys {
                     self.close(&key);
                 }
-                self.reply(withdrawn.waiter, ShardReply::Cancelled(withdrawn.count));
+                self.reply(call.waiter, ShardReply::Cancelled(call.count));
             }
         }
     }
@@ -157,8 +157,8 @@
     /// The table currently accepts no records. Answers that are valid without
     /// their record are given at once: if this process dies before the record
     /// is written, the workers still hold the unacknowledged results.
-    pub(crate) fn on_stalled(&mut self) {
-        self.stalled = true;
+    pub(crate) fn on_journal_stalled(&mut self) {
+        self.journal_stalled = true;
         let is_closing = |entry: &Entry| match &entry.stage {
             Stage::Closing(answer) => is_valid_without_record(answer.code),
             _ => false,
@@ -192,21 +192,21 @@
             let may_have_run = self.ledger.get(&key).is_some_and(Entry::may_have_run);
             self.withdraw(&key);
             if may_have_run {
-                self.finish_bare(
+                self.finish_without_output(
                     &key,
                     Code::HostLost,
                     "interrupted, and the table is unavailable",
                 );
             } else {
                 let reason = "its intent could not be recorded before its deadline";
-                self.finish_bare(&key, Code::StoreUnavailable, reason);
+                self.finish_without_output(&key, Code::StoreUnavailable, reason);
             }
         }
     }
 }
 
-fn start_order(entry: &Entry, key: &str, member: &Member) -> StartOrder {
-    StartOrder {
+fn unfenced_start(entry: &Entry, key: &str, member: &Member) -> UnfencedStart {
+    UnfencedStart {
         attempt: member.attempt.clone(),
         incarnation: member.incarnation.clone(),
         request: key.to_owned(),
--- a/crates/shard/src/lease.rs
+++ b/crates/shard/src/lease.rs
@@ -115,12 +115,12 @@
     async fn check_cell(&self) -> Result<(), StoreError> {
         let row = self.context.table.get(CELL_PARAMS).await?;
         let params = row.and_then(|row| decode_row::<CellParams>(&row).ok());
-        let found_lease = params.map_or(0, |params| params.cell);
-        if found_lease == self.context.cell {
+        let found_cell = params.map_or(0, |params| params.cell);
+        if found_cell == self.context.cell {
             return Ok(());
         }
         let reason = format!(
-            "the table belongs to another cell: found {found_lease:016x}, allowed {:016x}",
+            "the table belongs to another cell: found {found_cell:016x}, allowed {:016x}",
             self.context.cell
         );
         log::error!("{reason}");
@@ -128,7 +128,7 @@
     }
 
     /// Writes the lease row; the first write also adds the row of the process's
-    /// constant facts. Returns false if the row has another version.
+    /// constant properties. Returns false if the row has another version.
     async fn try_write(&mut self, config: Version) -> Result<bool, StoreError> {
         let key = lease_key(&self.context.process);
         let mut commit = Commit::default()
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Row of the process's constant facts.
+    /// Row of the process's constant properties.
     fn member_row(&self) -> MemberRow {
         MemberRow {
             format: FORMAT,
@@ -177,7 +177,7 @@
             .delete(key)
             .delete(member_key(&self.context.process));
         match self.context.table.commit(&commit).await {
-            Ok(committed) => matches!(committed, CommitOutcome::Done(_)),
+            Ok(outcome) => matches!(outcome, CommitOutcome::Done(_)),
             Err(error) => {
                 log::debug!("lease row not deleted: {error}");
                 false
--- a/crates/shard/src/ledger.rs
+++ b/crates/shard/src/ledger.rs
@@ -79,8 +79,8 @@
             let entry = Entry::from_report(key, model::Resources::default(), now);
             self.entries.insert(key.to_owned(), entry);
         }
-        let already_over = self.entries.get(key).is_some_and(Entry::is_closed);
-        if !already_over {
+        let already_closed = self.entries.get(key).is_some_and(Entry::is_closed);
+        if !already_closed {
             self.finish(key, answer, now);
         }
     }
--- a/crates/shard/src/lib.rs
+++ b/crates/shard/src/lib.rs
@@ -1,6 +1,6 @@
 //! Ownership of shards: leases, epochs, the journal, recovery, and the task
 //! that runs one shard. Processes agree only through the platform's table; the
-//! messages between them are limited to routed requests, hints and hand-overs.
+//! messages between them are limited to routed calls, health queries and hints.
 
 mod answers;
 mod assign;
@@ -19,13 +19,13 @@
 mod launch;
 mod lease;
 mod ledger;
-mod lend;
-mod lender;
 mod limits;
 mod link;
 mod machine;
 mod members;
 mod message;
+mod offload;
+mod offloader;
 mod outage;
 mod outcome;
 mod pacer;
@@ -54,12 +54,12 @@
 pub use journal::*;
 pub use lease::*;
 pub use ledger::*;
-pub use lender::*;
 pub use limits::*;
 pub use link::*;
 pub use machine::*;
 pub use members::*;
 pub use message::*;
+pub use offloader::*;
 pub use outage::*;
 pub use pacer::*;
 pub use patch::*;
--- a/crates/shard/src/link.rs
+++ b/crates/shard/src/link.rs
@@ -29,8 +29,8 @@
 use crate::Input;
 use crate::LeaseGate;
 use crate::NotStarted;
-use crate::StartOrder;
 use crate::StopMode;
+use crate::UnfencedStart;
 use crate::WorkerHost;
 
 /// Maximum time for which a worker may delay the reply to a poll.
@@ -54,9 +54,9 @@
 
 /// Commands from the shard to a link.
 #[derive(Debug)]
-pub enum LinkOrder {
+pub enum LinkCommand {
     /// Start a task.
-    Start(StartOrder),
+    Start(UnfencedStart),
     /// Stop a task.
     Stop(AttemptId, StopMode),
     /// Let the worker forget these ended tasks.
@@ -65,7 +65,7 @@
 
 /// Properties of a link that do not change.
 #[derive(Clone, Debug)]
-pub struct LinkFacts {
+pub struct LinkParams {
     /// Worker at the other end of the link.
     pub host: WorkerHost,
     /// Shard to which the worker is assigned.
@@ -81,10 +81,10 @@
 /// Link of a shard to one worker.
 #[derive(Debug)]
 pub struct Link {
-    facts: LinkFacts,
+    params: LinkParams,
     fence: Fence,
-    orders: mpsc::UnboundedReceiver<LinkOrder>,
-    owner: mpsc::UnboundedSender<Input>,
+    commands: mpsc::UnboundedReceiver<LinkCommand>,
+    inputs: mpsc::UnboundedSender<Input>,
     /// Arrival of the newest poll reply. The next poll acknowledges it and so
     /// renews the lease. `None` before the first reply and after lease expiry.
     last_reply: Option<Instant>,
@@ -92,7 +92,8 @@
     turn: ReplyNumber,
     /// Ended tasks that the next poll lets the worker forget.
     forget: Vec<AttemptId>,
-    /// Whether `WorkerLost` was reported since the newest reply.
+    /// Whether the loss of the worker, or its refusal of a poll, was reported to
+    /// the shard since the newest reply.
     lost: bool,
     /// Starts that were sent and whose outcome is unknown.
     unconfirmed: HashSet<AttemptId>,
@@ -107,19 +108,19 @@
 }
 
 impl Link {
-    /// Creates a link that receives `orders` and reports to `owner`.
+    /// Creates a link that receives `commands` and reports to `inputs`.
     #[must_use]
     pub fn new(
-        facts: LinkFacts,
+        params: LinkParams,
         fence: Fence,
-        orders: mpsc::UnboundedReceiver<LinkOrder>,
-        owner: mpsc::UnboundedSender<Input>,
+        commands: mpsc::UnboundedReceiver<LinkCommand>,
+        inputs: mpsc::UnboundedSender<Input>,
     ) -> Link {
         Link {
-            facts,
+            params,
             fence,
-            orders,
-            owner,
+            commands,
+            inputs,
             last_reply: None,
             turn: 0,
             forget: Vec::new(),
@@ -129,7 +130,7 @@
     }
 
     fn id(&self) -> &WorkerId {
-        &self.facts.host.host.id
+        &self.params.host.host.id
     }
 
     /// Runs until the shard closes the link.
@@ -149,7 +150,7 @@
     }
 
     fn report(&self, input: Input) -> Result<(), ()> {
-        self.owner.send(input).map_err(|_| ())
+        self.inputs.send(input).map_err(|_| ())
     }
 
     /// Reports a claim, the tasks that ended since, and the starts that were in
@@ -173,7 +174,7 @@
     /// link is closed.
     async fn claim(&mut self) -> Option<(ClaimReply, Vec<Task>)> {
         loop {
-            if self.facts.gate.is_open() {
+            if self.params.gate.is_open() {
                 match self.try_claim().await {
                     Ok(claimed) => return Some(claimed),
                     Err(error) => log::debug!("claim of worker {} failed: {error}", self.id()),
@@ -190,14 +191,14 @@
     async fn try_claim(&mut self) -> Result<(ClaimReply, Vec<Task>), WorkerError> {
         let claim = Claim {
             fence: self.fence,
-            shard: self.facts.shard,
-            lease_millis: crate::intake::millis(self.facts.lease),
+            shard: self.params.shard,
+            lease_millis: crate::intake::millis(self.params.lease),
         };
-        let address = self.facts.host.host.address;
-        let claimed = self.facts.client.claim(address, &claim).await?;
+        let address = self.params.host.host.address;
+        let claimed = self.params.client.claim(address, &claim).await?;
         self.turn = claimed.turn;
         let poll = self.poll_message(Duration::ZERO);
-        let polled = self.facts.client.poll(address, &poll).await?;
+        let polled = self.params.client.poll(address, &poll).await?;
         Ok((claimed, self.process_reply(polled)))
     }
 
@@ -209,14 +210,14 @@
         loop {
             tokio::select! {
                 () = &mut until => return Ok(()),
-                order = self.orders.recv() => match order {
+                command = self.commands.recv() => match command {
                     None => return Err(()),
-                    Some(LinkOrder::Start(order)) => {
-                        let unsent = Input::NotStarted(order.attempt, NotStarted::Unsent);
+                    Some(LinkCommand::Start(start)) => {
+                        let unsent = Input::NotStarted(start.attempt, NotStarted::Unsent);
                         self.report(unsent)?;
                     }
-                    Some(LinkOrder::Forget(mut ended)) => self.forget.append(&mut ended),
-                    Some(LinkOrder::Stop(..)) => {}
+                    Some(LinkCommand::Forget(mut ended)) => self.forget.append(&mut ended),
+                    Some(LinkCommand::Stop(..)) => {}
                 },
             }
         }
@@ -236,7 +237,7 @@
             self.lost = true;
             self.report(Input::WorkerLost(self.id().clone()))?;
         }
-        let lease = self.facts.lease;
+        let lease = self.params.lease;
         if silence >= lease + lease * CLOCK_MARGIN_PERCENT / 100 {
             self.last_reply = None;
             self.report(Input::LeaseExpired(self.id().clone()))?;
@@ -252,16 +253,16 @@
         loop {
             let message = self.poll_message(wait);
             let forget_count = message.ended.len();
-            let client = self.facts.client.clone();
-            let address = self.facts.host.host.address;
+            let client = self.params.client.clone();
+            let address = self.params.host.host.address;
             let poll = async move { client.poll(address, &message).await };
             tokio::pin!(poll);
             let polled = loop {
                 tokio::select! {
                     polled = &mut poll => break polled,
-                    order = self.orders.recv() => match order {
+                    command = self.commands.recv() => match command {
                         None => return PollEnd::Closed,
-                        Some(order) => self.dispatch(order, &mut calls),
+                        Some(command) => self.dispatch(command, &mut calls),
                     },
                     Some(done) = calls.join_next() => {
                         if self.on_call(done.ok().flatten()).is_err() {
@@ -289,7 +290,7 @@
                     wait = Duration::ZERO;
                 }
             }
-            while !self.facts.gate.is_open() {
+            while !self.params.gate.is_open() {
                 if self.check_lease().is_err() {
                     return PollEnd::Closed;
                 }
@@ -348,17 +349,17 @@
         polled.ended
     }
 
-    fn dispatch(&mut self, order: LinkOrder, calls: &mut JoinSet<Option<Input>>) {
-        let client = self.facts.client.clone();
-        let address = self.facts.host.host.address;
-        match order {
-            LinkOrder::Start(order) => {
-                let gate = self.facts.gate.clone();
-                let start = order.fenced(self.fence, self.turn);
+    fn dispatch(&mut self, command: LinkCommand, calls: &mut JoinSet<Option<Input>>) {
+        let client = self.params.client.clone();
+        let address = self.params.host.host.address;
+        match command {
+            LinkCommand::Start(unfenced) => {
+                let gate = self.params.gate.clone();
+                let start = unfenced.fenced(self.fence, self.turn);
                 self.unconfirmed.insert(start.attempt.clone());
                 calls.spawn(async move { send_start(&client, address, &gate, start).await });
             }
-            LinkOrder::Stop(attempt, mode) => {
+            LinkCommand::Stop(attempt, mode) => {
                 let stop = Stop {
                     fence: self.fence,
                     attempt,
@@ -369,7 +370,7 @@
                     None
                 });
             }
-            LinkOrder::Forget(mut ended) => self.forget.append(&mut ended),
+            LinkCommand::Forget(mut ended) => self.forget.append(&mut ended),
         }
     }
 }
--- a/crates/shard/src/machine.rs
+++ b/crates/shard/src/machine.rs
@@ -50,9 +50,9 @@
     pub takeover_millis: u64,
     /// How long final answers are kept.
     pub retention: Duration,
-    /// Time at which tasks of workers that could not be claimed count as
-    /// missing.
-    pub missing_at: Timestamp,
+    /// Time from which tasks that former owners placed on workers that could
+    /// not be claimed are settled as unreachable.
+    pub claim_deadline: Timestamp,
 }
 
 /// Action that follows once its record has been committed.
@@ -96,10 +96,10 @@
     /// Workers that have refused a start, and the time until which they get no
     /// further starts.
     pub(crate) paused_workers: Vec<(Timestamp, WorkerId)>,
-    /// New requests that may be lent to another shard.
-    pub(crate) lendable: VecDeque<String>,
-    /// Requests for which no other shard had room.
-    pub(crate) unlent: VecDeque<String>,
+    /// Keys of new requests that may be offloaded to another shard.
+    pub(crate) offload_candidates: VecDeque<String>,
+    /// Keys of waiting requests that are offered to other shards again on ticks.
+    pub(crate) offload_retries: VecDeque<String>,
     /// Incarnations of the workers that this owner has claimed.
     pub(crate) incarnations: HashMap<WorkerId, model::Incarnation>,
     /// Actions that wait for the commit of their record, by ticket.
@@ -112,8 +112,9 @@
     pub(crate) ended: Vec<Record>,
     next_ticket: Ticket,
     next_probe: Timestamp,
-    /// Whether the table is currently unavailable for journal commits.
-    pub(crate) stalled: bool,
+    /// Whether the table has left a journal commit unconfirmed and has confirmed
+    /// none since.
+    pub(crate) journal_stalled: bool,
     /// Whether the shard is being handed over to another process.
     pub(crate) released: bool,
 }
@@ -137,8 +138,8 @@
             workers: HashMap::new(),
             retiring: Vec::new(),
             paused_workers: Vec::new(),
-            lendable: VecDeque::new(),
-            unlent: VecDeque::new(),
+            offload_candidates: VecDeque::new(),
+            offload_retries: VecDeque::new(),
             incarnations: HashMap::new(),
             pending: BTreeMap::new(),
             outputs: Vec::new(),
@@ -146,7 +147,7 @@
             ended: Vec::new(),
             next_ticket: 1,
             next_probe: times.now + PROBE_INTERVAL,
-            stalled: false,
+            journal_stalled: false,
             released: false,
         };
         machine.apply_config();
@@ -158,7 +159,7 @@
     /// arose.
     pub fn handle(&mut self, times: Times, input: Input) -> Vec<Output> {
         self.times = times;
-        self.release_held();
+        self.resume_paused();
         match input {
             Input::Ask(ask, waiter) => self.on_ask(ask, waiter),
             Input::Config(config) => self.on_config(config),
@@ -172,14 +173,14 @@
             Input::NotStarted(attempt, reason) => self.on_not_started(&attempt, reason),
             Input::Ended(worker, tasks) => self.on_ended(&worker, tasks),
             Input::Written(ticket) => self.on_written(ticket),
-            Input::Stalled => self.on_stalled(),
-            Input::Lent(key, loan) => self.on_lent(&key, loan),
+            Input::JournalStalled => self.on_journal_stalled(),
+            Input::OffloadDone(key, result) => self.on_offload_done(&key, result),
             Input::Tick => self.on_tick(),
             Input::Release => self.on_release(),
         }
         self.decide();
         if !self.released {
-            self.lend_new();
+            self.offload_new();
         }
         self.flush_records();
         std::mem::take(&mut self.outputs)
@@ -237,15 +238,15 @@
         self.fail_overdue_intents();
         self.unlink_retired();
         if !self.released {
-            self.lend_again();
+            self.retry_offloads();
         }
-        if self.times.now >= self.params.missing_at {
+        if self.times.now >= self.params.claim_deadline {
             self.settle_unclaimed();
         }
     }
 
-    /// Redirects the callers to the next owner. Running tasks go on; their
-    /// workers report to the owner that claims them next.
+    /// Redirects the waiting callers to the next owner. Running tasks continue;
+    /// their workers report to the next owner once it has claimed them.
     fn on_release(&mut self) {
         self.released = true;
         let mut waiters = Vec::new();
@@ -282,9 +283,9 @@
     pub(crate) fn finish_past_deadline(&mut self, key: &str) {
         if self.ledger.get(key).is_some_and(Entry::may_have_run) {
             let reason = "interrupted, and no room before its deadline";
-            self.finish_bare(key, Code::HostLost, reason);
+            self.finish_without_output(key, Code::HostLost, reason);
         } else {
-            self.finish_bare(key, Code::DeadlinePassed, "its latest start has passed");
+            self.finish_without_output(key, Code::DeadlinePassed, "its latest start has passed");
         }
     }
 
--- a/crates/shard/src/members.rs
+++ b/crates/shard/src/members.rs
@@ -14,7 +14,7 @@
 /// A process with a lease row, as last read.
 #[derive(Clone, Debug)]
 pub struct ObservedMember {
-    /// Constant facts of the process.
+    /// Constant properties of the process.
     pub info: MemberRow,
     /// Its lease row.
     pub lease: LeaseRow,
@@ -58,7 +58,7 @@
     pub version: RowVersion,
     /// The lease row.
     pub lease: LeaseRow,
-    /// Constant facts of the process.
+    /// Constant properties of the process.
     pub info: MemberRow,
 }
 
@@ -88,20 +88,20 @@
             self.observed.clear();
         }
         let mut observed = HashMap::new();
-        for seen in scan.leases {
-            let previous = self.observed.remove(&seen.process);
+        for scanned in scan.leases {
+            let previous = self.observed.remove(&scanned.process);
             let first_seen = match previous {
-                Some(member) if member.version == seen.version => member.first_seen,
+                Some(member) if member.version == scanned.version => member.first_seen,
                 _ => scan.ended_at,
             };
             let member = ObservedMember {
-                info: seen.info,
-                lease: seen.lease,
-                version: seen.version,
+                info: scanned.info,
+                lease: scanned.lease,
+                version: scanned.version,
                 first_seen,
                 last_seen: scan.started_at,
             };
-            observed.insert(seen.process, member);
+            observed.insert(scanned.process, member);
         }
         self.observed = observed;
     }
@@ -184,7 +184,7 @@
             http: address,
             domain: "tacoma".to_owned(),
         };
-        let seen = ObservedLease {
+        let scanned = ObservedLease {
             process: "a-1".to_owned(),
             version,
             lease,
@@ -193,7 +193,7 @@
         LeaseScan {
             started_at: at,
             ended_at: at,
-            leases: vec![seen],
+            leases: vec![scanned],
         }
     }
 
@@ -209,10 +209,10 @@
         assert!(members.get("a-1").is_some_and(|m| m.is_stale(TTL)));
     }
 
-    // Guards against a process that had itself been paused expiring the lease
-    // of a healthy one: it reads the lease, is paused for longer than the TTL,
-    // and reads again. Age must not count from the clock alone: a renewed lease
-    // has another version, and its age starts at zero with that read.
+    // Guards against a process expiring the lease of a healthy one after a
+    // pause: it reads the lease, is paused for longer than the TTL, and reads
+    // again. Age must not count from the clock alone: a renewed lease has
+    // another version, and its age starts at zero with that read.
     #[test]
     fn a_paused_observer_does_not_expire_a_renewed_lease() {
         let start = Instant::now();
--- a/crates/shard/src/message.rs
+++ b/crates/shard/src/message.rs
@@ -58,7 +58,7 @@
 pub enum ShardAsk {
     /// Submits a request; a repeated submission is attached to the first one.
     Submit(Submission),
-    /// Runs a request lent by another shard at once, or not at all.
+    /// Runs a request offloaded by another shard at once, or not at all.
     Run(Submission),
     /// Asks for the status of the request with this key.
     Status(String),
@@ -73,7 +73,7 @@
     Answer(Answer),
     /// The shard does not know the request.
     Unknown,
-    /// No worker is free for a request lent by another shard.
+    /// No worker is free for a request offloaded by another shard.
     Busy,
     /// Number of requests that the call cancelled.
     Cancelled(u32),
@@ -162,10 +162,10 @@
     /// All records up to this ticket are in the table.
     Written(Ticket),
     /// The table currently accepts no records.
-    Stalled,
-    /// Result of lending the request with this key.
-    Lent(String, Loan),
-    /// Timer tick.
+    JournalStalled,
+    /// Result of offloading the request with this key.
+    OffloadDone(String, OffloadResult),
+    /// The tick interval has elapsed: check deadlines, expiries and retries.
     Tick,
     /// The shard moves to another process and must accept no more calls.
     Release,
@@ -177,15 +177,15 @@
     /// Commit records to the journal; `Input::Written` follows.
     Append(Ticket, Vec<Record>),
     /// Send a start; `Input::Started` or `Input::NotStarted` follows.
-    Start(model::WorkerId, StartOrder),
-    /// Send a stop to a task.
+    Start(model::WorkerId, UnfencedStart),
+    /// Send a stop to the worker of this attempt.
     Stop(model::WorkerId, AttemptId, StopMode),
     /// Let a worker forget these ended tasks.
     Forget(model::WorkerId, Vec<AttemptId>),
     /// Send a reply to a waiter.
     Reply(WaiterKey, ShardReply),
-    /// Lend a request to another shard; `Input::Lent` follows.
-    Lend(String, Submission),
+    /// Offload a request to another shard; `Input::OffloadDone` follows.
+    Offload(String, Submission),
     /// Record an event in the timeline.
     Event(event::Event),
     /// Open a link to a worker.
@@ -194,9 +194,9 @@
     Unlink(model::WorkerId),
 }
 
-/// Result of lending a request to another shard.
+/// Result of offloading a request to another shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Loan {
+pub enum OffloadResult {
     /// The other shard has answered the request.
     Answer(Answer),
     /// None of the shards that were asked has a free worker; nothing was done.
@@ -214,12 +214,12 @@
     Checkpoint,
 }
 
-/// A start without fence and turn, which the link adds. The incarnation is the
+/// A start message without fence and turn, which the link adds. The incarnation is the
 /// one that the shard knew when it placed the task. If the worker has restarted
 /// since, it refuses the start, so that a task never starts in an incarnation
 /// other than the one that the shard has noted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct StartOrder {
+pub struct UnfencedStart {
     /// Attempt id of the member.
     pub attempt: AttemptId,
     /// Incarnation of the worker for which the start is meant.
@@ -236,7 +236,7 @@
     pub checkpoint: String,
 }
 
-impl StartOrder {
+impl UnfencedStart {
     /// Completes the start message with fence and turn.
     #[must_use]
     pub fn fenced(self, fence: worker::Fence, turn: worker::ReplyNumber) -> Start {
--- a/crates/shard/src/lend.rs
+++ b/crates/shard/src/offload.rs
@@ -1,22 +1,22 @@
-//! Lending: requests that run in another shard because this one has no free
+//! Offloading: requests that run in another shard because this one has no free
 //! workers.
 //!
-//! Only unrecorded (idempotent) requests are lent: if the reply of the other
-//! shard is lost, the request may have run, and it runs again. The lending
-//! shard asks a few shards at random, each of which starts the request at once
-//! or refuses it. So no load figures that could be stale are published, and no
+//! Only unrecorded (idempotent) requests are offloaded: if the reply of the
+//! other shard is lost, the request may have run, and it runs again. A few
+//! shards are asked at random, each of which starts the request at once or
+//! refuses it. So no load figures that could be stale are published, and no
 //! request waits in two queues.
 
 use std::time::Duration;
 
 use model::Answer;
 use model::Family;
-use model::lent_key;
+use model::offload_key;
 use model::request_key;
 
 use crate::Entry;
-use crate::Loan;
 use crate::Machine;
+use crate::OffloadResult;
 use crate::Output;
 use crate::RunHistory;
 use crate::ShardReply;
@@ -29,30 +29,30 @@
 const OFFERS_PER_TICK: usize = 32;
 
 impl Machine {
-    /// Remembers an unrecorded request that may be lent if it has to wait.
-    pub(crate) fn note_lendable(&mut self, key: &str) {
+    /// Remembers an unrecorded request that may be offloaded if it has to wait.
+    pub(crate) fn note_offload_candidate(&mut self, key: &str) {
         if self.params.shards > 1 {
-            self.lendable.push_back(key.to_owned());
+            self.offload_candidates.push_back(key.to_owned());
         }
     }
 
     /// Offers new requests that have to wait to other shards.
-    pub(crate) fn lend_new(&mut self) {
-        for key in std::mem::take(&mut self.lendable) {
-            if !self.lend(&key) && self.is_waiting(&key) {
-                self.unlent.push_back(key);
+    pub(crate) fn offload_new(&mut self) {
+        for key in std::mem::take(&mut self.offload_candidates) {
+            if !self.offload(&key) && self.is_waiting(&key) {
+                self.offload_retries.push_back(key);
             }
         }
     }
 
     /// Offers requests again for which no shard had free workers.
-    pub(crate) fn lend_again(&mut self) {
-        for _ in 0..OFFERS_PER_TICK.min(self.unlent.len()) {
-            let Some(key) = self.unlent.pop_front() else {
+    pub(crate) fn retry_offloads(&mut self) {
+        for _ in 0..OFFERS_PER_TICK.min(self.offload_retries.len()) {
+            let Some(key) = self.offload_retries.pop_front() else {
                 return;
             };
-            if !self.lend(&key) && self.is_waiting(&key) {
-                self.unlent.push_back(key);
+            if !self.offload(&key) && self.is_waiting(&key) {
+                self.offload_retries.push_back(key);
             }
         }
     }
@@ -62,7 +62,7 @@
         entry.is_some_and(|entry| matches!(entry.stage, Stage::Waiting(_)))
     }
 
-    fn lend(&mut self, key: &str) -> bool {
+    fn offload(&mut self, key: &str) -> bool {
         let now = self.times.now;
         let Some(entry) = self.ledger.get_mut(key) else {
             return false;
@@ -70,50 +70,51 @@
         let Stage::Waiting(job) = entry.stage else {
             return false;
         };
-        if !self.core.lend(job) {
+        if !self.core.offload(job) {
             return false;
         }
         self.request_keys.remove(&job);
-        entry.stage = Stage::Lent;
+        entry.stage = Stage::Offloaded;
         let local_millis = millis(now.saturating_sub(entry.submitted_at));
         let submission = Submission {
             request: entry.request.clone(),
             waited_millis: entry.prior_millis + local_millis,
             wait: true,
         };
-        self.outputs.push(Output::Lend(key.to_owned(), submission));
+        self.outputs
+            .push(Output::Offload(key.to_owned(), submission));
         true
     }
 
-    pub(crate) fn on_lent(&mut self, key: &str, loan: Loan) {
+    pub(crate) fn on_offload_done(&mut self, key: &str, result: OffloadResult) {
         let Some(entry) = self.ledger.get_mut(key) else {
             return;
         };
-        if !matches!(entry.stage, Stage::Lent) {
+        if !matches!(entry.stage, Stage::Offloaded) {
             return;
         }
         let spec = Self::job_spec(entry);
-        self.core.release_lent(&spec);
-        match loan {
-            Loan::Answer(answer) if answer.code.family() != Family::NotRun => {
-                self.finish_lent(key, answer);
+        self.core.release_offloaded(&spec);
+        match result {
+            OffloadResult::Answer(answer) if answer.code.family() != Family::NotRun => {
+                self.finish_offloaded(key, answer);
             }
-            Loan::Answer(_) | Loan::Refused => self.requeue_returned(key),
-            Loan::Lost => {
+            OffloadResult::Answer(_) | OffloadResult::Refused => self.requeue_offloaded(key),
+            OffloadResult::Lost => {
                 entry.add_history(RunHistory::EndUnknown);
-                self.requeue_returned(key);
+                self.requeue_offloaded(key);
             }
         }
     }
 
-    fn finish_lent(&mut self, key: &str, mut answer: Answer) {
+    fn finish_offloaded(&mut self, key: &str, mut answer: Answer) {
         if let Some(entry) = self.ledger.get(key) {
             answer.id.clone_from(&entry.request.id);
         }
         self.finish(key, answer);
     }
 
-    fn requeue_returned(&mut self, key: &str) {
+    fn requeue_offloaded(&mut self, key: &str) {
         let cancelled = self.ledger.get(key).is_some_and(|entry| entry.cancelled);
         if cancelled {
             self.finish_cancelled(key);
@@ -121,16 +122,17 @@
         }
         self.requeue(key, None);
         if self.is_waiting(key) {
-            self.unlent.push_back(key.to_owned());
+            self.offload_retries.push_back(key.to_owned());
         }
     }
 
-    /// Handles a request lent by another shard: it starts now or not at all.
+    /// Handles a request offloaded by another shard: it starts now or not at
+    /// all.
     pub(crate) fn on_run(&mut self, submission: &Submission, waiter: WaiterKey) {
         let request = &submission.request;
-        let key = lent_key(&request_key(&request.team, &request.id), self.params.shard);
+        let key = offload_key(&request_key(&request.team, &request.id), self.params.shard);
         if self.ledger.get(&key).is_some() {
-            self.attach_to_known(&key, submission, waiter);
+            self.answer_repeated(&key, submission, waiter);
             return;
         }
         let remaining_millis = request
@@ -140,7 +142,7 @@
         let mut entry = Entry::new(request.clone(), self.times.now, deadline, 0);
         entry.prior_millis = submission.waited_millis;
         let spec = Self::job_spec(&entry);
-        let Some((job, worker)) = self.core.place_lent(self.times.now, spec) else {
+        let Some((job, worker)) = self.core.place_offloaded(self.times.now, spec) else {
             self.reply(waiter, ShardReply::Busy);
             return;
         };
--- a/crates/shard/src/lender.rs
+++ b/crates/shard/src/offloader.rs
@@ -5,36 +5,37 @@
 use model::ShardId;
 use rand::RngExt;
 
-use crate::Loan;
+use crate::OffloadResult;
 use crate::Router;
 use crate::ShardAsk;
 use crate::ShardReply;
 use crate::Submission;
 
 /// Number of shards that are asked before the request returns to its queue.
-const MAX_PROBES: u32 = 3;
+const MAX_OFFERS: u32 = 3;
 
 /// Time for the reply of the other shard, in addition to the declared run time.
 const REPLY_GRACE: Duration = Duration::from_secs(30);
 
-/// Finds shards with free workers; clones share the view of the cell.
+/// Offers requests of one shard to other shards; clones share the view of the
+/// cell.
 #[derive(Clone, Debug)]
-pub struct Lender {
+pub struct Offloader {
     router: Router,
     shard: ShardId,
 }
 
-impl Lender {
-    /// Creates a lender for one shard.
+impl Offloader {
+    /// Creates the offloader for one shard.
     #[must_use]
-    pub fn new(router: Router, shard: ShardId) -> Lender {
-        Lender { router, shard }
+    pub fn new(router: Router, shard: ShardId) -> Offloader {
+        Offloader { router, shard }
     }
 
     /// Asks a few random shards to run the request at once.
-    pub async fn lend(&self, submission: &Submission) -> Loan {
+    pub async fn offload(&self, submission: &Submission) -> OffloadResult {
         let run = Duration::from_millis(submission.request.run_millis);
-        for _ in 0..MAX_PROBES {
+        for _ in 0..MAX_OFFERS {
             let ask = ShardAsk::Run(submission.clone());
             match self
                 .router
@@ -42,13 +43,13 @@
                 .await
             {
                 Some(ShardReply::Answer(answer)) if answer.code.is_final() => {
-                    return Loan::Answer(answer);
+                    return OffloadResult::Answer(answer);
                 }
                 Some(ShardReply::Busy | ShardReply::NotOwner | ShardReply::TimedOut) => {}
-                _ => return Loan::Lost,
+                _ => return OffloadResult::Lost,
             }
         }
-        Loan::Refused
+        OffloadResult::Refused
     }
 
     fn other_shard(&self) -> ShardId {
--- a/crates/shard/src/outage.rs
+++ b/crates/shard/src/outage.rs
@@ -1,5 +1,5 @@
-//! Decides whether a process may keep acting after its lease while the table is
-//! unavailable.
+//! Decides whether a process may keep acting after its lease has expired while
+//! the table is unavailable.
 //!
 //! Rule: it continues only while at least one peer confirms that it cannot
 //! reach the table either, and no peer can reach it. If a peer reaches the
@@ -114,7 +114,7 @@
 }
 
 impl OutageTracker {
-    /// Starts with the table taken to be reachable.
+    /// A tracker that counts the table as reachable at first.
     #[must_use]
     pub fn new() -> OutageTracker {
         let last_answer = LastAnswer::default();
--- a/crates/shard/src/outcome.rs
+++ b/crates/shard/src/outcome.rs
@@ -65,7 +65,7 @@
         let entry = self.ledger.get_mut(&key);
         let worker = entry.and_then(|e| e.member_mut(attempt).map(|m| m.worker.clone()));
         if let Some(worker) = worker {
-            self.hold_worker(&worker);
+            self.pause_worker(&worker);
         }
         self.settle(&key, attempt, MemberState::NotStarted);
     }
@@ -82,7 +82,7 @@
         };
         let key = task.request;
         let Some(entry) = self.ledger.get_mut(&key) else {
-            // The request has left the ledger, or an earlier owner did not
+            // The request has left the ledger, or a former owner did not
             // record it.
             self.record_unknown_end(&key, worker, task.needs, &end);
             self.forget_task(worker, task.attempt);
@@ -110,8 +110,8 @@
         self.settle(&key, &task.attempt, MemberState::Ended(end));
     }
 
-    /// Tells a worker to forget a task. It keeps the result until the answer is
-    /// recorded, so that nothing is lost if the owner dies before.
+    /// Lets a worker forget an ended task. It keeps the result until the answer
+    /// is recorded, so that nothing is lost if the owner ends before that.
     pub(crate) fn forget_task(&mut self, worker: &str, attempt: String) {
         self.outputs
             .push(Output::Forget(worker.to_owned(), vec![attempt]));
@@ -130,7 +130,7 @@
         if let AttemptOutcome::Answer(answer) = outcome {
             self.ledger.finish(key, answer, self.times.now);
         } else {
-            self.finish_bare(key, Code::HostLost, "interrupted under an earlier owner");
+            self.finish_without_output(key, Code::HostLost, "interrupted under an earlier owner");
         }
     }
 
@@ -225,8 +225,8 @@
         if let Some(name) = checkpoint {
             entry.checkpoint = name;
         }
-        let failed = entry.members.iter().filter(|m| m.state.is_settled());
-        let failed: Vec<String> = failed.map(|m| m.worker.clone()).collect();
+        let earlier_workers = entry.members.iter().filter(|m| m.state.is_settled());
+        let earlier_workers: Vec<String> = earlier_workers.map(|m| m.worker.clone()).collect();
         let mut members = std::mem::take(&mut entry.members);
         entry.earlier_members.append(&mut members);
         if entry.may_have_run() {
@@ -236,7 +236,7 @@
             return;
         };
         let mut spec = Self::job_spec(entry);
-        spec.avoid = failed
+        spec.avoid = earlier_workers
             .iter()
             .filter_map(|id| self.core.worker(id))
             .collect();
@@ -257,18 +257,18 @@
     pub(crate) fn finish_interrupted(&mut self, key: &str, refused: SubmitError) {
         let may_have_run = self.ledger.get(key).is_some_and(Entry::may_have_run);
         if may_have_run {
-            self.finish_bare(
+            self.finish_without_output(
                 key,
                 Code::HostLost,
                 "interrupted, and there is no room to run it again",
             );
         } else {
             let (code, reason) = refusal_code(refused);
-            self.finish_bare(key, code, reason);
+            self.finish_without_output(key, code, reason);
         }
     }
 
-    /// Queues requests again that an earlier owner had accepted, unless an
+    /// Queues requests again that a former owner had accepted, unless an
     /// intent shows that they may have started.
     pub(crate) fn requeue_recovered(&mut self) {
         let never_placed = |entry: &Entry| !entry.is_closed() && entry.members.is_empty();
@@ -283,12 +283,12 @@
         }
     }
 
-    pub(crate) fn finish_bare(&mut self, key: &str, code: Code, reason: &str) {
+    pub(crate) fn finish_without_output(&mut self, key: &str, code: Code, reason: &str) {
         let id = key.split_once('/').map_or(key, |(_, id)| id);
         self.finish(key, Answer::without_output(id, code, reason));
     }
 
-    /// Replaces a "not run" answer if an earlier owner may have run the
+    /// Replaces a "not run" answer if a former owner may have run the
     /// request. That owner may have run and answered an unrecorded request
     /// before it died. A caller that lost the answer repeats the call with the
     /// time of its first call, which is before the take-over by this owner.
@@ -332,7 +332,7 @@
             at_millis: self.times.wall_millis,
         };
         self.append(record, PendingRecord::End(key.to_owned()));
-        if self.stalled && is_valid_without_record(code) {
+        if self.journal_stalled && is_valid_without_record(code) {
             self.answer_waiters(key);
         }
     }
@@ -387,8 +387,8 @@
 
 /// Whether the result of a task counts as a success of its worker; `None` if
 /// the task was interrupted. A task that was stopped, or whose lease expired,
-/// proves nothing: counted as a success, it ended the quarantine of a worker on
-/// which every task still failed.
+/// proves nothing: counting it as a success would end the quarantine of a worker
+/// on which every task still fails.
 fn worker_success(result: EndResult) -> Option<bool> {
     match result {
         EndResult::Succeeded | EndResult::Checkpointed => Some(true),
@@ -400,7 +400,7 @@
 /// Whether an answer may be given before its record is in the table. This does
 /// not hold for answers that say that the request will not run: if this owner
 /// ends first, the next one finds the request open and starts it although its
-/// caller was told "not run". A missed deadline is an exception, since it holds
+/// caller got the answer "not run". A missed deadline is an exception, since it holds
 /// for the next owner too.
 pub(crate) fn is_valid_without_record(code: Code) -> bool {
     !is_cancelled(code) && !matches!(code, Code::QueueFull | Code::NeverFits)
--- a/crates/shard/src/patch.rs
+++ b/crates/shard/src/patch.rs
@@ -95,11 +95,11 @@
 ) -> Result<(VersionedConfig, Option<Row>), PatchError> {
     let row = table.get(CONFIG_CURRENT).await;
     let row = row.map_err(|source| PatchError::Unavailable { source })?;
-    let numbered = match &row {
+    let versioned = match &row {
         Some(row) => parse(row)?,
         None => initial_config(),
     };
-    Ok((numbered, row))
+    Ok((versioned, row))
 }
 
 /// The configuration before the first patch.
--- a/crates/shard/src/router.rs
+++ b/crates/shard/src/router.rs
@@ -75,7 +75,7 @@
     pub fn shard(&self, key: &str) -> ShardId {
         let team = key.split_once('/').map_or(key, |(team, _)| team);
         let view = self.view.borrow();
-        let config = view.config.as_ref().map(|numbered| &numbered.config);
+        let config = view.config.as_ref().map(|versioned| &versioned.config);
         let known = config.and_then(|config| config.team_shards(team, self.shards));
         known
             .unwrap_or(TeamShards::new(team, self.shards, self.shards))
--- a/crates/shard/src/rows.rs
+++ b/crates/shard/src/rows.rs
@@ -42,7 +42,7 @@
     format!("{LEASE_PREFIX}{process}")
 }
 
-/// Key of the row with a process incarnation's constant facts.
+/// Key of the row with a process incarnation's constant properties.
 #[must_use]
 pub fn member_key(process: &str) -> String {
     format!("member/{process}")
@@ -99,7 +99,7 @@
     pub config: Version,
 }
 
-/// Constant facts of a process incarnation. Kept apart from the lease row,
+/// Constant properties of a process incarnation. Kept apart from the lease row,
 /// which every process reads twice a second.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRow {
--- a/crates/shard/src/shard_manager.rs
+++ b/crates/shard/src/shard_manager.rs
@@ -170,8 +170,8 @@
         }
     }
 
-    /// Runs until told to leave; after that only keeps the view of the shards'
-    /// owners current, until the process drops the task.
+    /// Runs until the process leaves the cell; after that only keeps the view of
+    /// the shards' owners current, until the process drops the task.
     pub async fn run(mut self) {
         let mut next_tick = Instant::now();
         loop {
--- a/crates/shard/src/shard_task.rs
+++ b/crates/shard/src/shard_task.rs
@@ -29,12 +29,12 @@
 use crate::Journal;
 use crate::JournalCommand;
 use crate::JournalEvent;
-use crate::Lender;
 use crate::Link;
-use crate::LinkFacts;
-use crate::LinkOrder;
+use crate::LinkCommand;
+use crate::LinkParams;
 use crate::Machine;
 use crate::MachineParams;
+use crate::Offloader;
 use crate::Output;
 use crate::RecoveredShard;
 use crate::Router;
@@ -103,13 +103,13 @@
     input_sender: mpsc::UnboundedSender<Input>,
     journal_events: mpsc::UnboundedReceiver<JournalEvent>,
     journal: mpsc::UnboundedSender<JournalCommand>,
-    links: HashMap<WorkerId, mpsc::UnboundedSender<LinkOrder>>,
+    links: HashMap<WorkerId, mpsc::UnboundedSender<LinkCommand>>,
     waiters: SlotMap<WaiterKey, oneshot::Sender<ShardReply>>,
     segments: SegmentList,
     stored: mpsc::UnboundedReceiver<StoredSegment>,
     stored_sender: mpsc::UnboundedSender<StoredSegment>,
     storing_segment: bool,
-    lender: Lender,
+    offloader: Offloader,
     written_seq: Seq,
     /// Notified when the journal is finished after a release.
     release_done: Option<oneshot::Sender<()>>,
@@ -142,7 +142,7 @@
                 0
             },
             retention: context.timing.retention,
-            missing_at: lease * 2,
+            claim_deadline: lease * 2,
         };
         let machine = Machine::new(params, recovered.ledger, config, times);
         let (input_sender, inputs) = mpsc::unbounded_channel();
@@ -150,7 +150,7 @@
         let (journal, commands) = mpsc::unbounded_channel();
         let (stored_sender, stored) = mpsc::unbounded_channel();
         let router = Router::new(context.node.clone(), context.shards, view);
-        let lender = Lender::new(router, position.shard);
+        let offloader = Offloader::new(router, position.shard);
         let task = ShardTask {
             shard: position.shard,
             epoch: position.epoch,
@@ -169,7 +169,7 @@
             storing_segment: false,
             written_seq: position.next_seq.saturating_sub(1),
             release_done: None,
-            lender,
+            offloader,
             context,
         };
         let table = task.context.table.clone();
@@ -288,7 +288,7 @@
                 self.handle_input(Input::Written(*ticket));
                 self.store_segment();
             }
-            JournalEvent::Stalled => self.handle_input(Input::Stalled),
+            JournalEvent::Stalled => self.handle_input(Input::JournalStalled),
             JournalEvent::Fenced => {}
         }
     }
@@ -347,21 +347,21 @@
             Output::Append(ticket, records) => {
                 let _ = self.journal.send(JournalCommand::Append(ticket, records));
             }
-            Output::Start(worker, order) => {
-                let attempt = order.attempt.clone();
-                if !self.send_order(&worker, LinkOrder::Start(order)) {
+            Output::Start(worker, start) => {
+                let attempt = start.attempt.clone();
+                if !self.send_command(&worker, LinkCommand::Start(start)) {
                     let unsent = Input::NotStarted(attempt, crate::NotStarted::Unsent);
                     let _ = self.input_sender.send(unsent);
                 }
             }
             Output::Stop(worker, attempt, mode) => {
-                self.send_order(&worker, LinkOrder::Stop(attempt, mode));
+                self.send_command(&worker, LinkCommand::Stop(attempt, mode));
             }
             Output::Forget(worker, attempts) => {
-                self.send_order(&worker, LinkOrder::Forget(attempts));
+                self.send_command(&worker, LinkCommand::Forget(attempts));
             }
             Output::Reply(waiter, reply) => self.send_reply(waiter, reply),
-            Output::Lend(key, submission) => self.lend(key, submission),
+            Output::Offload(key, submission) => self.offload(key, submission),
             Output::Event(event) => self.context.timeline.record(event),
             Output::Link(host) => self.open_link(host),
             Output::Unlink(worker) => {
@@ -384,28 +384,28 @@
         let _ = sender.send(reply);
     }
 
-    fn send_order(&self, worker: &str, order: LinkOrder) -> bool {
+    fn send_command(&self, worker: &str, command: LinkCommand) -> bool {
         let link = self.links.get(worker);
-        link.is_some_and(|link| link.send(order).is_ok())
+        link.is_some_and(|link| link.send(command).is_ok())
     }
 
-    fn lend(&self, key: String, submission: Submission) {
-        let lender = self.lender.clone();
+    fn offload(&self, key: String, submission: Submission) {
+        let offloader = self.offloader.clone();
         let inputs = self.input_sender.clone();
         tokio::spawn(async move {
-            let loan = lender.lend(&submission).await;
-            let _ = inputs.send(Input::Lent(key, loan));
+            let result = offloader.offload(&submission).await;
+            let _ = inputs.send(Input::OffloadDone(key, result));
         });
     }
 
     fn open_link(&mut self, host: WorkerHost) {
-        let (orders, receiver) = mpsc::unbounded_channel();
+        let (command_sender, receiver) = mpsc::unbounded_channel();
         let fence = Fence {
             assigned: host.assigned,
             epoch: self.epoch,
         };
-        self.links.insert(host.host.id.clone(), orders);
-        let params = LinkFacts {
+        self.links.insert(host.host.id.clone(), command_sender);
+        let params = LinkParams {
             host,
             shard: self.shard,
             lease: self.context.timing.task_lease,
--- a/crates/shard/src/status.rs
+++ b/crates/shard/src/status.rs
@@ -1,5 +1,5 @@
 //! Status of a request as reported to its caller. It separates what the workers
-//! have confirmed from what was only ordered.
+//! have confirmed from what the shard has only sent.
 
 use crate::Entry;
 use crate::Machine;
@@ -36,7 +36,7 @@
                 Some(limit) => format!("waiting for {limit}"),
                 None => "waiting".to_owned(),
             },
-            Stage::Lent => "no room in its shard; another was asked".to_owned(),
+            Stage::Offloaded => "no room in its shard; another was asked".to_owned(),
             Stage::Recording(_) => "placed; its intent is being recorded".to_owned(),
             Stage::Running(_) => members_text(entry),
             Stage::Closing(_) | Stage::Done(_) => "its answer is being recorded".to_owned(),
--- a/crates/shard/src/view.rs
+++ b/crates/shard/src/view.rs
@@ -89,9 +89,9 @@
         member.map_or(Route::Unroutable, |m| Route::Remote(m.peer))
     }
 
-    /// Whether the table answers. Computed when it is shown, not when the view
-    /// is published: the view is published between two calls of the table, so a
-    /// stored "yes" would remain for as long as the table leaves a call
+    /// Whether the table answers. Computed on each call, not when the view is
+    /// published: the view is published between two calls of the table, so a
+    /// stored value would remain true for as long as the table leaves a call
     /// unanswered.
     #[must_use]
     pub fn table_reachable(&self) -> bool {
--- a/crates/shard/tests/journal.rs
+++ b/crates/shard/tests/journal.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, Default)]
 struct MemoryTable {
     rows: Arc<Mutex<BTreeMap<String, Row>>>,
-    lost_answers: Arc<Mutex<u32>>,
+    lost_replies: Arc<Mutex<u32>>,
 }
 
 impl MemoryTable {
@@ -74,9 +74,9 @@
         for write in &commit.writes {
             versions.push(self.put(&write.key, write.value.clone().unwrap_or_default()));
         }
-        let mut lost_answers = self.lost_answers.lock().expect("lost");
-        if *lost_answers > 0 {
-            *lost_answers -= 1;
+        let mut lost_replies = self.lost_replies.lock().expect("lost");
+        if *lost_replies > 0 {
+            *lost_replies -= 1;
             let reason = "reply lost".to_owned();
             return Err(StoreError::Unknown { reason });
         }
@@ -129,7 +129,7 @@
     (commands, events)
 }
 
-// Guards against a batch being written twice, or an owner taking itself for
+// Guards against a batch being written twice, or a writer treating itself as
 // fenced, when a commit takes effect but its reply is lost and the commit is
 // sent again. The writer must read the row back instead of guessing the
 // outcome.
@@ -138,7 +138,7 @@
     let table = MemoryTable::default();
     let fence = table.put(&shard_key(0), shard_row(1));
     let (commands, mut events) = start_writer(&table, fence);
-    *table.lost_answers.lock().expect("lost") = 1;
+    *table.lost_replies.lock().expect("lost") = 1;
 
     commands
         .send(JournalCommand::Append(7, cancel("x")))
--- a/crates/shard/tests/machine.rs
+++ b/crates/shard/tests/machine.rs
@@ -9,8 +9,8 @@
 use crate::simulation::Step;
 
 // Guards against rules of the machine that hold only if events arrive in order.
-// With arbitrary steps, no worker exceeds its slots, no confirmation runs
-// twice, no request that ran is answered "not run", and no call gets two
+// With arbitrary steps, no worker exceeds its slots, no request
+// that is not idempotent runs twice, no request that ran is answered "not run", and no call gets two
 // answers.
 #[test]
 fn arbitrary_events_violate_no_invariant() {
@@ -29,9 +29,9 @@
         });
 }
 
-// Guards against a restock running in two places: its worker restarts and is
-// claimed again, and before the shard learns of it, it places a task there,
-// whose start the new incarnation accepts. The start must name the incarnation
+// Guards against a request running in two places: a worker restarts and is
+// claimed again, and before the shard handles that claim, it places a task
+// there, whose start the new incarnation accepts. The start must name the incarnation
 // that the shard decided on, not the one that the link has claimed.
 #[test]
 fn a_start_for_an_old_incarnation_is_refused_by_the_new_one() {
@@ -51,7 +51,7 @@
 
 // Checks that the simulation itself detects violations: with the workers' epoch
 // check disabled, a take-over between a start and its arrival runs a
-// confirmation twice.
+// request twice that is not idempotent.
 #[test]
 #[should_panic(expected = "ran twice")]
 fn the_simulation_detects_a_second_run() {
--- a/crates/shard/tests/shown/cancels.rs
+++ b/crates/shard/tests/shown/cancels.rs
@@ -29,8 +29,8 @@
     assert_eq!(answer.code, Code::Ok, "{answer:?}");
 }
 
-// The same race with a task that fails by itself: the caller was told that it
-// was stopped and did not get the output of the task.
+// The same race with a task that fails by itself: the caller got the answer
+// that it was stopped and did not get the output of the task.
 #[test]
 fn cancelled_task_that_fails_before_the_stop_is_answered_failed() {
     let mut fixture = Fixture::with_worker();
@@ -61,8 +61,8 @@
 
 // Guards against answering "stopped" when the result of the task is unknown. A
 // running task was cancelled, and its worker did not answer until the lease
-// expired. The task may have succeeded before; the shard took the stop that it
-// had sent for one that was carried out.
+// expired. The task may have succeeded before; the shard assumed that the stop
+// that it had sent was carried out.
 #[test]
 fn cancelled_task_on_a_lost_worker_may_have_run() {
     let mut fixture = Fixture::with_worker();
@@ -112,7 +112,7 @@
 
 // Guards against a cancelled task that runs to its end. The stop was lost
 // because the link to the worker had just broken, and it was not sent again
-// although the caller had been told that the request was cancelled.
+// although the reply to the caller had said that the request was cancelled.
 #[test]
 fn stop_is_repeated_if_the_worker_still_lists_the_task() {
     let mut fixture = Fixture::with_worker();
--- a/crates/shard/tests/shown/fixture.rs
+++ b/crates/shard/tests/shown/fixture.rs
@@ -45,7 +45,7 @@
     /// Attempt ids of the starts that were sent.
     pub(crate) fn starts(&self) -> Vec<AttemptId> {
         let start = |output: &Output| match output {
-            Output::Start(_, order) => Some(order.attempt.clone()),
+            Output::Start(_, message) => Some(message.attempt.clone()),
             _ => None,
         };
         self.outputs.iter().filter_map(start).collect()
@@ -284,18 +284,18 @@
         queue: 100,
     };
     config.teams.insert(TEAM.to_owned(), team);
-    let numbered = VersionedConfig {
+    let versioned = VersionedConfig {
         version: 1,
         patch_id: "first".to_owned(),
         config,
     };
-    let facts = MachineParams {
+    let params = MachineParams {
         shard: 0,
         shards: 1,
         epoch: 1,
         takeover_millis: 0,
         retention: Duration::from_mins(10),
-        missing_at: times.now + Duration::from_secs(20),
+        claim_deadline: times.now + Duration::from_secs(20),
     };
-    Machine::new(facts, ledger, Arc::new(numbered), times)
+    Machine::new(params, ledger, Arc::new(versioned), times)
 }
--- a/crates/shard/tests/shown/main.rs
+++ b/crates/shard/tests/shown/main.rs
@@ -1,5 +1,5 @@
-//! Replies and events of a shard must state confirmed facts, not what the shard
-//! has ordered or assumes.
+//! Replies and events of a shard must state what is confirmed, not what the
+//! shard has only sent or assumes.
 
 mod cancels;
 mod fixture;
--- a/crates/shard/tests/shown/refusals.rs
+++ b/crates/shard/tests/shown/refusals.rs
@@ -50,7 +50,7 @@
     fixture.send(Input::Written(effects.ticket()));
     let (_, cancelled) = fixture.cancel("r1");
 
-    let early = fixture.send(Input::Stalled);
+    let early = fixture.send(Input::JournalStalled);
     let effects = fixture.send(Input::Written(cancelled.ticket()));
 
     assert_eq!(early.answer(caller), None);
@@ -95,8 +95,8 @@
 }
 
 // Guards against answering "not run: its latest start has passed" to a batch
-// request that ran in part. After the loss of its worker the request was placed
-// restarted. The table did not answer while the intent was being written, and
+// request that ran in part. Its worker was lost, and the request was placed
+// again. The table did not answer while the intent was being written, and
 // the process could not act. When the intent was written, the deadline of the
 // restart had passed, and the answer ignored the first attempt.
 #[test]
--- a/crates/shard/tests/shown/workers.rs
+++ b/crates/shard/tests/shown/workers.rs
@@ -1,4 +1,4 @@
-//! Quarantine of a worker depends only on tasks that have shown its health.
+//! Quarantine of a worker depends only on tasks that succeeded or failed on it.
 
 use worker::EndResult;
 
--- a/crates/shard/tests/simulation/fixtures.rs
+++ b/crates/shard/tests/simulation/fixtures.rs
@@ -95,7 +95,7 @@
             queue: 100,
         },
     );
-    let numbered = VersionedConfig {
+    let versioned = VersionedConfig {
         version: 1,
         patch_id: "first".to_owned(),
         config,
@@ -106,7 +106,7 @@
         epoch,
         takeover_millis: if epoch > 1 { times.wall_millis } else { 0 },
         retention: Duration::from_mins(10),
-        missing_at: times.now + Duration::from_secs(20),
+        claim_deadline: times.now + Duration::from_secs(20),
     };
-    Machine::new(params, ledger, Arc::new(numbered), times)
+    Machine::new(params, ledger, Arc::new(versioned), times)
 }
--- a/crates/shard/tests/simulation/mod.rs
+++ b/crates/shard/tests/simulation/mod.rs
@@ -50,6 +50,7 @@
     in_flight: Vec<StartInFlight>,
     /// Records that are not committed yet.
     queued: Vec<(Ticket, Vec<Record>)>,
+    /// Committed records, from which a successor recovers.
     committed: Vec<Record>,
     waiters: SlotMap<WaiterKey, String>,
     /// Number of accepted starts by request key.
@@ -105,7 +106,7 @@
             Step::Restart(index) => self.restart(usize::from(*index) % WORKERS),
             Step::Claim(index) => self.claim(usize::from(*index) % WORKERS),
             Step::DeliverReports(index) => self.deliver_reports(usize::from(*index) % WORKERS),
-            Step::LeaseOver(index) => self.lease_over(usize::from(*index) % WORKERS),
+            Step::ExpireLease(index) => self.expire_lease(usize::from(*index) % WORKERS),
             Step::Wait(tenths) => self.wait(u64::from(*tenths % 8) * 100),
             Step::Cancel(number) => self.cancel(number % 6),
             Step::CrashOwner => self.crash_owner(),
@@ -151,13 +152,13 @@
     fn execute(&mut self, output: Output) {
         match output {
             Output::Append(ticket, records) => self.queued.push((ticket, records)),
-            Output::Start(worker, order) => {
+            Output::Start(worker, message) => {
                 let worker = worker_index(&worker);
                 self.in_flight.push(StartInFlight {
                     worker,
                     epoch: self.epoch,
-                    incarnation: incarnation_number(&order.incarnation),
-                    order,
+                    incarnation: incarnation_number(&message.incarnation),
+                    message,
                 });
             }
             Output::Stop(worker, attempt, _) => self.stop(worker_index(&worker), &attempt),
@@ -165,7 +166,7 @@
                 self.workers[worker_index(&worker)].forget(attempts);
             }
             Output::Reply(waiter, reply) => self.on_reply(waiter, &reply),
-            Output::Event(_) | Output::Link(_) | Output::Unlink(_) | Output::Lend(..) => {}
+            Output::Event(_) | Output::Link(_) | Output::Unlink(_) | Output::Offload(..) => {}
         }
     }
 }
--- a/crates/shard/tests/simulation/starts.rs
+++ b/crates/shard/tests/simulation/starts.rs
@@ -2,7 +2,7 @@
 
 use shard::Input;
 use shard::NotStarted;
-use shard::StartOrder;
+use shard::UnfencedStart;
 use worker::Task;
 
 use super::SLOTS;
@@ -15,7 +15,7 @@
     pub(super) worker: usize,
     pub(super) epoch: u64,
     pub(super) incarnation: u32,
-    pub(super) order: StartOrder,
+    pub(super) message: UnfencedStart,
 }
 
 impl Simulation {
@@ -25,7 +25,7 @@
         }
         let start = self.in_flight.remove(index % self.in_flight.len());
         let from_current_owner = start.epoch == self.epoch;
-        let attempt = start.order.attempt.clone();
+        let attempt = start.message.attempt.clone();
         let worker = &mut self.workers[start.worker];
         let fenced = start.epoch != worker.epoch && !self.skip_fencing;
         let refused = fenced
@@ -40,12 +40,12 @@
         } else {
             let task = Task {
                 attempt: attempt.clone(),
-                request: start.order.request.clone(),
-                needs: start.order.needs,
+                request: start.message.request.clone(),
+                needs: start.message.needs,
                 end: None,
             };
             worker.tasks.insert(attempt.clone(), task);
-            *self.starts.entry(start.order.request).or_default() += 1;
+            *self.starts.entry(start.message.request).or_default() += 1;
         }
         if from_current_owner {
             let input = if refused {
@@ -63,7 +63,7 @@
         }
         let start = self.in_flight.remove(index % self.in_flight.len());
         if start.epoch == self.epoch {
-            let attempt = start.order.attempt;
+            let attempt = start.message.attempt;
             self.report(start.worker, Input::NotStarted(attempt, NotStarted::Unsent));
         }
     }
--- a/crates/shard/tests/simulation/step.rs
+++ b/crates/shard/tests/simulation/step.rs
@@ -24,7 +24,7 @@
     /// The shard handles the inputs queued by a worker's link.
     DeliverReports(u8),
     /// The lease of a worker's tasks expires.
-    LeaseOver(u8),
+    ExpireLease(u8),
     /// Time passes, in tenths of a second.
     Wait(u8),
     /// A caller cancels a request.
--- a/crates/shard/tests/simulation/workers.rs
+++ b/crates/shard/tests/simulation/workers.rs
@@ -139,14 +139,14 @@
         self.in_flight = remaining;
         let fenced_off: Vec<StartInFlight> = fenced_off;
         for start in fenced_off {
-            let input = Input::NotStarted(start.order.attempt, NotStarted::Fenced);
+            let input = Input::NotStarted(start.message.attempt, NotStarted::Fenced);
             self.workers[worker].undelivered.push_back(input);
         }
     }
 
     /// Expires the lease of a worker's tasks: the worker ends them first, and
     /// the owner learns of it later.
-    pub(super) fn lease_over(&mut self, worker: usize) {
+    pub(super) fn expire_lease(&mut self, worker: usize) {
         for task in self.workers[worker].tasks.values_mut() {
             task.end.get_or_insert_with(|| ended(EndResult::LeaseOver));
         }
@@ -156,7 +156,7 @@
             if start.worker == worker {
                 self.workers[worker]
                     .refused_attempts
-                    .insert(start.order.attempt.clone());
+                    .insert(start.message.attempt.clone());
             }
         }
         if self.workers[worker].epoch == self.epoch {
