--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -142,7 +142,7 @@
             commands,
         };
         let api = Api {
-            router: Router::new(context.node.clone(), context.shards, view.clone()),
+            router: Router::new(context.endpoint.clone(), context.shards, view.clone()),
             table: context.table.clone(),
             objects: context.objects.clone(),
             tokens: Tokens::new(settings.tokens.clone()),
@@ -156,7 +156,7 @@
             redirect_callers: dismiss_view,
         };
         let service = CellService::new(&context.process, view, hints);
-        let node = context.node.clone();
+        let node = context.endpoint.clone();
         let tasks = Tasks {
             hosts: tokio::spawn(watch_hosts(context.hosts.clone(), host_sender)),
             peers: tokio::spawn(async move { node.serve(service).await }),
@@ -177,7 +177,7 @@
             .timeline
             .record(event.detail(format!("serving callers on {address}")));
         Ok(Process {
-            node: context.node.clone(),
+            node: context.endpoint.clone(),
             context,
             address,
             keeper,
@@ -226,7 +226,7 @@
     let keys = KeyFiles {
         folder: settings.peer.keys.clone(),
     };
-    let node = PeerEndpoint::open(settings.peer.listen, &keys, timeline.clone())?;
+    let endpoint = PeerEndpoint::open(settings.peer.listen, &keys, timeline.clone())?;
     let timeout = Duration::from_millis(settings.platform.timeout_millis);
     Ok(Context {
         name: settings.name.clone(),
@@ -243,7 +243,7 @@
         objects: HttpObjectStore::new(settings.platform.objects, timeout),
         hosts: HttpHostList::new(settings.platform.hosts, timeout),
         workers: WorkerClient::new(WORKER_TIMEOUT),
-        node,
+        endpoint,
         timeline,
         gate: Arc::new(LeaseGate::new()),
         pacer: Pacer::new(f64::from(settings.cell.write_rate) / 8.0),
--- a/crates/daemon/tests/shown/house.rs
+++ b/crates/daemon/tests/shown/house.rs
@@ -64,12 +64,12 @@
         peer::generate_keys(&keys.path().join("keys")).expect("keys");
         let table = StubTable::default();
         let timeline = Arc::new(Timeline::new("a-1"));
-        let node = open_node(&keys, ([127, 0, 0, 1], 0).into(), timeline.clone());
+        let endpoint = open_node(&keys, ([127, 0, 0, 1], 0).into(), timeline.clone());
         let (publish, view) = watch::channel(Arc::new(View::default()));
         let (keeper, orders) = mpsc::channel(4);
         let gate = Arc::new(LeaseGate::new());
         let api = Api {
-            router: Router::new(node.clone(), 1, view.clone()),
+            router: Router::new(endpoint.clone(), 1, view.clone()),
             table: table.clone(),
             objects: StubObjects,
             tokens: operator(),
@@ -97,7 +97,7 @@
             objects: StubObjects,
             hosts: StubHosts,
             workers: WorkerClient::new(Duration::from_secs(1)),
-            node,
+            endpoint,
             timeline: timeline.clone(),
             gate,
             pacer: Pacer::new(100.0),
--- a/crates/shard/src/answers.rs
+++ b/crates/shard/src/answers.rs
@@ -91,8 +91,8 @@
     answer(Code::HostLost, "it was interrupted; it may have run")
 }
 
-/// Answer to a request that was cancelled after its start was sent. It depends on how the
-/// task ended, not on the stop that was sent: if a task that ended by itself
+/// Answer to a request that was cancelled after its start was sent. It depends
+/// on how the task ended, not on the stop that was sent: if a task that ended by itself
 /// before the stop arrived were answered as stopped, its caller would take that
 /// for a failure and submit it again.
 fn stop_answer(entry: &Entry, ends: &[(&str, &End)], interrupted: bool) -> Answer {
--- a/crates/shard/src/claiming.rs
+++ b/crates/shard/src/claiming.rs
@@ -52,8 +52,8 @@
     /// process's lease. The expiry alone fences nothing: if a shard's row is
     /// unchanged, no process has claimed the shard, and a claim that relies on
     /// that expiry fails, since the renewal has changed the lease row. Such
-    /// shards keep their state; the others are dropped. (KIP-588 likewise separates timeouts
-    /// from fencing.)
+    /// shards keep their state; the others are dropped. (KIP-588 likewise
+    /// separates timeouts from fencing.)
     pub(crate) async fn recheck_shards(&mut self) -> Result<(), ShardError> {
         if !self.context.reclaim {
             self.drop_all_shards();
--- a/crates/shard/src/context.rs
+++ b/crates/shard/src/context.rs
@@ -77,7 +77,7 @@
     /// Client for calls to workers.
     pub workers: WorkerClient,
     /// Client and server for calls between processes.
-    pub node: PeerEndpoint,
+    pub endpoint: PeerEndpoint,
     /// Recorder of timeline events.
     pub timeline: Arc<Timeline>,
     /// Whether the process may currently act for its shards.
--- a/crates/shard/src/fleet.rs
+++ b/crates/shard/src/fleet.rs
@@ -27,6 +27,8 @@
 const PAUSE_TIME: Duration = Duration::from_millis(200);
 
 impl Machine {
+    /// Applies the new worker list: opens and closes links, and retires workers
+    /// that are no longer listed.
     pub(crate) fn on_workers(&mut self, workers: Vec<WorkerHost>) {
         let mut previous = std::mem::take(&mut self.workers);
         for host in workers {
@@ -140,6 +142,8 @@
         self.outputs.extend(stops);
     }
 
+    /// Adds a claimed worker to the core and compares the tasks that it lists
+    /// with the members placed on it.
     pub(crate) fn on_claimed(&mut self, id: &str, claimed: ClaimReply) {
         let Some(host) = self.workers.get(id).cloned() else {
             return;
@@ -314,6 +318,7 @@
         }
     }
 
+    /// Makes workers ready again whose pause after a refused start is over.
     pub(crate) fn resume_paused(&mut self) {
         while self
             .paused_workers
@@ -331,6 +336,8 @@
         }
     }
 
+    /// Places no more tasks on a worker that does not answer its polls. Its
+    /// tasks are settled only when their lease expires.
     pub(crate) fn on_worker_lost(&mut self, id: &str) {
         let Some(worker) = self.core.worker(id) else {
             return;
--- a/crates/shard/src/handover.rs
+++ b/crates/shard/src/handover.rs
@@ -120,11 +120,11 @@
         let Some(member) = self.members.get(process) else {
             return;
         };
-        let (node, peer) = (self.context.node.clone(), member.info.peer);
+        let (endpoint, peer) = (self.context.endpoint.clone(), member.info.peer);
         let ask = Ask::Hint(self.config.version);
         let timeout = self.context.timing.renew;
         tokio::spawn(async move {
-            let _ = node.call::<Ask, Reply>(peer, &ask, timeout).await;
+            let _ = endpoint.call::<Ask, Reply>(peer, &ask, timeout).await;
         });
     }
 }
--- a/crates/shard/src/launch.rs
+++ b/crates/shard/src/launch.rs
@@ -25,6 +25,8 @@
 use crate::outcome::is_valid_without_record;
 
 impl Machine {
+    /// Creates the members of a new attempt on `workers`, then records its
+    /// intent or, if the request needs no record, sends its starts.
     pub(crate) fn start(&mut self, job: JobKey, workers: &[WorkerKey]) {
         let Some(key) = self.request_keys.get(&job).cloned() else {
             return;
@@ -90,6 +92,7 @@
         self.outputs.extend(starts);
     }
 
+    /// Carries out the actions that waited for the records up to `ticket`.
     pub(crate) fn on_written(&mut self, ticket: Ticket) {
         self.journal_stalled = false;
         let unwritten = self.pending.split_off(&(ticket + 1));
--- a/crates/shard/src/machine.rs
+++ b/crates/shard/src/machine.rs
@@ -289,6 +289,8 @@
         }
     }
 
+    /// Adds a record to the next commit; `pending` follows once it is in the
+    /// table.
     pub(crate) fn append(&mut self, record: Record, pending: PendingRecord) {
         self.records.push(record);
         self.pending
--- a/crates/shard/src/message.rs
+++ b/crates/shard/src/message.rs
@@ -214,8 +214,8 @@
     Checkpoint,
 }
 
-/// A start message without fence and turn, which the link adds. The incarnation is the
-/// one that the shard knew when it placed the task. If the worker has restarted
+/// A start message without fence and turn, which the link adds. The
+/// incarnation is the one that the shard knew when it placed the task. If the worker has restarted
 /// since, it refuses the start, so that a task never starts in an incarnation
 /// other than the one that the shard has noted.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/shard/src/offload.rs
+++ b/crates/shard/src/offload.rs
@@ -86,6 +86,8 @@
         true
     }
 
+    /// Answers an offloaded request with the answer of the other shard, or
+    /// queues it here again.
     pub(crate) fn on_offload_done(&mut self, key: &str, result: OffloadResult) {
         let Some(entry) = self.ledger.get_mut(key) else {
             return;
--- a/crates/shard/src/outage.rs
+++ b/crates/shard/src/outage.rs
@@ -52,17 +52,17 @@
 
 /// Asks all peers whether they reach the table.
 pub async fn query_peers(
-    node: &PeerEndpoint,
+    endpoint: &PeerEndpoint,
     own_health: TableHealth,
     peers: Vec<SocketAddr>,
 ) -> OutageVerdict {
     let own_health = Arc::new(own_health);
     let mut calls = tokio::task::JoinSet::new();
     for peer in peers {
-        let (node, own_health) = (node.clone(), own_health.clone());
+        let (endpoint, own_health) = (endpoint.clone(), own_health.clone());
         calls.spawn(async move {
             let ask = Ask::Ping(TableHealth::clone(&own_health));
-            match node.call::<Ask, Reply>(peer, &ask, PING_TIMEOUT).await {
+            match endpoint.call::<Ask, Reply>(peer, &ask, PING_TIMEOUT).await {
                 Ok(Reply::Pong(health)) => Some(health.reachable),
                 _ => None,
             }
--- a/crates/shard/src/outcome.rs
+++ b/crates/shard/src/outcome.rs
@@ -218,6 +218,8 @@
         }
     }
 
+    /// Queues a request for its next attempt. A request with one member avoids
+    /// the workers of the previous attempt, unless there are no others.
     pub(crate) fn requeue(&mut self, key: &str, checkpoint: Option<String>) {
         let Some(entry) = self.ledger.get_mut(key) else {
             return;
@@ -254,6 +256,7 @@
         }
     }
 
+    /// Answers a request that the scheduling core did not queue again.
     pub(crate) fn finish_interrupted(&mut self, key: &str, refused: SubmitError) {
         let may_have_run = self.ledger.get(key).is_some_and(Entry::may_have_run);
         if may_have_run {
@@ -283,6 +286,7 @@
         }
     }
 
+    /// Answers a request with a code and a reason only.
     pub(crate) fn finish_without_output(&mut self, key: &str, code: Code, reason: &str) {
         let id = key.split_once('/').map_or(key, |(_, id)| id);
         self.finish(key, Answer::without_output(id, code, reason));
@@ -337,6 +341,8 @@
         }
     }
 
+    /// Makes the decided answer of a request final: replies to its waiters and
+    /// lets the workers forget its ended tasks.
     pub(crate) fn close(&mut self, key: &str) {
         let Some(entry) = self.ledger.get(key) else {
             return;
@@ -371,6 +377,7 @@
         self.ledger.finish(key, answer, self.times.now);
     }
 
+    /// Sends the decided answer of a request to the callers that wait for it.
     pub(crate) fn answer_waiters(&mut self, key: &str) {
         let Some(entry) = self.ledger.get_mut(key) else {
             return;
@@ -400,8 +407,8 @@
 /// Whether an answer may be given before its record is in the table. This does
 /// not hold for answers that say that the request will not run: if this owner
 /// ends first, the next one finds the request open and starts it although its
-/// caller got the answer "not run". A missed deadline is an exception, since it holds
-/// for the next owner too.
+/// caller got the answer "not run". A missed deadline is an exception, since
+/// it holds for the next owner too.
 pub(crate) fn is_valid_without_record(code: Code) -> bool {
     !is_cancelled(code) && !matches!(code, Code::QueueFull | Code::NeverFits)
 }
--- a/crates/shard/src/router.rs
+++ b/crates/shard/src/router.rs
@@ -36,7 +36,7 @@
 /// Routes calls to the owners of shards; clones share the view of the cell.
 #[derive(Clone, Debug)]
 pub struct Router {
-    node: PeerEndpoint,
+    endpoint: PeerEndpoint,
     shards: u16,
     view: watch::Receiver<Arc<View>>,
 }
@@ -65,8 +65,12 @@
 impl Router {
     /// Creates a router for a cell with `shards` shards.
     #[must_use]
-    pub fn new(node: PeerEndpoint, shards: u16, view: watch::Receiver<Arc<View>>) -> Router {
-        Router { node, shards, view }
+    pub fn new(endpoint: PeerEndpoint, shards: u16, view: watch::Receiver<Arc<View>>) -> Router {
+        Router {
+            endpoint,
+            shards,
+            view,
+        }
     }
 
     /// Shard of a request. If this process does not know the team, the key is
@@ -223,7 +227,7 @@
             }
             Route::Remote(peer) => {
                 let ask = Ask::Shard(shard, ask);
-                match self.node.call(peer, &ask, remaining).await {
+                match self.endpoint.call(peer, &ask, remaining).await {
                     Ok(Reply::Shard(reply)) => AskResult::Reply(reply),
                     Ok(_) | Err(PeerError::NoReply { .. }) => AskResult::Lost,
                     Err(PeerError::Unreachable { .. }) => AskResult::NotReached,
--- a/crates/shard/src/shard_manager.rs
+++ b/crates/shard/src/shard_manager.rs
@@ -310,7 +310,7 @@
             **process != self.context.process && member.lease.state != LeaseState::Expired
         });
         let peers = others.map(|(_, member)| member.info.peer).collect();
-        let verdict = query_peers(&self.context.node, own_health, peers).await;
+        let verdict = query_peers(&self.context.endpoint, own_health, peers).await;
         if verdict == OutageVerdict::Confirmed && !self.outage.is_over_limit() {
             self.context.gate.extend(Instant::now() + OUTAGE_EXTENSION);
             if !self.outage.in_outage {
--- a/crates/shard/src/shard_task.rs
+++ b/crates/shard/src/shard_task.rs
@@ -149,7 +149,7 @@
         let (journal_event_sender, journal_events) = mpsc::unbounded_channel();
         let (journal, commands) = mpsc::unbounded_channel();
         let (stored_sender, stored) = mpsc::unbounded_channel();
-        let router = Router::new(context.node.clone(), context.shards, view);
+        let router = Router::new(context.endpoint.clone(), context.shards, view);
         let offloader = Offloader::new(router, position.shard);
         let task = ShardTask {
             shard: position.shard,
--- a/crates/shard/tests/machine.rs
+++ b/crates/shard/tests/machine.rs
@@ -9,9 +9,9 @@
 use crate::simulation::Step;
 
 // Guards against rules of the machine that hold only if events arrive in order.
-// With arbitrary steps, no worker exceeds its slots, no request
-// that is not idempotent runs twice, no request that ran is answered "not run", and no call gets two
-// answers.
+// With arbitrary steps, no worker exceeds its slots, no request that is not
+// idempotent runs twice, no request that ran is answered "not run", and no call
+// gets two answers.
 #[test]
 fn arbitrary_events_violate_no_invariant() {
     check!()
@@ -31,8 +31,8 @@
 
 // Guards against a request running in two places: a worker restarts and is
 // claimed again, and before the shard handles that claim, it places a task
-// there, whose start the new incarnation accepts. The start must name the incarnation
-// that the shard decided on, not the one that the link has claimed.
+// there, whose start the new incarnation accepts. The start must name the
+// incarnation that the shard decided on, not the one that the link has claimed.
 #[test]
 fn a_start_for_an_old_incarnation_is_refused_by_the_new_one() {
     let mut sim = Simulation::new();
