--- a/crates/shard/src/fleet.rs
+++ b/crates/shard/src/fleet.rs
@@ -384,15 +384,15 @@
     /// Settles recovered intents on workers that could not be claimed in time.
     /// The answer to their callers says that the request may have run.
     pub(crate) fn settle_unclaimed(&mut self) {
-        let mut unclaimed = Vec::new();
+        let mut worker_ids = Vec::new();
         for (_, entry) in self.ledger.iter().filter(|(_, entry)| !entry.is_closed()) {
             let unknown = entry
                 .members
                 .iter()
                 .filter(|m| m.state == MemberState::Unknown);
-            unclaimed.extend(unknown.map(|m| m.worker.clone()));
+            worker_ids.extend(unknown.map(|m| m.worker.clone()));
         }
-        for id in unclaimed {
+        for id in worker_ids {
             self.settle_if_unclaimed(&id);
         }
     }
--- a/crates/shard/src/journal.rs
+++ b/crates/shard/src/journal.rs
@@ -33,9 +33,10 @@
 /// Limit on the records in one batch, which keeps journal rows small.
 const BATCH_RECORDS: usize = 2000;
 
-/// First and longest pause between tries of a commit.
-const RETRY_FIRST: Duration = Duration::from_millis(50);
-const RETRY_LONGEST: Duration = Duration::from_secs(1);
+/// First pause between two tries of a commit; it doubles with each try.
+const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Longest pause between two tries of a commit.
+const LONGEST_RETRY_PAUSE: Duration = Duration::from_secs(1);
 
 /// Commands to the journal writer.
 #[derive(Debug)]
@@ -190,7 +191,7 @@
             epoch: self.position.epoch,
             records,
         };
-        let mut pause = RETRY_FIRST;
+        let mut pause = FIRST_RETRY_PAUSE;
         loop {
             self.pacer.take(1).await;
             match self.try_write(&batch).await {
@@ -214,7 +215,7 @@
             // the table.
             let jitter = rand::rng().random_range(0.5..1.5);
             tokio::time::sleep(pause.mul_f64(jitter)).await;
-            pause = (pause * 2).min(RETRY_LONGEST);
+            pause = (pause * 2).min(LONGEST_RETRY_PAUSE);
         }
     }
 
--- a/crates/shard/src/outcome.rs
+++ b/crates/shard/src/outcome.rs
@@ -299,10 +299,10 @@
     pub(crate) fn qualify_not_run(&self, entry: &Entry, answer: Answer) -> Answer {
         let not_run = answer.code.family() == Family::NotRun;
         let sent = entry.request.sent_millis;
-        let latest_takeover = self.params.takeover_millis + CLOCK_SKEW_MILLIS;
+        let takeover_bound = self.params.takeover_millis + CLOCK_SKEW_MILLIS;
         let is_certain = entry.recorded
             || sent == 0
-            || sent > latest_takeover
+            || sent > takeover_bound
             || self.params.takeover_millis == 0;
         if !not_run || is_certain {
             return answer;
