--- a/crates/shard/src/journal.rs
+++ b/crates/shard/src/journal.rs
@@ -33,9 +33,10 @@
 /// Limit on the records in one batch, which keeps journal rows small.
 const BATCH_RECORDS: usize = 2000;
 
-/// First and longest pause between tries of a commit.
-const RETRY_FIRST: Duration = Duration::from_millis(50);
-const RETRY_LONGEST: Duration = Duration::from_secs(1);
+/// First pause between two tries of a commit; it doubles with each try.
+const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Longest pause between two tries of a commit.
+const LONGEST_RETRY_PAUSE: Duration = Duration::from_secs(1);
 
 /// Commands to the journal writer.
 #[derive(Debug)]
@@ -132,19 +133,19 @@
     /// Runs until closed, fenced, or until the shard's task has ended.
     pub async fn run(mut self) {
         let mut records = Vec::new();
-        let mut last = 0;
+        let mut last_ticket = 0;
         loop {
             if records.is_empty() && !self.closing {
                 let Some(command) = self.commands.recv().await else {
                     return;
                 };
-                self.apply(command, &mut records, &mut last);
+                self.apply(command, &mut records, &mut last_ticket);
             }
             while records.len() < BATCH_RECORDS {
                 let Ok(command) = self.commands.try_recv() else {
                     break;
                 };
-                self.apply(command, &mut records, &mut last);
+                self.apply(command, &mut records, &mut last_ticket);
             }
             if records.is_empty() && self.closing {
                 return;
@@ -156,7 +157,7 @@
                 let _ = self.events.send(JournalEvent::Fenced);
                 return;
             }
-            let written = JournalEvent::Written(last, self.position.next_seq - 1);
+            let written = JournalEvent::Written(last_ticket, self.position.next_seq - 1);
             if self.events.send(written).is_err() {
                 return;
             }
@@ -165,11 +166,16 @@
 
     /// Handles one command: collects its records and their ticket, the new
     /// segment list, or the request to end.
-    fn apply(&mut self, command: JournalCommand, records: &mut Vec<Record>, last: &mut Ticket) {
+    fn apply(
+        &mut self,
+        command: JournalCommand,
+        records: &mut Vec<Record>,
+        last_ticket: &mut Ticket,
+    ) {
         match command {
             JournalCommand::Append(ticket, mut added) => {
                 records.append(&mut added);
-                *last = ticket;
+                *last_ticket = ticket;
             }
             JournalCommand::Segments(newer) => self.latest_segments = newer,
             JournalCommand::Close => self.closing = true,
@@ -185,7 +191,7 @@
             epoch: self.position.epoch,
             records,
         };
-        let mut pause = RETRY_FIRST;
+        let mut pause = FIRST_RETRY_PAUSE;
         loop {
             self.pacer.take(1).await;
             match self.try_write(&batch).await {
@@ -209,7 +215,7 @@
             // the table.
             let jitter = rand::rng().random_range(0.5..1.5);
             tokio::time::sleep(pause.mul_f64(jitter)).await;
-            pause = (pause * 2).min(RETRY_LONGEST);
+            pause = (pause * 2).min(LONGEST_RETRY_PAUSE);
         }
     }
 
--- a/crates/shard/src/outage.rs
+++ b/crates/shard/src/outage.rs
@@ -1,5 +1,5 @@
-//! Decides whether a process may keep acting after its lease while the table is
-//! unavailable.
+//! Decides whether a process may keep acting after its lease has expired while
+//! the table is unavailable.
 //!
 //! Rule: it continues only while at least one peer confirms that it cannot
 //! reach the table either, and no peer can reach it. If a peer reaches the
@@ -52,17 +52,17 @@
 
 /// Asks all peers whether they reach the table.
 pub async fn query_peers(
-    node: &PeerEndpoint,
+    endpoint: &PeerEndpoint,
     own_health: TableHealth,
     peers: Vec<SocketAddr>,
 ) -> OutageVerdict {
     let own_health = Arc::new(own_health);
     let mut calls = tokio::task::JoinSet::new();
     for peer in peers {
-        let (node, own_health) = (node.clone(), own_health.clone());
+        let (endpoint, own_health) = (endpoint.clone(), own_health.clone());
         calls.spawn(async move {
             let ask = Ask::Ping(TableHealth::clone(&own_health));
-            match node.call::<Ask, Reply>(peer, &ask, PING_TIMEOUT).await {
+            match endpoint.call::<Ask, Reply>(peer, &ask, PING_TIMEOUT).await {
                 Ok(Reply::Pong(health)) => Some(health.reachable),
                 _ => None,
             }
@@ -114,7 +114,7 @@
 }
 
 impl OutageTracker {
-    /// Starts with the table taken to be reachable.
+    /// A tracker that counts the table as reachable at first.
     #[must_use]
     pub fn new() -> OutageTracker {
         let last_answer = LastAnswer::default();
