--- a/crates/cell/src/rows.rs
+++ b/crates/cell/src/rows.rs
@@ -109,6 +109,7 @@
     /// Address on which peers reach the owner.
     pub address: SocketAddr,
     /// Number of renewals in this epoch.
+    #[serde(rename = "beat")]
     pub renewals: u64,
     /// Whether the owner has released the pool; any process may then take it at once.
     pub released: bool,
@@ -116,6 +117,7 @@
     pub calls: u32,
     /// Whether the owner cannot keep up: replies to its calls come late, or it has spent too long
     /// reading the state that the former owner left.
+    #[serde(rename = "strained")]
     pub overloaded: bool,
 }
 
@@ -126,6 +128,7 @@
     node: String,
     incarnation: u64,
     address: SocketAddr,
+    #[serde(rename = "beat")]
     renewals: u64,
     released: bool,
 }
@@ -142,6 +145,7 @@
     /// Kind and rack of the worker.
     pub labels: Vec<String>,
     /// Incarnation of the worker; `None` if it is unknown.
+    #[serde(rename = "life")]
     pub incarnation: Option<IncarnationId>,
 }
 
--- a/crates/job/src/progress.rs
+++ b/crates/job/src/progress.rs
@@ -67,8 +67,10 @@
     pub runs: BTreeSet<RunId>,
     /// Runs that may have been on a crashed worker, because their start got no reply, or that
     /// were on a worker which crashed together with others.
+    #[serde(rename = "unsure")]
     pub uncertain: BTreeSet<RunId>,
     /// Run that may be active: it is stored before its start is sent.
+    #[serde(rename = "ahead")]
     pub pending: Option<RunId>,
 }
 
