--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -46,7 +46,7 @@
         source: prometheus::Error,
     },
     /// The settings name another number of shards than the cell was created with, or the
-    /// facts of the cell have another format.
+    /// parameters of the cell have another format.
     #[snafu(display(
         "cell.shards: found {found}, allowed: {allowed}, the number that the cell was created with"
     ))]
@@ -56,7 +56,7 @@
         /// Number of shards in the table.
         allowed: u16,
     },
-    /// The facts of the cell in the table cannot be decoded.
+    /// The parameters of the cell in the table cannot be decoded.
     #[snafu(display("{source}"), context(false))]
     Store {
         /// Error from decoding the row.
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -1,9 +1,9 @@
 //! One running process: its start and the supervision of its tasks.
 //!
 //! [`Process`] owns five tasks: the upload of events, the host list watch, the service for
-//! other processes, the keeper (which owns the shards, each with its journal and its links
-//! to workers) and the HTTP server. None of them ends in normal operation; if one does, the
-//! whole process stops, and the other processes take over its shards.
+//! other processes, the shard manager (which owns the shards, each with its journal and its
+//! links to workers) and the HTTP server. None of them ends in normal operation; if one does,
+//! the whole process stops, and the other processes take over its shards.
 
 use std::hash::BuildHasher;
 use std::hash::Hasher;
@@ -72,7 +72,7 @@
 const WORKER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Delay before [`CELL_PARAMS`] is read again after the table failed.
-const FACTS_RETRY_DELAY: Duration = Duration::from_millis(300);
+const PARAMS_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Context of a process that reaches the platform's services over HTTP.
 type HttpContext = Context<HttpTable, HttpObjectStore, HttpHostList>;
@@ -83,14 +83,14 @@
     pub(crate) context: Arc<HttpContext>,
     pub(crate) node: PeerEndpoint,
     address: SocketAddr,
-    pub(crate) keeper: mpsc::Sender<ShardManagerCommand>,
-    pub(crate) flight: InFlightLimit,
+    pub(crate) shard_manager: mpsc::Sender<ShardManagerCommand>,
+    pub(crate) in_flight: InFlightLimit,
     /// Set when a planned stop begins.
-    pub(crate) leaving: watch::Sender<bool>,
+    pub(crate) stopping: watch::Sender<bool>,
     /// Set to make the HTTP server accept no more connections and finish.
     pub(crate) stop: watch::Sender<bool>,
-    /// Set to give callers that still wait a pending answer.
-    pub(crate) dismiss: watch::Sender<bool>,
+    /// Set to send a pending answer to callers that still wait.
+    pub(crate) redirect_callers: watch::Sender<bool>,
     pub(crate) tasks: Tasks,
 }
 
@@ -99,7 +99,7 @@
 pub(crate) struct Tasks {
     hosts: JoinHandle<()>,
     peers: JoinHandle<()>,
-    keeper: JoinHandle<()>,
+    shard_manager: JoinHandle<()>,
     pub(crate) http: JoinHandle<()>,
     upload: JoinHandle<()>,
 }
@@ -107,7 +107,13 @@
 impl Tasks {
     /// Aborts all tasks.
     pub(crate) fn close(self) {
-        let tasks = [self.hosts, self.peers, self.keeper, self.http, self.upload];
+        let tasks = [
+            self.hosts,
+            self.peers,
+            self.shard_manager,
+            self.http,
+            self.upload,
+        ];
         for task in tasks {
             task.abort();
         }
@@ -132,11 +138,11 @@
         let address = listener.local_addr().unwrap_or(listen);
         let (host_sender, hosts) = watch::channel(None);
         let (view_sender, view) = watch::channel(Arc::new(View::default()));
-        let (keeper, commands) = mpsc::channel(64);
-        let (leaving, leaving_view) = watch::channel(false);
+        let (shard_manager, commands) = mpsc::channel(64);
+        let (stopping, stopping_view) = watch::channel(false);
         let (stop, stop_view) = watch::channel(false);
-        let (dismiss, dismiss_view) = watch::channel(false);
-        let flight = InFlightLimit::new(settings.http.in_flight);
+        let (redirect_callers, redirect_callers_view) = watch::channel(false);
+        let in_flight = InFlightLimit::new(settings.http.in_flight);
         let hints = Arc::new(Notify::new());
         let ports = ShardManagerChannels {
             hosts: hosts.clone(),
@@ -149,21 +155,21 @@
             table: context.table.clone(),
             objects: context.objects.clone(),
             tokens: Tokens::new(settings.tokens.clone()),
-            in_flight: flight.clone(),
+            in_flight: in_flight.clone(),
             metrics: Metrics::new()?,
             timeline: context.timeline.clone(),
             hosts,
-            keeper: keeper.clone(),
+            keeper: shard_manager.clone(),
             gate: context.gate.clone(),
-            stopping: leaving_view,
-            redirect_callers: dismiss_view,
+            stopping: stopping_view,
+            redirect_callers: redirect_callers_view,
         };
         let service = CellService::new(&context.process, view, hints);
         let node = context.endpoint.clone();
         let tasks = Tasks {
             hosts: tokio::spawn(watch_hosts(context.hosts.clone(), host_sender)),
             peers: tokio::spawn(async move { node.serve(service).await }),
-            keeper: tokio::spawn(ShardManager::new(context.clone(), ports).run()),
+            shard_manager: tokio::spawn(ShardManager::new(context.clone(), ports).run()),
             upload: tokio::spawn(upload_events(
                 context.objects.clone(),
                 context.timeline.clone(),
@@ -183,11 +189,11 @@
             node: context.endpoint.clone(),
             context,
             address,
-            keeper,
-            flight,
-            leaving,
+            shard_manager,
+            in_flight,
+            stopping,
             stop,
-            dismiss,
+            redirect_callers,
             tasks,
         })
     }
@@ -204,7 +210,7 @@
         let task = tokio::select! {
             _ = &mut self.tasks.hosts => "hosts",
             _ = &mut self.tasks.peers => "peers",
-            _ = &mut self.tasks.keeper => "keeper",
+            _ = &mut self.tasks.shard_manager => "keeper",
             _ = &mut self.tasks.http => "http",
             _ = &mut self.tasks.upload => "upload",
         };
@@ -254,29 +260,29 @@
     })
 }
 
-/// Checks the settings against the cell's facts in the table and returns the cell's id; the
-/// first process of a cell writes the facts and chooses the id.
+/// Checks the settings against the cell's parameters in the table and returns the cell's id; the
+/// first process of a cell writes the parameters and chooses the id.
 ///
 /// The number of shards is fixed from then on. A process with another number would route
 /// requests to other shards, and the same request id could run twice.
 async fn join_cell(context: &HttpContext) -> Result<CellId, DaemonError> {
-    let facts = CellParams {
+    let params = CellParams {
         format: FORMAT,
         shards: context.shards,
         cell: RandomState::new().build_hasher().finish(),
     };
     let commit = Commit::default()
         .check(CELL_PARAMS, 0)
-        .put(CELL_PARAMS, encode_row(&facts));
+        .put(CELL_PARAMS, encode_row(&params));
     loop {
         match context.table.get(CELL_PARAMS).await {
             Ok(Some(row)) => {
                 let existing: CellParams = decode_row(&row)?;
-                if (existing.format, existing.shards) == (facts.format, facts.shards) {
+                if (existing.format, existing.shards) == (params.format, params.shards) {
                     return Ok(existing.cell);
                 }
                 return Err(DaemonError::ShardCount {
-                    found: facts.shards,
+                    found: params.shards,
                     allowed: existing.shards,
                 });
             }
@@ -286,8 +292,8 @@
                 let _ = context.table.commit(&commit).await;
             }
             Err(error) => {
-                log::warn!("cannot read the facts of the cell, retrying: {error}");
-                tokio::time::sleep(FACTS_RETRY_DELAY).await;
+                log::warn!("cannot read the parameters of the cell, retrying: {error}");
+                tokio::time::sleep(PARAMS_RETRY_DELAY).await;
             }
         }
     }
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -39,7 +39,7 @@
     /// another process.
     pub async fn close(mut self) {
         self.context.timeline.record(Event::new(Kind::StopBegan));
-        self.leaving.send_replace(true);
+        self.stopping.send_replace(true);
         self.hand_over().await;
         tokio::time::sleep(BALANCER_GRACE).await;
         self.stop.send_replace(true);
@@ -50,18 +50,18 @@
         upload_since(&self.context.objects, &self.context.timeline, 0).await;
     }
 
-    /// Orders the keeper to hand the shards over and records the result.
+    /// Tells the shard manager to hand the shards over and records the result.
     async fn hand_over(&self) {
         let began = Instant::now();
-        let order = async {
+        let reply = async {
             let (done, left) = oneshot::channel();
-            self.keeper
+            self.shard_manager
                 .send(ShardManagerCommand::Leave(done))
                 .await
                 .ok()?;
             left.await.ok()
         };
-        let outcome = match timeout(HANDOVER_TIMEOUT, order).await {
+        let outcome = match timeout(HANDOVER_TIMEOUT, reply).await {
             Ok(Some(handover)) => describe(handover),
             Ok(None) => "hand-over: not made, the keeper task has ended".to_owned(),
             Err(_) => "hand-over: timed out".to_owned(),
@@ -69,7 +69,8 @@
         self.record_step(began, &outcome);
     }
 
-    /// Waits for the answers to open requests, then dismisses the callers that still wait.
+    /// Waits for the answers to open requests, then sends a pending answer to the callers that
+    /// still wait.
     ///
     /// A request may run for longer than the platform lets this process stop. Waiting for its
     /// answer would end in a kill that breaks all connections, so callers that still wait
@@ -80,13 +81,12 @@
             self.record_step(began, "callers: all connections have ended");
             return;
         }
-        let open = self.flight.count();
-        self.dismiss.send_replace(true);
+        let open = self.in_flight.count();
+        self.redirect_callers.send_replace(true);
         let ended = timeout(CLOSE_TIMEOUT, &mut self.tasks.http).await.is_ok();
         let connections = if ended { "ended" } else { "cut" };
-        let outcome = format!(
-            "callers: {open} requests dismissed with a pending answer, connections {connections}"
-        );
+        let outcome =
+            format!("callers: {open} requests got a pending answer, connections {connections}");
         self.record_step(began, &outcome);
     }
 
--- a/crates/daemon/tests/link.rs
+++ b/crates/daemon/tests/link.rs
@@ -118,23 +118,23 @@
     };
     let gate = Arc::new(LeaseGate::new());
     gate.extend(Instant::now() + Duration::from_mins(1));
-    let facts = LinkParams {
+    let params = LinkParams {
         host: WorkerHost { host, assigned: 1 },
         shard: 0,
         lease: TASK_LEASE,
         client,
         gate,
     };
-    let (orders, receiver) = mpsc::unbounded_channel();
+    let (commands, receiver) = mpsc::unbounded_channel();
     let (sender, inputs) = mpsc::unbounded_channel();
-    tokio::spawn(Link::new(facts, fence(2), receiver, sender).run());
-    TestLink { orders, inputs }
+    tokio::spawn(Link::new(params, fence(2), receiver, sender).run());
+    TestLink { commands, inputs }
 }
 
 /// The owner's side of a link.
 struct TestLink {
     /// The link ends when this sender is dropped.
-    orders: mpsc::UnboundedSender<shard::LinkCommand>,
+    commands: mpsc::UnboundedSender<shard::LinkCommand>,
     inputs: mpsc::UnboundedReceiver<Input>,
 }
 
@@ -152,7 +152,7 @@
     }
 
     fn close(self) {
-        drop(self.orders);
+        drop(self.commands);
     }
 }
 
--- a/crates/daemon/tests/patches.rs
+++ b/crates/daemon/tests/patches.rs
@@ -44,7 +44,7 @@
 }
 
 // Guards against two operators who patch version 1 through two processes at the same time
-// and are both told that their patch became version 2. This happens if the version is
+// and both get the answer that it became version 2. This happens if the version is
 // checked before the write instead of in the same transaction.
 #[tokio::test(flavor = "multi_thread")]
 async fn exactly_one_of_two_concurrent_patches_is_accepted() {
@@ -75,7 +75,7 @@
     cell.close();
 }
 
-// Guards against an operator who repeats a patch after a lost answer and is told that it is
+// Guards against answering an operator who repeats a patch after a lost answer that it is
 // stale, although the newer version is that same patch. The commit takes effect, its answer
 // is lost, and the patch is sent again through another process, which must recognise its id.
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/daemon/tests/reporting/cell.rs
+++ b/crates/daemon/tests/reporting/cell.rs
@@ -74,7 +74,7 @@
     let service = other.clone();
     tokio::spawn(async move { node.serve(service).await });
     fixture.add_member(address, LeaseState::Live);
-    fixture.start_keeper();
+    fixture.start_shard_manager();
     assert!(wait_for_view(&fixture, |view| view.members.len() == 2).await);
 
     fixture.table.set_fault(Fault::RefuseReads(String::new()));
@@ -99,7 +99,7 @@
         .table
         .set_fault(Fault::RefuseReads(CONFIG_CURRENT.to_owned()));
 
-    fixture.start_keeper();
+    fixture.start_shard_manager();
     let shard_claimed = fixture.wait_for_event("shard_claimed").await;
     tokio::time::sleep(Duration::from_secs(1)).await;
 
@@ -115,7 +115,7 @@
         .table
         .set_fault(Fault::RefuseReads("journal/".to_owned()));
 
-    fixture.start_keeper();
+    fixture.start_shard_manager();
     let shard_claimed = fixture.wait_for_event("shard_claimed").await;
     tokio::time::sleep(Duration::from_secs(1)).await;
 
@@ -128,7 +128,7 @@
     let mut fixture = fixture_with_config();
     fixture.table.put(CONFIG_CURRENT, "{");
 
-    fixture.start_keeper();
+    fixture.start_shard_manager();
 
     assert!(
         fixture.wait_for_event("row_damaged").await,
@@ -145,7 +145,7 @@
     let mut fixture = fixture_with_config();
     fixture.add_member(unused_address(), LeaseState::Leaving);
 
-    fixture.start_keeper();
+    fixture.start_shard_manager();
     let is_adopted = |view: &View| view.members.iter().any(|member| member.config == 3);
     let adopted = wait_for_view(&fixture, is_adopted).await;
 
@@ -158,7 +158,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_table_that_does_not_answer_is_not_shown_as_reachable() {
     let mut fixture = Fixture::new();
-    fixture.start_keeper();
+    fixture.start_shard_manager();
     assert!(
         fixture.wait_for_event("shard_claimed").await,
         "{:?}",
@@ -177,7 +177,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn the_age_of_the_view_is_shown() {
     let mut fixture = Fixture::new();
-    fixture.start_keeper();
+    fixture.start_shard_manager();
     assert!(
         fixture.wait_for_event("shard_claimed").await,
         "{:?}",
@@ -196,8 +196,8 @@
 }
 
 // Guards against an event that reports a patch as refused (502) although it is in force on
-// all processes. The answer of the table was lost, so the caller was told that the outcome is
-// unknown; the event must say the same.
+// all processes. The answer of the table was lost, so the answer to the caller says that
+// the outcome is unknown; the event must say the same.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_patch_whose_outcome_is_unknown_is_not_recorded_as_refused() {
     let fixture = fixture_with_config();
--- a/crates/daemon/tests/reporting/fixture.rs
+++ b/crates/daemon/tests/reporting/fixture.rs
@@ -1,4 +1,4 @@
-//! A process's keeper and API on top of the stubs.
+//! A process's shard manager and API on top of the stubs.
 
 use std::net::SocketAddr;
 use std::net::UdpSocket;
@@ -53,12 +53,12 @@
     pub(crate) api: Api<StubTable, StubObjects>,
     keys: TempDir,
     view_sender: Option<watch::Sender<Arc<View>>>,
-    orders: Option<mpsc::Receiver<ShardManagerCommand>>,
+    commands: Option<mpsc::Receiver<ShardManagerCommand>>,
     context: Arc<Context<StubTable, StubObjects, StubHosts>>,
 }
 
 impl Fixture {
-    /// Creates the process; its keeper does not run until [`Fixture::start_keeper`].
+    /// Creates the process; its shard manager does not run until [`Fixture::start_shard_manager`].
     pub(crate) fn new() -> Fixture {
         let keys = tempfile::tempdir().expect("folder");
         peer::generate_keys(&keys.path().join("keys")).expect("keys");
@@ -66,7 +66,7 @@
         let timeline = Arc::new(Timeline::new("a-1"));
         let endpoint = open_node(&keys, ([127, 0, 0, 1], 0).into(), timeline.clone());
         let (view_sender, view) = watch::channel(Arc::new(View::default()));
-        let (keeper, orders) = mpsc::channel(4);
+        let (keeper, commands) = mpsc::channel(4);
         let gate = Arc::new(LeaseGate::new());
         let api = Api {
             router: Router::new(endpoint.clone(), 1, view.clone()),
@@ -109,7 +109,7 @@
             api,
             keys,
             view_sender: Some(view_sender),
-            orders: Some(orders),
+            commands: Some(commands),
             context: Arc::new(context),
         }
     }
@@ -142,18 +142,24 @@
         self.table.put(&lease_key("b-1"), &encode_row(&lease));
     }
 
-    /// Starts the keeper.
-    pub(crate) fn start_keeper(&mut self) {
+    /// Starts the shard manager.
+    pub(crate) fn start_shard_manager(&mut self) {
         let ports = ShardManagerChannels {
             hosts: watch::channel(None).1,
-            view: self.view_sender.take().expect("a keeper that does not run"),
+            view: self
+                .view_sender
+                .take()
+                .expect("a shard manager that was not started"),
             hints: Arc::default(),
-            commands: self.orders.take().expect("a keeper that does not run"),
+            commands: self
+                .commands
+                .take()
+                .expect("a shard manager that was not started"),
         };
         tokio::spawn(ShardManager::new(self.context.clone(), ports).run());
     }
 
-    /// The view of the cell that the keeper published last.
+    /// The view of the cell that the shard manager published last.
     pub(crate) fn current_view(&self) -> Arc<View> {
         self.view.borrow().clone()
     }
--- a/crates/daemon/tests/reporting/links.rs
+++ b/crates/daemon/tests/reporting/links.rs
@@ -135,7 +135,7 @@
 /// The shard's side of a link to a worker.
 struct TestLink {
     worker: FaultyWorker,
-    orders: mpsc::UnboundedSender<LinkCommand>,
+    commands: mpsc::UnboundedSender<LinkCommand>,
     reports: mpsc::UnboundedReceiver<Input>,
     _stop: watch::Sender<bool>,
 }
@@ -147,12 +147,12 @@
         let (stop, stopped) = watch::channel(false);
         let handler = Arc::new(worker.clone());
         tokio::spawn(web::serve(listener, handler, Limits::default(), stopped));
-        let (orders, receiver) = mpsc::unbounded_channel();
+        let (commands, receiver) = mpsc::unbounded_channel();
         let (owner, reports) = mpsc::unbounded_channel();
-        tokio::spawn(Link::new(facts(address), Fence::default(), receiver, owner).run());
+        tokio::spawn(Link::new(link_params(address), Fence::default(), receiver, owner).run());
         TestLink {
             worker,
-            orders,
+            commands,
             reports,
             _stop: stop,
         }
@@ -170,7 +170,7 @@
     }
 }
 
-fn facts(address: SocketAddr) -> LinkParams {
+fn link_params(address: SocketAddr) -> LinkParams {
     let gate = LeaseGate::new();
     gate.extend(Instant::now() + Duration::from_mins(1));
     let host = Host {
@@ -214,7 +214,7 @@
     let mut link = TestLink::open(worker).await;
     let first = link.next().await;
 
-    link.orders.send(start()).expect("an open link");
+    link.commands.send(start()).expect("an open link");
     let mut inputs = Vec::new();
     while !inputs
         .iter()
@@ -239,7 +239,7 @@
     let mut link = TestLink::open(worker).await;
     link.next().await;
 
-    link.orders.send(start()).expect("an open link");
+    link.commands.send(start()).expect("an open link");
     let mut inputs = Vec::new();
     while !inputs
         .iter()
@@ -258,12 +258,12 @@
 async fn a_lost_stop_is_sent_again() {
     let mut link = TestLink::open(FaultyWorker::default()).await;
     link.next().await;
-    link.orders.send(start()).expect("an open link");
+    link.commands.send(start()).expect("an open link");
     link.next().await;
 
     let attempt = "stores/r1#1.1.0".to_owned();
     let stop = LinkCommand::Stop(attempt, StopMode::Kill);
-    link.orders.send(stop).expect("an open link");
+    link.commands.send(stop).expect("an open link");
     tokio::time::sleep(Duration::from_secs(1)).await;
 
     assert_eq!(link.worker.lock().stops, 2);
