--- a/crates/cell/tests/acceptance.rs
+++ b/crates/cell/tests/acceptance.rs
@@ -30,7 +30,7 @@
 
 /// Guards against a reply "not accepted" for a job that then runs. The first attempt of the write
 /// gets no reply for a while, so a second one is sent, which the store carries out with a garbled
-/// reply. Then the first attempt is refused, and that refusal was taken to mean both attempts.
+/// reply. Then the first attempt is refused, which was treated as a refusal of both.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_refusal_of_one_attempt_is_not_taken_for_both() {
     let (cell, caller) = open().await;
--- a/crates/cell/tests/capacity.rs
+++ b/crates/cell/tests/capacity.rs
@@ -34,8 +34,8 @@
 }
 
 /// Guards against an owner that cannot read the registrations and goes on filling a worker
-/// which has shrunk, for the whole outage of the store: the capacity that it knew was seconds
-/// old. In this pool the owner has already seen a worker shrink.
+/// which has shrunk, for the whole outage of the store: the capacity that it had last read
+/// was seconds old. In this pool the owner has already seen a worker shrink.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_without_the_store_fills_no_worker_that_may_have_shrunk() {
     let cell = TestCell::open(1, 1).await;
--- a/crates/cell/tests/crashing.rs
+++ b/crates/cell/tests/crashing.rs
@@ -6,8 +6,8 @@
 use site::TestCell;
 use site::job;
 
-/// Most starts of a task that crashes each worker: the platform allows two more after three
-/// crashes.
+/// Largest number of starts of a task that crashes each worker: the platform allows two more
+/// after three crashes.
 const MAX_STARTS: usize = 5;
 
 /// Guards against a task that crashes each worker it is started on, one after the other, as
--- a/crates/cell/tests/delayed_commands.rs
+++ b/crates/cell/tests/delayed_commands.rs
@@ -303,7 +303,7 @@
     };
     set_delay_plan(&cell, half_delayed);
     let ids = |from: u64| (0..8).map(move |nth| format!("{:016x}", from + nth));
-    let mut canceled = Vec::new();
+    let mut cancel_times = Vec::new();
     for (cancelled, completing) in ids(0xf100).zip(ids(0xf200)) {
         let servers = cell.servers();
         caller
@@ -313,13 +313,13 @@
             .submit(&servers, &path(&completing), &job(1, "300"))
             .await;
         cancel(&cell, &caller, &cancelled).await;
-        canceled.push((cancelled, Instant::now()));
+        cancel_times.push((cancelled, Instant::now()));
     }
     let owner = cell.owner().expect("an owner");
     cell.kill(owner).await;
     wait_successor(&cell, owner).await;
 
-    for (id, at) in canceled {
+    for (id, at) in cancel_times {
         for span in wait_ended(&cell, &id).await {
             let (end, how) = span.end.expect("the run has ended");
             let took = end.saturating_duration_since(span.begin.max(at));
--- a/crates/cell/tests/foreign.rs
+++ b/crates/cell/tests/foreign.rs
@@ -17,7 +17,7 @@
     (cell, caller)
 }
 
-/// Guards against losing a good worker: it got no work any more after its row had been
+/// Guards against losing a usable worker: it got no work any more after its row had been
 /// overwritten with one of unknown state and capacity, which the owner applied.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_worker_stays_usable_after_its_row_is_overwritten() {
--- a/crates/cell/tests/full_link.rs
+++ b/crates/cell/tests/full_link.rs
@@ -6,7 +6,7 @@
 //! connections, which kept the link full. The replies that it discarded included ends, until
 //! the leases expired and the tasks started elsewhere. The cause was that calls were abandoned
 //! after a fixed timeout and repeated at a fixed interval. Log line 373 showed 32 answered and
-//! 342 abandoned calls in a second, for an owner that has 248 answered calls and abandons none
+//! 342 abandoned calls in a second; the same owner has 248 answered and no abandoned calls
 //! while its link is free.
 
 use std::time::Duration;
--- a/crates/cell/tests/log_volume.rs
+++ b/crates/cell/tests/log_volume.rs
@@ -94,8 +94,8 @@
     let job_bytes = code_bytes(text, &["362", "401"]) / jobs;
     let start_bytes = code_bytes(text, &["350", "354"]) / starts;
     println!("{job_bytes} bytes a job, {start_bytes} bytes a start, {bytes} bytes in all");
-    let bound = jobs * JOB_BYTES + starts * START_BYTES + OTHER_BYTES;
-    assert!(bytes <= bound, "{bytes} bytes, at most {bound}:\n{text}");
+    let limit = jobs * JOB_BYTES + starts * START_BYTES + OTHER_BYTES;
+    assert!(bytes <= limit, "{bytes} bytes, at most {limit}:\n{text}");
     assert!(job_bytes > 0 && start_bytes > 0, "{text}");
     cell.close().await;
 }
--- a/crates/cell/tests/overload.rs
+++ b/crates/cell/tests/overload.rs
@@ -2,8 +2,9 @@
 //!
 //! For 18 s, members of gangs waited in vain and a fifth of the requests failed, while larger
 //! hosts were idle. All larger hosts had lost power for 2 s and a small one had taken the pool;
-//! when the larger ones were back, they left the pool to it since it renewed its ownership. The
-//! cause was that a pool changed hands only when its owner was gone. Log line 330 showed a host
+//! when the larger ones were back, they did not take the pool since the small host renewed its
+//! ownership. The cause was that a pool was taken over only once it was released or its
+//! ownership had expired. Log line 330 showed a host
 //! with 0.12 of a core as the owner, and line 373 replies that took 1.2 s until the next line
 //! 330.
 
@@ -13,7 +14,7 @@
 use site::TestCell;
 use site::job;
 
-/// Time within which the pool would have changed hands.
+/// Time within which a take-over would have happened.
 const TAKEOVER_TIME: Duration = Duration::from_secs(4);
 
 /// A cell whose first host is small and owns the pool.
@@ -47,7 +48,7 @@
     cell.close().await;
 }
 
-/// Guards against a pool that changes hands without need.
+/// Guards against taking the pool from an owner that keeps up.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_that_keeps_up_keeps_the_pool() {
     let mut cell = owned_by_a_small_host().await;
@@ -59,7 +60,7 @@
     cell.close().await;
 }
 
-/// Guards against a pool that goes back to a host that cannot keep up either.
+/// Guards against a take-over by a smaller host, which cannot keep up either.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_smaller_host_does_not_take_the_pool() {
     let mut cell = owned_by_a_small_host().await;
--- a/crates/cell/tests/hold_interval.rs
+++ b/crates/cell/tests/renewal_interval.rs
@@ -1,15 +1,15 @@
-//! How often an owner calls its workers.
+//! Interval at which an owner renews the leases of its workers.
 
 use std::time::Duration;
 
 use cell::renewal_wait;
 
-/// Most calls per second for which the owner's share of half a core suffices.
+/// Largest number of calls per second that the owner can make with its share of half a core.
 const MAX_CALLS: f64 = 2000.0;
 
 /// Guards against calls at a fixed interval, whatever the size of the pool: with 3,000 workers
 /// called every 0.4 s, the owner's half of a core did nothing else, leases expired and no job
-/// was served; a worker that was leaving got work 5 s after it had said so.
+/// was served; a worker that was leaving got work 5 s after it had reported this.
 #[test]
 fn calls_to_a_large_pool_do_not_overload_its_owner() {
     let wait = renewal_wait(3_000, 0.5, 200.0);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn hold_times_stay_within_their_limits() {
+fn renewal_intervals_stay_within_their_limits() {
     assert_eq!(renewal_wait(48, 0.25, 1000.0), Duration::from_millis(400));
     assert_eq!(renewal_wait(540, 0.5, 200.0), Duration::from_millis(400));
     assert_eq!(
--- a/crates/cell/tests/restarts.rs
+++ b/crates/cell/tests/restarts.rs
@@ -87,8 +87,8 @@
     cell.close().await;
 }
 
-/// Most starts of a task that crashes each worker: the platform allows two more after three
-/// crashes.
+/// Largest number of starts of a task that crashes each worker: the platform allows two more
+/// after three crashes.
 const MAX_STARTS: usize = 5;
 
 /// Guards against a worker's crash that is not counted because a worker with the same id is
@@ -162,8 +162,8 @@
     assert_jobs_complete(cell, &caller, &restarts).await;
 }
 
-/// Guards against inferring the order of two incarnations from their start times: the clock of a worker may be set
-/// back.
+/// Guards against inferring the order of two incarnations from their start times: the clock of
+/// a worker may be set back.
 #[tokio::test(flavor = "multi_thread")]
 async fn workers_whose_clock_was_set_back_are_used_again() {
     let caller = Caller::new();
--- a/crates/cell/tests/scale.rs
+++ b/crates/cell/tests/scale.rs
@@ -5,9 +5,9 @@
 use cell::takeover_delay;
 use site::TestCell;
 
-/// Guards against a pool that changes hands every two seconds after its owner has died, so that
+/// Guards against a pool that is taken over every two seconds after its owner has died, so that
 /// no job is served, as seen with 299 hosts. All hosts saw that the pool was free; each waited
-/// for its turn and then wrote without reading the row again. Up to a hundred writes, and
+/// for its take-over delay and then wrote without reading the row again. Up to a hundred writes, and
 /// behind them the renewals of the new owner, were queued in the owner's part of the store, and
 /// the ownership expired. The cause was that the row was read only before the wait.
 #[tokio::test(flavor = "multi_thread")]
@@ -18,7 +18,7 @@
 
     cell.kill(owner).await;
     cell.wait_owner(|next| next != owner).await;
-    // By then the last host has had its turn.
+    // By then the take-over delay of each host has ended.
     tokio::time::sleep(Duration::from_millis(600)).await;
     let writes = cell.store.transactions(cell::OWNERSHIP_TABLE) - before;
     assert!(writes <= 4, "{writes} hosts wrote");
@@ -31,7 +31,7 @@
 /// restarting, read for 2.4 s and could not keep up with 350 workers. It had waited for 0.4 s,
 /// and a killed process is back after 0.6 s.
 #[test]
-fn a_small_host_leaves_a_free_pool_to_larger_ones_that_start_again() {
+fn a_small_host_takes_a_free_pool_only_after_larger_hosts_have_restarted() {
     const RESTART_TIME: Duration = Duration::from_millis(600);
     let names: Vec<String> = (0..100).map(|nth| format!("entry-{nth}")).collect();
 
--- a/crates/cell/tests/slow_links.rs
+++ b/crates/cell/tests/slow_links.rs
@@ -29,7 +29,7 @@
 /// took the pool and read for as long. The cause was that an owner renewed only once it had
 /// read everything.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_owner_that_reads_for_long_keeps_the_pool() {
+async fn an_owner_whose_first_read_takes_long_keeps_the_pool() {
     let mut cell = TestCell::open(3, 2).await;
     let caller = Caller::new();
     let path = "/plain/00000000000000d1";
@@ -74,7 +74,7 @@
     let took = requested.elapsed();
     assert!(
         took < RELEASE_TIME,
-        "the pool was held for {took:?} by a host that stops"
+        "a stopping host kept the pool for {took:?}"
     );
     cell.close().await;
 }
@@ -134,7 +134,7 @@
     cell.close().await;
 }
 
-/// Guards against tasks that start, or keep running, until the feed brings the cancellation of
+/// Guards against tasks that start, or keep running, until the feed delivers the cancellation of
 /// their job.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_that_cannot_read_the_feed_is_notified_of_cancellations() {
--- a/crates/cell/tests/stale.rs
+++ b/crates/cell/tests/stale.rs
@@ -75,7 +75,8 @@
     cell.close().await;
 }
 
-/// The same with an owner that is frozen, and is asked as soon as it continues.
+/// Guards against an old count from an owner whose process was frozen and is queried as soon as
+/// it continues.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_that_was_frozen_gives_no_stale_count() {
     let (cell, caller) = open(2, 1).await;
@@ -106,9 +107,9 @@
     cell.close().await;
 }
 
-/// The same with a store that refuses reads but carries out transactions. The store counted as
-/// unreachable, so nothing was accepted, and the owner went on answering with old information for
-/// as long as that lasted.
+/// Guards against an old count from an owner whose store refuses reads but carries out
+/// transactions. The store counted as unreachable, so nothing was accepted, and the owner went
+/// on answering with old information for as long as that lasted.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_that_can_write_but_not_read_gives_no_count() {
     let (cell, caller) = open(1, 1).await;
--- a/crates/cell/tests/states.rs
+++ b/crates/cell/tests/states.rs
@@ -13,7 +13,7 @@
 fn rank(state: &str) -> usize {
     let states = ["pending", "active", "completed"];
     let found = states.iter().position(|name| *name == state);
-    found.expect("state of a job that ends well")
+    found.expect("status of a completing job")
 }
 
 /// Polls a process for the status of a job until it is completed; returns each change.
--- a/crates/cell/tests/turned_away.rs
+++ b/crates/cell/tests/store_refusals.rs
@@ -32,7 +32,8 @@
 }
 
 /// Guards against refusing jobs because of one part of the store. While a fifth of the parts was
-/// unavailable, a job was offered only to the part that its id selects, and refused with it.
+/// unavailable, a job was written only to the part that its id selects, and
+/// refused if that part was unavailable.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_job_is_accepted_while_its_usual_part_is_unavailable() {
     let (cell, caller, part) = open(1).await;
@@ -48,7 +49,7 @@
 }
 
 /// A repeated submission that finds the usual part available again writes a second row of the
-/// job. It must remain one job, and its end must stand.
+/// job. It must remain one job, and its outcome must not change.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_job_with_two_rows_runs_once() {
     let (cell, caller, part) = open(1).await;
@@ -92,7 +93,7 @@
     cell.close().await;
 }
 
-/// Guards against refusing callers at a host that the store refuses: they were told to retry and
+/// Guards against refusing callers at a host that the store refuses: they got replies to retry and
 /// missed their objective, while every other host could have accepted their jobs.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_host_that_the_store_refuses_forwards_jobs() {
--- a/crates/cell/tests/cut_workers.rs
+++ b/crates/cell/tests/unreachable_workers.rs
@@ -106,7 +106,7 @@
 /// Guards against a new worker that gets no work for its whole incarnation. It had registered
 /// while the owner, which waited for a silent worker after a take-over, was receiving the list
 /// of machines. That list was older than the worker; since the worker had not answered yet when
-/// the list arrived, the owner took it for dead.
+/// the list arrived, the owner counted its incarnation as ended.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_list_of_machines_does_not_end_younger_workers() {
     let mut cell = TestCell::open(1, 0).await;
@@ -137,8 +137,8 @@
 
 /// Guards against a task that runs on two workers at a time. The owner is cut off from the
 /// store and from some workers, and continues with the others, which no successor reaches.
-/// Nobody tells this owner that the pool is lost, so it renews their leases without end, while
-/// its successor counts them as expired.
+/// Nothing shows this owner that it has lost the pool, so it renews their leases without end,
+/// while its successor counts them as expired.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_that_shares_no_worker_with_its_successor_renews_no_lease() {
     const IDS: [&str; 2] = ["00000000000000f7", "00000000000000f8"];
--- a/crates/job/src/planner/advice.rs
+++ b/crates/job/src/planner/advice.rs
@@ -48,7 +48,7 @@
     Some,
     /// Most helpers are free: a gang may have several calls at a time. When gangs could do so at
     /// any time, their calls took four fifths of the service's time in a fully loaded pool, and
-    /// callers with single tasks got 0.55 instead of 0.97 of the value of results in time.
+    /// callers with single tasks got 0.55 instead of 0.97 of their results' value in time.
     Most,
 }
 
--- a/crates/job/src/planner/preempt.rs
+++ b/crates/job/src/planner/preempt.rs
@@ -62,8 +62,9 @@
     /// Preempts tasks for a gang that does not fit, and reserves their resources for it.
     /// Returns false, and preempts nothing, if that is not enough.
     ///
-    /// In a lightly loaded pool of 350 workers, this raised the value that callers got from gangs
-    /// from 0.82 to 0.90 of that of results in time, and the processors in use from 0.77 to 0.81.
+    /// In a lightly loaded pool of 350 workers, this raised the share of the value of gangs'
+    /// results that callers got in time from 0.82 to 0.90, and the share of processors in use from
+    /// 0.77 to 0.81.
     pub(super) fn preempt_for_gang(
         &mut self,
         rank: Rank,
