--- a/crates/daemon/tests/reporting/answers.rs
+++ b/crates/daemon/tests/reporting/answers.rs
@@ -72,9 +72,12 @@
     let before = event::wall_millis();
 
     let (_redirect_sender, redirect_callers) = watch::channel(false);
-    let patience = Duration::from_secs(5);
-    let submitting =
-        tokio::spawn(async move { router.submit(submission, patience, redirect_callers).await });
+    let wait_limit = Duration::from_secs(5);
+    let submitting = tokio::spawn(async move {
+        router
+            .submit(submission, wait_limit, redirect_callers)
+            .await
+    });
     let first = next_submission(&mut inbox, None).await;
     let ok = Answer::without_output("r1", Code::Ok, "");
     let second = next_submission(&mut inbox, Some(ok)).await;
--- a/crates/daemon/tests/reporting/links.rs
+++ b/crates/daemon/tests/reporting/links.rs
@@ -40,7 +40,7 @@
 #[derive(Debug, Default)]
 struct State {
     /// Number of the current incarnation of the worker.
-    run: u32,
+    incarnation_number: u32,
     claimed: bool,
     starts: u32,
     stops: u32,
@@ -63,7 +63,7 @@
         let mut state = self.lock();
         state.claimed = true;
         let claimed = ClaimReply {
-            incarnation: format!("run-{}", state.run),
+            incarnation: format!("run-{}", state.incarnation_number),
             turn: 1,
             capacity: Resources::default(),
             tasks: Vec::new(),
@@ -75,7 +75,7 @@
         let mut state = self.lock();
         state.starts += 1;
         if self.restarts && state.starts == 1 {
-            state.run += 1;
+            state.incarnation_number += 1;
             state.claimed = false;
             return web::error(StatusCode::INTERNAL_SERVER_ERROR, "lost");
         }
@@ -96,16 +96,16 @@
     }
 
     async fn poll(&self) -> HttpResponse {
-        let run = self.lock().run;
+        let incarnation_number = self.lock().incarnation_number;
         tokio::time::sleep(Duration::from_millis(400)).await;
         let state = self.lock();
-        if !state.claimed || state.run != run {
+        if !state.claimed || state.incarnation_number != incarnation_number {
             drop(state);
             return refused();
         }
         let polled = PollReply {
             turn: 2,
-            incarnation: format!("run-{}", state.run),
+            incarnation: format!("run-{}", state.incarnation_number),
             ended: Vec::new(),
             usage: Resources::default(),
         };
--- a/crates/daemon/tests/soak/checker.rs
+++ b/crates/daemon/tests/soak/checker.rs
@@ -9,7 +9,7 @@
 use site::Caller;
 use site::WorkerEvent;
 
-use crate::give_up::may_be_given_up;
+use crate::crash_limit::may_fail_after_crashes;
 use crate::testbed::Testbed;
 use crate::traffic::Job;
 use crate::traffic::Outcome;
@@ -50,8 +50,9 @@
             Err(_) => state(&caller, servers[0], &job.path).await,
         };
         let as_expected = expected.iter().any(|state| shown == *state);
-        let given_up = || shown == "failed" && may_be_given_up(&testbed.log, &job.id);
-        if !as_expected && !given_up() {
+        let failed_after_crashes =
+            || shown == "failed" && may_fail_after_crashes(&testbed.log, &job.id);
+        if !as_expected && !failed_after_crashes() {
             violations.push(format!("{}: {:?}, shown as {shown}", job.id, job.outcome));
         }
     }
--- a/crates/daemon/tests/soak/give_up.rs
+++ b/crates/daemon/tests/soak/crash_limit.rs
@@ -1,26 +1,25 @@
 //! Decides which jobs may be shown as failed because workers crashed while running their tasks.
 //!
-//! A sound task whose workers go down for other reasons can't be distinguished from a task
-//! that crashes them. So it may be given up under the same rules, and no earlier.
+//! A task without a fault whose workers go down for other reasons can't be distinguished from
+//! a task that crashes them. So it may fail under the same rules, and no earlier.
 
 use std::time::Duration;
 
 use site::RunLog;
 use site::RunSpan;
 
-/// Number of crashes after which a task is given up, whether or not other tasks ran on the
-/// workers.
+/// Number of crashes after which a task fails, whether or not other tasks ran on the workers.
 const MAX_CRASHES: usize = 5;
 
-/// Minimum number of crashes after which a task is given up if it was the only one on the
-/// worker at the last crash.
+/// Minimum number of crashes after which a task fails if it was the only one on the worker at
+/// the last crash.
 const MIN_CRASHES: usize = 3;
 
 /// Maximum time between the ends of two runs that a crash of their worker ended.
 const SAME_CRASH: Duration = Duration::from_millis(5);
 
-/// Whether a task of the job has had enough crashes to be given up.
-pub fn may_be_given_up(log: &RunLog, job: &str) -> bool {
+/// Whether a task of the job has had enough crashes to fail.
+pub fn may_fail_after_crashes(log: &RunLog, job: &str) -> bool {
     let lost: Vec<RunSpan> = log.spans("").into_iter().filter(RunSpan::lost).collect();
     let job_runs: Vec<&RunSpan> = lost
         .iter()
--- a/crates/daemon/tests/soak/main.rs
+++ b/crates/daemon/tests/soak/main.rs
@@ -1,11 +1,11 @@
 //! Randomized soak test: real processes on loopback under injected faults, checked by what
 //! callers and workers observe.
 //!
-//! `SOAK_SEEDS=FIRST_START-LAST` runs these seeds instead of those of CI. For a seed that fails, the
+//! `SOAK_SEEDS=FIRST-LAST` runs these seeds instead of those of CI. For a seed that fails, the
 //! logs of the processes are kept and their folder is printed.
 
 mod checker;
-mod give_up;
+mod crash_limit;
 mod plan;
 mod testbed;
 mod traffic;
--- a/crates/daemon/tests/takeover.rs
+++ b/crates/daemon/tests/takeover.rs
@@ -169,8 +169,8 @@
 async fn submit_long_task(cell: &Cell, index: usize) -> JoinHandle<Result<AnswerBody, CallError>> {
     let (client, server) = (cell.caller.clone(), cell.http(index));
     let request = restock_request("long", Duration::from_mins(1));
-    let patience = Duration::from_mins(2);
-    let caller = tokio::spawn(async move { client.submit(server, &request, patience).await });
+    let wait_limit = Duration::from_mins(2);
+    let caller = tokio::spawn(async move { client.submit(server, &request, wait_limit).await });
     let runs = || cell.platform.log.runs();
     while !runs().iter().any(|run| run.request.ends_with("/long")) {
         tokio::time::sleep(Duration::from_millis(20)).await;
