--- a/crates/daemon/tests/link.rs
+++ b/crates/daemon/tests/link.rs
@@ -88,7 +88,7 @@
     let claimed = client.claim(address, &claim).await.expect("claim");
     let poll = Poll {
         fence: fence(1),
-        turn: claimed.turn,
+        reply_number: claimed.reply_number,
         ended: Vec::new(),
         wait_millis: 0,
     };
@@ -96,7 +96,7 @@
     let start = Start {
         fence: fence(1),
         run: claimed.incarnation,
-        turn: polled.turn,
+        reply_number: polled.reply_number,
         attempt: "stores/r1#1.1.0".to_owned(),
         request: "stores/r1".to_owned(),
         needs: Resources::default(),
@@ -158,7 +158,7 @@
 
 // Guards against a restock that never gets an answer because it ends while its shard changes
 // owners. The new owner claims the worker, which lists the task as running; the task ends;
-// the reply to the first poll after the claim reports the end. The link used the turn of
+// the reply to the first poll after the claim reports the end. The link used the number of
 // that reply but ignored the ended tasks, and its next poll acknowledged them, so the worker
 // did not report them again.
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/daemon/tests/reporting/links.rs
+++ b/crates/daemon/tests/reporting/links.rs
@@ -64,7 +64,7 @@
         state.claimed = true;
         let claimed = ClaimReply {
             incarnation: format!("run-{}", state.incarnation_number),
-            turn: 1,
+            reply_number: 1,
             capacity: Resources::default(),
             tasks: Vec::new(),
         };
@@ -104,7 +104,7 @@
             return refused();
         }
         let polled = PollReply {
-            turn: 2,
+            reply_number: 2,
             incarnation: format!("run-{}", state.incarnation_number),
             ended: Vec::new(),
             usage: Resources::default(),
--- a/crates/fake/src/worker/fake_worker.rs
+++ b/crates/fake/src/worker/fake_worker.rs
@@ -87,10 +87,10 @@
         state.fence = claim.fence;
         state.claimed = true;
         state.lease_duration = Duration::from_millis(claim.lease_millis);
-        let turn = state.next_turn();
+        let reply_number = state.next_reply_number();
         Ok(ClaimReply {
             incarnation: state.incarnation.clone(),
-            turn,
+            reply_number,
             capacity: self.capacity,
             tasks: state
                 .tasks
@@ -119,7 +119,7 @@
             start.attempt.clone(),
             TrackedTask {
                 task,
-                reported_turn: 0,
+                reporting_reply: 0,
             },
         );
         self.log.start(&self.id, start);
@@ -199,9 +199,9 @@
                 if state.fence != poll.fence && !state.behaviour.ignore_fence {
                     return Err(state.refusal(RefusalReason::Fenced));
                 }
-                let unreported = state.has_new_ends(poll.turn);
+                let unreported = state.has_new_ends(poll.reply_number);
                 if unreported || Instant::now() >= deadline {
-                    return Ok(state.poll_reply(poll.turn));
+                    return Ok(state.poll_reply(poll.reply_number));
                 }
             }
             let _ = tokio::time::timeout_at(deadline.into(), wakeup).await;
--- a/crates/fake/src/worker/state.rs
+++ b/crates/fake/src/worker/state.rs
@@ -24,8 +24,8 @@
 #[derive(Debug)]
 pub(super) struct TrackedTask {
     pub(super) task: Task,
-    /// Turn of the first reply that reported the end; 0 if none has.
-    pub(super) reported_turn: ReplyNumber,
+    /// Number of the newest reply that reported the end; 0 if none has.
+    pub(super) reporting_reply: ReplyNumber,
 }
 
 /// An attempt that must not start any more: it has ended, or its start was
@@ -45,7 +45,7 @@
     pub(super) claimed: bool,
     pub(super) lease_duration: Duration,
     pub(super) lease_expiry: Option<Instant>,
-    turn: ReplyNumber,
+    reply_number: ReplyNumber,
     reply_times: VecDeque<(ReplyNumber, Instant)>,
     pub(super) tasks: HashMap<AttemptId, TrackedTask>,
     /// Attempts that must not start any more.
@@ -62,7 +62,7 @@
             claimed: false,
             lease_duration: Duration::ZERO,
             lease_expiry: None,
-            turn: 0,
+            reply_number: 0,
             reply_times: VecDeque::new(),
             tasks: HashMap::new(),
             closed: HashMap::new(),
@@ -98,10 +98,10 @@
         }
     }
 
-    pub(super) fn next_turn(&mut self) -> ReplyNumber {
-        self.turn += 1;
+    pub(super) fn next_reply_number(&mut self) -> ReplyNumber {
+        self.reply_number += 1;
         let now = Instant::now();
-        self.reply_times.push_back((self.turn, now));
+        self.reply_times.push_back((self.reply_number, now));
         let duration = self.lease_duration;
         while self
             .reply_times
@@ -111,7 +111,7 @@
             self.reply_times.pop_front();
         }
         self.closed.retain(|_, closed| closed.at + duration >= now);
-        self.turn
+        self.reply_number
     }
 
     pub(super) fn has_started(&self, attempt: &str) -> bool {
@@ -140,7 +140,11 @@
         if self.closed.contains_key(&start.attempt) {
             return Some(RefusalReason::Full);
         }
-        if !self.reply_times.iter().any(|(turn, _)| *turn == start.turn) {
+        if !self
+            .reply_times
+            .iter()
+            .any(|(reply_number, _)| *reply_number == start.reply_number)
+        {
             return Some(RefusalReason::LeaseOver);
         }
         if self
@@ -168,7 +172,10 @@
                 self.close_attempt(attempt.clone(), true);
             }
         }
-        let acknowledged = self.reply_times.iter().find(|(turn, _)| *turn == poll.turn);
+        let acknowledged = self
+            .reply_times
+            .iter()
+            .find(|(reply_number, _)| *reply_number == poll.reply_number);
         if let Some((_, sent_at)) = acknowledged {
             let expiry = *sent_at + self.lease_duration;
             self.lease_expiry = self.lease_expiry.max(Some(expiry));
@@ -180,24 +187,24 @@
     pub(super) fn has_new_ends(&self, acknowledged: ReplyNumber) -> bool {
         let unreported = |tracked: &TrackedTask| {
             tracked.task.end.is_some()
-                && (tracked.reported_turn == 0 || tracked.reported_turn > acknowledged)
+                && (tracked.reporting_reply == 0 || tracked.reporting_reply > acknowledged)
         };
         self.tasks.values().any(unreported)
     }
 
     pub(super) fn poll_reply(&mut self, acknowledged: ReplyNumber) -> PollReply {
-        let turn = self.next_turn();
+        let reply_number = self.next_reply_number();
         let mut ended = Vec::new();
         for tracked in self.tasks.values_mut() {
             let acknowledged_end =
-                tracked.reported_turn != 0 && tracked.reported_turn <= acknowledged;
+                tracked.reporting_reply != 0 && tracked.reporting_reply <= acknowledged;
             if tracked.task.end.is_some() && !acknowledged_end {
-                tracked.reported_turn = turn;
+                tracked.reporting_reply = reply_number;
                 ended.push(tracked.task.clone());
             }
         }
         PollReply {
-            turn,
+            reply_number,
             incarnation: self.incarnation.clone(),
             ended,
             usage: Resources::default(),
--- a/crates/shard/src/link.rs
+++ b/crates/shard/src/link.rs
@@ -88,8 +88,8 @@
     /// Arrival of the newest poll reply. The next poll acknowledges it and so
     /// renews the lease. `None` before the first reply and after lease expiry.
     last_reply: Option<Instant>,
-    /// Turn of the newest reply, which the next poll acknowledges.
-    turn: ReplyNumber,
+    /// Number of the newest reply, which the next poll acknowledges.
+    reply_number: ReplyNumber,
     /// Ended tasks that the next poll lets the worker forget.
     forget: Vec<AttemptId>,
     /// Whether the loss of the worker, or its refusal of a poll, was reported to
@@ -122,7 +122,7 @@
             commands,
             inputs,
             last_reply: None,
-            turn: 0,
+            reply_number: 0,
             forget: Vec::new(),
             lost: false,
             unconfirmed: HashSet::new(),
@@ -196,7 +196,7 @@
         };
         let address = self.params.host.host.address;
         let claimed = self.params.client.claim(address, &claim).await?;
-        self.turn = claimed.turn;
+        self.reply_number = claimed.reply_number;
         let poll = self.poll_message(Duration::ZERO);
         let polled = self.params.client.poll(address, &poll).await?;
         Ok((claimed, self.process_reply(polled)))
@@ -331,7 +331,7 @@
     fn poll_message(&self, wait: Duration) -> Poll {
         Poll {
             fence: self.fence,
-            turn: self.turn,
+            reply_number: self.reply_number,
             ended: self.forget.clone(),
             wait_millis: crate::intake::millis(wait),
         }
@@ -343,7 +343,7 @@
     /// worker is claimed again.
     #[must_use]
     fn process_reply(&mut self, polled: PollReply) -> Vec<Task> {
-        self.turn = polled.turn;
+        self.reply_number = polled.reply_number;
         self.last_reply = Some(Instant::now());
         self.lost = false;
         polled.ended
@@ -355,7 +355,7 @@
         match command {
             LinkCommand::Start(unfenced) => {
                 let gate = self.params.gate.clone();
-                let start = unfenced.fenced(self.fence, self.turn);
+                let start = unfenced.fenced(self.fence, self.reply_number);
                 self.unconfirmed.insert(start.attempt.clone());
                 calls.spawn(async move { send_start(&client, address, &gate, start).await });
             }
--- a/crates/shard/src/message.rs
+++ b/crates/shard/src/message.rs
@@ -214,7 +214,7 @@
     Checkpoint,
 }
 
-/// A start message without fence and turn, which the link adds. The
+/// A start message without fence and reply number, which the link adds. The
 /// incarnation is the one that the shard knew when it placed the task. If the worker has restarted
 /// since, it refuses the start, so that a task never starts in an incarnation
 /// other than the one that the shard has noted.
@@ -237,13 +237,13 @@
 }
 
 impl UnfencedStart {
-    /// Completes the start message with fence and turn.
+    /// Completes the start message with fence and reply number.
     #[must_use]
-    pub fn fenced(self, fence: worker::Fence, turn: worker::ReplyNumber) -> Start {
+    pub fn fenced(self, fence: worker::Fence, reply_number: worker::ReplyNumber) -> Start {
         Start {
             fence,
             run: self.incarnation,
-            turn,
+            reply_number,
             attempt: self.attempt,
             request: self.request,
             needs: self.needs,
--- a/crates/shard/tests/shown/fixture.rs
+++ b/crates/shard/tests/shown/fixture.rs
@@ -170,7 +170,7 @@
     ) -> Effects {
         let claimed = ClaimReply {
             incarnation: incarnation.to_owned(),
-            turn: 1,
+            reply_number: 1,
             capacity: resources(slots),
             tasks,
         };
--- a/crates/shard/tests/simulation/workers.rs
+++ b/crates/shard/tests/simulation/workers.rs
@@ -118,7 +118,7 @@
         state.epoch = self.epoch;
         let claimed = ClaimReply {
             incarnation: format!("run-{}", state.incarnation),
-            turn: 1,
+            reply_number: 1,
             capacity: capacity(),
             tasks: state.tasks.values().cloned().collect(),
         };
@@ -150,7 +150,7 @@
         for task in self.workers[worker].tasks.values_mut() {
             task.end.get_or_insert_with(|| ended(EndResult::LeaseOver));
         }
-        // Starts still in flight name a poll turn that is too old, so the
+        // Starts still in flight name a reply that is too old, so the
         // worker refuses them.
         for start in &self.in_flight {
             if start.worker == worker {
--- a/crates/worker/src/message.rs
+++ b/crates/worker/src/message.rs
@@ -49,7 +49,8 @@
     /// its tasks.
     pub incarnation: Incarnation,
     /// Sequence number of this reply.
-    pub turn: ReplyNumber,
+    #[serde(rename = "turn")]
+    pub reply_number: ReplyNumber,
     /// Total resources of the worker.
     pub capacity: Resources,
     /// Running tasks, and ended tasks that no poll has acknowledged yet.
@@ -99,7 +100,7 @@
 
 /// Starts one task, at most once per attempt, even if the message is duplicated
 /// or delayed. To ensure this, the worker remembers each ended or refused attempt
-/// for the duration of one lease, and refuses a start if it sent the reply `turn`
+/// for the duration of one lease, and refuses a start if it sent the reply `reply_number`
 /// longer ago than that; so no copy can arrive after the attempt was forgotten.
 /// This does not compare the clocks of two hosts.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -111,7 +112,8 @@
     pub run: Incarnation,
     /// Number of the newest reply that the owner had received from the worker
     /// when it decided to start the task.
-    pub turn: ReplyNumber,
+    #[serde(rename = "turn")]
+    pub reply_number: ReplyNumber,
     /// Id of the attempt.
     pub attempt: AttemptId,
     /// Key of the request that the task belongs to.
@@ -147,7 +149,8 @@
     /// new lease from the time at which it sent that reply, so a poll delayed in
     /// the network cannot extend the lease beyond the expiry that the owner
     /// assumes.
-    pub turn: ReplyNumber,
+    #[serde(rename = "turn")]
+    pub reply_number: ReplyNumber,
     /// Ended attempts that the owner acknowledges and the worker may forget.
     pub ended: Vec<AttemptId>,
     /// Maximum time for which the worker may delay the reply, in milliseconds.
@@ -158,7 +161,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PollReply {
     /// Sequence number of this reply.
-    pub turn: ReplyNumber,
+    #[serde(rename = "turn")]
+    pub reply_number: ReplyNumber,
     /// Incarnation of the worker.
     pub incarnation: Incarnation,
     /// Ended tasks that no poll has acknowledged yet.
