--- a/crates/daemon/tests/link.rs
+++ b/crates/daemon/tests/link.rs
@@ -95,7 +95,7 @@
     let polled = client.poll(address, &poll).await.expect("poll");
     let start = Start {
         fence: fence(1),
-        run: claimed.incarnation,
+        incarnation: claimed.incarnation,
         reply_number: polled.reply_number,
         attempt: "stores/r1#1.1.0".to_owned(),
         request: "stores/r1".to_owned(),
--- a/crates/fake/src/worker/fake_worker.rs
+++ b/crates/fake/src/worker/fake_worker.rs
@@ -140,7 +140,7 @@
             EndResult::Succeeded
         };
         let output = format!("{}:{}", base_key(&start.request), start.payload);
-        self.finish(&start.run, &start.attempt, result, output);
+        self.finish(&start.incarnation, &start.attempt, result, output);
     }
 
     fn finish(&self, incarnation: &str, attempt: &str, result: EndResult, output: String) {
--- a/crates/fake/src/worker/state.rs
+++ b/crates/fake/src/worker/state.rs
@@ -134,7 +134,7 @@
         if start.fence != self.fence && !self.behaviour.ignore_fence {
             return Some(RefusalReason::Fenced);
         }
-        if !self.claimed || start.run != self.incarnation {
+        if !self.claimed || start.incarnation != self.incarnation {
             return Some(RefusalReason::Unclaimed);
         }
         if self.closed.contains_key(&start.attempt) {
--- a/crates/shard/src/message.rs
+++ b/crates/shard/src/message.rs
@@ -242,7 +242,7 @@
     pub fn fenced(self, fence: worker::Fence, reply_number: worker::ReplyNumber) -> Start {
         Start {
             fence,
-            run: self.incarnation,
+            incarnation: self.incarnation,
             reply_number,
             attempt: self.attempt,
             request: self.request,
--- a/crates/worker/src/message.rs
+++ b/crates/worker/src/message.rs
@@ -109,7 +109,8 @@
     pub fence: Fence,
     /// Incarnation of the worker that was claimed. Any other incarnation refuses
     /// the start, so a start delayed past a restart of the worker cannot run.
-    pub run: Incarnation,
+    #[serde(rename = "run")]
+    pub incarnation: Incarnation,
     /// Number of the newest reply that the owner had received from the worker
     /// when it decided to start the task.
     #[serde(rename = "turn")]
