--- a/crates/event/src/kind.rs
+++ b/crates/event/src/kind.rs
@@ -37,9 +37,12 @@
     StopStep = 104,
     /// The process acquired a new lease.
     LeaseAcquired = 200,
-    /// The process's lease ran out of time, but no other process marked it as
-    /// expired; the process keeps its state.
-    LeaseLapsed = 201,
+    /// The process renewed its lease after the time for which it may act on the
+    /// lease had passed, but before another process marked the lease as expired.
+    /// The process keeps its shards, unless the setting `reclaim` is off.
+    #[serde(rename = "lease_lapsed")]
+    #[strum(serialize = "lease_lapsed")]
+    LeaseRenewedLate = 201,
     /// Another process marked this process's lease as expired.
     LeaseExpired = 202,
     /// This process marked the lease of another process as expired.
--- a/crates/shard/src/shard_manager.rs
+++ b/crates/shard/src/shard_manager.rs
@@ -282,7 +282,7 @@
         match renewal {
             _ if is_first => self.record_event(Event::new(Kind::LeaseAcquired)),
             Renewal::Held if lapsed => {
-                self.record_event(Event::new(Kind::LeaseLapsed));
+                self.record_event(Event::new(Kind::LeaseRenewedLate));
                 if !self.context.reclaim {
                     self.drop_all_shards();
                 }
