--- a/crates/model/src/answer.rs
+++ b/crates/model/src/answer.rs
@@ -22,17 +22,17 @@
     pub output: String,
     /// Hexadecimal SHA-256 of `output`, computed by the worker that ran the task.
     pub digest: String,
-    /// Worker that ran the first member; empty if no task was started.
+    /// Worker that ran the first task of the request; empty if no task was started.
     pub worker: WorkerId,
-    /// Time from submission to start, in milliseconds.
+    /// Time from the submission to the start of the tasks, in milliseconds.
     pub waited_millis: u64,
-    /// Delay after which the caller may retry, in milliseconds; 0 if a retry
-    /// does not apply.
+    /// Delay after which the caller may send the request again, in milliseconds;
+    /// 0 if it should not.
     pub retry_millis: u64,
 }
 
 impl Answer {
-    /// Creates an answer without output.
+    /// Creates an answer without output, worker and waiting time.
     #[must_use]
     pub fn without_output(id: &str, code: Code, reason: impl Into<String>) -> Answer {
         Answer {
@@ -47,14 +47,15 @@
         }
     }
 
-    /// Sets the delay after which the caller may retry.
+    /// Sets the delay after which the caller may send the request again.
     #[must_use]
     pub fn retry_in(mut self, millis: u64) -> Answer {
         self.retry_millis = millis;
         self
     }
 
-    /// Whether the output is complete and unchanged since the task wrote it.
+    /// Whether the digest matches the output, so that the output is complete and
+    /// unchanged since the worker computed the digest.
     #[must_use]
     pub fn has_valid_digest(&self) -> bool {
         digest(&self.output) == self.digest
--- a/crates/model/src/class.rs
+++ b/crates/model/src/class.rs
@@ -7,7 +7,9 @@
 use strum::EnumString;
 use strum::IntoStaticStr;
 
-/// Work class of a request; selects the scheduling policy and the queue.
+/// Work class of a request; selects the scheduling policy and the queue. The
+/// variants are declared from the most to the least urgent: the scheduler
+/// serves the classes in the order of [`Ord`].
 #[derive(
     Clone,
     Copy,
@@ -33,14 +35,14 @@
     Interactive,
     /// A group of tasks (members) that must start together.
     Gang,
-    /// May wait in the queue, but must end before its deadline.
+    /// May wait in the queue, ordered by deadline, but must start before it.
     Batch,
 }
 
 impl Class {
-    /// Whether the intent to start a task must be recorded in the table before
-    /// the start message is sent, so that no later owner of the shard can start
-    /// the task again.
+    /// Whether the owner of a shard must record the intent to start a task in the
+    /// platform's table before it sends the start message to the worker, so that
+    /// no later owner of the shard starts the task again.
     #[must_use]
     pub fn is_durable(self) -> bool {
         matches!(self, Class::Gang | Class::Batch)
--- a/crates/model/src/code.rs
+++ b/crates/model/src/code.rs
@@ -19,9 +19,11 @@
     Failed,
     /// The request did not run and will not run.
     NotRun,
-    /// Unknown whether the request ran, partly or completely.
+    /// It is unknown whether the request ran; it may have run partly or
+    /// completely.
     MayHaveRun,
-    /// No final answer yet; the caller should ask again.
+    /// No final answer yet; the caller should send the request again with the
+    /// same id.
     Pending,
 }
 
@@ -47,36 +49,39 @@
     Ok = 100,
     /// The task itself reported a failure.
     TaskFailed = 200,
-    /// The task was stopped because it reached its run-time limit or because the
-    /// caller cancelled it.
+    /// The task was stopped, or not started again after a lost attempt, because
+    /// the caller cancelled the request.
     TaskStopped = 201,
     /// The request is malformed.
     Invalid = 300,
-    /// The request can never run: no host is large enough, or a limit of the cell
-    /// is too low.
+    /// The request can never run: the workers of its shard are too small or too
+    /// few, or the request exceeds the quota of its team or a power limit.
     NeverFits = 301,
-    /// The queue of the request's class or team is full.
+    /// The queue of the request's team is full, or the team has too many requests
+    /// in flight at the process that received this one.
     QueueFull = 302,
     /// The deadline passed before the request could start.
     DeadlinePassed = 303,
     /// The request was cancelled before it started.
     Cancelled = 304,
-    /// The table is unavailable, and this request must not start without a
-    /// recorded intent.
+    /// The platform's table was unavailable until the deadline, and the request
+    /// must not start before its intent is recorded there.
     StoreUnavailable = 305,
     /// No owner of the request's shard was reachable; the request was not sent.
     NoOwner = 306,
     /// The id was already used for a different request.
     IdReused = 308,
-    /// The host that ran the request was lost.
+    /// The worker that ran the request was lost, became unreachable or returned a
+    /// damaged output, or the request was interrupted and must not run again.
     HostLost = 400,
-    /// The owner of the request's shard did not answer in time.
+    /// The owner of the request's shard did not answer in time, or an earlier
+    /// owner of the shard may have run the request.
     OwnerLost = 401,
-    /// The request is older than the retention time of answers, so its result is
-    /// no longer stored.
+    /// The caller first sent the request longer ago than the retention time of
+    /// answers, so its answer may no longer be stored.
     Forgotten = 402,
-    /// No final answer yet: the request was accepted, or may still be on its way
-    /// to the owner of its shard.
+    /// No final answer yet: the request was accepted, or the owner of its shard
+    /// has not answered yet.
     Pending = 500,
 }
 
--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -21,18 +21,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
-    /// Maximum resources that the team's running tasks may hold in the whole cell.
+    /// Maximum resources of the team's running tasks in the whole cell.
     pub quota: Resources,
     /// Number of shards over which the team is spread, fixed when the team is
-    /// created. The default is derived from the quota: one shard per 8 slots.
+    /// created. 0 in the patch that creates the team selects the default: one
+    /// shard per 8 slots of the quota, but at least one.
     #[serde(default)]
     pub span: u16,
-    /// Maximum number of the team's requests queued in one shard.
+    /// Maximum number of the team's requests that wait in the queue of one shard.
     #[serde(default = "default_queue")]
     pub queue: u32,
 }
 
-/// Quota slots per shard, from which the default span of a team is derived.
+/// Number of slots of a team's quota for each shard of its default span.
 const SLOTS_PER_SHARD: u32 = 8;
 
 fn default_span(slots: u32) -> u16 {
@@ -55,11 +56,13 @@
     pub rack_watts: u32,
     /// Teams that may submit requests, by name.
     pub teams: BTreeMap<TeamId, Team>,
-    /// Workers that receive no new tasks and whose long-running tasks are moved.
+    /// Workers that receive no new tasks, and whose batch tasks are stopped with
+    /// a checkpoint and continue on another worker.
     #[serde(default)]
     pub drained: BTreeSet<WorkerId>,
-    /// Weight of tight packing against short waiting times in placement, in
-    /// percent: 0 minimizes waiting, 100 packs as tightly as possible.
+    /// Placement preference, in percent. Of the workers on which a task fits, 0
+    /// prefers the least loaded one, for short waiting times, and 100 the most
+    /// loaded one, for tight packing; 50 ignores the load.
     #[serde(default)]
     pub pack_percent: u32,
 }
@@ -76,11 +79,11 @@
     }
 }
 
-/// Reason why a patch was rejected.
+/// Reason why a patch of the configuration document was rejected.
 #[derive(Debug, PartialEq, Eq, Snafu)]
 pub enum ConfigError {
     /// The patched document cannot be parsed.
-    #[snafu(display("the patched document is invalid: {reason}"))]
+    #[snafu(display("cannot parse the patched configuration document: {reason}"))]
     Malformed {
         /// Error message of the parser.
         reason: String,
@@ -101,7 +104,8 @@
     /// Applies a JSON merge patch (RFC 7396) and validates the resulting document.
     ///
     /// # Errors
-    /// The resulting document cannot be parsed or is invalid.
+    /// The resulting document is too large, cannot be parsed, has a field with a
+    /// value that is not allowed, or changes the span of an existing team.
     pub fn patched(&self, patch: &Value) -> Result<Config, ConfigError> {
         let mut document = serde_json::to_value(self).unwrap_or(Value::Null);
         json_patch::merge(&mut document, patch);
@@ -124,9 +128,9 @@
         Ok(config)
     }
 
-    /// Rejects changes to the span of an existing team: the retry of a request
-    /// would be routed to another shard, which has no record of the request and
-    /// would run it again.
+    /// Rejects a change of the span of an existing team. With another span, the
+    /// retry of a request would be routed to another shard, which has no record
+    /// of the request and would run it again.
     fn check_spans(&self, previous_config: &Config) -> Result<(), ConfigError> {
         for (name, team) in &self.teams {
             let previous = previous_config
@@ -137,13 +141,14 @@
                 continue;
             };
             let field = format!("teams.{name}.span");
-            let allowed = format!("{previous}, as the team was made");
+            let allowed = format!("{previous}, fixed when the team was created");
             check(&field, &team.span, team.span == previous, &allowed)?;
         }
         Ok(())
     }
 
-    /// Returns the shards of a team, if the team exists.
+    /// Returns the shards of a team in a cell of `shards` shards; none if the team
+    /// does not exist.
     #[must_use]
     pub fn team_shards(&self, team: &str, shards: u16) -> Option<TeamShards> {
         let team_limits = self.teams.get(team)?;
@@ -161,8 +166,13 @@
             self.pack_percent <= 100,
             "0 to 100",
         )?;
-        let rack = self.rack_watts <= self.site_watts;
-        check("rack_watts", &self.rack_watts, rack, "at most site_watts")?;
+        let valid_rack = self.rack_watts <= self.site_watts;
+        check(
+            "rack_watts",
+            &self.rack_watts,
+            valid_rack,
+            "at most site_watts",
+        )?;
         for (name, team) in &self.teams {
             let valid_chars = name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-');
             let valid_name = valid_chars && (1..=64).contains(&name.len());
@@ -170,7 +180,7 @@
                 "teams",
                 name,
                 valid_name,
-                "names of 1 to 64 letters, digits and hyphens",
+                "names of 1 to 64 ASCII letters, digits and hyphens",
             )?;
             let field = format!("teams.{name}.queue");
             check(
--- a/crates/model/src/id.rs
+++ b/crates/model/src/id.rs
@@ -14,7 +14,8 @@
 /// Index of a shard, from 0 to the cell's shard count minus one.
 pub type ShardId = u16;
 
-/// Ownership generation of a shard; increases with each change of owner.
+/// Number of an ownership period of a shard; increases whenever a process claims
+/// the shard or releases it to another process.
 pub type Epoch = u64;
 
 /// Identifies one incarnation of a process or worker; a restart creates a new one.
@@ -29,15 +30,16 @@
     format!("{team}/{id}")
 }
 
-/// Key of a request that its own shard has no free resources for and has
-/// lent to shard `to`, which runs it.
+/// Key under which shard `to` runs a request that the shard of the request has
+/// offloaded to it, because that shard had no free workers. `key` is the
+/// request's own key.
 #[must_use]
 pub fn offload_key(key: &str, to: ShardId) -> String {
     format!("{key}~{to}")
 }
 
-/// Returns the shard that runs a lent request; none if `key` is not the key
-/// of a lent request.
+/// Returns the shard to which a request was offloaded; none if `key` is not the
+/// key of an offloaded request.
 #[must_use]
 pub fn offload_target(key: &str) -> Option<ShardId> {
     key.rsplit_once('~')
@@ -46,8 +48,8 @@
 
 /// Contiguous range of shards, wrapping at the last one, over which the
 /// requests and the quota of a team are spread. A team does not use all shards,
-/// because a small quota split among all of them would leave grants that are
-/// too small for a single task.
+/// because each shard would then get a part of a small quota in which not even
+/// a single task fits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TeamShards {
     first: u16,
@@ -56,7 +58,8 @@
 }
 
 impl TeamShards {
-    /// Selects the shards of a team, at most `span`, in a cell of `shards` shards.
+    /// Selects the shards of a team in a cell of `shards` shards: `span` of them,
+    /// but at least one and at most all.
     #[must_use]
     pub fn new(team: &str, span: u16, shards: u16) -> TeamShards {
         let shards = shards.max(1);
@@ -67,8 +70,9 @@
         }
     }
 
-    /// Returns the shard that a request belongs to. The result is the same on
-    /// every process and stays the same as long as the team keeps its span.
+    /// Returns the shard that a request belongs to, from its [`request_key`]. The
+    /// result is the same in every process, and does not change as long as the
+    /// span of the team and the number of shards stay the same.
     #[must_use]
     pub fn home(&self, key: &str) -> ShardId {
         let offset = u32::from(bucket(key, self.span));
@@ -76,7 +80,7 @@
         u16::try_from(shard).unwrap_or_default()
     }
 
-    /// Index of a shard in the team's range, if it belongs to the range.
+    /// Index of a shard in the team's range; none if the shard is not in it.
     #[must_use]
     pub fn index_of(&self, shard: ShardId) -> Option<u16> {
         let shards = u32::from(self.shards);
--- a/crates/model/src/request.rs
+++ b/crates/model/src/request.rs
@@ -28,7 +28,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Request {
-    /// Id chosen by the caller; a retry must use the same id.
+    /// Id chosen by the caller, unique within the team. A retry must use the same
+    /// id, so that the request does not run twice.
     pub id: RequestId,
     /// Team of the caller. Set from the caller's token; a value in the body is
     /// ignored.
@@ -36,23 +37,24 @@
     pub team: TeamId,
     /// Work class, which selects the scheduling policy.
     pub class: Class,
-    /// Resources that each member needs.
+    /// Resources that each task needs.
     pub needs: Resources,
     /// Run time declared by the caller, in milliseconds.
     pub run_millis: u64,
-    /// Latest start, in milliseconds from the submission.
+    /// Maximum time from the submission to the start, in milliseconds.
     pub deadline_millis: u64,
     /// Whether the request may safely run more than once.
     #[serde(default)]
     pub idempotent: bool,
-    /// Number of tasks that start together; 1 unless the request is a gang.
+    /// Number of tasks (members) that start together; 1 unless the request is a
+    /// gang.
     #[serde(default = "one")]
     pub members: u32,
     /// Label with which several requests can be cancelled in one call.
     #[serde(default)]
     pub label: String,
     /// Time at which the caller first sent the request, in milliseconds since
-    /// 1970; 0 means now.
+    /// 1970; unchanged in retries. 0 stands for the time of arrival.
     #[serde(default)]
     pub sent_millis: u64,
     /// Payload, passed to the task unchanged.
@@ -99,7 +101,7 @@
             "needs.slots",
             &self.needs.slots,
             self.needs.slots <= 1,
-            || "0 or 1; a task takes one slot".to_owned(),
+            || "0 or 1, because each task takes one slot".to_owned(),
         )?;
         let gang = self.class == Class::Gang;
         let members = if gang { 2..=MAX_GANG_MEMBERS } else { 1..=1 };
@@ -124,14 +126,15 @@
         )
     }
 
-    /// Whether the intent to start must be recorded in the table before the
-    /// start message is sent.
+    /// Whether the intent to start must be recorded in the platform's table before
+    /// the start message is sent: for durable classes, and for all requests that
+    /// must not run twice.
     #[must_use]
     pub fn is_durable(&self) -> bool {
         self.class.is_durable() || !self.idempotent
     }
 
-    /// Resources that each member needs, including its slot.
+    /// Resources that each task needs, including its slot.
     #[must_use]
     pub fn task_needs(&self) -> Resources {
         Resources {
@@ -140,7 +143,7 @@
         }
     }
 
-    /// Latest start, as the time since the submission.
+    /// Maximum time from the submission to the start.
     #[must_use]
     pub fn deadline(&self) -> Duration {
         Duration::from_millis(self.deadline_millis)
--- a/crates/model/src/resources.rs
+++ b/crates/model/src/resources.rs
@@ -35,7 +35,8 @@
             && self.power_watts <= free.power_watts
     }
 
-    /// How many copies of `self` fit into `all`.
+    /// How many copies of `self` fit into `all`. A field that is 0 in `self` sets
+    /// no limit.
     #[must_use]
     pub fn fit_times(&self, all: &Resources) -> u32 {
         let times = |need: u32, have: u32| have.checked_div(need).unwrap_or(u32::MAX);
