--- a/crates/event/src/event.rs
+++ b/crates/event/src/event.rs
@@ -10,16 +10,16 @@
 use crate::Kind;
 use crate::Stamp;
 
-/// An event in one process.
+/// An event recorded by one process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Event {
-    /// Timestamp from the hybrid logical clock.
+    /// Timestamp from the hybrid logical clock of the process.
     pub stamp: Stamp,
     /// Incarnation of the process that recorded the event.
     pub process: Incarnation,
     /// Kind of the event.
     pub kind: Kind,
-    /// Request concerned, if any.
+    /// Key of the request concerned, if any.
     pub request: Option<RequestId>,
     /// Shard concerned, if any.
     pub shard: Option<ShardId>,
@@ -30,7 +30,8 @@
 }
 
 impl Event {
-    /// Creates an event of `kind`; the timeline sets `stamp` and `process`.
+    /// Creates an event of `kind`. [`Timeline::record`](crate::Timeline::record)
+    /// sets `stamp` and `process`.
     #[must_use]
     pub fn new(kind: Kind) -> Event {
         Event {
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Sets the request concerned.
+    /// Sets the key of the request concerned.
     #[must_use]
     pub fn request(mut self, id: &str) -> Event {
         self.request = Some(id.to_owned());
--- a/crates/event/src/hlc.rs
+++ b/crates/event/src/hlc.rs
@@ -1,5 +1,6 @@
-//! Hybrid logical clock: timestamps close to wall time that respect causality
-//! (Kulkarni et al., "Logical Physical Clocks", 2014).
+//! Hybrid logical clock: timestamps that are close to wall time. The timestamp of
+//! an event is later than those of the events that caused it, even if the clocks
+//! of two hosts differ (Kulkarni et al., "Logical Physical Clocks", 2014).
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -25,9 +26,9 @@
         self.merge(0)
     }
 
-    /// Advances the clock past the timestamp of a received message, so that all
-    /// following events are stamped later than every event before the message
-    /// was sent.
+    /// Advances the clock past the timestamp of a received message, so that
+    /// events recorded from now on have later timestamps than all events that the
+    /// sender recorded before it sent the message. Returns the new timestamp.
     pub fn merge(&self, received: Stamp) -> Stamp {
         let wall = wall_millis() << COUNTER_BITS;
         let mut last = self.last.load(Ordering::Relaxed);
@@ -44,7 +45,8 @@
     }
 }
 
-/// Wall-clock time in milliseconds since 1970; for display and retention only.
+/// Wall-clock time in milliseconds since 1970. It may jump, so it must not be
+/// used to measure intervals.
 #[must_use]
 pub fn wall_millis() -> u64 {
     let since = SystemTime::now()
@@ -53,7 +55,7 @@
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Extracts the milliseconds from a timestamp.
+/// Returns the milliseconds since 1970 of a timestamp.
 #[must_use]
 pub fn stamp_millis(stamp: Stamp) -> u64 {
     stamp >> COUNTER_BITS
--- a/crates/event/src/kind.rs
+++ b/crates/event/src/kind.rs
@@ -24,18 +24,19 @@
 #[strum(serialize_all = "snake_case")]
 #[repr(u16)]
 pub enum Kind {
-    /// The process has started and is serving.
+    /// The process has started and accepts requests.
     ProcessStarted = 100,
     /// A planned stop has begun.
     StopBegan = 101,
-    /// The planned stop has ended; the preceding `StopStep` events report what
-    /// could not be completed.
+    /// The planned stop has ended; the preceding [`Kind::StopStep`] events report
+    /// what could not be completed.
     Stopped = 102,
-    /// An async task of the process ended unexpectedly; the process stops.
+    /// An async task that the process cannot run without ended unexpectedly. The
+    /// process makes no more decisions for its shards and stops.
     TaskCrashed = 103,
     /// A step of a planned stop has ended; the detail holds its result.
     StopStep = 104,
-    /// The process acquired a new lease.
+    /// The process acquired its lease for the first time.
     LeaseAcquired = 200,
     /// The process renewed its lease after the time for which it may act on the
     /// lease had passed, but before another process marked the lease as expired.
@@ -43,64 +44,71 @@
     #[serde(rename = "lease_lapsed")]
     #[strum(serialize = "lease_lapsed")]
     LeaseRenewedLate = 201,
-    /// Another process marked this process's lease as expired.
+    /// Another process had marked this process's lease as expired or removed it.
+    /// The process has acquired it again and keeps only those shards that no other process has
+    /// claimed meanwhile.
     LeaseExpired = 202,
     /// This process marked the lease of another process as expired.
     PeerExpired = 203,
-    /// Shards continue past the end of the lease, because a peer confirms that
-    /// the table is unavailable.
+    /// The process continues to serve its shards after the expiry of its lease,
+    /// because a peer confirms that the table is unavailable to it too.
     OutageEntered = 204,
     /// The table is available again.
     OutageLeft = 205,
-    /// The table is unavailable, but no peer confirms the outage any more or it
-    /// has lasted too long; the shards stop.
+    /// The table is unavailable, but no peer confirms the outage any more, or the
+    /// outage has lasted too long. The process makes no more decisions for its
+    /// shards until it has renewed its lease.
     OutageUnconfirmed = 206,
     /// This process claimed a shard and raised its epoch.
     ShardClaimed = 210,
-    /// A shard has begun to serve requests.
+    /// This process has recovered a shard and serves its requests.
     ShardServing = 211,
-    /// A shard was handed over to another process.
+    /// This process stopped serving a shard and made another process its owner.
     ShardReleased = 212,
-    /// The state of a shard was dropped, because another process owns the shard.
+    /// This process dropped the state of a shard, because another process owns the
+    /// shard or may own it.
     ShardFenced = 213,
-    /// The lease expired, but no other process claimed the shard; this process
-    /// keeps the shard and its state.
+    /// The lease of this process had expired, but no other process has claimed the
+    /// shard; this process keeps the shard and its state.
     ShardReclaimed = 214,
     /// A worker accepted the claim of a shard's owner.
     WorkerClaimed = 300,
-    /// A worker refused the shard's owner: the worker was claimed with a newer
-    /// fence, or it has restarted and will be claimed again.
+    /// A worker refused a poll of the shard's owner: the worker was claimed with a
+    /// newer fence, or it has restarted and will be claimed again.
     WorkerRefused = 301,
-    /// A worker stopped answering.
+    /// A worker no longer answers polls. It receives no new tasks; its tasks count
+    /// as running until their lease expires.
     WorkerLost = 302,
     /// A worker is leaving the cell and receives no new tasks.
     WorkerLeaving = 303,
-    /// A worker on which all tasks fail was quarantined: it receives only probes.
+    /// A worker was quarantined after consecutive failures of several jobs: it
+    /// receives one task at a time, as a probe.
     WorkerQuarantined = 304,
-    /// A worker left quarantine.
+    /// A task succeeded on a quarantined worker, which ends the quarantine.
     WorkerRestored = 305,
     /// The owner of a request's shard accepted the request.
     RequestAccepted = 400,
-    /// A task was placed on a worker.
+    /// The tasks of a request were placed on workers.
     TaskPlaced = 401,
-    /// A task started.
+    /// A worker has confirmed that it started a task.
     TaskStarted = 402,
-    /// A task ended.
+    /// A worker has reported the end of a task.
     TaskEnded = 403,
     /// A request got its final answer.
     RequestAnswered = 404,
-    /// A request was cancelled while it was queued or running.
+    /// The final answer of a request is that its caller cancelled it, before the
+    /// start or while it was running.
     RequestCancelled = 405,
-    /// The caller of a running request asked to stop it.
+    /// A caller cancelled a running request; its tasks are being stopped.
     StopAsked = 406,
-    /// A new configuration version is in force in this process.
+    /// This process applies a new configuration version.
     ConfigAdopted = 500,
     /// A configuration patch was accepted.
     PatchAccepted = 501,
-    /// A configuration patch was refused.
+    /// A configuration patch was refused, and has no effect.
     PatchRefused = 502,
-    /// The table's reply to the commit of a patch was lost; the patch may be in
-    /// force.
+    /// The table did not confirm the commit of a configuration patch; the patch
+    /// may have been accepted.
     PatchUnknown = 503,
     /// A row of the table cannot be parsed; it was left unchanged.
     RowDamaged = 600,
--- a/crates/event/src/timeline.rs
+++ b/crates/event/src/timeline.rs
@@ -1,4 +1,5 @@
-//! Events of one process: kept in a bounded ring buffer and written to the log.
+//! Events of one process: written to the log and kept in a bounded ring buffer,
+//! from which they are served to callers and written to the object store.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -13,8 +14,8 @@
 use crate::Kind;
 use crate::Stamp;
 
-/// Number of events kept in memory. Older events are dropped; those that were
-/// not yet written to the object store are counted as lost.
+/// Maximum number of events kept in memory. Beyond it, the oldest event is
+/// dropped, and counted as lost if it was not yet written to the object store.
 pub const RING_CAPACITY: usize = 16 * 1024;
 
 /// Records the events of a process and returns them to readers.
@@ -25,6 +26,7 @@
     ring: Mutex<VecDeque<Event>>,
     /// Timestamp of the newest event written to the object store.
     stored: AtomicU64,
+    /// Number of events dropped before they were written to the object store.
     lost: AtomicU64,
 }
 
@@ -41,12 +43,14 @@
         }
     }
 
-    /// Hybrid logical clock of the process.
+    /// Hybrid logical clock of the process. Callers advance it with the timestamps
+    /// of the messages that they receive.
     pub fn clock(&self) -> &Hlc {
         &self.clock
     }
 
-    /// Adds timestamp and process to an event, logs it and keeps it in memory.
+    /// Sets the timestamp and the process of an event, writes the event to the log
+    /// and keeps it in memory.
     pub fn record(&self, mut event: Event) {
         event.stamp = self.clock.tick();
         event.process.clone_from(&self.process);
@@ -66,8 +70,7 @@
         self.stored.fetch_max(stamp, Ordering::AcqRel);
     }
 
-    /// Number of events that were dropped from memory before they were written
-    /// to the object store.
+    /// Number of events dropped before they were written to the object store.
     #[must_use]
     pub fn lost(&self) -> u64 {
         self.lost.load(Ordering::Acquire)
--- a/crates/event/tests/timeline.rs
+++ b/crates/event/tests/timeline.rs
@@ -1,4 +1,5 @@
-//! Counting of events that the timeline drops from memory.
+//! Tests that the timeline counts the events that it drops before they are
+//! written to the object store.
 
 use event::Event;
 use event::Kind;
@@ -11,9 +12,9 @@
     }
 }
 
-// Guards against an uncounted loss of events: when the object store was slow
-// under load, the ring buffer dropped events that were not stored yet, and the
-// stored timeline looked complete although it had gaps.
+// Guards against an uncounted loss of events. If the object store is slow under
+// load, the ring buffer drops events that are not stored yet; without the count,
+// the stored timeline looks complete although events are missing.
 #[test]
 fn events_that_were_dropped_before_they_were_stored_are_counted() {
     let timeline = Timeline::new("a-1");
