--- a/crates/event/src/kind.rs
+++ b/crates/event/src/kind.rs
@@ -45,8 +45,8 @@
     #[strum(serialize = "lease_lapsed")]
     LeaseRenewedLate = 201,
     /// Another process had marked this process's lease as expired or removed it.
-    /// The process has acquired it again and keeps only those shards that no other process has
-    /// claimed meanwhile.
+    /// This process has acquired it again. It keeps the shards that no other
+    /// process has claimed meanwhile; if the setting `reclaim` is off, none.
     LeaseExpired = 202,
     /// This process marked the lease of another process as expired.
     PeerExpired = 203,
