--- a/crates/worker/src/client.rs
+++ b/crates/worker/src/client.rs
@@ -1,4 +1,4 @@
-//! HTTP client of workers.
+//! HTTP client with which the owner of a shard calls its workers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,18 +22,20 @@
 #[derive(Debug, Snafu)]
 pub enum WorkerError {
     /// The worker refused the call; its state did not change.
-    #[snafu(display("the worker refused: {refusal:?}"))]
+    #[snafu(display("the worker refused the call: {refusal:?}"))]
     Refused {
         /// Reason and newest fence, as sent by the worker.
         refusal: Refusal,
     },
-    /// The call was not sent; it had no effect.
+    /// The connection to the worker failed, so the call was not sent and had no
+    /// effect.
     #[snafu(display("cannot reach the worker: {reason}"))]
     Unreachable {
         /// Description of the cause.
         reason: String,
     },
-    /// No valid reply was received; the call may have taken effect.
+    /// The call may have been sent, but no valid reply was received; it may have
+    /// taken effect.
     #[snafu(display("no valid reply from the worker: {reason}"))]
     NoReply {
         /// Description of the cause.
@@ -59,7 +61,8 @@
 }
 
 impl WorkerClient {
-    /// Creates a client with a timeout for each call.
+    /// Creates a client with a timeout for each call; a poll may take longer by
+    /// its `wait_millis`.
     #[must_use]
     pub fn new(timeout: Duration) -> WorkerClient {
         WorkerClient {
@@ -80,7 +83,8 @@
         self.call(worker, "/v1/claim", claim, self.timeout).await
     }
 
-    /// Starts a task; repeating the start of an attempt has no effect.
+    /// Starts a task. If the attempt was already started, the call succeeds
+    /// without effect.
     ///
     /// # Errors
     /// See [`WorkerError`].
@@ -88,7 +92,8 @@
         self.call(worker, "/v1/start", start, self.timeout).await
     }
 
-    /// Stops a task; its end is reported in the reply to a poll.
+    /// Stops a task. The reply does not wait for the end of the task, which the
+    /// reply to a poll reports.
     ///
     /// # Errors
     /// See [`WorkerError`].
@@ -96,7 +101,8 @@
         self.call(worker, "/v1/stop", stop, self.timeout).await
     }
 
-    /// Waits for tasks to end and renews the lease of all running tasks.
+    /// Renews the lease of all running tasks, and waits until a task ends or
+    /// `wait_millis` have passed.
     ///
     /// # Errors
     /// See [`WorkerError`].
