--- a/crates/bench/benches/days/ablate.rs
+++ b/crates/bench/benches/days/ablate.rs
@@ -1,5 +1,5 @@
-//! `ablate`: plays the days with each mechanism of the scheduling policy
-//! switched off in turn.
+//! `ablate`: plays the days once for each mechanism of the scheduling policy, with
+//! that mechanism switched off, to show what each of them contributes.
 
 use std::path::Path;
 
@@ -13,8 +13,8 @@
 const TEMPLATE: &str = "deploy/settings.yaml";
 
 /// Plays the days once with all mechanisms and once without each selected one,
-/// and prints a table row for each. The settings template is restored after
-/// each change.
+/// and prints a table row for each. A mechanism is switched off by a line that is
+/// appended to the settings template; the template is restored after each play.
 pub fn run(options: &Options) -> Result<(), String> {
     let template = Path::new(TEMPLATE);
     let settings = std::fs::read_to_string(template).map_err(|error| error.to_string())?;
@@ -43,7 +43,7 @@
 }
 
 /// Prints the mean worth of days with faults, its difference from the baseline,
-/// and the number of plays that broke a rule.
+/// and the number of plays with violations.
 fn print_row(name: &str, played: &[PlayResult], baseline: &[PlayResult]) {
     let mean = summary(&faulty_day_worths(played)).0;
     let baseline_mean = summary(&faulty_day_worths(baseline)).0;
--- a/crates/bench/benches/days/account.rs
+++ b/crates/bench/benches/days/account.rs
@@ -1,6 +1,6 @@
 //! `account`: explains which part of a day's worth was lost. Each job that did
-//! not earn its full worth is counted under the one cause that took most of its
-//! time.
+//! not earn its full worth is counted under the cause that took the largest part
+//! of its time.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use crate::history::JobHistory;
 use crate::options::Options;
 
-/// Default worth of a job of mean size, by priority from 0.
+/// Default of `--worth`: worth of a job of mean size, by priority from 0.
 const WORTHS: &str = "1,10,3";
 
 /// A job that takes longer than this multiple of its objective earns nothing.
@@ -29,6 +29,7 @@
     let mut log = DayLog::read(&text);
     log.estimate_unfinished();
     let means = log.mean_work();
+    // By priority and cause: the number of jobs and the worth that they lost.
     let mut losses: BTreeMap<(usize, &'static str), (u32, f64)> = BTreeMap::new();
     let (mut offered, mut earned) = (BTreeMap::new(), 0.0);
     let mut demands = Vec::new();
@@ -73,8 +74,9 @@
     Ok(())
 }
 
-/// Returns the usable processors at a time: those of the newest nonzero load
-/// report up to then, or of the first nonzero one if there is none yet.
+/// Returns the processors of all usable workers at a time, from the newest load
+/// report up to that time that is not zero; before the first such report, from
+/// that report.
 fn cores_at(cores: &[(f64, f64)], time: f64) -> f64 {
     let first_report = cores.iter().find(|(_, cores)| *cores > 0.0);
     let latest_report = cores
@@ -86,12 +88,12 @@
         .map_or(0.0, |(_, cores)| *cores)
 }
 
-/// Worth of a job: it grows with the job's work relative to the mean of its
-/// priority, up to four times the base worth of the priority.
+/// Worth of a job: it grows with the job's work relative to the mean work of the
+/// jobs of its priority, from 0.3 to 4 times the worth of a job of mean size.
 fn worth(history: &JobHistory, worths: &[f64], means: &BTreeMap<usize, f64>) -> f64 {
-    let base = worths.get(history.priority).copied().unwrap_or(1.0);
+    let mean_worth = worths.get(history.priority).copied().unwrap_or(1.0);
     let mean = means.get(&history.priority).copied().unwrap_or(1.0);
-    base * (0.3 + 0.7 * history.work / mean.max(1e-9)).min(4.0)
+    mean_worth * (0.3 + 0.7 * history.work / mean.max(1e-9)).min(4.0)
 }
 
 /// Returns the fraction of its worth that a job earned, and the cause that took
@@ -106,10 +108,11 @@
     (fraction, main_cause(history, take_overs))
 }
 
-/// Returns the cause that took most of the job's time.
+/// Returns the cause that took most of the job's time. A job that was not
+/// accepted, has no recorded end or failed has this as its only cause.
 fn main_cause(history: &JobHistory, take_overs: &[(f64, f64)]) -> &'static str {
     let Some(accepted) = history.accepted else {
-        return "not accepted: refused, or the store unreachable or silent";
+        return "not accepted: refused, or the store was unreachable or did not answer";
     };
     let Some(ended) = history.ended else {
         return "no end recorded";
@@ -123,8 +126,8 @@
         .unwrap_or(started)
         .clamp(accepted, started.max(accepted));
     let tasks_ended = history.tasks_ended.unwrap_or(ended);
-    let spans = take_overs.iter();
-    let overlaps = spans.map(|(from, to)| (to.min(ended) - from.max(accepted)).max(0.0));
+    let periods = take_overs.iter();
+    let overlaps = periods.map(|(from, to)| (to.min(ended) - from.max(accepted)).max(0.0));
     let rerun_time = history.restarted.map_or(0.0, |latest| latest - started);
     let rerun = match (history.preemptions, history.gang_breaks, history.failures) {
         (0, 0, 0) => "restarted after a lost run or an unanswered start",
@@ -133,7 +136,7 @@
         _ => "preempted",
     };
     let run = tasks_ended - history.last_start;
-    let start_span = (history.last_start - started - rerun_time).max(0.0);
+    let starting_time = (history.last_start - started - rerun_time).max(0.0);
     let phases = [
         (
             history.accepted.map_or(0.0, |at| at - history.first_seen),
@@ -144,7 +147,7 @@
         (started - advised, "waited for free capacity"),
         (rerun_time, rerun),
         (
-            start_span + run - history.critical_path,
+            starting_time + run - history.critical_path,
             "ran longer than declared, or its tasks ran one after another",
         ),
         (ended - tasks_ended, "end recorded late"),
@@ -168,10 +171,10 @@
             .collect()
     }
 
-    /// Estimates jobs without a logged end, whose size was therefore not logged:
-    /// each gets the priority and objective of its queue and the mean work of that
-    /// priority. A job of an unknown queue counts as priority 0, which most jobs
-    /// have.
+    /// Estimates the jobs without a logged end, because only the log line of the
+    /// end names priority, objective and work. Each gets the priority and objective
+    /// of an ended job of its queue, and the mean work of that priority. If no job
+    /// of its queue has ended, it counts as priority 0, which most jobs have.
     fn estimate_unfinished(&mut self) {
         let ended = self.jobs.values().filter(|history| history.ended.is_some());
         let ended_jobs: Vec<(String, JobHistory)> = ended
--- a/crates/bench/benches/days/bound.rs
+++ b/crates/bench/benches/days/bound.rs
@@ -5,10 +5,10 @@
 //! any parallelism and with any interruption, between the first log line of the
 //! job and its objective; that sizes are as declared; that the processors of the
 //! workers are known in advance; and that advice, memory, gangs, faults and the
-//! store impose no constraint. The sets of work that can be done in time form a
-//! polymatroid, so the greedy order by worth per core-second is optimal. The
-//! share that a late answer earns depends on its queue; here, the part of a job
-//! that is not done in time always earns [`LATE_SHARE`] of its worth.
+//! store impose no constraint. The amounts of work that can be done in time form a
+//! polymatroid, so reserving processor time in the order of worth per core-second
+//! is optimal. The share of its worth that a late job earns depends on its queue;
+//! here, the part of a job that is not done in time always earns [`LATE_SHARE`].
 
 /// Share of its worth that late work earns.
 const LATE_SHARE: f64 = 0.2;
@@ -16,10 +16,10 @@
 /// Length of a time slot, in seconds.
 const SLOT_SECONDS: f64 = 0.5;
 
-/// A job as the bound sees it.
+/// Work and worth of one job, from which the bound is computed.
 #[derive(Clone, Debug)]
 pub struct Demand {
-    /// First log line that names the job, in seconds of the log.
+    /// Time of the first log line that names the job, in seconds of the log.
     pub first_seen: f64,
     /// End of the job's objective, in seconds of the log.
     pub due: f64,
@@ -29,8 +29,9 @@
     pub worth: f64,
 }
 
-/// Returns the share of the total worth that could have been earned. `cores`
-/// returns the usable processors at a time in seconds of the log.
+/// Returns an upper bound of the share of the total worth that could have been
+/// earned. `cores` returns the processors of all usable workers at a time in
+/// seconds of the log.
 pub fn best_share(demands: &[Demand], cores: impl Fn(f64) -> f64) -> f64 {
     let end = demands.iter().map(|one| one.due).fold(0.0, f64::max);
     let slots = slot(end) + 2;
@@ -40,8 +41,8 @@
     let (mut earned, mut offered) = (0.0, 0.0);
     for demand in order {
         let (from, to) = (slot(demand.first_seen), slot(demand.due));
-        let booked = book_work(&mut slack, slots, from, to, demand.work);
-        let fraction = booked / demand.work;
+        let reserved = reserve_work(&mut slack, slots, from, to, demand.work);
+        let fraction = reserved / demand.work;
         earned += demand.worth * (fraction + (1.0 - fraction) * LATE_SHARE);
         offered += demand.worth;
     }
@@ -55,8 +56,9 @@
     slot
 }
 
-/// Returns the core-seconds available in each interval of slots, as a square
+/// Returns the capacity of each interval of slots in core-seconds, as a square
 /// matrix: the row is the first slot of the interval, the column its last.
+/// [`reserve_work`] reduces it to the capacity that is left.
 fn interval_slacks(slots: usize, cores: impl Fn(f64) -> f64) -> Vec<f64> {
     let mut slack = vec![0.0; slots * slots];
     for first in 0..slots {
@@ -71,13 +73,15 @@
     slack
 }
 
-/// Books as much of `work` as still fits from slot `from` to slot `to`, in every
-/// interval that contains both, and returns the booked core-seconds.
-fn book_work(slack: &mut [f64], slots: usize, from: usize, to: usize, work: f64) -> f64 {
+/// Reserves as much of `work` as possible between slot `from` and slot `to`, and
+/// returns the reserved core-seconds. The work is done within every interval that
+/// contains both slots; so the interval with the least capacity left sets the limit,
+/// and the reserved amount is subtracted from all of them.
+fn reserve_work(slack: &mut [f64], slots: usize, from: usize, to: usize, work: f64) -> f64 {
     let rows = (0..=from).map(|first| first * slots + to..(first + 1) * slots);
     let affected = rows.flatten();
-    let booked = affected.clone().map(|at| slack[at]).fold(work, f64::min);
-    let booked = booked.max(0.0);
-    affected.for_each(|at| slack[at] -= booked);
-    booked
+    let reserved = affected.clone().map(|at| slack[at]).fold(work, f64::min);
+    let reserved = reserved.max(0.0);
+    affected.for_each(|at| slack[at] -= reserved);
+    reserved
 }
--- a/crates/bench/benches/days/history.rs
+++ b/crates/bench/benches/days/history.rs
@@ -1,44 +1,48 @@
-//! Reconstructs the history of each job from the log lines of all processes.
+//! Reconstructs the history of each job of a day from the log lines of all
+//! processes.
 
 use std::collections::BTreeMap;
 
 use serde_json::Value;
 
-/// Events of one job. Times are in seconds of the log.
+/// Times, properties and counters of one job. Times are in seconds of the log.
 #[derive(Clone, Debug, Default)]
 pub struct JobHistory {
-    /// First log line that names the job.
+    /// Time of the first log line that names the job.
     pub first_seen: f64,
-    /// A process first logged that the job was accepted.
+    /// Time at which a process first logged that the job was accepted.
     pub accepted: Option<f64>,
     pub queue: String,
-    /// First reply to an advice call that named a suitable worker.
+    /// Time of the first reply to an advice call that named a suitable worker.
     pub advised: Option<f64>,
-    /// First start of a task.
+    /// Time at which the owner first started a task of the job.
     pub started: Option<f64>,
-    /// Latest start of a task that had been started before.
+    /// Time of the latest start of a task that had been started before.
     pub restarted: Option<f64>,
-    /// Latest start of any task.
+    /// Time of the latest start of any task.
     pub last_start: f64,
-    /// Latest end of a task that a worker reported.
+    /// Time at which a worker last reported the end of a task.
     pub tasks_ended: Option<f64>,
-    /// The owner logged the end of the job.
+    /// Time at which the owner logged the end of the job.
     pub ended: Option<f64>,
+    /// How the job ended: `completed`, `failed` or `canceled`; empty before the end.
     pub outcome: String,
     pub priority: usize,
-    /// Time in which the job should end, in seconds.
+    /// Time after `first_seen` within which the job should end, in seconds.
     pub objective: f64,
-    /// Critical path of the declared task times, in seconds.
+    /// Length of the critical path through the steps of the job, from the declared
+    /// run times of the tasks, in seconds.
     pub critical_path: f64,
     /// Declared work, in core-seconds.
     pub work: f64,
-    /// Runs stopped to make room for a job of higher priority.
+    /// Number of runs that were preempted.
     pub preemptions: u32,
-    /// Runs stopped because another member of their gang ended or was lost.
+    /// Number of runs stopped because another member of their gang ended or was
+    /// lost.
     pub gang_breaks: u32,
-    /// Runs that failed.
+    /// Number of runs that failed.
     pub failures: u32,
-    /// Tasks that were started at least once.
+    /// Names of the tasks that were started at least once.
     started_tasks: Vec<String>,
 }
 
@@ -47,17 +51,20 @@
 pub struct DayLog {
     /// Histories by job id.
     pub jobs: BTreeMap<String, JobHistory>,
-    /// Load reports of the owner: time, and processors of all usable workers.
+    /// Load reports of the owner: time, and processors of all usable workers in
+    /// cores.
     pub cores: Vec<(f64, f64)>,
-    /// Take-overs, each from the last log line of the former owner until the
-    /// successor may start the tasks of the former owner.
+    /// Beginnings and ends of the take-overs: from the last log line of the former
+    /// owner until no run of the former owner can continue without being reported
+    /// to the successor, which may then start its tasks again.
     pub take_overs: Vec<(f64, f64)>,
     /// Time of the newest log line that only the owner writes.
     owner_logged: f64,
 }
 
 impl DayLog {
-    /// Reads lines of the form `TIME NODE JSON` and skips all others.
+    /// Reads lines of the form `TIME NODE JSON`, with the time in seconds, and skips
+    /// all others.
     pub fn read(text: &str) -> DayLog {
         let mut log = DayLog::default();
         for line in text.lines() {
@@ -73,13 +80,13 @@
         log
     }
 
-    /// Applies one log line, by its `code`.
+    /// Applies one log line, depending on its event number (`code`).
     fn apply_line(&mut self, time: f64, fields: &Value) {
         let text = |name: &str| fields[name].as_str().unwrap_or_default();
         let number = |name: &str| fields[name].as_f64().unwrap_or_default();
         let code = fields["code"].as_u64().unwrap_or_default();
         match code {
-            // Job accepted, job refused, acceptance unknown.
+            // 401: job accepted; 402: job refused; 403: acceptance unknown.
             401..=403 => {
                 let history = self.history(text("job"), time);
                 if code == 401 && history.accepted.is_none() {
@@ -89,20 +96,20 @@
                     text("queue").clone_into(&mut history.queue);
                 }
             }
-            // Advice received.
+            // Reply to an advice call that names a suitable worker.
             320 if number("good") > 0.0 => {
                 let history = self.history(job_id(text("step")), time);
                 history.advised.get_or_insert(time);
             }
-            // Start of a run.
+            // The owner starts a run of a task.
             350 => self.record_start(time, text("task")),
-            // Stop of a run.
+            // The owner stops a run.
             352 => {
                 let history = self.history(job_id(text("task")), time);
                 history.preemptions += u32::from(text("reason") == "preempted");
                 history.gang_breaks += u32::from(text("reason") == "gang_broken");
             }
-            // Task ended.
+            // A worker reported the end of a run.
             354 => {
                 let history = self.history(job_id(text("task")), time);
                 history.failures += u32::from(text("how") == "failed");
@@ -121,9 +128,9 @@
                 history.critical_path = number("chain_ms") / 1000.0;
                 history.work = number("work_ms") / 1000.0;
             }
-            // Tasks of the former owner may start.
+            // Take-over finished.
             333 => self.take_overs.push((self.owner_logged, time)),
-            // Load of the pool.
+            // Load report of the owner.
             370 => self.cores.push((time, number("cpu") / 1000.0)),
             _ => {}
         }
@@ -132,7 +139,7 @@
         }
     }
 
-    /// Records the start of a run of a task.
+    /// Records the start of a run; the same task may have run before.
     fn record_start(&mut self, time: f64, task: &str) {
         let history = self.history(job_id(task), time);
         history.started.get_or_insert(time);
--- a/crates/bench/benches/days/main.rs
+++ b/crates/bench/benches/days/main.rs
@@ -1,17 +1,25 @@
 //! Plays simulated days with the users' bench, an external program, and analyses
-//! them. It must be run from the root of the repository:
+//! them. A day is a scripted load of jobs together with the faults that the bench
+//! injects; a site file lists days and faults. The worth of a job is the score
+//! that it earns if it ends within its objective, the time that its queue allows
+//! it; the worth of a day is the bench's score of the whole day. This program
+//! must be run from the root of the repository:
 //!
 //! - `play BENCH SITE [--seeds 1,2,3] [--days NAME,...] [--vary] [--jobs N]
-//!   [--why TEXT]` plays the days listed in the site file with each seed and
-//!   prints their worth.
-//! - `ablate BENCH SITE [--only NAME,...] [options of play]` plays them with
-//!   each mechanism of the policy switched off in turn. For this it edits the
-//!   settings template of this working tree and restores it afterwards.
-//! - `single BENCH SITE [options of play but --days]` plays each fault that the
-//!   site file lists, alone and in pairs, and prints the days that broke a rule.
-//! - `account LOG [--worth W0,W1,...]` reads the log of all processes for a day
-//!   (written by the bench with `run SITE DAY_LABEL --log all`), and prints why jobs
-//!   lost worth and what a scheduler with perfect knowledge could have earned.
+//!   [--why TEXT]` plays the days listed in the site file with each seed, N at
+//!   the same time, and prints their worth. `--vary` and `--why` are passed on to
+//!   the bench.
+//! - `ablate BENCH SITE [--only NAME,...] [options of play]` plays the days once
+//!   for each mechanism of the scheduling policy, with that mechanism switched
+//!   off. For this it edits the settings template of this working tree and
+//!   restores it afterwards.
+//! - `single BENCH SITE [options of play except --days]` plays days with one or
+//!   two of the faults that the site file lists, and prints the days on which the
+//!   bench reported a broken rule.
+//! - `account LOG [--worth W0,W1,...]` reads the log lines of all processes for a
+//!   day (written by the bench with `run SITE DAY_LABEL --log all`), and prints
+//!   why jobs lost worth and what a scheduler with perfect knowledge could have
+//!   earned. `--worth` sets the worth of a job of mean size, by priority from 0.
 
 mod ablate;
 mod account;
--- a/crates/bench/benches/days/options.rs
+++ b/crates/bench/benches/days/options.rs
@@ -1,5 +1,5 @@
-//! Command line of the program: a subcommand, its files, and options with one
-//! value each; only `--vary` has none.
+//! Command line of the program: a subcommand, its positional arguments (paths),
+//! and options with one value each; only `--vary` has none.
 
 use std::collections::HashMap;
 
@@ -7,11 +7,12 @@
 pub struct Options {
     /// Name of the subcommand; empty if none was given.
     pub command: String,
-    /// Positional arguments after the subcommand.
+    /// Positional arguments after the subcommand: paths of files.
     pub files: Vec<String>,
     /// Values of the options by name, without the leading dashes.
     values: HashMap<String, String>,
-    /// Whether the bench varies the times and figures of the days.
+    /// Whether `--vary` is passed on to the bench, which then varies the times and
+    /// amounts of each day.
     pub vary: bool,
 }
 
@@ -41,13 +42,13 @@
         Ok(options)
     }
 
-    /// Value of an option, if it was given.
+    /// Value of an option; none if it was not given.
     pub fn text(&self, name: &str) -> Option<&str> {
         self.values.get(name).map(String::as_str)
     }
 
-    /// Parses an option as a comma-separated list of numbers; uses `default` if
-    /// the option was not given.
+    /// Parses an option as a comma-separated list of numbers, or `default` if the
+    /// option was not given.
     pub fn numbers<T: std::str::FromStr>(
         &self,
         name: &str,
@@ -67,7 +68,8 @@
         self.text(name).map(|text| text.split(',').collect())
     }
 
-    /// Positional argument at an index; `label` names it in the error message.
+    /// Positional argument at an index from 0; `label` names it in the error
+    /// message.
     pub fn file(&self, index: usize, label: &str) -> Result<&str, String> {
         let file = self.files.get(index).map(String::as_str);
         file.ok_or(format!("missing argument {label}: expected a path"))
--- a/crates/bench/benches/days/play.rs
+++ b/crates/bench/benches/days/play.rs
@@ -1,4 +1,4 @@
-//! `play`: plays days with several seeds and prints the worth of each.
+//! `play`: plays each day with several seeds and prints its worth for each seed.
 
 use std::process::Command;
 use std::sync::Mutex;
@@ -7,11 +7,11 @@
 
 use crate::options::Options;
 
-/// Default number of days played at the same time: half the processors of the
-/// machines on which the documented figures were measured.
+/// Default number of days played at the same time (`--jobs`): half the processors
+/// of the machines from which the documented results come.
 const DEFAULT_JOBS: &str = "4";
 
-/// A day to be played with one seed.
+/// A day and the seed with which it is to be played.
 #[derive(Clone, Debug)]
 pub struct Play {
     /// Name of the day in the site file, or path of a day file.
@@ -27,8 +27,8 @@
     pub seed: u64,
     /// Score of the day, `G` in the report of the bench.
     pub worth: f64,
-    /// Rules that were broken, expectations that were missed, and an error of the
-    /// bench itself.
+    /// Broken rules, missed expectations and an error of the bench itself, as the
+    /// bench reports them.
     pub violations: Vec<String>,
 }
 
@@ -80,7 +80,8 @@
     faulty.map(|day_result| day_result.worth).collect()
 }
 
-/// Returns the mean, and the difference between the highest and the lowest.
+/// Returns the mean of the worths, and the difference between the highest and the
+/// lowest.
 pub fn summary(worths: &[f64]) -> (f64, f64) {
     #[allow(clippy::cast_precision_loss)]
     let mean = worths.iter().sum::<f64>() / worths.len().max(1) as f64;
@@ -89,7 +90,8 @@
     (mean, (high - low).max(0.0))
 }
 
-/// Returns the days to be played: those of `--days`, or all of the site file.
+/// Returns the names of the days to be played: those of `--days`, or all days of
+/// the site file.
 pub fn days(options: &Options) -> Result<Vec<String>, String> {
     if let Some(names) = options.names("days") {
         return Ok(names.into_iter().map(str::to_owned).collect());
@@ -108,7 +110,8 @@
     Ok(names.collect())
 }
 
-/// Plays each day with each seed.
+/// Plays each day with each seed. `label` is added to the reason that the bench
+/// records with the play (its option `--why`).
 pub fn play_all(options: &Options, label: &str) -> Result<Vec<PlayResult>, String> {
     let seeds: Vec<u64> = options.numbers("seeds", "1,2,3")?;
     let mut plays = Vec::new();
@@ -121,8 +124,8 @@
     play_each(options, plays, label)
 }
 
-/// Plays the given days, several at the same time, and returns the results
-/// sorted by day and seed.
+/// Plays the given days, as many at the same time as `--jobs` says, and returns
+/// the results sorted by day and seed.
 pub fn play_each(
     options: &Options,
     mut plays: Vec<Play>,
@@ -162,7 +165,7 @@
     Ok(played)
 }
 
-/// Runs the bench for one day and seed and reads its report.
+/// Runs the bench for one day and seed and reads the report that it writes.
 fn play(options: &Options, play: &Play, label: &str) -> Result<PlayResult, String> {
     let bench = options.file(0, "BENCH")?;
     let site = options.file(1, "SITE")?;
--- a/crates/bench/benches/days/single.rs
+++ b/crates/bench/benches/days/single.rs
@@ -1,5 +1,5 @@
-//! `single`: plays days with a single fault and with a pair of faults, because
-//! days with many faults hide the effect of each.
+//! `single`: plays days with a single fault and days with a pair of faults,
+//! because the effect of one fault does not show on days with many.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -9,17 +9,17 @@
 use crate::play::PlayResult;
 use crate::play::play_each;
 
-/// Times at which a single fault is injected, in seconds of traffic: early, and
-/// when all queues are full.
+/// Times at which the fault of a day with a single fault is injected, in seconds
+/// from the start of the load: early, and again when all queues are full.
 const FAULT_TIMES: [u32; 2] = [3, 18];
 
-/// Time at which the second fault of a pair is injected, in seconds of traffic:
-/// while the first one lasts.
+/// Time at which the second fault of a pair is injected, in seconds from the start
+/// of the load: while the first one lasts.
 const SECOND_FAULT_TIME: u32 = 5;
 
-/// For each seed, plays a day for each fault that the site file lists and a day
-/// that pairs it with another; prints the days that broke a rule and those with
-/// the lowest worth.
+/// For each seed and each fault that the site file lists, plays a day with this
+/// fault alone and a day with this fault and another one. Prints the days with
+/// violations and those with the lowest worth.
 pub fn run(options: &Options) -> Result<(), String> {
     let site = options.file(1, "SITE")?;
     let text = std::fs::read_to_string(site).map_err(|error| format!("{site}: {error}"))?;
@@ -48,7 +48,7 @@
     std::fs::remove_dir_all(&folder).map_err(|error| error.to_string())
 }
 
-/// Prints the days that broke a rule, and the five days with the lowest worth.
+/// Prints the days with violations, and the five days with the lowest worth.
 fn report(played: &[PlayResult]) {
     let violating = played.iter().filter(|result| !result.violations.is_empty());
     println!(
@@ -69,7 +69,8 @@
     }
 }
 
-/// Returns the entries of the list `troubles` of a site file, without braces.
+/// Returns the entries of the list `troubles` of a site file, without braces: one
+/// fault each.
 fn faults(site: &str) -> Vec<String> {
     let lines = site
         .lines()
@@ -80,12 +81,14 @@
     bare.map(str::to_owned).collect()
 }
 
-/// Formats an entry of the list `faults` of a day file.
+/// Formats an entry of the list `faults` of a day file: a fault and its time in
+/// seconds.
 fn fault_entry(fault: &str, time: u32) -> String {
     format!("{{ at = {time}.0, {fault} }}")
 }
 
-/// Returns the index of the second fault of a pair, which depends on the seed.
+/// Returns the index of the second fault of a pair. It depends on the seed and
+/// differs from `index` if there are at least two faults.
 fn partner(index: usize, seed: u64, count: usize) -> usize {
     let step = usize::try_from(seed).unwrap_or(1) * 7 + 5;
     (index + step % count.max(2).saturating_sub(1) + 1) % count.max(1)
@@ -102,7 +105,7 @@
     Ok(path)
 }
 
-/// Returns the play of a day file.
+/// Returns the play of a day file with a seed.
 fn day(file: &Path, seed: u64) -> Play {
     Play {
         day: file.display().to_string(),
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,2 +1,3 @@
-//! This library is empty. The benchmarks are the bench targets `main` and `days`:
-//! `cargo bench -p bench --bench main -- NAME`.
+//! This library is empty. The benchmarks are the bench targets `main` and `days`,
+//! started by `cargo bench -p bench --bench main -- NAME` and
+//! `cargo bench -p bench --bench days -- SUBCOMMAND`.
