--- a/crates/bench/benches/main/cell.rs
+++ b/crates/bench/benches/main/cell.rs
@@ -1,4 +1,4 @@
-//! Starts a cell of real processes for a benchmark.
+//! Starts a cell for a benchmark: real processes on a simulated platform.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,11 +10,11 @@
 
 use crate::DAEMON;
 
-/// Number of processes, the same as in the users' present deployments.
+/// Number of processes of a cell, the same as in the users' deployments.
 const PROCESSES: usize = 8;
 
-/// Maximum time for a started cell to settle.
-const SETTLE_TIMEOUT: Duration = Duration::from_mins(1);
+/// Maximum time from the configuration of a cell until it is ready.
+const READY_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// Starts and configures a cell of 8 processes and 48 workers.
 pub(crate) async fn open_cell() -> Cell {
@@ -25,8 +25,8 @@
     open_planned_cell(plan).await
 }
 
-/// Starts all processes of a planned cell, configures it and waits until it has
-/// settled.
+/// Starts all processes of a planned cell, configures it and waits until it is
+/// ready: a lookup in each shard succeeds through each process.
 pub(crate) async fn open_planned_cell(plan: CellPlan) -> Cell {
     let mut cell = Cell::open(plan).await.expect("failed to open the cell");
     let program = std::env::current_exe().expect("path of this program is unavailable");
@@ -37,14 +37,14 @@
     while cell.configure().await.is_err() {
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    cell.wait_ready(SETTLE_TIMEOUT)
+    cell.wait_ready(READY_TIMEOUT)
         .await
-        .expect("cell did not settle in time");
+        .expect("cell was not ready in time");
     cell
 }
 
-/// Returns a load of `rate` requests per second for some seconds, spread over all
-/// processes.
+/// Returns a load of `rate` requests per second, spread over all processes of the
+/// cell. `request` creates the request with a given number.
 pub(crate) fn load(cell: &Cell, rate: u32, seconds: u32, request: fn(u32) -> Request) -> LoadPlan {
     let servers: Vec<SocketAddr> = cell.members.iter().map(fake::Member::http).collect();
     LoadPlan {
--- a/crates/bench/benches/main/control.rs
+++ b/crates/bench/benches/main/control.rs
@@ -1,6 +1,7 @@
-//! `control`: resource usage of one process, idle and under load. Processor time
-//! and memory are read from `/proc`; bytes are counted by the relays in front of
-//! the store's table and the peers.
+//! `control`: resource usage of one process of a cell, idle and under load.
+//! Processor time and memory are read from `/proc`. The bytes sent and received are
+//! counted by the relays through which the processes reach the platform's table and
+//! each other.
 
 use std::time::Duration;
 
@@ -16,7 +17,7 @@
 /// Duration of each measurement.
 const MEASURE_TIME: Duration = Duration::from_secs(10);
 
-/// Clock ticks per second in which `/proc` reports processor time.
+/// Number of clock ticks per second; `/proc` reports processor time in ticks.
 const TICKS_PER_SECOND: f64 = 100.0;
 
 /// Returns a lookup request with its own id.
@@ -24,8 +25,8 @@
     lookup_request(&format!("lookup-{number}"))
 }
 
-/// Returns the processor time in seconds and the resident memory in MiB of a
-/// process.
+/// Returns the processor time in seconds and the resident memory in MiB of the
+/// process with the given id; zero if they cannot be read.
 fn usage(id: u32) -> (f64, f64) {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
     let fields: Vec<&str> = stat
@@ -49,7 +50,7 @@
     (seconds, kib.unwrap_or_default() / 1024.0)
 }
 
-/// Runs the benchmark.
+/// Measures an idle cell, and the same cell under load.
 pub(crate) async fn run() {
     let cell = open_cell().await;
     tokio::time::sleep(Duration::from_secs(2)).await;
@@ -58,8 +59,8 @@
     cell.close();
 }
 
-/// Measures an open cell under a load of `rate` requests per second and prints
-/// the figures.
+/// Measures an open cell under a load of `rate` requests per second, or an idle
+/// one if `rate` is 0, and prints the results.
 async fn measure(name: &str, cell: &Cell, rate: u32) {
     let usage = measure_usage(cell, rate).await;
     print(&format!("{name}.core"), usage.core, "percent");
@@ -69,7 +70,8 @@
     print(&format!("{name}.table_reads"), usage.reads, "reads/s");
 }
 
-/// Resource usage of one process; writes and reads are those of the whole cell.
+/// Resource usage of one process of a cell; writes and reads are those of the whole
+/// cell.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Usage {
     /// Processor time in percent of a core, the mean of all processes.
@@ -79,18 +81,19 @@
     /// Bytes per second to and from the table and the peers, the mean of all
     /// processes.
     pub(crate) bytes: f64,
-    /// Table rows written per second.
+    /// Rows of the table written per second.
     pub(crate) writes: f64,
-    /// Table reads per second.
+    /// Reads of the table per second.
     pub(crate) reads: f64,
 }
 
-/// Measures the usage of a process of an idle cell.
+/// Measures the resource usage of a process while the cell gets no requests.
 pub(crate) async fn measure_idle(cell: &Cell) -> Usage {
     measure_usage(cell, 0).await
 }
 
-/// Measures the usage of a process under a load of `rate` requests per second.
+/// Measures the resource usage of a process under a load of `rate` requests per
+/// second.
 async fn measure_usage(cell: &Cell, rate: u32) -> Usage {
     let ids: Vec<u32> = cell
         .members
@@ -98,7 +101,7 @@
         .filter_map(fake::Member::process_id)
         .collect();
     let usage_before: Vec<(f64, f64)> = ids.iter().map(|id| usage(*id)).collect();
-    let bytes = bytes(cell);
+    let bytes_before = bytes(cell);
     let table_before = cell.platform.table.counts();
     if rate == 0 {
         tokio::time::sleep(MEASURE_TIME).await;
@@ -114,7 +117,7 @@
     let mut total = Usage {
         core: 0.0,
         memory: 0.0,
-        bytes: per_second(self::bytes(cell), bytes) / processes,
+        bytes: per_second(self::bytes(cell), bytes_before) / processes,
         writes: per_second(table_after.writes, table_before.writes),
         reads: per_second(table_after.reads, table_before.reads),
     };
@@ -126,8 +129,8 @@
     total
 }
 
-/// Returns the bytes that the relays in front of the table and the peers have
-/// passed so far.
+/// Returns the number of bytes that the processes have exchanged with the table
+/// and with each other so far, as counted by the relays.
 fn bytes(cell: &Cell) -> u64 {
     cell.members
         .iter()
--- a/crates/bench/benches/main/decide.rs
+++ b/crates/bench/benches/main/decide.rs
@@ -1,5 +1,5 @@
-//! `decide`: decisions per second of the scheduling core, which does no I/O, on
-//! one thread.
+//! `decide`: decisions per second of the scheduling core on one thread. The core
+//! does no I/O.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -24,8 +24,8 @@
 /// Number of decisions in each measurement.
 const DECISIONS: usize = 200_000;
 
-/// Returns a scheduling core with workers of 8 slots and one team without
-/// practical limits.
+/// Returns a scheduling core with workers of 8 slots and one team; quota and power
+/// are unlimited.
 pub(crate) fn core<P: Policy>(policy: P, workers: usize) -> Core<P> {
     let mut core = power_capped_core(policy, u32::MAX, u32::MAX);
     let capacity = Resources {
@@ -60,9 +60,10 @@
     }
 }
 
-/// Measures decisions with `running` tasks on `workers` workers. In each decision
-/// one task ends and another is submitted and placed. Returns the decisions per
-/// second and the 99th percentile of the time of one decision in microseconds.
+/// Measures decisions on `workers` workers while `running` tasks are running: in
+/// each measured decision, one task ends, and another is submitted and placed.
+/// Returns the decisions per second, and the 99th percentile of the time of a
+/// decision in microseconds.
 pub(crate) fn measure<P: Policy>(
     policy: P,
     workers: usize,
@@ -101,7 +102,7 @@
     )
 }
 
-/// Runs the benchmark for every policy, with two cell sizes.
+/// Measures every policy with two numbers of workers.
 pub(crate) fn run() {
     for (workers, running) in [(48, 200), (3400, 12_000)] {
         let weighted = Weighted { pack_percent: 0 };
--- a/crates/bench/benches/main/faults.rs
+++ b/crates/bench/benches/main/faults.rs
@@ -43,8 +43,8 @@
     }
 }
 
-/// Verifies the outcomes against the run log and prints each violation and their
-/// number.
+/// Verifies the outcomes of the requests against the log of all runs, and prints
+/// each violation and the number of violations.
 fn print_violations(name: &str, cell: &Cell, outcomes: &[Outcome]) {
     let violations = verify(outcomes, &cell.platform.log.runs(), cell.platform.capacity);
     for line in &violations {
@@ -57,7 +57,8 @@
     );
 }
 
-/// Kills a process under load; the gap is the longest wait of a request.
+/// Kills a process under load, in three rounds. The printed gaps are the longest
+/// times from sending a request to its start.
 pub(crate) async fn run_takeover() {
     let mut gaps = Vec::new();
     for round in 0..3 {
@@ -84,7 +85,8 @@
     print("takeover.gap.max", millis(gaps[2]), "ms");
 }
 
-/// Stops a process under load with SIGTERM, so that it hands over its shards.
+/// Stops a process under load with SIGTERM, so that it makes other processes the
+/// owners of its shards before it ends.
 pub(crate) async fn run_handover() {
     let mut cell = open_cell().await;
     let plan = load(&cell, 2000, 8, numbered_lookup);
@@ -110,8 +112,10 @@
     cell.close();
 }
 
-/// Pauses a process beyond the expiry of its lease, with and without reclaiming
-/// its shards afterwards.
+/// Pauses a process under load, with and without the setting that lets it keep its
+/// shards after its lease has expired. The short pause is longer than the time for
+/// which the process may act on its lease, but shorter than the time after which
+/// another process takes over its shards; the long pause exceeds both.
 pub(crate) async fn run_pause() {
     for (name, reclaim) in [("pause.reclaim", true), ("pause.drop", false)] {
         for (kind, pause) in [("short", 1900), ("long", 4000)] {
@@ -132,7 +136,7 @@
     }
 }
 
-/// Pauses a process of an open cell under load and prints the figures.
+/// Pauses a process of an open cell under load and prints the results.
 async fn pause_once(name: &str, cell: &Cell, pause: Duration) {
     let plan = load(cell, 400, 10, mixed_request);
     let load_start = cell.platform.log.now();
@@ -150,7 +154,9 @@
     print_violations(name, cell, &outcomes);
 }
 
-/// Takes the table down for 30 s under load.
+/// Makes the table unavailable for 30 s under a load of idempotent lookups and of
+/// confirmations, which need the table; measures the table's load in the 3 s after
+/// the outage.
 pub(crate) async fn run_outage() {
     let cell = open_cell().await;
     let plan = load(&cell, 200, 45, numbered_lookup);
@@ -181,7 +187,7 @@
 }
 
 /// Measures the time from sending a configuration patch until all live processes
-/// apply its version, with all processes running and with one paused.
+/// apply it, with all processes running and with one paused.
 pub(crate) async fn run_config() {
     let cell = open_cell().await;
     let mut version = 1;
@@ -192,7 +198,8 @@
     cell.close();
 }
 
-/// Sends patches one after another and prints the quantiles of their times.
+/// Sends patches one after another, and prints the quantiles of the times until
+/// all live processes apply them. `version` is the current configuration version.
 async fn measure_patches(name: &str, cell: &Cell, version: &mut u64, rounds: u32) {
     let mut times: Histogram<u64> = new_histogram();
     for round in 0..rounds {
@@ -222,7 +229,8 @@
     print_quantiles(name, &times);
 }
 
-/// Drains a worker under load and measures when its last task starts.
+/// Marks a worker as leaving under load, and measures how long after that its last
+/// task starts.
 pub(crate) async fn run_drain() {
     let cell = open_cell().await;
     let plan = load(&cell, 1000, 8, numbered_lookup);
@@ -244,7 +252,9 @@
     cell.close();
 }
 
-/// Cancels 10,000 queued restocks with one call.
+/// Cancels 10,000 restocks (batch requests) with one call, and prints how long the
+/// call takes, how many table rows it writes, and how many tasks start after it has
+/// returned.
 pub(crate) async fn run_cancel_wave() {
     const RESTOCKS: u32 = 10_000;
     let cell = open_cell().await;
--- a/crates/bench/benches/main/figures.rs
+++ b/crates/bench/benches/main/figures.rs
@@ -1,4 +1,5 @@
-//! Prints measured figures and computes the waits from request to start.
+//! Prints the results of benchmarks, and computes how long requests wait for their
+//! start.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,10 +11,10 @@
 use model::Family;
 use model::request_key;
 
-/// Largest value of a histogram: one hour in nanoseconds.
+/// Largest value of a histogram of nanoseconds: one hour.
 const MAX_NANOS: u64 = 3_600_000_000_000;
 
-/// Prints one figure as `name value unit`.
+/// Prints one result as `name value unit`.
 pub(crate) fn print(name: &str, value: f64, unit: &str) {
     println!("{name} {value:.3} {unit}");
 }
@@ -23,14 +24,15 @@
     duration.as_secs_f64() * 1000.0
 }
 
-/// Converts a count to a figure; saturates at `u32::MAX`.
+/// Converts a count to a printable value; saturates at `u32::MAX`.
 pub(crate) fn count(number: usize) -> f64 {
     f64::from(u32::try_from(number).unwrap_or(u32::MAX))
 }
 
-/// Returns a histogram per class of the waits in microseconds, each from when the
-/// caller sent the request until a worker first started it. Requests that never
-/// started are left out.
+/// Returns a histogram per class of the waiting times in microseconds, each from
+/// the time at which the caller sent the request until a worker first started it.
+/// `load_start` is the time of the run log at which the load began. Requests that
+/// never started are left out.
 pub(crate) fn start_waits(
     outcomes: &[Outcome],
     runs: &[Run],
@@ -74,11 +76,11 @@
     );
 }
 
-/// Maximum number of unsuccessful requests that are printed in full.
+/// Maximum number of unsuccessful requests whose answers are printed.
 const MAX_PRINTED: usize = 6;
 
-/// Prints the first unsuccessful requests in full, and the number of requests in
-/// all and by family of answer.
+/// Prints the answers to the first unsuccessful requests, and the number of all
+/// requests and of those with an answer of each family.
 pub(crate) fn print_families(name: &str, outcomes: &[Outcome]) {
     let unsuccessful = outcomes.iter().filter(|o| o.family() != Family::Succeeded);
     for outcome in unsuccessful.take(MAX_PRINTED) {
--- a/crates/bench/benches/main/main.rs
+++ b/crates/bench/benches/main/main.rs
@@ -1,7 +1,8 @@
-//! Benchmarks. `cargo bench -p bench --bench main -- NAME...` runs the named ones,
-//! or all if no name is given, and prints lines of the form `name value unit`. A
-//! benchmark that needs a cell starts this program again as the daemon, once per
-//! process of the cell.
+//! Benchmarks of the scheduling code, and of whole cells with a simulated platform
+//! and simulated workers. `cargo bench -p bench --bench main -- NAME...` runs the
+//! named ones, or all if no name is given, and prints lines of the form
+//! `name value unit`. A benchmark that needs a cell starts this program again as
+//! the daemon, once per process of the cell.
 
 mod cell;
 mod control;
@@ -21,7 +22,8 @@
 use daemon::Process;
 use daemon::Settings;
 
-/// First argument that makes this program run as the daemon.
+/// First argument that makes this program run as the daemon; the last argument is
+/// then the path of the settings file.
 const DAEMON: &str = "daemon";
 
 fn main() -> ExitCode {
@@ -97,7 +99,8 @@
     }
 }
 
-/// Runs the daemon until it receives SIGTERM or one of its tasks ends.
+/// Runs the daemon until it receives SIGTERM, or one of its essential async tasks
+/// ends, which is an error.
 async fn run_daemon(file: PathBuf) -> ExitCode {
     let settings = Settings::load(&file).expect("failed to load the settings");
     let mut process = Process::open(&settings)
--- a/crates/bench/benches/main/pack.rs
+++ b/crates/bench/benches/main/pack.rs
@@ -1,5 +1,6 @@
-//! `pack`: utilisation relative to an upper bound, by policy, and the utilisation
-//! that is lost when a cell is divided into shards.
+//! `pack`: utilisation of a site, relative to an upper bound, when many more jobs
+//! are submitted than fit: by policy, and by the number of shards into which the
+//! site is divided.
 
 use std::time::Duration;
 
@@ -21,13 +22,13 @@
 /// Number of workers of each site.
 const WORKERS: u32 = 48;
 
-/// Size of the workers and power limit of a deployment named in the users'
-/// requirements.
+/// A deployment named in the users' requirements: the size of its workers and its
+/// power limit.
 struct Site {
     name: &'static str,
     /// Processor capacity of a worker, in thousandths of a core.
     cpu_milli: u32,
-    /// Memory capacity of a worker.
+    /// Memory capacity of a worker, in MiB.
     memory_mib: u32,
     /// Power limit of the site, in watts.
     power_limit: u32,
@@ -62,7 +63,8 @@
     }
 }
 
-/// Returns a random job; one in five is large.
+/// Returns a random job. It needs at most 15 percent of the processors of a worker;
+/// one in five needs at most 55 percent.
 fn job(site: &Site, rng: &mut SplitMix) -> JobSpec {
     let large = rng.next_below(5) == 0;
     let divisor = if large { 2 } else { 10 };
@@ -85,8 +87,8 @@
     }
 }
 
-/// Returns the scheduling core of a shard, with its share of the workers and of
-/// the site's power.
+/// Returns the scheduling core of a shard, with its part of the site's workers and
+/// power.
 fn shard_core<P: Policy>(policy: P, site: &Site, shard: u16, shards: u16) -> Core<P> {
     let mut core = power_capped_core(
         policy,
@@ -106,8 +108,8 @@
     core
 }
 
-/// Packs random jobs and returns the usage of the most used resource in percent
-/// of its total, which no placement can exceed.
+/// Submits random jobs, places those that fit, and returns the usage of the most
+/// used resource in percent of the site's total. No placement can exceed 100.
 fn utilisation<P: Policy + Copy>(policy: P, site: &Site, shards: u16) -> f64 {
     let mut cores: Vec<Core<P>> = (0..shards)
         .map(|shard| shard_core(policy, site, shard, shards))
@@ -115,7 +117,8 @@
     let mut rng = SplitMix(7);
     let mut used = Resources::default();
     let now = Duration::from_secs(1);
-    // Far more jobs than fit, assigned to random shards as request ids are.
+    // Many more jobs than fit. Each goes to a random shard, as a request does whose
+    // shard is selected by a hash of its key.
     for _ in 0..1500 {
         let spec = job(site, &mut rng);
         let needs = spec.needs;
@@ -140,7 +143,8 @@
         .max(usage(used.slots, 8 * WORKERS))
 }
 
-/// Runs the benchmark for every site.
+/// Measures every policy on each site, and the policy that packs most tightly on
+/// the site divided into shards.
 pub(crate) fn run() {
     for site in &SITES {
         let name = site.name;
--- a/crates/bench/benches/main/path.rs
+++ b/crates/bench/benches/main/path.rs
@@ -1,5 +1,6 @@
-//! `path`, `durable` and `spill`: wait from request to start under an open-loop
-//! load on 8 processes and 48 workers.
+//! `path`, `durable` and `spill`: time from sending a request to its start on a
+//! worker, in a cell of 8 processes and 48 workers. The load is open-loop: requests
+//! are sent at a fixed rate, whether or not earlier ones have been answered.
 
 use fake::confirmation_request;
 use fake::lookup_request;
@@ -36,23 +37,24 @@
     confirmation_request(&format!("confirm-{number}"))
 }
 
-/// Measures idempotent requests at growing rates.
+/// Measures idempotent requests at increasing rates.
 pub(crate) async fn run() {
     for rate in [500, 2000, 4000] {
         measure(&format!("path.{rate}"), rate, numbered_lookup).await;
     }
 }
 
-/// Measures non-idempotent requests, whose starts are recorded in the table before
-/// they are sent to a worker.
+/// Measures non-idempotent requests, whose intents to start are recorded in the
+/// platform's table before the start messages are sent to the workers.
 pub(crate) async fn run_durable() {
     for rate in [250, 1000] {
         measure(&format!("durable.{rate}"), rate, numbered_confirmation).await;
     }
 }
 
-/// Measures a load whose requests all belong to one shard. The shard's workers
-/// have capacity for 24 of the 60 requests that would run at a time.
+/// Measures a load whose requests all belong to one shard, which offloads those
+/// that its own workers have no capacity for. 60 requests would run at a time
+/// (200 per second for 300 ms each); the shard's workers have capacity for 24.
 pub(crate) async fn run_spill() {
     measure("spill.one_shard", 200, |number| Request {
         run_millis: 300,
@@ -61,7 +63,8 @@
     .await;
 }
 
-/// Measures one load on a cell of its own and prints the figures.
+/// Opens a cell, runs a load of `rate` requests per second on it and prints the
+/// results.
 async fn measure(name: &str, rate: u32, request: fn(u32) -> Request) {
     let cell = open_cell().await;
     let before = cell.platform.table.counts();
--- a/crates/bench/benches/main/plan.rs
+++ b/crates/bench/benches/main/plan.rs
@@ -1,5 +1,5 @@
-//! `plan`: time of one round of the planner of a worker pool while steps wait for
-//! free capacity.
+//! `plan`: time of one round of the planner of a worker pool in which all workers
+//! are full and steps of jobs wait for free capacity.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -24,7 +24,8 @@
 /// Time between two rounds.
 const ROUND_INTERVAL: Duration = Duration::from_millis(4);
 
-/// Returns a queue that requires advice.
+/// Returns a queue whose steps need advice: a call that names the workers on which
+/// a step may run and returns a ticket for each of them.
 fn queue(name: &str, priority: u32) -> Queue {
     Queue {
         name: name.to_owned(),
@@ -44,9 +45,9 @@
     }
 }
 
-/// Returns the planner of a full pool with `waiting` steps. Each step has tickets
-/// for a quarter of the workers, but none of these has free capacity; a fifth of
-/// the steps are gangs.
+/// Returns the planner of a full pool in which `waiting` jobs of one step wait. Each
+/// step has tickets for a quarter of the workers, none of which has free capacity;
+/// a fifth of the steps are gangs.
 fn full_pool(workers: usize, waiting: u64) -> Planner {
     let mut planner = Planner::new(Policy::default(), 1, Duration::ZERO, Duration::ZERO);
     for index in 0..workers {
@@ -103,7 +104,8 @@
     planner
 }
 
-/// Returns resources without accelerators.
+/// Returns resources without accelerators; `cpu` is in thousandths of a core,
+/// `memory` in megabytes.
 fn resources(cpu: u64, memory: u64) -> Resources {
     Resources {
         cpu,
@@ -112,7 +114,8 @@
     }
 }
 
-/// Returns a job of one step.
+/// Returns a job of one step with `count` tasks, each of which needs `cpu`
+/// thousandths of a core.
 fn spec(queue: Queue, count: u32, cpu: u64, gang: bool) -> JobSpec {
     let step = StepSpec {
         count,
@@ -131,8 +134,8 @@
     }
 }
 
-/// Prints the mean time of a planning round and of a search for the next advice
-/// call.
+/// Prints the mean time of a planning round, and of a search for the step for which
+/// advice is requested next.
 pub(crate) fn run() {
     for (workers, waiting) in [(48, 20), (48, 200), (350, 50), (350, 300)] {
         let mut planner = full_pool(workers, waiting);
--- a/crates/bench/benches/main/scale.rs
+++ b/crates/bench/benches/main/scale.rs
@@ -13,11 +13,11 @@
 use crate::slopes::Point;
 use crate::slopes::report;
 
-/// Time between the start of a cell and its measurement, in which it becomes
-/// idle.
+/// Time from when a cell is ready until it is measured, in which the work that
+/// follows its start ends.
 const IDLE_DELAY: Duration = Duration::from_secs(4);
 
-/// Runs the benchmark.
+/// Measures idle cells by number of workers, then by number of processes.
 pub(crate) async fn run() {
     let mut usages = Vec::new();
     for workers in [48, 200, 400, 800] {
@@ -35,7 +35,7 @@
     report_usages("processes", "process", &usages);
 }
 
-/// Measures the usage of a process of an idle cell of the given size.
+/// Measures the resource usage of a process of an idle cell of the given size.
 async fn measure_idle_cell(processes: usize, workers: usize) -> Usage {
     let platform = PlatformPlan {
         workers,
@@ -57,7 +57,7 @@
     usage
 }
 
-/// A figure of the usage: its name, its unit and its accessor.
+/// A printed value of the resource usage: its name, its unit and its accessor.
 type Figure = (&'static str, &'static str, fn(&Usage) -> f64);
 
 const FIGURES: [Figure; 5] = [
@@ -68,7 +68,8 @@
     ("reads", "reads/s", |usage| usage.reads),
 ];
 
-/// Reports every figure of the usage by cell size.
+/// Prints each value of the resource usage by cell size, with the line fitted
+/// through the values.
 fn report_usages(size_name: &str, size_unit: &str, usages: &[(f64, Usage)]) {
     for (figure, unit, value) in FIGURES {
         let points: Vec<Point> = usages
--- a/crates/bench/benches/main/sched_core.rs
+++ b/crates/bench/benches/main/sched_core.rs
@@ -1,4 +1,5 @@
-//! Scheduling cores for the benchmarks that need no cell.
+//! Creates scheduling cores, which decide without I/O, for the benchmarks that need
+//! no cell.
 
 use model::Resources;
 use sched::Core;
@@ -9,8 +10,8 @@
 /// Team of all jobs in these benchmarks.
 pub(crate) const TEAM: &str = "stores";
 
-/// Returns a scheduling core without workers, whose one team is limited only by
-/// the power of the site and of the racks.
+/// Returns a scheduling core without workers. The quota of its one team is
+/// unlimited; the power of the site and of each rack is limited, in watts.
 pub(crate) fn power_capped_core<P: Policy>(policy: P, site_watts: u32, rack_watts: u32) -> Core<P> {
     let quota = Resources {
         cpu_milli: u32::MAX,
--- a/crates/bench/benches/main/slopes.rs
+++ b/crates/bench/benches/main/slopes.rs
@@ -1,5 +1,6 @@
-//! `slopes`: growth of cost with size, measured at four sizes or more, with the
-//! best-fitting line and its largest error.
+//! `slopes`: how time or size of an operation grows with the number of workers,
+//! requests, records, teams or processes. Each is measured at four sizes or more,
+//! and a line is fitted through the results.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,11 +25,11 @@
 use crate::figures::count;
 use crate::figures::print;
 
-/// A measured point: size and cost.
+/// Result of a measurement: the input size and the cost at this size.
 pub(crate) type Point = (f64, f64);
 
 /// Fits a least-squares line through the points. Returns its intercept, its slope,
-/// and its largest error in percent of the largest cost.
+/// and the largest distance of a cost from it in percent of the largest cost.
 fn fit(points: &[Point]) -> (f64, f64, f64) {
     let number = count(points.len());
     let mean = |coordinate: fn(&Point) -> f64| points.iter().map(coordinate).sum::<f64>() / number;
@@ -43,7 +44,8 @@
     (intercept, slope, worst * 100.0 / highest)
 }
 
-/// Prints the points, the line through them and its error.
+/// Prints the points, the line fitted through them and its error. The costs are in
+/// `unit`, the sizes are numbers of `per`.
 pub(crate) fn report(name: &str, unit: &str, per: &str, points: &[Point]) {
     for (size, cost) in points {
         print(&format!("slopes.{name}.at{size}"), *cost, unit);
@@ -54,7 +56,8 @@
     print(&format!("slopes.{name}.error"), error, "percent");
 }
 
-/// Returns the shortest time of `work` over some rounds, in microseconds.
+/// Runs `work` as often as `rounds` says and returns its shortest time in
+/// microseconds.
 fn best_micros(rounds: u32, mut work: impl FnMut()) -> f64 {
     let mut best = Duration::MAX;
     for _ in 0..rounds {
@@ -65,7 +68,8 @@
     best.as_secs_f64() * 1e6
 }
 
-/// Runs the benchmark.
+/// Measures the time of a decision by number of workers, and everything else that
+/// this benchmark covers.
 pub(crate) fn run() {
     let sizes = [48, 106, 212, 425, 850, 1700, 3400];
     let points: Vec<Point> = sizes
@@ -83,7 +87,7 @@
     measure_placement();
 }
 
-/// Returns journal records that accept the given number of requests.
+/// Returns the journal records of as many accepted requests as given.
 fn records(requests: u32) -> Vec<Record> {
     let request = |number: u32| Request {
         team: "stores".to_owned(),
@@ -98,8 +102,8 @@
     (0..requests).map(accept).collect()
 }
 
-/// Measures how long a successor takes to rebuild the state of a shard from the
-/// records that it has read.
+/// Measures how long a new owner takes to rebuild the state of a shard from the
+/// journal records that it has read, by number of requests.
 fn measure_recovery() {
     let points: Vec<Point> = [500, 2000, 8000, 32_000]
         .iter()
@@ -110,7 +114,7 @@
                 for record in &records {
                     ledger.replay(record, Times::default());
                 }
-                let facts = MachineParams {
+                let params = MachineParams {
                     shard: 0,
                     shards: 1,
                     epoch: 2,
@@ -118,7 +122,7 @@
                     retention: Duration::from_mins(10),
                     claim_deadline: Duration::from_secs(20),
                 };
-                let machine = Machine::new(facts, ledger, config(1), Times::default());
+                let machine = Machine::new(params, ledger, config(1), Times::default());
                 assert!(!machine.ledger().is_empty());
             });
             (f64::from(*requests), cost)
@@ -127,7 +131,7 @@
     report("recovery_by_requests", "us", "request", &points);
 }
 
-/// Measures the size of a journal batch in bytes.
+/// Measures the encoded size of a journal batch in bytes, by number of records.
 fn measure_journal() {
     let points: Vec<Point> = [1, 10, 100, 1000]
         .iter()
@@ -165,8 +169,8 @@
     })
 }
 
-/// Measures the size of a configuration in bytes, and the time to compute a
-/// shard's grants from it.
+/// Measures the encoded size of a configuration in bytes, and the time to compute
+/// the grants of one shard from it, by number of teams.
 fn measure_config() {
     let teams = [10, 20, 40, 81, 160];
     let bytes: Vec<Point> = teams
@@ -182,9 +186,9 @@
     let costs: Vec<Point> = teams
         .iter()
         .map(|number| {
-            let numbered = config(*number);
+            let versioned = config(*number);
             let cost = best_micros(20, || {
-                assert!(!shard_grants(&numbered.config, 0, 16).teams.is_empty());
+                assert!(!shard_grants(&versioned.config, 0, 16).teams.is_empty());
             });
             (f64::from(*number), cost)
         })
@@ -192,7 +196,7 @@
     report("config_cost_by_teams", "us", "team", &costs);
 }
 
-/// Measures the time to place all shards on the live processes.
+/// Measures the time to compute the owners of 64 shards, by number of processes.
 fn measure_placement() {
     let points: Vec<Point> = [8usize, 16, 32, 64]
         .iter()
