--- a/crates/event/src/kind.rs
+++ b/crates/event/src/kind.rs
@@ -51,12 +51,12 @@
     /// This process marked the lease of another process as expired.
     PeerExpired = 203,
     /// The process continues to serve its shards after the expiry of its lease,
-    /// because a peer confirms that the table is unavailable to it too.
+    /// because a peer confirms that the platform's table is unavailable to it too.
     OutageEntered = 204,
-    /// The table is available again.
+    /// The platform's table is available again.
     OutageLeft = 205,
-    /// The table is unavailable, but no peer confirms the outage any more, or the
-    /// outage has lasted too long. The process makes no more decisions for its
+    /// The platform's table is unavailable, but no peer confirms the outage any
+    /// more, or the outage has lasted too long. The process makes no more decisions for its
     /// shards until it has renewed its lease.
     OutageUnconfirmed = 206,
     /// This process claimed a shard and raised its epoch.
@@ -107,10 +107,10 @@
     PatchAccepted = 501,
     /// A configuration patch was refused, and has no effect.
     PatchRefused = 502,
-    /// The table did not confirm the commit of a configuration patch; the patch
-    /// may have been accepted.
+    /// The platform's table did not confirm the commit of a configuration patch;
+    /// the patch may have been accepted.
     PatchUnknown = 503,
-    /// A row of the table cannot be parsed; it was left unchanged.
+    /// A row of the platform's table cannot be parsed; the row was left unchanged.
     RowDamaged = 600,
 }
 
--- a/crates/model/src/answer.rs
+++ b/crates/model/src/answer.rs
@@ -18,16 +18,19 @@
     pub code: Code,
     /// Human-readable explanation of the result code.
     pub reason: String,
-    /// Output of the task.
+    /// Output of the task; for a gang, the outputs of all tasks, joined by
+    /// newlines.
     pub output: String,
-    /// Hexadecimal SHA-256 of `output`, computed by the worker that ran the task.
+    /// Hexadecimal SHA-256 of `output`, computed by the owner of the shard. Before
+    /// the owner reports success, it checks the digests that the workers sent.
     pub digest: String,
-    /// Worker that ran the first task of the request; empty if no task was started.
+    /// Worker that ran the first task of the request; empty if the answer does not
+    /// report the end of a task.
     pub worker: WorkerId,
     /// Time from the submission to the start of the tasks, in milliseconds.
     pub waited_millis: u64,
     /// Delay after which the caller may send the request again, in milliseconds;
-    /// 0 if it should not.
+    /// 0 if the answer suggests none.
     pub retry_millis: u64,
 }
 
@@ -55,7 +58,7 @@
     }
 
     /// Whether the digest matches the output, so that the output is complete and
-    /// unchanged since the worker computed the digest.
+    /// unchanged since the owner of the shard computed the digest.
     #[must_use]
     pub fn has_valid_digest(&self) -> bool {
         digest(&self.output) == self.digest
--- a/crates/model/src/code.rs
+++ b/crates/model/src/code.rs
@@ -49,8 +49,8 @@
     Ok = 100,
     /// The task itself reported a failure.
     TaskFailed = 200,
-    /// The task was stopped, or not started again after a lost attempt, because
-    /// the caller cancelled the request.
+    /// The caller cancelled the request after its start: the task was stopped, or
+    /// not started again after an attempt that had ended.
     TaskStopped = 201,
     /// The request is malformed.
     Invalid = 300,
