--- a/crates/store/src/commit.rs
+++ b/crates/store/src/commit.rs
@@ -32,11 +32,12 @@
 pub struct Write {
     /// Key of the row.
     pub key: String,
-    /// New content of the row; none deletes the row.
+    /// New content of the row; `None` deletes the row.
     pub value: Option<String>,
 }
 
-/// A transaction: if all checks hold, all writes are applied; otherwise none.
+/// A transaction: applies all writes if every check matches the row's current
+/// version, otherwise none.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Commit {
     /// Conditions on row versions.
@@ -78,18 +79,18 @@
 /// Outcome of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommitOutcome {
-    /// The writes were applied; holds the new row versions in the order of the
+    /// The writes were applied; contains the new row versions in the order of the
     /// writes.
     Done(Vec<RowVersion>),
-    /// A condition did not hold; nothing was written.
+    /// A check failed; nothing was written.
     Conflict(Conflict),
 }
 
-/// The first condition of a transaction that did not hold.
+/// The first failed check of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Conflict {
     /// Key of the row.
     pub key: String,
-    /// Actual version of the row.
+    /// Current version of the row; 0 if it does not exist.
     pub found: RowVersion,
 }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -5,14 +5,18 @@
 /// Error of a call to one of the platform's services.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum StoreError {
-    /// The call was not sent, or the service refused it; it had no effect.
-    #[snafu(display("the platform's service is unavailable: {reason}"))]
+    /// The call was not sent, or the service replied with an error status. The
+    /// call had no effect.
+    #[snafu(display("call to the platform failed without effect: {reason}"))]
     Unavailable {
         /// Description of the cause.
         reason: String,
     },
-    /// The reply was lost; the call may have taken effect.
-    #[snafu(display("the answer of the platform's service was lost: {reason}"))]
+    /// No complete, well-formed reply was received; the call may have taken
+    /// effect.
+    #[snafu(display(
+        "no usable reply from the platform; the call may have taken effect: {reason}"
+    ))]
     Unknown {
         /// Description of the cause.
         reason: String,
--- a/crates/store/src/hosts.rs
+++ b/crates/store/src/hosts.rs
@@ -1,4 +1,5 @@
-//! The platform's host list, with the live and the leaving workers.
+//! Trait and HTTP client of the platform's host list, which contains the live
+//! and the leaving workers.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -51,7 +52,8 @@
 }
 
 impl HttpHostList {
-    /// Creates a client of the list at `server`, with a timeout for each call.
+    /// Creates a client of the host list at `server`. `timeout` limits each call,
+    /// and the opening of a connection.
     #[must_use]
     pub fn new(server: SocketAddr, timeout: Duration) -> HttpHostList {
         HttpHostList {
--- a/crates/store/src/http_table.rs
+++ b/crates/store/src/http_table.rs
@@ -24,7 +24,8 @@
 }
 
 impl HttpTable {
-    /// Creates a client of the table at `server`, with a timeout for each call.
+    /// Creates a client of the table at `server`. `timeout` limits each call, and
+    /// the opening of a connection.
     #[must_use]
     pub fn new(server: SocketAddr, timeout: Duration) -> HttpTable {
         HttpTable {
@@ -41,13 +42,13 @@
     }
 }
 
-/// Maps an error status to `Unavailable`: the service replies with an error
-/// status only if the call had no effect.
+/// Maps an error status to [`StoreError::Unavailable`]: the table replies with an
+/// error status only if the call had no effect.
 fn check_status(reply: &Reply) -> Result<(), StoreError> {
     if reply.status == StatusCode::OK {
         return Ok(());
     }
-    let reason = format!("status {}: {}", reply.status, reply.text());
+    let reason = format!("table: status {}: {}", reply.status, reply.text());
     Err(StoreError::Unavailable { reason })
 }
 
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,5 +1,6 @@
-//! The platform's services: transactional table, object store and host list.
-//! Each has a trait and an HTTP client.
+//! Interfaces to the services of the platform on which the scheduler runs: the
+//! transactional table, the object store and the host list. Each has a trait and
+//! an HTTP client.
 
 mod commit;
 mod error;
--- a/crates/store/src/objects.rs
+++ b/crates/store/src/objects.rs
@@ -1,4 +1,4 @@
-//! The object store: trait and HTTP client.
+//! Trait and HTTP client of the platform's object store.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -14,11 +14,11 @@
 
 /// The platform's object store.
 pub trait ObjectStore: Clone + Send + Sync + 'static {
-    /// Writes a whole object.
+    /// Writes a complete object.
     fn put(&self, name: &str, body: Vec<u8>)
     -> impl Future<Output = Result<(), StoreError>> + Send;
 
-    /// Reads an object; none if it does not exist.
+    /// Reads an object; `None` if it does not exist.
     fn fetch(&self, name: &str)
     -> impl Future<Output = Result<Option<Vec<u8>>, StoreError>> + Send;
 
@@ -35,7 +35,8 @@
 }
 
 impl HttpObjectStore {
-    /// Creates a client of the store at `server`, with a timeout for each call.
+    /// Creates a client of the object store at `server`. `timeout` limits each
+    /// call, and the opening of a connection.
     #[must_use]
     pub fn new(server: SocketAddr, timeout: Duration) -> HttpObjectStore {
         HttpObjectStore {
--- a/crates/store/src/table.rs
+++ b/crates/store/src/table.rs
@@ -1,4 +1,4 @@
-//! The transactional table.
+//! Trait of the platform's transactional table.
 
 use std::future::Future;
 
@@ -12,13 +12,13 @@
 
 /// The platform's transactional table.
 pub trait Table: Clone + Send + Sync + 'static {
-    /// Reads one row; none if it does not exist.
+    /// Reads one row; `None` if it does not exist.
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<Row>, StoreError>> + Send;
 
     /// Reads all rows whose keys begin with `prefix`, in key order.
     fn range(&self, prefix: &str) -> impl Future<Output = Result<Vec<Row>, StoreError>> + Send;
 
-    /// Runs a transaction.
+    /// Runs a transaction. After [`StoreError::Unknown`] it may have been applied.
     fn commit(
         &self,
         commit: &Commit,
