--- a/crates/peer/src/endpoint.rs
+++ b/crates/peer/src/endpoint.rs
@@ -29,19 +29,21 @@
 use crate::encode;
 use crate::tls;
 
-/// Time without received packets after which a connection is closed. Pending
-/// calls on it then fail, so that their callers can try the next owner.
+/// Time without received packets after which a connection is closed. Its pending
+/// calls then fail with [`PeerError::NoReply`], so that the callers can retry at
+/// another process, such as the new owner of a shard.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Interval of keep-alive packets on an idle connection.
-const KEEP_ALIVE: Duration = Duration::from_millis(600);
+/// Interval of keep-alive packets on an idle connection; shorter than
+/// [`IDLE_TIMEOUT`], so that the connection stays open.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(600);
 
 /// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Maximum number of calls in flight on one connection. The QUIC library
-/// allocates a table of this size per connection; with 16,384 entries each
-/// connection took 2.4 MiB.
+/// Maximum number of calls in flight on one connection, each on its own stream.
+/// The QUIC library allocates a table of this size for each connection: 16,384
+/// entries took 2.4 MiB.
 const MAX_STREAMS: u32 = 2048;
 
 /// QUIC endpoint of one process; clones share it.
@@ -80,7 +82,8 @@
         })
     }
 
-    /// Calls another process and waits for its reply.
+    /// Calls another process and waits for its reply. `timeout` does not include
+    /// the time for opening a connection.
     ///
     /// # Errors
     /// See [`PeerError`]; only `Unreachable` guarantees that the peer did not
@@ -137,7 +140,7 @@
     }
 
     async fn connect(&self, peer: SocketAddr) -> Result<Connection, PeerError> {
-        if let Some(connection) = self.cached(peer) {
+        if let Some(connection) = self.existing_connection(peer) {
             return Ok(connection);
         }
         let connecting = self
@@ -147,7 +150,7 @@
         let connection = match tokio::time::timeout(CONNECT_TIMEOUT, connecting).await {
             Ok(Ok(connection)) => connection,
             Ok(Err(error)) => return Err(unreachable(peer, &error.to_string())),
-            Err(_) => return Err(unreachable(peer, "connect timeout")),
+            Err(_) => return Err(unreachable(peer, "no connection before the timeout")),
         };
         let mut connections = self
             .connections
@@ -158,7 +161,7 @@
         Ok(connection)
     }
 
-    fn cached(&self, peer: SocketAddr) -> Option<Connection> {
+    fn existing_connection(&self, peer: SocketAddr) -> Option<Connection> {
         let connections = self
             .connections
             .lock()
@@ -178,7 +181,9 @@
             tokio::spawn(async move {
                 match incoming.await {
                     Ok(connection) => peer_endpoint.serve_connection(connection, service).await,
-                    Err(error) => log::debug!("incoming peer connection failed: {error}"),
+                    Err(error) => log::debug!(
+                        "handshake with a calling process failed, connection dropped: {error}"
+                    ),
                 }
             });
         }
@@ -190,7 +195,7 @@
             let service = service.clone();
             tokio::spawn(async move {
                 if let Err(reason) = peer_endpoint.serve_call(send, receive, service).await {
-                    log::debug!("peer call failed: {reason}");
+                    log::debug!("call from another process failed, no reply sent: {reason}");
                 }
             });
         }
@@ -220,7 +225,7 @@
         send.finish().map_err(|error| error.to_string())
     }
 
-    /// Closes all connections and waits until the peers were notified.
+    /// Closes all connections and waits until the peers have been notified.
     pub async fn close(self) {
         self.endpoint.close(VarInt::from_u32(0), b"stopped");
         self.endpoint.wait_idle().await;
@@ -231,7 +236,7 @@
     let mut transport = TransportConfig::default();
     let millis = u32::try_from(IDLE_TIMEOUT.as_millis()).unwrap_or(u32::MAX);
     transport.max_idle_timeout(Some(IdleTimeout::from(VarInt::from_u32(millis))));
-    transport.keep_alive_interval(Some(KEEP_ALIVE));
+    transport.keep_alive_interval(Some(KEEP_ALIVE_INTERVAL));
     transport.max_concurrent_bidi_streams(VarInt::from_u32(MAX_STREAMS));
     transport
 }
--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -8,7 +8,7 @@
 /// Error of a call to another process.
 #[derive(Debug, Snafu)]
 pub enum PeerError {
-    /// The call was not sent.
+    /// The call was not sent: no connection, or the request cannot be encoded.
     #[snafu(display("cannot reach {peer}: {reason}"))]
     Unreachable {
         /// Address of the other process.
@@ -16,7 +16,8 @@
         /// Description of the cause.
         reason: String,
     },
-    /// No valid reply was received; the other process may have received the call.
+    /// No valid reply was received before the timeout; the other process may have
+    /// received the call.
     #[snafu(display("no reply from {peer}: {reason}"))]
     NoReply {
         /// Address of the other process.
@@ -30,7 +31,7 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum OpenError {
-    /// A key file cannot be read or written.
+    /// A key file or its folder cannot be created or written.
     #[snafu(display("{}: {source}", path.display()))]
     File {
         /// Path of the file or folder.
@@ -38,8 +39,8 @@
         /// Error returned by the operating system.
         source: std::io::Error,
     },
-    /// A key or certificate is invalid or cannot be generated.
-    #[snafu(display("{}: {reason}", path.display()))]
+    /// A key or certificate cannot be read, is invalid or cannot be generated.
+    #[snafu(display("{}: cannot load or generate key or certificate: {reason}", path.display()))]
     Key {
         /// Path of the file or folder.
         path: PathBuf,
--- a/crates/peer/src/keys.rs
+++ b/crates/peer/src/keys.rs
@@ -1,4 +1,5 @@
-//! Certificate authority of the cell, and the key files of a process.
+//! Generates the certificate authority of a cell and the key files of its
+//! processes.
 
 use std::fs;
 use std::io::Write;
@@ -18,11 +19,11 @@
 use crate::error::FileSnafu;
 
 /// Subject name in every certificate of a cell. A certificate proves membership
-/// in the cell, not an address, because IP addresses change when hosts are
-/// replaced.
+/// in the cell, not an address, because the IP addresses of processes change
+/// when hosts are replaced.
 pub const CELL_NAME: &str = "clovermount.cell";
 
-/// File name of the authority's certificate.
+/// File name of the certificate of the cell's authority.
 pub const AUTHORITY_FILE: &str = "ca.pem";
 
 /// File name of the process certificate.
@@ -31,9 +32,10 @@
 /// File name of the private key of the process.
 pub const KEY_FILE: &str = "key.pem";
 
-/// Generates an authority and a process certificate signed by it, and writes
-/// certificates and process key as three files to `folder`. The private key of
-/// the authority is not saved; to replace keys, generate a complete new set.
+/// Generates an authority and a process certificate signed by it, and writes both
+/// certificates and the private key of the process as three files to `folder`.
+/// The private key of the authority is not saved, so keys can only be replaced by
+/// a complete new set.
 ///
 /// # Errors
 /// A file already exists or cannot be written, or a key cannot be generated.
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,5 +1,6 @@
 //! Calls between the processes of a cell over QUIC with mutual TLS, one stream
-//! per call. Peers without a certificate from the cell's authority are rejected.
+//! per call. Peers without a certificate from the cell's certificate authority
+//! are rejected.
 
 mod endpoint;
 mod error;
--- a/crates/peer/src/service.rs
+++ b/crates/peer/src/service.rs
@@ -1,4 +1,4 @@
-//! Interface of a process to its peers.
+//! Trait for the service that a process offers to the other processes.
 
 use std::future::Future;
 
--- a/crates/peer/src/tls.rs
+++ b/crates/peer/src/tls.rs
@@ -1,4 +1,5 @@
-//! Settings for mutual TLS, with the cell's authority as the only trusted root.
+//! Settings for mutual TLS, with the cell's certificate authority as the only
+//! trusted root.
 
 use std::path::Path;
 use std::sync::Arc;
