--- a/crates/web/src/client.rs
+++ b/crates/web/src/client.rs
@@ -23,7 +23,8 @@
 
 use crate::Traffic;
 
-/// Maximum size of a reply body, in bytes.
+/// Maximum size of a reply body, in bytes; a larger one fails the call with
+/// [`CallError::Lost`].
 pub const MAX_REPLY_BYTES: usize = 64 * 1024 * 1024;
 
 /// Maximum number of idle connections kept open to one server.
@@ -48,8 +49,9 @@
         /// Description of the cause.
         reason: String,
     },
-    /// The reply, or the call itself, is malformed.
-    #[snafu(display("bad reply from {server}: {reason}"))]
+    /// The reply is not the expected JSON, or no valid request could be built from
+    /// the call's path and headers.
+    #[snafu(display("malformed call to {server}, or malformed reply: {reason}"))]
     Garbled {
         /// Address of the server.
         server: SocketAddr,
@@ -59,14 +61,16 @@
 }
 
 /// Reason in [`CallError::Lost`] if the call timed out.
-const TIMEOUT: &str = "timeout";
+const TIMEOUT_REASON: &str = "timeout";
 
 impl CallError {
-    /// Whether the connection failed during the call, as opposed to a timeout:
-    /// the server process has ended or refuses connections.
+    /// Whether an established connection failed before the complete reply, as
+    /// opposed to a timeout: as a rule, the server process has ended. Also true
+    /// for a reply larger than [`MAX_REPLY_BYTES`]; false if no connection could be
+    /// opened ([`CallError::Connect`]).
     #[must_use]
     pub fn closed_by_server(&self) -> bool {
-        matches!(self, CallError::Lost { reason, .. } if reason != TIMEOUT)
+        matches!(self, CallError::Lost { reason, .. } if reason != TIMEOUT_REASON)
     }
 }
 
@@ -80,7 +84,7 @@
 }
 
 impl Reply {
-    /// Parses the body as JSON; `server` is used in the error message.
+    /// Parses the body as JSON; `server` only appears in the error.
     ///
     /// # Errors
     /// The body is not valid JSON of the expected type.
@@ -106,12 +110,12 @@
 }
 
 impl Client {
-    /// Creates a client with `connect` as the timeout for opening connections.
+    /// Creates a client; `connect_timeout` limits the opening of a connection.
     #[must_use]
-    pub fn new(connect: Duration) -> Client {
+    pub fn new(connect_timeout: Duration) -> Client {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(connect));
+        connector.set_connect_timeout(Some(connect_timeout));
         let inner = HyperClient::builder(TokioExecutor::new())
             .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS)
             .build(connector);
@@ -121,7 +125,7 @@
         }
     }
 
-    /// Statistics of the calls of this client and its clones.
+    /// Counters of the calls of this client and its clones.
     #[must_use]
     pub fn traffic(&self) -> &Traffic {
         &self.traffic
@@ -156,7 +160,7 @@
         self.send(call).await
     }
 
-    /// Sends a call and reads the complete reply.
+    /// Sends a call and reads the complete reply; any HTTP status is a success.
     ///
     /// # Errors
     /// See [`CallError`].
@@ -168,7 +172,7 @@
             Ok(reply) => reply,
             Err(_) => Err(CallError::Lost {
                 server,
-                reason: TIMEOUT.to_owned(),
+                reason: TIMEOUT_REASON.to_owned(),
             }),
         };
         match &reply {
@@ -232,7 +236,8 @@
         }
     }
 
-    /// Sets the body to `body` as JSON.
+    /// Sets the body to `body` as JSON; the body stays empty if `body` cannot be
+    /// serialized.
     #[must_use]
     pub fn json<T: Serialize>(mut self, body: &T) -> Call {
         self.body = serde_json::to_vec(body).unwrap_or_default().into();
@@ -281,7 +286,7 @@
     }
 }
 
-/// Percent-encodes a part of a path or query. Slashes stay as they are.
+/// Percent-encodes a part of a path or query, except for slashes.
 #[must_use]
 pub fn encode(part: &str) -> String {
     use std::fmt::Write;
@@ -296,7 +301,7 @@
     out
 }
 
-/// Decodes percent-encoded text; malformed escapes stay as they are.
+/// Decodes percent-encoded text; keeps malformed escapes unchanged.
 #[must_use]
 pub fn decode(part: &str) -> String {
     let bytes = part.as_bytes();
--- a/crates/web/src/limits.rs
+++ b/crates/web/src/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that a server imposes on its clients.
+//! Limits that an HTTP server imposes on its clients.
 
 use std::time::Duration;
 
@@ -7,11 +7,13 @@
 pub struct Limits {
     /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Maximum size of the request line and headers, in bytes.
+    /// Maximum size of the request line and headers, in bytes; less than 8192
+    /// counts as 8192, the minimum that hyper allows.
     pub head_bytes: usize,
-    /// Timeout for the head of the next request on a connection.
+    /// Timeout for receiving the head of the next request on a connection, which
+    /// is then closed.
     pub idle: Duration,
-    /// Maximum number of open connections.
+    /// Maximum number of open connections; further ones are closed at once.
     pub connections: usize,
 }
 
--- a/crates/web/src/reply.rs
+++ b/crates/web/src/reply.rs
@@ -1,4 +1,4 @@
-//! Constructors for the responses of a server.
+//! Constructors for the responses of an HTTP server.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -16,7 +16,7 @@
     error: &'a str,
 }
 
-/// Creates a JSON response.
+/// Creates a JSON response; its body is empty if `body` cannot be serialized.
 pub fn json<T: Serialize>(status: StatusCode, body: &T) -> HttpResponse {
     let bytes = serde_json::to_vec(body).unwrap_or_default();
     with_content_type(status, "application/json", bytes)
@@ -31,7 +31,8 @@
     )
 }
 
-/// Creates an error response with a human-readable reason.
+/// Creates an error response: a JSON object with the human-readable reason in the
+/// field `error`.
 #[must_use]
 pub fn error(status: StatusCode, reason: &str) -> HttpResponse {
     json(status, &ErrorBody { error: reason })
--- a/crates/web/src/server.rs
+++ b/crates/web/src/server.rs
@@ -41,7 +41,7 @@
     pub method: Method,
     /// Decoded path, without the query.
     pub path: String,
-    /// Undecoded query; empty if there is none.
+    /// Query, still percent-encoded; empty if there is none.
     pub query: String,
     /// Bearer token, if one was sent.
     pub token: Option<String>,
@@ -55,7 +55,7 @@
 }
 
 impl HttpRequest {
-    /// Decoded value of a query parameter.
+    /// Decoded value of a query parameter; `None` if it is absent.
     #[must_use]
     pub fn parameter(&self, name: &str) -> Option<String> {
         self.query
@@ -72,8 +72,8 @@
     fn handle(&self, http_request: HttpRequest) -> impl Future<Output = HttpResponse> + Send;
 }
 
-/// Serves connections until `stop` becomes true, then waits for the requests in
-/// progress to finish and returns.
+/// Serves connections until `stop` becomes true or its sender is dropped, then
+/// waits for the requests in progress to finish and returns.
 pub async fn serve<H: Handler>(
     listener: TcpListener,
     handler: Arc<H>,
@@ -94,7 +94,7 @@
         };
         let Ok(permit) = permits.clone().try_acquire_owned() else {
             log::debug!(
-                "connection refused: limit of {} open connections reached",
+                "incoming HTTP connection closed: limit of {} open connections reached",
                 limits.connections
             );
             continue;
@@ -132,15 +132,15 @@
         .max_buf_size(limits.head_bytes.max(8192))
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
-    let ended = tokio::select! {
-        ended = connection.as_mut() => ended,
+    let result = tokio::select! {
+        result = connection.as_mut() => result,
         () = wait_for_stop(&mut stop) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
-    if let Err(error) = ended {
-        log::debug!("connection closed with error: {error}");
+    if let Err(error) = result {
+        log::debug!("HTTP connection closed after an error: {error}");
     }
 }
 
@@ -154,7 +154,7 @@
         body.to_bytes()
     } else {
         let reason = format!(
-            "body: allowed: at most {} bytes, sent whole",
+            "request body: too large or incomplete, allowed: at most {} bytes",
             limits.body_bytes
         );
         return error(StatusCode::PAYLOAD_TOO_LARGE, &reason);
--- a/crates/web/src/traffic.rs
+++ b/crates/web/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Statistics of an HTTP client's calls.
+//! Counters of an HTTP client's calls.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -11,21 +11,21 @@
     lost: AtomicU64,
     sent: AtomicU64,
     received: AtomicU64,
-    slowest: AtomicU64,
+    slowest_millis: AtomicU64,
 }
 
 /// Counts since the previous [`Traffic::take`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TrafficCount {
-    /// Calls with a complete reply.
+    /// Calls with a complete reply, whatever its status.
     pub answered: u64,
-    /// Calls without a complete reply.
+    /// Calls without a complete reply: not connected, timed out or cut off.
     pub lost: u64,
-    /// Bytes of request bodies sent.
+    /// Bytes in the bodies of all calls, also of those without a reply.
     pub sent: u64,
-    /// Bytes of reply bodies received.
+    /// Bytes in the bodies of complete replies.
     pub received: u64,
-    /// Longest time from request to complete reply.
+    /// Longest time from call to complete reply, in whole milliseconds.
     pub slowest: Duration,
 }
 
@@ -38,7 +38,7 @@
         self.answered.fetch_add(1, Ordering::Relaxed);
         self.received.fetch_add(bytes as u64, Ordering::Relaxed);
         let elapsed = u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX);
-        self.slowest.fetch_max(elapsed, Ordering::Relaxed);
+        self.slowest_millis.fetch_max(elapsed, Ordering::Relaxed);
     }
 
     pub(crate) fn lost(&self) {
@@ -53,7 +53,7 @@
             lost: take(&self.lost),
             sent: take(&self.sent),
             received: take(&self.received),
-            slowest: Duration::from_millis(take(&self.slowest)),
+            slowest: Duration::from_millis(take(&self.slowest_millis)),
         }
     }
 }
