--- a/crates/entry/src/api.rs
+++ b/crates/entry/src/api.rs
@@ -46,11 +46,12 @@
 use crate::Tokens;
 
 /// Maximum time that a submission waits for its final answer; also the default
-/// unless the caller requests a shorter time.
-const MAX_PATIENCE: Duration = Duration::from_mins(5);
+/// of the query parameter `patience_millis`.
+const MAX_WAIT: Duration = Duration::from_mins(5);
 
-/// Default waiting time of a submission that does not wait for the final answer.
-const DETACHED_PATIENCE: Duration = Duration::from_secs(10);
+/// Default of `patience_millis` for a submission with `wait=false`, which only
+/// waits until the owner of its shard has accepted the request.
+const DETACHED_WAIT: Duration = Duration::from_secs(10);
 
 /// Maximum number of events read from memory for one reply.
 const MAX_EVENTS: usize = 10_000;
@@ -61,8 +62,8 @@
 /// Maximum number of versions in one reply of the configuration history.
 const HISTORY_VERSIONS: u64 = 20;
 
-/// Delay after which a caller with too many requests in flight may retry, in
-/// milliseconds.
+/// Delay after which a caller whose team has too many requests in flight may
+/// retry, in milliseconds.
 const RETRY_MILLIS: u64 = 200;
 
 /// Handler of the HTTP API, with all its dependencies.
@@ -82,23 +83,24 @@
     pub metrics: Metrics,
     /// Events of the process.
     pub timeline: Arc<Timeline>,
-    /// Latest host list read from the platform; none before the first read.
+    /// Latest host list read from the platform; `None` before the first read.
     pub hosts: watch::Receiver<Hosts>,
     /// Sends new configuration versions to the keeper task, which manages the
     /// process's lease and shards.
     pub keeper: mpsc::Sender<ShardManagerCommand>,
-    /// Open while the process has the right to act.
+    /// Open while the process may act as an owner of shards; see [`LeaseGate`].
     pub gate: Arc<LeaseGate>,
     /// Becomes true when a planned stop begins.
     pub stopping: watch::Receiver<bool>,
-    /// Becomes true when waiting callers must be redirected to other processes.
+    /// Becomes true late in a planned stop: callers that still wait then get a
+    /// pending answer, so that they ask another process.
     pub redirect_callers: watch::Receiver<bool>,
 }
 
 impl<T: Table, O: ObjectStore> Handler for Api<T, O> {
     async fn handle(&self, http_request: HttpRequest) -> HttpResponse {
         match self.route(&http_request).await {
-            Ok(whole) => whole,
+            Ok(response) => response,
             Err(api_error) => web::error(api_error.status, &api_error.reason),
         }
     }
@@ -141,7 +143,7 @@
             (&Method::GET, "/v1/timeline") => self.stored_events(http_request).await,
             _ => Err(ApiError::new(
                 StatusCode::NOT_FOUND,
-                "no such path; see docs/API.md",
+                "no such path, or no such method on it; see docs/API.md",
             )),
         }
     }
@@ -151,7 +153,10 @@
             return web::error(StatusCode::SERVICE_UNAVAILABLE, "stopping");
         }
         if !self.gate.is_open() {
-            return web::error(StatusCode::SERVICE_UNAVAILABLE, "no lease");
+            return web::error(
+                StatusCode::SERVICE_UNAVAILABLE,
+                "this process has no valid lease",
+            );
         }
         web::text(StatusCode::OK, "ok\n")
     }
@@ -163,22 +168,33 @@
         web::text(StatusCode::OK, text)
     }
 
-    fn caller(&self, http_request: &HttpRequest) -> Result<Caller, ApiError> {
+    /// Returns the holder of the request's bearer token, or status 401.
+    fn authenticate(&self, http_request: &HttpRequest) -> Result<Caller, ApiError> {
         let token = http_request.token.as_deref().unwrap_or_default();
         let caller = self.tokens.caller(token);
-        caller.ok_or_else(|| ApiError::new(StatusCode::UNAUTHORIZED, "no valid bearer token"))
+        caller.ok_or_else(|| {
+            ApiError::new(
+                StatusCode::UNAUTHORIZED,
+                "bearer token missing or not in the settings",
+            )
+        })
     }
 
-    fn operator(&self, http_request: &HttpRequest) -> Result<Caller, ApiError> {
-        let caller = self.caller(http_request)?;
+    /// Like [`Self::authenticate`], but returns status 403 unless the caller is an
+    /// operator.
+    fn authenticate_operator(&self, http_request: &HttpRequest) -> Result<Caller, ApiError> {
+        let caller = self.authenticate(http_request)?;
         if caller.role == Role::Operator {
             return Ok(caller);
         }
-        Err(ApiError::new(StatusCode::FORBIDDEN, "only for operators"))
+        Err(ApiError::new(
+            StatusCode::FORBIDDEN,
+            "allowed only with the token of an operator",
+        ))
     }
 
     async fn submit(&self, http_request: &HttpRequest) -> ApiResult {
-        let caller = self.caller(http_request)?;
+        let caller = self.authenticate(http_request)?;
         let mut request: Request = parse(http_request)?;
         request.team.clone_from(&caller.team);
         let class: &'static str = request.class.into();
@@ -187,13 +203,13 @@
             return Ok(self.reply(StatusCode::BAD_REQUEST, answer, class));
         }
         let Some(_permit) = self.in_flight.try_acquire(&caller.team) else {
-            let reason = "too many requests of the team in flight at this process";
+            let reason = "the team has reached its limit of requests in flight at this process";
             let answer = Answer::without_output(&request.id, Code::QueueFull, reason);
             let answer = answer.retry_in(RETRY_MILLIS);
             return Ok(self.reply(StatusCode::TOO_MANY_REQUESTS, answer, class));
         };
         let wait = http_request.parameter("wait").as_deref() != Some("false");
-        let patience = patience(http_request, wait)?;
+        let wait_limit = wait_limit(http_request, wait)?;
         let submission = Submission {
             request,
             waited_millis: 0,
@@ -202,18 +218,19 @@
         let redirect_callers = self.redirect_callers.clone();
         let answer = self
             .router
-            .submit(submission, patience, redirect_callers)
+            .submit(submission, wait_limit, redirect_callers)
             .await;
         Ok(self.reply(StatusCode::OK, answer, class))
     }
 
+    /// Counts the answer in the metrics and returns it as the response.
     fn reply(&self, status: StatusCode, answer: Answer, class: &str) -> HttpResponse {
         self.metrics.count(&answer, class);
         web::json(status, &AnswerBody::from(answer))
     }
 
     async fn status(&self, http_request: &HttpRequest) -> ApiResult {
-        let caller = self.caller(http_request)?;
+        let caller = self.authenticate(http_request)?;
         let id = http_request.path.trim_start_matches("/v1/requests/");
         let answer = self.router.status(&request_key(&caller.team, id)).await;
         match answer {
@@ -226,13 +243,14 @@
             )),
             RequestStatus::Unreached => Err(ApiError::new(
                 StatusCode::SERVICE_UNAVAILABLE,
-                "the owner of its shard does not answer; nothing is known of it here",
+                "the owner of the request's shard does not answer, so its status is unknown; \
+                 ask again",
             )),
         }
     }
 
     async fn cancel(&self, http_request: &HttpRequest) -> ApiResult {
-        let caller = self.caller(http_request)?;
+        let caller = self.authenticate(http_request)?;
         let body: CancelBody = parse(http_request)?;
         let filter = match (body.id, body.label) {
             (Some(id), None) => CancelFilter::One(request_key(&caller.team, &id)),
@@ -241,20 +259,21 @@
                 label,
             },
             _ => {
-                let reason = "allowed: either id or a non-empty label";
+                let reason = "body: allowed: either id or a non-empty label";
                 return Err(ApiError::new(StatusCode::BAD_REQUEST, reason));
             }
         };
         if let Some(cancelled) = self.router.cancel(filter).await {
             Ok(web::json(StatusCode::OK, &CancelledBody { cancelled }))
         } else {
-            let reason = "not every owner could be asked; send the same call again";
+            let reason = "the owner of at least one shard did not answer, so some requests may \
+                          not be cancelled; send the same call again";
             Err(ApiError::new(StatusCode::SERVICE_UNAVAILABLE, reason))
         }
     }
 
     async fn config(&self, http_request: &HttpRequest) -> ApiResult {
-        self.caller(http_request)?;
+        self.authenticate(http_request)?;
         let (versioned, _) = read_config(&self.table)
             .await
             .map_err(|e| patch_error(&e))?;
@@ -270,7 +289,7 @@
     }
 
     async fn patch(&self, http_request: &HttpRequest) -> ApiResult {
-        self.operator(http_request)?;
+        self.authenticate_operator(http_request)?;
         let patch: Patch = parse(http_request)?;
         match apply_patch(&self.table, &patch).await {
             Ok(versioned) => {
@@ -296,14 +315,16 @@
         }
     }
 
+    /// Returns the newest versions of the configuration, newest first. Versions
+    /// whose row is missing or cannot be parsed are left out.
     async fn history(&self, http_request: &HttpRequest) -> ApiResult {
-        self.operator(http_request)?;
+        self.authenticate_operator(http_request)?;
         let (current, _) = read_config(&self.table)
             .await
             .map_err(|e| patch_error(&e))?;
-        let oldest = current.version.saturating_sub(HISTORY_VERSIONS);
+        let newest_skipped = current.version.saturating_sub(HISTORY_VERSIONS);
         let mut versions = Vec::new();
-        for version in (oldest + 1..=current.version).rev() {
+        for version in (newest_skipped + 1..=current.version).rev() {
             let row = self.table.get(&history_key(version)).await;
             let row =
                 row.map_err(|e| ApiError::new(StatusCode::SERVICE_UNAVAILABLE, e.to_string()))?;
@@ -315,7 +336,7 @@
     }
 
     fn cell(&self, http_request: &HttpRequest) -> ApiResult {
-        self.operator(http_request)?;
+        self.authenticate_operator(http_request)?;
         Ok(web::json(
             StatusCode::OK,
             &CellBody::from(&*self.router.view()),
@@ -323,20 +344,23 @@
     }
 
     fn list_hosts(&self, http_request: &HttpRequest) -> ApiResult {
-        self.operator(http_request)?;
+        self.authenticate_operator(http_request)?;
         let hosts = self.hosts.borrow().clone();
         if let Some(hosts) = hosts {
             Ok(web::json(StatusCode::OK, &*hosts))
         } else {
-            let reason = "the platform's host list was not read yet";
+            let reason = "the platform's host list has not been read yet; try again";
             Err(ApiError::new(StatusCode::SERVICE_UNAVAILABLE, reason))
         }
     }
 
     /// Returns the newest stored events of all processes, together with the events
-    /// in this process's memory.
+    /// in this process's memory, some of which are not stored yet.
+    ///
+    /// The names of the timeline objects begin with the timestamp of their last
+    /// event, so that they sort by time.
     async fn stored_events(&self, http_request: &HttpRequest) -> ApiResult {
-        self.operator(http_request)?;
+        self.authenticate_operator(http_request)?;
         let unavailable =
             |e: store::StoreError| ApiError::new(StatusCode::SERVICE_UNAVAILABLE, e.to_string());
         let names = self.objects.list("timeline/").await.map_err(unavailable)?;
@@ -350,8 +374,10 @@
         Ok(web::json(StatusCode::OK, &events))
     }
 
+    /// Returns the events in this process's memory that are later than the
+    /// timestamp in the query parameter `after`.
     fn events(&self, http_request: &HttpRequest) -> ApiResult {
-        self.operator(http_request)?;
+        self.authenticate_operator(http_request)?;
         let after = http_request
             .parameter("after")
             .and_then(|text| text.parse().ok());
@@ -376,23 +402,24 @@
         .map_err(|error| ApiError::new(StatusCode::BAD_REQUEST, format!("body: {error}")))
 }
 
-fn patience(http_request: &HttpRequest, wait: bool) -> Result<Duration, ApiError> {
+/// Maximum time that a submission waits for its reply: the query parameter
+/// `patience_millis`, or a default that depends on `wait`.
+fn wait_limit(http_request: &HttpRequest, wait: bool) -> Result<Duration, ApiError> {
     let Some(text) = http_request.parameter("patience_millis") else {
-        return Ok(if wait {
-            MAX_PATIENCE
-        } else {
-            DETACHED_PATIENCE
-        });
+        return Ok(if wait { MAX_WAIT } else { DETACHED_WAIT });
     };
     let millis = text.parse::<u64>().ok().filter(|millis| *millis > 0);
     if let Some(millis) = millis {
-        Ok(Duration::from_millis(millis).min(MAX_PATIENCE))
+        Ok(Duration::from_millis(millis).min(MAX_WAIT))
     } else {
-        let reason = format!("patience_millis: found {text:?}, allowed: 1 to 300000");
+        let reason = format!(
+            "patience_millis: found {text:?}, allowed: 1 to 300000 (more counts as 300000)"
+        );
         Err(ApiError::new(StatusCode::BAD_REQUEST, reason))
     }
 }
 
+/// Maps an error of reading or patching the configuration to an HTTP status.
 fn patch_error(error: &PatchError) -> ApiError {
     let status = match error {
         PatchError::Stale { .. } => StatusCode::CONFLICT,
--- a/crates/entry/src/auth.rs
+++ b/crates/entry/src/auth.rs
@@ -50,21 +50,22 @@
         Tokens { tokens }
     }
 
-    /// Returns the holder of `token`. Compares all hashes, each in constant time,
-    /// so that the duration reveals nothing about them.
+    /// Returns the holder of `token`; `None` if it is not in the settings.
+    /// Compares all hashes, each in constant time, so that the duration reveals
+    /// nothing about them.
     #[must_use]
     pub fn caller(&self, token: &str) -> Option<Caller> {
         let hash = digest(token);
         let mut found = None;
-        for known in &self.tokens {
-            let same = known.sha256.as_bytes().ct_eq(hash.as_bytes());
+        for configured in &self.tokens {
+            let same = configured.sha256.as_bytes().ct_eq(hash.as_bytes());
             if bool::from(same) {
-                found = Some(known);
+                found = Some(configured);
             }
         }
-        found.map(|known| Caller {
-            team: known.team.clone(),
-            role: known.role,
+        found.map(|configured| Caller {
+            team: configured.team.clone(),
+            role: configured.role,
         })
     }
 }
--- a/crates/entry/src/body.rs
+++ b/crates/entry/src/body.rs
@@ -17,7 +17,7 @@
     pub family: Family,
     /// Length of the output, in bytes.
     pub length: usize,
-    /// Fields of the answer itself.
+    /// The answer, whose fields are on the same level as those above.
     #[serde(flatten)]
     pub answer: Answer,
 }
@@ -40,7 +40,7 @@
     /// Id of the request to cancel.
     #[serde(default)]
     pub id: Option<String>,
-    /// Label; all requests of the team with this label are cancelled.
+    /// Label of the requests to cancel: all of the caller's team with this label.
     #[serde(default)]
     pub label: Option<String>,
 }
@@ -48,31 +48,32 @@
 /// Body of the reply to a cancel call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CancelledBody {
-    /// Number of requests that were cancelled in the queue or asked to stop.
+    /// Number of requests that were cancelled before their start or asked to stop.
     pub cancelled: u32,
 }
 
-/// The newest configuration, and the version that is in force everywhere.
+/// The newest configuration, and the oldest version still in force.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ConfigBody {
-    /// Version of the newest document.
+    /// Version of the newest configuration.
     pub version: Version,
-    /// Oldest version in force among all processes that may act.
+    /// Oldest version in force in any process whose lease has not expired; all of
+    /// them use this version or a newer one.
     pub everywhere: Version,
-    /// Content of the newest document.
+    /// Content of the newest configuration.
     pub config: model::Config,
 }
 
-/// State of the cell, as known to this process.
+/// State of the cell, as this process last read it from the table.
 #[derive(Clone, Debug, Serialize)]
 pub struct CellBody {
     /// Member processes of the cell.
     pub members: Vec<MemberView>,
     /// Shards and their owners.
     pub shards: Vec<ShardBody>,
-    /// Whether the table is reachable.
+    /// Whether the table has answered this process recently.
     pub reachable: bool,
-    /// Milliseconds since members and owners were last read from the table; none
+    /// Milliseconds since members and owners were last read from the table; `None`
     /// before the first read.
     pub age_millis: Option<u128>,
 }
@@ -86,7 +87,7 @@
     pub owner: String,
     /// Ownership epoch of the shard.
     pub epoch: u64,
-    /// Whether the shard runs in this process.
+    /// Whether the shard's task runs in the process that returns this body.
     pub local: bool,
 }
 
--- a/crates/entry/src/in_flight.rs
+++ b/crates/entry/src/in_flight.rs
@@ -1,5 +1,5 @@
 //! Limits the requests in flight of each team at this process, so that one team
-//! cannot exhaust the capacity for the others.
+//! cannot use up the process's capacity for the requests of others.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Returns a permit for one request, which is released when dropped; none if
+    /// Returns a permit for one request, which is released when dropped; `None` if
     /// the team has reached its limit.
     pub fn try_acquire(&self, team: &str) -> Option<OwnedSemaphorePermit> {
         let mut teams = self.teams.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,4 +1,5 @@
-//! HTTP API for callers and operators: authentication, limits and routing.
+//! HTTP API of a process, for callers and operators: authenticates calls, limits
+//! the requests in flight and forwards them to the owners of the shards.
 
 mod api;
 mod auth;
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -13,7 +13,7 @@
 use shard::View;
 
 /// Bucket boundaries of the waiting time histogram, in seconds.
-const WAIT_BUCKETS: [f64; 12] = [
+const WAIT_BUCKET_SECONDS: [f64; 12] = [
     0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 1.0, 5.0, 30.0, 300.0,
 ];
 
@@ -25,11 +25,11 @@
     waits: HistogramVec,
     shards: IntGauge,
     members: IntGauge,
-    config: IntGauge,
-    reachable: IntGauge,
-    lease: Gauge,
-    age: Gauge,
-    lost: IntGauge,
+    config_version: IntGauge,
+    table_reachable: IntGauge,
+    lease_seconds: Gauge,
+    view_age: Gauge,
+    lost_events: IntGauge,
 }
 
 impl Metrics {
@@ -50,7 +50,7 @@
                     "clovermount_wait_seconds",
                     "Time from submission until the worker said that the task started, by class",
                 )
-                .buckets(WAIT_BUCKETS.to_vec()),
+                .buckets(WAIT_BUCKET_SECONDS.to_vec()),
                 &["class"],
             )?,
             shards: gauge(
@@ -58,17 +58,20 @@
                 "Shards whose task runs in this process",
             )?,
             members: gauge("clovermount_members", "Live processes that this one sees")?,
-            config: gauge(
+            config_version: gauge(
                 "clovermount_config_version",
                 "Configuration version in force",
             )?,
-            reachable: gauge("clovermount_table_reachable", "1 while the table answers")?,
-            lease: Gauge::new("clovermount_lease_seconds", "Time left to act on the lease")?,
-            age: Gauge::new(
+            table_reachable: gauge("clovermount_table_reachable", "1 while the table answers")?,
+            lease_seconds: Gauge::new(
+                "clovermount_lease_seconds",
+                "Time left to act on the lease",
+            )?,
+            view_age: Gauge::new(
                 "clovermount_view_age_seconds",
                 "Time since members and owners were read",
             )?,
-            lost: gauge(
+            lost_events: gauge(
                 "clovermount_events_lost",
                 "Events dropped before they were stored",
             )?,
@@ -82,14 +85,18 @@
         self.registry.register(Box::new(self.waits.clone()))?;
         self.registry.register(Box::new(self.shards.clone()))?;
         self.registry.register(Box::new(self.members.clone()))?;
-        self.registry.register(Box::new(self.config.clone()))?;
-        self.registry.register(Box::new(self.reachable.clone()))?;
-        self.registry.register(Box::new(self.lease.clone()))?;
-        self.registry.register(Box::new(self.age.clone()))?;
-        self.registry.register(Box::new(self.lost.clone()))
+        self.registry
+            .register(Box::new(self.config_version.clone()))?;
+        self.registry
+            .register(Box::new(self.table_reachable.clone()))?;
+        self.registry
+            .register(Box::new(self.lease_seconds.clone()))?;
+        self.registry.register(Box::new(self.view_age.clone()))?;
+        self.registry.register(Box::new(self.lost_events.clone()))
     }
 
-    /// Counts an answer and, if a task was started, records its waiting time.
+    /// Counts an answer to a request of the given class and, if a task was
+    /// started, records its waiting time.
     pub fn count(&self, answer: &Answer, class: &str) {
         let code: &'static str = answer.code.into();
         self.answers.with_label_values(&[code, class]).inc();
@@ -101,28 +108,31 @@
         }
     }
 
-    /// Sets the number of events that were dropped before they were stored.
+    /// Sets the number of timeline events that were dropped from memory before they
+    /// were written to the object store.
     pub fn set_lost(&self, events: u64) {
-        self.lost.set(i64::try_from(events).unwrap_or(i64::MAX));
+        self.lost_events
+            .set(i64::try_from(events).unwrap_or(i64::MAX));
     }
 
-    /// Updates the gauges and returns all metrics in the Prometheus text format;
-    /// `lease` is the remaining time of the lease in seconds.
+    /// Updates the gauges from `view` and returns all metrics in the Prometheus text
+    /// format. `lease_seconds` is the time for which the process may still act.
     #[must_use]
-    pub fn render(&self, view: &View, lease: f64) -> String {
+    pub fn render(&self, view: &View, lease_seconds: f64) -> String {
         let live = view.members.iter().filter(|member| member.live).count();
         let version = view.config.as_ref().map_or(0, |config| config.version);
         self.shards
             .set(i64::try_from(view.local.len()).unwrap_or(i64::MAX));
         self.members.set(i64::try_from(live).unwrap_or(i64::MAX));
-        self.config.set(i64::try_from(version).unwrap_or(i64::MAX));
-        self.reachable.set(i64::from(view.table_reachable()));
-        self.lease.set(lease);
+        self.config_version
+            .set(i64::try_from(version).unwrap_or(i64::MAX));
+        self.table_reachable.set(i64::from(view.table_reachable()));
+        self.lease_seconds.set(lease_seconds);
         let age = view.age().map_or(f64::INFINITY, |age| age.as_secs_f64());
-        self.age.set(age);
+        self.view_age.set(age);
         let mut text = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut text) {
-            log::error!("cannot encode metrics: {error}");
+            log::error!("cannot encode metrics, the scrape reply is incomplete: {error}");
         }
         String::from_utf8_lossy(&text).into_owned()
     }
--- a/crates/entry/tests/docs.rs
+++ b/crates/entry/tests/docs.rs
@@ -8,7 +8,7 @@
 const DOCS_PAGE: &str = include_str!("../../../docs/METRICS.md");
 
 #[test]
-fn the_docs_list_each_metric() {
+fn the_docs_list_exactly_the_exported_metrics() {
     let metrics = Metrics::new().expect("metrics");
     let mut answer = Answer::without_output("a", Code::Ok, "");
     answer.worker = "w".to_owned();
@@ -16,14 +16,14 @@
 
     let text = metrics.render(&View::default(), 0.0);
 
-    let shown = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
-    let shown: Vec<&str> = shown.filter_map(|line| line.split(' ').next()).collect();
-    for name in &shown {
+    let exported = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
+    let exported: Vec<&str> = exported.filter_map(|line| line.split(' ').next()).collect();
+    for name in &exported {
         assert!(DOCS_PAGE.contains(&format!("| `{name}` |")), "{name}");
     }
     let rows = DOCS_PAGE
         .lines()
         .filter(|line| line.starts_with("| `"))
         .count();
-    assert_eq!(rows, shown.len());
+    assert_eq!(rows, exported.len());
 }
