--- a/crates/entry/src/api.rs
+++ b/crates/entry/src/api.rs
@@ -85,9 +85,9 @@
     pub timeline: Arc<Timeline>,
     /// Latest host list read from the platform; `None` before the first read.
     pub hosts: watch::Receiver<Hosts>,
-    /// Sends new configuration versions to the keeper task, which manages the
-    /// process's lease and shards.
-    pub keeper: mpsc::Sender<ShardManagerCommand>,
+    /// Sends configuration versions that this process has committed to its shard
+    /// manager, which puts them in force and notifies the other processes.
+    pub shard_manager: mpsc::Sender<ShardManagerCommand>,
     /// Open while the process may act as an owner of shards; see [`LeaseGate`].
     pub gate: Arc<LeaseGate>,
     /// Becomes true when a planned stop begins.
@@ -297,7 +297,7 @@
                 self.timeline
                     .record(event.detail(format!("{} as {}", patch.id, versioned.version)));
                 let _ = self
-                    .keeper
+                    .shard_manager
                     .send(ShardManagerCommand::Adopt(versioned.clone()))
                     .await;
                 Ok(web::json(StatusCode::OK, &self.config_body(&versioned)))
