--- a/crates/cli/src/api.rs
+++ b/crates/cli/src/api.rs
@@ -1,4 +1,4 @@
-//! Client for the HTTP interface of an entry process.
+//! Client for the HTTP API of an entry process.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -26,8 +26,8 @@
 }
 
 impl Api {
-    /// Creates a client for `server`, or for `CLOVERMOUNT_SERVER` if it is not
-    /// given. The token comes from `CLOVERMOUNT_TOKEN`.
+    /// Creates a client for `server`, or for the address in `CLOVERMOUNT_SERVER` if
+    /// `server` is `None`. The token comes from `CLOVERMOUNT_TOKEN`.
     pub(crate) fn open(server: Option<SocketAddr>) -> Result<Api, CliError> {
         let env_server = std::env::var("CLOVERMOUNT_SERVER").ok();
         let server = match (server, env_server) {
@@ -44,7 +44,7 @@
             }
         };
         let token = std::env::var("CLOVERMOUNT_TOKEN")
-            .map_err(|_| usage_error("no token: set CLOVERMOUNT_TOKEN"))?;
+            .map_err(|_| usage_error("no bearer token: set CLOVERMOUNT_TOKEN"))?;
         Ok(Api {
             client: Client::new(Duration::from_secs(3)),
             server,
@@ -66,6 +66,7 @@
         self.parse_reply(&reply)
     }
 
+    /// Sends a POST request; `timeout` is [`CALL_TIMEOUT`] if it is `None`.
     pub(crate) async fn post<B, R>(
         &self,
         path: &str,
@@ -82,8 +83,9 @@
         self.parse_reply(&reply)
     }
 
-    /// Parses the body of a reply. A reply with a result code is no error, whatever
-    /// its HTTP status; only a body with the field `error` is a refusal.
+    /// Parses the body of a reply. An answer with a result code is no error,
+    /// whatever the HTTP status; the call was refused only if the status is not a
+    /// success and the body has the field `error`.
     fn parse_reply<R: DeserializeOwned>(&self, reply: &Reply) -> Result<R, CliError> {
         let body: Value = reply.json(self.server)?;
         if !reply.status.is_success() && body.get("error").is_some() {
--- a/crates/cli/src/cancel.rs
+++ b/crates/cli/src/cancel.rs
@@ -1,4 +1,5 @@
-//! `clovermount cancel`: cancels one request, or all with a label.
+//! `clovermount cancel`: cancels one request, or all requests of the caller's team
+//! with a label.
 
 use std::net::SocketAddr;
 
@@ -16,7 +17,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "cancel")]
 pub(crate) struct Cancel {
-    /// entry process, as IP:PORT
+    /// address of the entry process, as IP:PORT (default `CLOVERMOUNT_SERVER`)
     #[argh(option)]
     server: Option<SocketAddr>,
     /// cancel all requests with this label, in one call
@@ -25,7 +26,7 @@
     /// print as JSON
     #[argh(switch)]
     json: bool,
-    /// id of one request
+    /// id of the request to cancel
     #[argh(positional)]
     id: Option<String>,
 }
@@ -44,7 +45,7 @@
         if self.json {
             print_json(&reply);
         } else {
-            println!("{} cancelled or told to stop", reply.cancelled);
+            println!("{} cancelled or asked to stop", reply.cancelled);
         }
         Ok(SUCCESS)
     }
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -10,14 +10,14 @@
 use crate::exit::SUCCESS;
 use crate::exit::USAGE;
 
-/// check settings files
+/// check settings files without starting a process
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 pub(crate) struct Check {
     /// settings files (YAML)
     #[argh(positional)]
     files: Vec<PathBuf>,
-    /// the files are settings of `clovermountd --cell`
+    /// the files are settings for `clovermountd --cell`
     #[argh(switch)]
     cell: bool,
 }
--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -33,38 +33,41 @@
     History(History),
 }
 
-/// print the newest version, and the version that all processes have reached
+/// print the newest configuration as JSON, and the oldest version that is still
+/// in force in a process
 #[derive(FromArgs)]
 #[argh(subcommand, name = "get")]
 struct Get {
-    /// entry process, as IP:PORT
+    /// address of the entry process, as IP:PORT (default `CLOVERMOUNT_SERVER`)
     #[argh(option)]
     server: Option<SocketAddr>,
 }
 
-/// create the next version by a patch of the current one (RFC 7396 merge patch)
+/// create the next version by patching the current one (JSON merge patch, RFC
+/// 7396)
 #[derive(FromArgs)]
 #[argh(subcommand, name = "patch")]
 struct PatchCommand {
-    /// entry process, as IP:PORT
+    /// address of the entry process, as IP:PORT (default `CLOVERMOUNT_SERVER`)
     #[argh(option)]
     server: Option<SocketAddr>,
-    /// version that the patch applies to
+    /// version that the patch applies to; the patch is refused unless this is the
+    /// current version
     #[argh(option)]
     version: u64,
     /// id of the patch; use the same id to retry after a lost reply
     #[argh(option)]
     id: String,
-    /// file with the merge patch, as JSON
+    /// JSON file with the merge patch
     #[argh(positional)]
     file: PathBuf,
 }
 
-/// print the latest versions, newest first
+/// print the latest versions as JSON, newest first
 #[derive(FromArgs)]
 #[argh(subcommand, name = "history")]
 struct History {
-    /// entry process, as IP:PORT
+    /// address of the entry process, as IP:PORT (default `CLOVERMOUNT_SERVER`)
     #[argh(option)]
     server: Option<SocketAddr>,
 }
@@ -79,7 +82,7 @@
             Command::Patch(command) => {
                 let api = Api::open(command.server)?;
                 let body: ConfigBody = api.post("/v1/config", &command.patch()?, None).await?;
-                println!("accepted as version {}", body.version);
+                println!("patch accepted as configuration version {}", body.version);
             }
             Command::History(history) => {
                 let api = Api::open(history.server)?;
--- a/crates/cli/src/drain.rs
+++ b/crates/cli/src/drain.rs
@@ -1,5 +1,5 @@
-//! `clovermount drain`: adds a worker to the drained ones of the configuration, or
-//! removes it from them.
+//! `clovermount drain`: adds a worker to the drained workers in the configuration,
+//! or removes it.
 
 use std::net::SocketAddr;
 
@@ -13,17 +13,17 @@
 use crate::error::CliError;
 use crate::exit::SUCCESS;
 
-/// HTTP status of a patch whose base version is no longer the newest.
+/// HTTP status of a patch that does not apply to the current version.
 const CONFLICT_STATUS: u16 = 409;
 
-/// keep new work away from a worker and move its long work elsewhere
+/// start no new tasks on a worker and move its long-running tasks to other workers
 #[derive(FromArgs)]
 #[argh(subcommand, name = "drain")]
 pub(crate) struct Drain {
-    /// entry process, as IP:PORT
+    /// address of the entry process, as IP:PORT (default `CLOVERMOUNT_SERVER`)
     #[argh(option)]
     server: Option<SocketAddr>,
-    /// give the worker work again
+    /// end the drain: allow new tasks on the worker again
     #[argh(switch)]
     undo: bool,
     /// name of the worker
@@ -32,8 +32,8 @@
 }
 
 impl Drain {
-    /// Patches the newest version of the configuration; retries if another patch
-    /// was accepted first.
+    /// Patches the current version of the configuration. If another patch is
+    /// accepted first, reads the new version and tries again.
     pub(crate) async fn run(self) -> Result<u8, CliError> {
         let api = Api::open(self.server)?;
         loop {
@@ -51,7 +51,7 @@
             };
             match api.post::<_, ConfigBody>("/v1/config", &patch, None).await {
                 Ok(body) => {
-                    println!("in version {}", body.version);
+                    println!("accepted as configuration version {}", body.version);
                     return Ok(SUCCESS);
                 }
                 Err(CliError::Refused { status, .. }) if status == CONFLICT_STATUS => {}
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -17,20 +17,20 @@
         path: PathBuf,
         source: std::io::Error,
     },
-    /// No complete reply arrived.
+    /// The entry process sent no complete, well-formed reply.
     #[snafu(display("{source}"), context(false))]
     Call { source: web::CallError },
     /// The entry process refused the call.
-    #[snafu(display("refused ({status}): {reason}"))]
+    #[snafu(display("the entry process refused the call (status {status}): {reason}"))]
     Refused { status: u16, reason: String },
-    /// The settings are invalid.
+    /// The settings are invalid, or a process of the demo cannot start.
     #[snafu(display("{source}"), context(false))]
     Settings { source: daemon::DaemonError },
     /// The keys cannot be created.
     #[snafu(display("{source}"), context(false))]
     Keys { source: peer::OpenError },
     /// The embedded cell of the demo failed.
-    #[snafu(display("embedded cell failed: {reason}"))]
+    #[snafu(display("the embedded cell of the demo failed: {reason}"))]
     Demo { reason: String },
 }
 
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -6,23 +6,23 @@
 
 /// The command succeeded.
 pub(crate) const SUCCESS: u8 = 0;
-/// A check of `demo` or an expectation of `replay` failed, or the command could
-/// not be executed.
+/// A check of `demo` or an expectation of `replay` failed, or the async runtime
+/// or the embedded cell of `demo` could not run.
 pub(crate) const FAILURE: u8 = 1;
 /// An argument, file or setting is invalid.
 pub(crate) const USAGE: u8 = 2;
-/// The entry process could not be reached or refused the call.
+/// The entry process did not reply or refused the call.
 pub(crate) const REFUSED: u8 = 3;
 /// The task ran and failed.
 const TASK_FAILED: u8 = 10;
-/// The request certainly did not run.
+/// The request did not run and will not run.
 const NOT_RUN: u8 = 11;
-/// The request may have run.
+/// It is unknown whether the request ran.
 const MAY_HAVE_RUN: u8 = 12;
 /// The request has no final answer yet.
 const PENDING: u8 = 13;
 
-/// Returns the exit code for the family of an answer.
+/// Returns the exit code for the family of an answer's result code.
 pub(crate) fn family_code(family: Family) -> u8 {
     match family {
         Family::Succeeded => SUCCESS,
--- a/crates/cli/src/hosts.rs
+++ b/crates/cli/src/hosts.rs
@@ -1,4 +1,5 @@
-//! `clovermount hosts` and `clovermount cell`: show the workers and the processes.
+//! `clovermount hosts` and `clovermount cell`: print the workers and the processes
+//! of a cell.
 
 use std::net::SocketAddr;
 
@@ -11,11 +12,12 @@
 use crate::error::CliError;
 use crate::exit::SUCCESS;
 
-/// list the workers in the platform's host list
+/// list the workers in the platform's host list, with failure domain, rack,
+/// address and state
 #[derive(FromArgs)]
 #[argh(subcommand, name = "hosts")]
 pub(crate) struct HostsCommand {
-    /// entry process, as IP:PORT
+    /// address of the entry process, as IP:PORT (default `CLOVERMOUNT_SERVER`)
     #[argh(option)]
     server: Option<SocketAddr>,
     /// print as JSON
@@ -23,11 +25,12 @@
     json: bool,
 }
 
-/// show the processes and the owner of each shard, as one process sees them
+/// print the processes of the cell and the owner of each shard as JSON, as the
+/// entry process last read them from the table
 #[derive(FromArgs)]
 #[argh(subcommand, name = "cell")]
 pub(crate) struct CellCommand {
-    /// entry process, as IP:PORT
+    /// address of the entry process, as IP:PORT (default `CLOVERMOUNT_SERVER`)
     #[argh(option)]
     server: Option<SocketAddr>,
 }
--- a/crates/cli/src/keys.rs
+++ b/crates/cli/src/keys.rs
@@ -1,4 +1,4 @@
-//! `clovermount keys`: creates the TLS keys of a cell.
+//! `clovermount keys`: generates the TLS keys of a cell.
 
 use std::path::PathBuf;
 
@@ -19,7 +19,10 @@
 impl Keys {
     pub(crate) fn run(self) -> Result<u8, CliError> {
         peer::generate_keys(&self.folder)?;
-        println!("made {}", self.folder.display());
+        println!(
+            "created ca.pem, cert.pem and key.pem in {}",
+            self.folder.display()
+        );
         Ok(SUCCESS)
     }
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -27,8 +27,9 @@
 use crate::exit::exit_code;
 
 /// Command line of clovermount, a cluster scheduler for sites under a power
-/// cap. Most commands talk to an entry process: name it with --server, or in
-/// `CLOVERMOUNT_SERVER`; put your token into `CLOVERMOUNT_TOKEN`.
+/// cap. Most commands call an entry process, which is a process of the cell that
+/// serves callers and operators over HTTP: pass its address with --server or in
+/// `CLOVERMOUNT_SERVER`, and your bearer token in `CLOVERMOUNT_TOKEN`.
 #[derive(FromArgs)]
 struct Options {
     #[argh(subcommand)]
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -1,4 +1,4 @@
-//! `clovermount status`: prints the current answer of a request.
+//! `clovermount status`: prints the final or pending answer of a request.
 
 use std::net::SocketAddr;
 
@@ -10,11 +10,11 @@
 use crate::exit::family_code;
 use crate::submit::print_answer;
 
-/// print the status of a request: its answer, or what it waits for
+/// print the answer of a request, or its current state if it has no final answer
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 pub(crate) struct Status {
-    /// entry process, as IP:PORT
+    /// address of the entry process, as IP:PORT (default `CLOVERMOUNT_SERVER`)
     #[argh(option)]
     server: Option<SocketAddr>,
     /// print as JSON
--- a/crates/cli/src/submit.rs
+++ b/crates/cli/src/submit.rs
@@ -19,51 +19,53 @@
 use crate::error::usage_error;
 use crate::exit::family_code;
 
-/// Maximum wait for a final answer.
+/// Timeout of one call, which waits for the final answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_mins(5);
 
-/// Delay before the first retry after a lost reply; it grows with each retry.
+/// Delay before the first retry of a call without a complete reply; the n-th
+/// retry waits n times as long.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Maximum number of calls for one submission. They count as one request, since
-/// they have the same id.
+/// Maximum number of calls for one submission. All have the same id, so that the
+/// cell counts them as one request.
 const MAX_TRIES: u32 = 5;
 
 /// submit one request, wait for its answer and print it
 #[derive(FromArgs)]
 #[argh(subcommand, name = "submit")]
 pub(crate) struct Submit {
-    /// entry process, as IP:PORT
+    /// address of the entry process, as IP:PORT (default `CLOVERMOUNT_SERVER`)
     #[argh(option)]
     server: Option<SocketAddr>,
     /// JSON file with the request, instead of the options below
     #[argh(option)]
     file: Option<PathBuf>,
-    /// id of the request; the same id is never run as two requests
+    /// id of the request; submissions with the same id count as one request
     #[argh(option)]
     id: Option<String>,
-    /// urgent, interactive, gang or batch (default interactive)
+    /// work class: urgent, interactive, gang or batch (default interactive)
     #[argh(option, default = "Class::Interactive")]
     class: Class,
-    /// processors, in thousandths of a core (default 500)
+    /// CPU of each task, in thousandths of a core (default 500)
     #[argh(option, default = "500")]
     cpu_milli: u32,
-    /// memory, in MiB (default 256)
+    /// memory of each task, in MiB (default 256)
     #[argh(option, default = "256")]
     memory_mib: u32,
-    /// accelerators (default 0)
+    /// accelerators of each task (default 0)
     #[argh(option, default = "0")]
     accelerators: u32,
-    /// power, in watts (default 20)
+    /// power of each task, in watts (default 20)
     #[argh(option, default = "20")]
     power_watts: u32,
     /// declared run time, in milliseconds (default 1000)
     #[argh(option, default = "1000")]
     run_millis: u64,
-    /// latest start from now, in milliseconds (default 10000)
+    /// latest start, in milliseconds from the submission (default 10000)
     #[argh(option, default = "10_000")]
     deadline_millis: u64,
-    /// tasks that start together (gangs only)
+    /// number of tasks of a gang, which start together; 1 for other classes
+    /// (default 1)
     #[argh(option, default = "1")]
     members: u32,
     /// label for cancelling many requests in one call
@@ -72,10 +74,10 @@
     /// text that is passed to the task
     #[argh(option, default = "String::new()")]
     payload: String,
-    /// the request may run more than once
+    /// the request may safely run more than once
     #[argh(switch)]
     idempotent: bool,
-    /// return as soon as the request is accepted
+    /// return as soon as the request is accepted, without waiting for its answer
     #[argh(switch)]
     detach: bool,
     /// print the answer as JSON
--- a/crates/cli/src/token.rs
+++ b/crates/cli/src/token.rs
@@ -9,7 +9,8 @@
 /// Number of random bytes in a token.
 const TOKEN_BYTES: usize = 32;
 
-/// generate a bearer token, and its hash for the settings
+/// generate a bearer token, and its SHA-256 hash for the settings of the entry
+/// processes
 #[derive(FromArgs)]
 #[argh(subcommand, name = "token")]
 pub(crate) struct TokenCommand {}
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -83,7 +83,7 @@
         text(&malformed)
     );
     assert_eq!(detached.status.code(), Some(0), "{}", text(&detached));
-    assert_eq!(text(&cancelled), "1 cancelled or told to stop\n");
+    assert_eq!(text(&cancelled), "1 cancelled or asked to stop\n");
     cell.close();
 }
 
