--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,5 +1,5 @@
 //! `clovermount demo`: runs an embedded cell under load and injects a few
-//! faults. The platform and the workers are stand-ins inside this process; the
+//! faults. The platform and the workers are simulated inside this process; the
 //! entry processes run the production code, as tasks of the async runtime.
 
 use std::net::SocketAddr;
@@ -30,25 +30,26 @@
 use crate::report::print_report;
 use crate::report::reports_by_class;
 
-/// Requests of the load per second.
+/// Rate of the load, in requests per second.
 const LOAD_RATE: u32 = 300;
 
-/// Total requests of the load.
+/// Total number of requests of the load.
 const LOAD_REQUESTS: u32 = 4500;
 
-/// Restocks that are submitted and then cancelled by one call.
+/// Number of batch requests (restocks) that are submitted and then cancelled by
+/// one call.
 const CANCELLED_RESTOCKS: u32 = 500;
 
 /// Time limit for the cell to accept its configuration, and again for all its
 /// shards to be served.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// run an embedded cell with every class of work, inject a few faults and
+/// run an embedded cell with requests of every class, inject a few faults and
 /// check the results
 #[derive(FromArgs)]
 #[argh(subcommand, name = "demo")]
 pub(crate) struct Demo {
-    /// seed for random values (default 1)
+    /// seed for the random faults (default 1)
     #[argh(option, default = "1")]
     seed: u64,
 }
@@ -64,7 +65,9 @@
         let cell = Cell::open(plan)
             .await
             .map_err(|e| demo_error(e.to_string()))?;
-        println!("48 workers in 3 failure domains, table at 300 writes/s and 5 ms");
+        println!(
+            "simulated: 48 workers in 3 failure domains; table with 300 writes/s and 5 ms per call"
+        );
         let mut processes = Vec::new();
         for member in &cell.members {
             processes.push(Process::open(&member.settings).await?);
@@ -75,7 +78,7 @@
             );
         }
         prepare_cell(&cell).await.map_err(demo_error)?;
-        println!("all 16 shards are owned and have workers; the load begins");
+        println!("all 16 shards have an owner and workers; starting the load");
         let load = start_load(&cell);
         let mut violations = inject_faults(&cell, &mut processes).await?;
         let outcomes = load.await.map_err(|e| demo_error(e.to_string()))?;
@@ -100,12 +103,14 @@
     }
 }
 
+/// Writes the first configuration of the cell and waits until all shards are
+/// served.
 async fn prepare_cell(cell: &Cell) -> Result<(), String> {
-    let until = Instant::now() + SETTLE_TIMEOUT;
+    let deadline = Instant::now() + SETTLE_TIMEOUT;
     loop {
         match cell.configure().await {
             Ok(()) => break,
-            Err(error) if Instant::now() > until => return Err(error),
+            Err(error) if Instant::now() > deadline => return Err(error),
             Err(_) => tokio::time::sleep(Duration::from_millis(100)).await,
         }
     }
@@ -157,11 +162,16 @@
     violations.extend(race_patches(cell).await?);
     let leaving = &cell.platform.workers[7].id;
     cell.platform.hosts.mark_leaving(leaving);
+    // Until the processes have read the changed host list, they may still start
+    // tasks on the worker.
     let start_limit = cell.platform.log.now() + Duration::from_secs(2);
-    println!("worker {leaving} is leaving");
+    println!("worker {leaving} is marked as leaving in the host list");
     violations.extend(cancel_batch(cell).await?);
     if let Some(process) = processes.pop() {
-        println!("{} is stopped as planned", process.address());
+        println!(
+            "planned stop of the process that serves callers on {}",
+            process.address()
+        );
         process.close().await;
     }
     tokio::time::sleep(Duration::from_secs(3)).await;
@@ -171,11 +181,15 @@
         .filter(|run| run.worker == *leaving && run.started_at > start_limit)
         .count();
     if late > 0 {
-        violations.push(format!("{late} tasks started on a leaving worker"));
+        violations.push(format!(
+            "{late} tasks started on a worker more than 2 s after it was marked as leaving"
+        ));
     }
     Ok(violations)
 }
 
+/// Sends two conflicting patches of version 1 to two processes at the same time.
+/// Returns a violation unless exactly one is accepted.
 async fn race_patches(cell: &Cell) -> Result<Option<String>, CliError> {
     let patch = |id: &str, percent: u32| Patch {
         id: id.to_owned(),
@@ -191,10 +205,13 @@
         .iter()
         .filter(|s| s.is_success())
         .count();
-    println!("two operators patched version 1: {accepted} accepted");
-    Ok((accepted != 1).then(|| format!("{accepted} racing patches were accepted")))
+    println!("two conflicting patches of configuration version 1: {accepted} accepted");
+    Ok((accepted != 1)
+        .then(|| format!("{accepted} of two conflicting patches were accepted, expected one")))
 }
 
+/// Submits the restocks and cancels them by their label. Returns a violation unless
+/// the call cancelled all of them or asked them to stop.
 async fn cancel_batch(cell: &Cell) -> Result<Option<String>, CliError> {
     let mut calls = tokio::task::JoinSet::new();
     for number in 0..CANCELLED_RESTOCKS {
@@ -207,11 +224,17 @@
     }
     calls.join_all().await;
     let cancelled = cell.caller.cancel_label(cell.http(1), "day").await?;
-    println!("{cancelled} of {CANCELLED_RESTOCKS} restocks cancelled or told to stop by one call");
+    println!("{cancelled} of {CANCELLED_RESTOCKS} restocks cancelled or asked to stop by one call");
     let incomplete = cancelled != CANCELLED_RESTOCKS;
-    Ok(incomplete.then(|| format!("{cancelled} of {CANCELLED_RESTOCKS} restocks were cancelled")))
+    Ok(incomplete.then(|| {
+        format!(
+            "{cancelled} of {CANCELLED_RESTOCKS} restocks cancelled or asked to stop, expected all"
+        )
+    }))
 }
 
+/// Prints the statistics of the load and adds a violation if a request did not
+/// succeed.
 fn print_results(cell: &Cell, outcomes: &[Outcome], violations: &mut Vec<String>) {
     print_report(&reports_by_class(outcomes));
     let failed = outcomes
@@ -225,30 +248,30 @@
     let seconds = cell.platform.log.now().as_secs_f64();
     let rate = |count: u64| f64::from(u32::try_from(count).unwrap_or(u32::MAX)) / seconds;
     println!(
-        "control cost: {:.1} table writes/s, {:.1} reads/s, {} refused for their rate",
+        "table load: {:.1} row writes/s, {:.1} reads/s, {} calls refused by the rate limits",
         rate(counts.writes),
         rate(counts.reads),
         counts.refused
     );
-    let (used, capacity_watts) = power_use(cell);
-    println!(
-        "power: at most {used} W in use at one time, of {capacity_watts} W that the workers have"
-    );
+    let (peak, capacity_watts) = power_use(cell);
+    println!("power: peak use {peak} W of the workers' {capacity_watts} W");
     println!(
-        "checked: no worker over its capacity, no recorded work in two places, at most once \
-         for non-idempotent work, every caller its own whole answer, no \"not run\" that ran"
+        "checks: no worker exceeds its capacity; no gang, batch or non-idempotent request runs \
+         twice at the same time; no non-idempotent request runs more than once; every answer is \
+         complete and for its own request; no request that was answered \"not run\" has run"
     );
 }
 
-/// Returns the peak power of the running tasks and the power of all workers, in
-/// watts.
+/// Returns the peak power of the running tasks and the power capacity of all
+/// workers together, in watts.
 fn power_use(cell: &Cell) -> (u64, u64) {
     let mut changes: Vec<(Duration, i64)> = Vec::new();
     for run in cell.platform.log.runs() {
         let watts = i64::from(run.needs.power_watts);
         changes.push((run.started_at, watts));
-        changes.extend(run.ended_at.map(|until| (until, -watts)));
+        changes.extend(run.ended_at.map(|ended_at| (ended_at, -watts)));
     }
+    // At the same instant, ends sort before starts: their watts are negative.
     changes.sort();
     let mut used = 0;
     let mut peak = 0;
@@ -257,6 +280,6 @@
         peak = peak.max(used);
     }
     let workers = u64::try_from(cell.platform.workers.len()).unwrap_or_default();
-    let all = u64::from(cell.platform.capacity.power_watts) * workers;
-    (u64::try_from(peak).unwrap_or_default(), all)
+    let capacity = u64::from(cell.platform.capacity.power_watts) * workers;
+    (u64::try_from(peak).unwrap_or_default(), capacity)
 }
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -1,4 +1,5 @@
-//! `clovermount explain`: merges the log lines of all processes about one job.
+//! `clovermount explain`: prints the log lines of all processes about one job,
+//! sorted by time.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -29,21 +30,23 @@
     "line",
 ];
 
-/// print the log lines of several processes about one job, in order of time
+/// print the log lines of several processes about one job, sorted by time
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub(crate) struct Explain {
     /// id of the job: 16 hexadecimal digits
     #[argh(positional)]
     id: String,
-    /// log files; standard input if there are none
+    /// log files with one JSON object per line; standard input if none are given
     #[argh(positional)]
     files: Vec<PathBuf>,
 }
 
-/// A line of a log, and the process or file that it comes from.
+/// A line of a log.
 struct LogLine {
+    /// Time in milliseconds, from the field `timestamp`.
     time: u64,
+    /// Name of the process, or path of the log file.
     origin: String,
     fields: Map<String, Value>,
 }
@@ -83,8 +86,9 @@
     valid.then_some(text)
 }
 
-/// Collects the lines that mention a job. The last word before the JSON object
-/// of a line, such as the name of a process, replaces `origin` for that line.
+/// Adds the lines of `input` that mention the job `id` to `lines`. The last word
+/// before the JSON object of a line, such as the name of a process, replaces
+/// `origin` for that line. Skips lines without a JSON object.
 fn collect_lines(
     input: impl Read,
     origin: &str,
--- a/crates/cli/src/replay.rs
+++ b/crates/cli/src/replay.rs
@@ -1,6 +1,7 @@
-//! `clovermount replay`: runs the steps of a trace on a running cell, at their
-//! times and independent of the answers, and compares the outcomes with the
-//! expectations of the trace.
+//! `clovermount replay`: runs the steps of a trace on a running cell and compares
+//! the outcomes with the expectations of the trace. Each step runs at its time,
+//! without waiting for the answers of earlier submissions; only a cancel or patch
+//! delays the steps after it until its reply.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -35,7 +36,7 @@
 use crate::trace::Step;
 use crate::trace::TRACE_FORMAT;
 
-/// Maximum wait for one answer.
+/// Timeout of one submission, which is sent once and waits for the final answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_mins(4);
 
 /// Number of steps between two progress messages.
@@ -45,10 +46,11 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "replay")]
 pub(crate) struct Replay {
-    /// entry processes, as IP:PORT; requests go to them in turn
+    /// address of an entry process, as IP:PORT (default `CLOVERMOUNT_SERVER`);
+    /// repeat the option to distribute the steps over several processes
     #[argh(option)]
     server: Vec<SocketAddr>,
-    /// prefix for all request ids, so that a trace can be replayed again
+    /// prefix for all request ids; a trace that is replayed again needs a new one
     #[argh(option, default = "String::new()")]
     prefix: String,
     /// trace file
@@ -83,13 +85,14 @@
             let percent = report.succeeded * 100 / report.total.max(1);
             let wait = report.waits.value_at_quantile(0.99);
             let slow = expect.wait_millis > 0 && wait > expect.wait_millis;
-            let holds = percent >= expect.succeeded_percent && !slow;
-            let verdict = if holds { "holds" } else { "BROKEN" };
+            let met = percent >= expect.succeeded_percent && !slow;
+            let verdict = if met { "holds" } else { "BROKEN" };
             println!(
-                "{verdict}: {} succeeded {percent} % (expected {} %), wait p99 {wait} ms (expected {})",
+                "{verdict}: {} succeeded {percent} % (expected at least {} %), wait p99 {wait} ms \
+                 (expected at most {} ms, 0: no limit)",
                 expect.class, expect.succeeded_percent, expect.wait_millis
             );
-            if !holds {
+            if !met {
                 code = FAILURE;
             }
         }
@@ -148,25 +151,28 @@
                     };
                     let reply: CancelledBody = api.post("/v1/cancel", &body, None).await?;
                     println!(
-                        "{} ms: {} requests cancelled or told to stop",
+                        "{} ms: {} requests cancelled or asked to stop",
                         step.at, reply.cancelled
                     );
                 }
                 Act::Patch(patch) => {
                     let version = apply_patch(&api, patch).await?;
-                    println!("{} ms: configuration version {version}", step.at);
+                    println!(
+                        "{} ms: patch accepted as configuration version {version}",
+                        step.at
+                    );
                 }
             }
             if number % PROGRESS_STEPS == PROGRESS_STEPS - 1 {
                 println!(
-                    "{} ms: {} steps",
+                    "{} ms: {} steps done",
                     replay_start.elapsed().as_millis(),
                     number + 1
                 );
             }
         }
         let mut outcomes = calls.join_all().await;
-        // A cancelled request counts only if it succeeded all the same.
+        // A request with a cancelled label counts only if it succeeded nevertheless.
         outcomes.retain(|outcome| {
             outcome.family() == Family::Succeeded
                 || !cancelled_labels.contains(&outcome.request.label)
@@ -175,6 +181,7 @@
     }
 }
 
+/// Submits a request once; without a final answer, the outcome is pending.
 async fn submit(api: Api, request: Request, sent_at: Duration) -> Outcome {
     let start = Instant::now();
     let api = Arc::new(api);
@@ -190,6 +197,7 @@
     }
 }
 
+/// Patches the current version of the configuration and returns the new version.
 async fn apply_patch(api: &Api, patch: &Value) -> Result<u64, CliError> {
     let current: ConfigBody = api.get("/v1/config").await?;
     let patch = Patch {
--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -1,4 +1,4 @@
-//! Statistics of a load, by class of request.
+//! Statistics of the requests sent by `demo` and `replay`, by class.
 
 use std::collections::BTreeMap;
 
@@ -7,11 +7,11 @@
 use model::Class;
 use model::Family;
 
-/// Upper bound of the histogram of waits, in milliseconds; longer waits count
-/// as this.
+/// Upper bound of the histogram of waits, in milliseconds; longer waits are
+/// counted as this value.
 const MAX_WAIT_MILLIS: u64 = 3_600_000;
 
-/// Statistics of one class.
+/// Statistics of the requests of one class.
 #[derive(Debug)]
 pub(crate) struct ClassReport {
     /// Waits from submission to start, in milliseconds, of requests that started.
@@ -20,7 +20,7 @@
     pub(crate) total: u64,
     /// Number of requests that succeeded.
     pub(crate) succeeded: u64,
-    /// Number of requests that were answered "not run".
+    /// Number of requests whose final answer says that they did not run.
     pub(crate) not_run: u64,
 }
 
--- a/crates/cli/src/timeline.rs
+++ b/crates/cli/src/timeline.rs
@@ -16,24 +16,27 @@
 use crate::error::FileSnafu;
 use crate::exit::SUCCESS;
 
-/// print the events of all processes, including those that have ended, in
-/// causal order
+/// print the events of all processes, including those that have ended, sorted by
+/// causal timestamp
 #[derive(FromArgs)]
 #[argh(subcommand, name = "timeline")]
 pub(crate) struct TimelineCommand {
-    /// entry process, as IP:PORT; name several to see their latest events too
+    /// address of an entry process, as IP:PORT (default `CLOVERMOUNT_SERVER`);
+    /// repeat the option to include the latest events of further processes, which
+    /// are not stored yet
     #[argh(option)]
     server: Vec<SocketAddr>,
-    /// only events of this request
+    /// print only events of this request
     #[argh(option)]
     request: Option<String>,
-    /// only events of this worker
+    /// print only events of this worker
     #[argh(option)]
     worker: Option<String>,
-    /// only events of this shard
+    /// print only events of this shard
     #[argh(option)]
     shard: Option<u16>,
-    /// write a trace file for a trace viewer (Chrome trace format)
+    /// write the events to this file in the Chrome trace format, for a trace
+    /// viewer, instead of printing them
     #[argh(option)]
     trace: Option<PathBuf>,
     /// print as JSON
@@ -68,6 +71,8 @@
     }
 
     fn matches(&self, event: &Event) -> bool {
+        // Events name a request by its key, `TEAM/ID`; the option may be the key or
+        // the id alone.
         let matches_id = |text: &Option<String>, wanted: &str| {
             text.as_ref()
                 .is_some_and(|text| text == wanted || text.ends_with(&format!("/{wanted}")))
--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -1,5 +1,5 @@
-//! `clovermount trace`: generates traces for `replay`. The format is described in
-//! docs/TRACES.md.
+//! `clovermount trace`: generates traces for `clovermount replay`. The format is
+//! described in docs/TRACES.md.
 
 use std::fmt::Write;
 use std::path::PathBuf;
@@ -25,7 +25,7 @@
 /// Version of the trace format.
 pub(crate) const TRACE_FORMAT: u16 = 1;
 
-/// Label of the restocks that are cancelled at the midpoint.
+/// Label of the batch requests (restocks) that are cancelled at the midpoint.
 const DAY_LABEL: &str = "restock-day";
 
 /// First line of a trace.
@@ -34,9 +34,9 @@
 pub(crate) struct Header {
     /// Version of the format.
     pub(crate) format: u16,
-    /// Scenario that the trace shows.
+    /// Description of the scenario, which `replay` prints.
     pub(crate) name: String,
-    /// Outcomes that the replay checks.
+    /// Outcomes that `replay` checks.
     pub(crate) expect: Vec<Expectation>,
 }
 
@@ -70,34 +70,38 @@
 pub(crate) enum Act {
     /// Submits a request.
     Submit(Box<Request>),
-    /// Cancels all requests with a label; those that then do not succeed are left
-    /// out of the expectations.
+    /// Cancels all requests with a label. Requests with this label that do not
+    /// succeed are left out when the expectations are checked.
     Cancel(String),
     /// Patches the newest version of the configuration.
     Patch(Value),
 }
 
+/// Scenario of a generated trace.
 #[derive(Clone, Copy, Debug, EnumString)]
 #[strum(serialize_all = "kebab-case")]
 enum Scene {
-    /// A rush at the counter; all restocks of the day are cancelled at the
-    /// midpoint.
+    /// Mostly interactive requests, as from sales counters at a busy hour; all
+    /// restocks submitted so far are cancelled at the midpoint.
     CounterRush,
-    /// Month-end netting; the power cap is lowered at the midpoint.
+    /// Interactive, batch and gang requests, as from month-end accounting; the
+    /// power cap is lowered at the midpoint.
     MonthEnd,
 }
 
-/// generate a trace for `replay`; the same seed gives the same trace
+/// generate a trace for `clovermount replay`; the same options give the same trace
 #[derive(FromArgs)]
 #[argh(subcommand, name = "trace")]
 pub(crate) struct TraceCommand {
-    /// counter-rush or month-end
+    /// scenario: counter-rush (mostly interactive requests; the batch requests are
+    /// cancelled at the midpoint) or month-end (interactive, batch and gang
+    /// requests; the power cap is lowered at the midpoint)
     #[argh(option)]
     scene: Scene,
     /// seed for random values (default 1)
     #[argh(option, default = "1")]
     seed: u64,
-    /// duration, in seconds (default 30)
+    /// duration of the trace, in seconds (default 30)
     #[argh(option, default = "30")]
     seconds: u64,
     /// requests per second (default 200)
@@ -113,11 +117,11 @@
         let mut random = StdRng::seed_from_u64(self.seed);
         let mut text = String::new();
         push_line(&mut text, &self.header());
-        let midpoint = self.seconds * 500;
+        let midpoint_millis = self.seconds * 500;
         let mut midpoint_done = false;
         for number in 0..self.seconds * self.rate {
             let at = number * 1000 / self.rate;
-            if at >= midpoint && !midpoint_done {
+            if at >= midpoint_millis && !midpoint_done {
                 midpoint_done = true;
                 let act = self.midpoint_act();
                 push_line(&mut text, &Step { at, act });
