--- a/crates/web/src/limits.rs
+++ b/crates/web/src/limits.rs
@@ -10,8 +10,8 @@
     /// Maximum size of the request line and headers, in bytes; less than 8192
     /// counts as 8192, the minimum that hyper allows.
     pub head_bytes: usize,
-    /// Timeout for receiving the head of the next request on a connection, which
-    /// is then closed.
+    /// Timeout for receiving the head of the next request on a connection; when it
+    /// expires, the connection is closed.
     pub idle: Duration,
     /// Maximum number of open connections; further ones are closed at once.
     pub connections: usize,
