--- a/crates/fake/src/cell.rs
+++ b/crates/fake/src/cell.rs
@@ -1,5 +1,6 @@
-//! Harness for a whole cell: the stand-ins, the relays in front of each process
-//! and the settings files. Tests use it to start real processes.
+//! Harness for a whole cell: the stand-ins, the settings files, and for each
+//! process a relay to the table and one in front of its peer port. Tests use it
+//! to start real processes.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -41,11 +42,11 @@
 use crate::TEAM;
 use crate::UdpRelay;
 
-/// First port that is tried; below the ephemeral port range, from which the
-/// system assigns ports to outgoing connections.
+/// First port that [`free_address`] considers; below the ephemeral port range,
+/// from which the system assigns ports to outgoing connections.
 const FIRST_PORT: u16 = 20_000;
 
-/// Number of consecutive ports that are tried.
+/// Number of consecutive ports that [`free_address`] considers.
 const PORT_COUNT: u16 = 12_000;
 
 /// Parameters of a cell.
@@ -136,8 +137,8 @@
 }
 
 /// Kills the process, since a failing test does not close its cell. A process
-/// left running once joined the cell of a later test, whose table had got the
-/// port of the former table, and owned shards there that nobody could reach.
+/// that is left running joins the cell of a later test if that cell's table gets
+/// the same address, and owns shards there that no process of that test can reach.
 impl Drop for Member {
     fn drop(&mut self) {
         self.kill();
@@ -149,7 +150,7 @@
 pub struct Cell {
     /// The stand-in services and workers.
     pub platform: Platform,
-    /// The entry processes, running or not.
+    /// The entry processes, whether they run or not.
     pub members: Vec<Member>,
     /// Client with the token of a caller.
     pub caller: CellClient,
@@ -160,7 +161,8 @@
 }
 
 impl Cell {
-    /// Starts the stand-ins and writes the settings files, but starts no process.
+    /// Starts the stand-ins and writes the settings files, but starts no entry
+    /// process.
     ///
     /// # Errors
     /// A port cannot be bound or a file cannot be written.
@@ -295,7 +297,8 @@
         std::fs::read_to_string(file).unwrap_or_default()
     }
 
-    /// Creates version 1 of the configuration, with limits that no test reaches.
+    /// Creates version 1 of the configuration, with quotas and power limits that
+    /// no test reaches.
     ///
     /// # Errors
     /// The patch was refused or no complete reply arrived.
@@ -320,8 +323,8 @@
         Err(reply.text())
     }
 
-    /// Waits until each shard has an owner that serves it and has workers: a
-    /// lookup in each shard must succeed through each running process.
+    /// Waits until each shard has an owner that serves it and has workers: for each
+    /// shard, a short request must succeed through each running process.
     ///
     /// # Errors
     /// A shard was not ready within `timeout`.
@@ -330,7 +333,7 @@
         self.wait_ready_through(running, timeout).await
     }
 
-    /// Like [`Cell::wait_ready`], but sends the lookups to the given processes.
+    /// Like [`Cell::wait_ready`], but sends the requests to the given processes.
     ///
     /// # Errors
     /// A shard was not ready within `timeout`.
@@ -364,11 +367,14 @@
                 .caller
                 .submit(http, &crate::lookup_request(&id), Duration::from_secs(3))
                 .await;
+            // 100 is the number of `model::Code::Ok`.
             if matches!(&answer, Ok(body) if body.number == 100) {
                 return Ok(());
             }
             if Instant::now() > deadline {
-                return Err(format!("shard {shard} through {http}: {answer:?}"));
+                return Err(format!(
+                    "shard {shard} not ready: last answer through {http} was {answer:?}"
+                ));
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
@@ -395,14 +401,16 @@
     matching.next().unwrap_or_default()
 }
 
-/// Returns a loopback address whose port is free for both TCP and UDP.
+/// Returns a loopback address whose port is free for both TCP and UDP, or port 0
+/// if no port is free.
 #[must_use]
 pub fn free_address() -> SocketAddr {
     static NEXT_OFFSET: AtomicU16 = AtomicU16::new(0);
     let process = u16::try_from(std::process::id() % u32::from(PORT_COUNT)).unwrap_or_default();
     for _ in 0..PORT_COUNT {
         let offset = NEXT_OFFSET.fetch_add(1, Ordering::Relaxed);
-        // Different test processes start at different ports of the range.
+        // Different test processes begin at different ports of the range, so that
+        // they rarely choose the same port at the same time.
         let port = FIRST_PORT + (process.wrapping_mul(97).wrapping_add(offset) % PORT_COUNT);
         let address = SocketAddr::from((loopback(), port));
         if TcpListener::bind(address).is_ok() && UdpSocket::bind(address).is_ok() {
@@ -412,9 +420,10 @@
     SocketAddr::from((loopback(), 0))
 }
 
-/// Loopback address derived from the id of this test process. A killed test
-/// leaves its entry processes running; they keep calling their table at this
-/// address, which no later test uses, even if it gets the same port.
+/// Returns a loopback IP address derived from the id of this test process. A
+/// killed test process leaves its entry processes running. They keep calling
+/// their table at this IP address, which a later test process does not use, so
+/// they do not reach its table even if that gets the same port.
 #[must_use]
 pub fn loopback() -> Ipv4Addr {
     let [_, high, middle, low] = std::process::id().to_be_bytes();
--- a/crates/fake/src/checker.rs
+++ b/crates/fake/src/checker.rs
@@ -16,7 +16,7 @@
     OverCapacity {
         /// Id of the worker.
         worker: WorkerId,
-        /// Time of the violation since the log began.
+        /// Time of the violation, counted from the creation of the log.
         at: Duration,
     },
     /// Two attempts of one request ran at the same time, on any workers.
@@ -72,8 +72,8 @@
     violations
 }
 
-/// Finds requests of which two attempts ran at the same time. Members of one
-/// gang attempt may do so.
+/// Finds requests of which two attempts ran at the same time. The members of a
+/// gang run at the same time within one attempt, which is no violation.
 #[must_use]
 pub fn check_overlaps(runs: &[Run]) -> Vec<Violation> {
     let mut violations = Vec::new();
@@ -92,6 +92,8 @@
     violations
 }
 
+/// Whether two runs of one request overlap in time without being different members of
+/// the same attempt.
 fn overlap(first: &Run, second: &Run) -> bool {
     let same_member = first.attempt == second.attempt;
     let same_attempt = without_member(&first.attempt) == without_member(&second.attempt);
@@ -99,13 +101,16 @@
     (same_member || !same_attempt) && !ended_before(first, second) && !ended_before(second, first)
 }
 
+/// Removes the member index from an attempt id, whose form is
+/// `KEY#EPOCH.ATTEMPT.MEMBER`.
 fn without_member(attempt: &str) -> &str {
     attempt
         .rsplit_once('.')
         .map_or(attempt, |(attempt, _)| attempt)
 }
 
-/// Finds requests of `at_most_once` that ran more than once.
+/// Finds requests that ran more than once among those that must not; `at_most_once`
+/// lists their keys.
 #[must_use]
 pub fn check_at_most_once(runs: &[Run], at_most_once: &[String]) -> Vec<Violation> {
     let runs = by_request(runs);
@@ -122,8 +127,8 @@
     violations
 }
 
-/// Finds requests that ran although they are listed in `not_run`: those whose
-/// callers got the answer "not run".
+/// Finds requests that ran although their callers got the answer "not run";
+/// `not_run` lists the keys of the requests with this answer.
 #[must_use]
 pub fn check_not_run(runs: &[Run], not_run: &[String]) -> Vec<Violation> {
     let runs = by_request(runs);
--- a/crates/fake/src/client.rs
+++ b/crates/fake/src/client.rs
@@ -1,4 +1,5 @@
-//! HTTP client for callers and operators of a cell, as a user would write it.
+//! HTTP client for callers and operators of a cell. It uses only the public HTTP
+//! interface.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -104,8 +105,8 @@
         self.client.send(call).await?.json(server)
     }
 
-    /// Reads the current answer of a request; `None` if the cell does not know
-    /// the request.
+    /// Reads the current answer of a request; `None` if the cell replies that it
+    /// has no request with this id.
     ///
     /// # Errors
     /// No complete answer arrived.
@@ -123,7 +124,7 @@
         reply.json(server).map(Some)
     }
 
-    /// Cancels all requests of the team with `label`; returns their number.
+    /// Cancels all requests of the client's team with `label`; returns their number.
     ///
     /// # Errors
     /// No complete answer arrived.
@@ -163,7 +164,7 @@
     }
 }
 
-/// Creates a lookup: a short, idempotent interactive request.
+/// Creates a lookup: a short, idempotent, interactive request.
 #[must_use]
 pub fn lookup_request(id: &str) -> Request {
     Request {
@@ -186,7 +187,8 @@
     }
 }
 
-/// Creates a restock: a batch request, which the cell records before it starts.
+/// Creates a restock: a batch request that runs for `run`. The cell records the
+/// intent to start it in the table before the start.
 #[must_use]
 pub fn restock_request(id: &str, run: Duration) -> Request {
     Request {
@@ -198,7 +200,7 @@
     }
 }
 
-/// Creates a confirmation: a short request that must run at most once.
+/// Creates a confirmation: a short, interactive request that must run at most once.
 #[must_use]
 pub fn confirmation_request(id: &str) -> Request {
     Request {
--- a/crates/fake/src/faults.rs
+++ b/crates/fake/src/faults.rs
@@ -7,7 +7,8 @@
 use web::HttpResponse;
 use web::StatusCode;
 
-/// Delay of a lost reply: longer than any client of the platform waits.
+/// Delay of the reply to a commit whose reply is to be lost: longer than the
+/// timeout of any client of the platform.
 const LOST_REPLY_DELAY: Duration = Duration::from_secs(20);
 
 /// Faults of a stand-in service.
@@ -15,9 +16,10 @@
 pub struct FaultPlan {
     /// Delay before each call takes effect.
     pub latency: Duration,
-    /// Refuses all calls.
+    /// Refuses all calls with status 503.
     pub down: bool,
-    /// Number of upcoming commits that take effect without a reply in time.
+    /// Number of upcoming commits that take effect, but whose replies arrive after
+    /// the client's timeout.
     pub lost_replies: u32,
 }
 
@@ -33,18 +35,18 @@
         change(&mut self.plan.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
-    /// Injects the faults that come before a call takes effect; returns the
-    /// refusal if the service is down.
+    /// Waits for the latency of a call before it takes effect; returns the refusal
+    /// if the service is down.
     pub(crate) async fn before_call(&self) -> Option<HttpResponse> {
         let plan = *self.plan.lock().unwrap_or_else(PoisonError::into_inner);
         if !plan.latency.is_zero() {
             tokio::time::sleep(plan.latency).await;
         }
-        let refusal = || web::error(StatusCode::SERVICE_UNAVAILABLE, "outage");
+        let refusal = || web::error(StatusCode::SERVICE_UNAVAILABLE, "injected outage");
         plan.down.then(refusal)
     }
 
-    /// Delays the reply of a call that took effect if its reply is to be lost.
+    /// Delays the reply to a commit that took effect if the reply is to be lost.
     pub(crate) async fn after_call(&self) {
         let lost = {
             let mut plan = self.plan.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/fake/src/hosts.rs
+++ b/crates/fake/src/hosts.rs
@@ -1,4 +1,5 @@
-//! Stand-in for the platform's host list, whose changes become visible late.
+//! Stand-in for the platform's host list, in which each change becomes visible
+//! after a delay.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -24,7 +25,7 @@
 }
 
 impl FakeHosts {
-    /// Creates a list whose changes become visible after `lag`.
+    /// Creates a list in which each change becomes visible after `lag`.
     #[must_use]
     pub fn new(hosts: Vec<Host>, lag: Duration) -> FakeHosts {
         FakeHosts {
--- a/crates/fake/src/lib.rs
+++ b/crates/fake/src/lib.rs
@@ -1,6 +1,6 @@
 //! Small stand-ins for the platform's services and for workers,
 //! fault-injecting relays, and a harness that starts a whole cell. Used only by
-//! tests, benchmarks, and the demo and replay commands of the command line.
+//! tests, benchmarks, and the demo and replay commands of the command-line tool.
 
 mod cell;
 mod checker;
--- a/crates/fake/src/load.rs
+++ b/crates/fake/src/load.rs
@@ -26,7 +26,7 @@
     pub count: u32,
     /// Creates the request with the given sequence number.
     pub request: fn(u32) -> Request,
-    /// Addresses of the entry processes, used in turn.
+    /// Addresses of the entry processes, used round-robin.
     pub servers: Vec<SocketAddr>,
     /// Time during which a caller retries until it has a final answer.
     pub answer_timeout: Duration,
@@ -37,18 +37,18 @@
 pub struct Outcome {
     /// The request that was sent.
     pub request: Request,
-    /// Final answer; `None` if there was none within the time limit.
+    /// Final answer; `None` if there was none within the answer timeout.
     pub answer: Option<AnswerBody>,
-    /// Time of the first call since the start of the load.
+    /// Time of the first call, counted from the start of the load.
     pub sent_at: Duration,
-    /// Time from the first call to the final answer or the time limit.
+    /// Time from the first call to the final answer or the answer timeout.
     pub latency: Duration,
     /// Number of calls made for the request.
     pub calls: u32,
 }
 
 impl Outcome {
-    /// Family of the final answer; pending if there is none.
+    /// Family of the final answer; [`Family::Pending`] if there is none.
     #[must_use]
     pub fn family(&self) -> Family {
         self.answer
--- a/crates/fake/src/objects.rs
+++ b/crates/fake/src/objects.rs
@@ -22,7 +22,7 @@
 }
 
 impl FakeObjects {
-    /// Names of all objects that start with `prefix`, in order.
+    /// Names of all objects that start with `prefix`, sorted.
     #[must_use]
     pub fn names(&self, prefix: &str) -> Vec<String> {
         let objects = self.objects.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/fake/src/platform.rs
+++ b/crates/fake/src/platform.rs
@@ -30,13 +30,13 @@
     pub workers: usize,
     /// Capacity of each worker.
     pub capacity: Resources,
-    /// Names of the failure domains; each gets a contiguous range of the racks.
+    /// Names of the failure domains; each contains a contiguous range of the racks.
     pub domains: Vec<String>,
     /// Rate limits of the table.
     pub rates: TableRates,
     /// Latency of each call to the table.
     pub table_latency: Duration,
-    /// Delay until a change of the host list is visible.
+    /// Delay until a change of the host list becomes visible.
     pub host_lag: Duration,
 }
 
--- a/crates/fake/src/relay_handle.rs
+++ b/crates/fake/src/relay_handle.rs
@@ -1,5 +1,5 @@
-//! Parts that the TCP and the UDP relay share: the address for clients, the
-//! fault plan and the count of received bytes.
+//! Parts common to the TCP and the UDP relay: the address for clients, the fault
+//! plan and the count of received bytes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/fake/src/run_log.rs
+++ b/crates/fake/src/run_log.rs
@@ -18,15 +18,16 @@
     pub worker: WorkerId,
     /// Id of the attempt that started the run.
     pub attempt: AttemptId,
-    /// Key of the request, without the suffix that names the shard it was lent to.
+    /// Key of the request, as built by `model::request_key`. The suffix that an
+    /// offloaded request has at the shard that runs it is removed.
     pub request: String,
     /// Resources booked by the run.
     pub needs: Resources,
-    /// Start time since the log began.
+    /// Start time, counted from the creation of the log.
     pub started_at: Duration,
-    /// End time since the log began; `None` while the run lasts.
+    /// End time, counted from the creation of the log; `None` while the task runs.
     pub ended_at: Option<Duration>,
-    /// Result of the run; `None` while it lasts.
+    /// Result of the run; `None` while the task runs.
     pub result: Option<EndResult>,
 }
 
@@ -37,10 +38,10 @@
     runs: Arc<Mutex<Vec<Run>>>,
 }
 
-/// Removes the suffix after `~`, which names the shard that a request was lent
-/// to, from the key of the request.
-pub(crate) fn base_key(key: &str) -> &str {
-    key.split_once('~').map_or(key, |(own, _)| own)
+/// Returns the key that a request has at its own shard. The key of an offloaded
+/// request is that key, `~` and the shard that runs the request.
+pub(crate) fn original_key(key: &str) -> &str {
+    key.split_once('~').map_or(key, |(original, _)| original)
 }
 
 impl Default for RunLog {
@@ -53,13 +54,13 @@
 }
 
 impl RunLog {
-    /// Time since the log began.
+    /// Time since the creation of the log.
     #[must_use]
     pub fn now(&self) -> Duration {
         self.origin.elapsed()
     }
 
-    /// All runs so far, ordered by start.
+    /// All runs so far, ordered by start time.
     #[must_use]
     pub fn runs(&self) -> Vec<Run> {
         self.runs
@@ -82,7 +83,7 @@
         runs.push(Run {
             worker: worker.to_owned(),
             attempt: start.attempt.clone(),
-            request: base_key(&start.request).to_owned(),
+            request: original_key(&start.request).to_owned(),
             needs: start.needs,
             started_at: self.now(),
             ended_at: None,
@@ -93,10 +94,10 @@
     pub(crate) fn end(&self, worker: &str, attempt: &str, result: EndResult) {
         let now = self.now();
         let mut runs = self.runs.lock().unwrap_or_else(PoisonError::into_inner);
-        let open = |run: &&mut Run| {
+        let is_running = |run: &&mut Run| {
             run.worker == worker && run.attempt == attempt && run.ended_at.is_none()
         };
-        if let Some(run) = runs.iter_mut().rev().find(open) {
+        if let Some(run) = runs.iter_mut().rev().find(is_running) {
             run.ended_at = Some(now);
             run.result = Some(result);
         }
--- a/crates/fake/src/table.rs
+++ b/crates/fake/src/table.rs
@@ -18,7 +18,7 @@
 use crate::Faults;
 use crate::token_bucket::TokenBucket;
 
-/// Number of rows of a range query that count as one read.
+/// Number of rows of a range query that the rate limit counts as one read.
 const ROWS_PER_READ: usize = 10;
 
 /// Rate limits of the table for the whole cell.
@@ -59,8 +59,8 @@
     writes: TokenBucket,
     reads: TokenBucket,
     counts: TableCounts,
-    /// Prefixes of keys whose version checks are skipped. Tests use them to see
-    /// that their checks fail without this protection.
+    /// Prefixes of keys whose version checks are skipped. With them, tests can show
+    /// that they detect the violations that version checks prevent.
     unchecked_prefixes: Vec<String>,
 }
 
@@ -112,7 +112,7 @@
         state.put(key, value.to_owned());
     }
 
-    /// Skips the version checks of keys with this prefix from now on.
+    /// Skips the version checks of keys with this prefix in all later commits.
     pub fn ignore_checks(&self, prefix: &str) {
         self.lock().unchecked_prefixes.push(prefix.to_owned());
     }
@@ -123,7 +123,7 @@
 
     fn get(&self, request: &HttpRequest) -> HttpResponse {
         let mut state = self.lock();
-        if !state.count_reads(1) {
+        if !state.charge_reads(1) {
             return rate_limited();
         }
         let key = request.parameter("key").unwrap_or_default();
@@ -144,7 +144,7 @@
             .take(limit.unwrap_or(usize::MAX))
             .cloned()
             .collect();
-        if !state.count_reads(rows.len().div_ceil(ROWS_PER_READ).max(1)) {
+        if !state.charge_reads(rows.len().div_ceil(ROWS_PER_READ).max(1)) {
             return rate_limited();
         }
         web::json(StatusCode::OK, &rows)
@@ -164,11 +164,13 @@
 }
 
 fn rate_limited() -> HttpResponse {
-    web::error(StatusCode::TOO_MANY_REQUESTS, "over the rate")
+    web::error(StatusCode::TOO_MANY_REQUESTS, "rate limit exceeded")
 }
 
 impl State {
-    fn count_reads(&mut self, reads: usize) -> bool {
+    /// Charges reads to the rate limit; returns false, and counts a refused call,
+    /// if the limit does not allow them.
+    fn charge_reads(&mut self, reads: usize) -> bool {
         if !self.reads.try_take(reads) {
             self.counts.refused += 1;
             return false;
@@ -177,6 +179,7 @@
         true
     }
 
+    /// Writes a row; returns its new version.
     fn put(&mut self, key: &str, value: String) -> RowVersion {
         self.version += 1;
         let row = Row {
@@ -188,6 +191,8 @@
         self.version
     }
 
+    /// Applies a transaction if all its version checks succeed; returns `None` if
+    /// the rate limit refuses it.
     fn commit(&mut self, commit: Commit) -> Option<CommitOutcome> {
         for check in &commit.checks {
             let found = self.rows.get(&check.key).map_or(0, |row| row.version);
--- a/crates/fake/src/token_bucket.rs
+++ b/crates/fake/src/token_bucket.rs
@@ -2,13 +2,14 @@
 
 use std::time::Instant;
 
-/// Token bucket whose capacity is the amount earned in one second. It refuses
-/// calls when it holds too few tokens, rather than delaying them.
+/// Token bucket whose capacity is the number of tokens added in one second. A
+/// call for which there are too few tokens is refused rather than delayed.
 #[derive(Debug)]
 pub(crate) struct TokenBucket {
+    /// Tokens added per second.
     rate: f64,
     tokens: f64,
-    refilled: Instant,
+    refilled_at: Instant,
 }
 
 impl TokenBucket {
@@ -16,15 +17,16 @@
         TokenBucket {
             rate: f64::from(rate),
             tokens: f64::from(rate),
-            refilled: Instant::now(),
+            refilled_at: Instant::now(),
         }
     }
 
+    /// Takes `amount` tokens; returns false, and takes none, if there are too few.
     pub(crate) fn try_take(&mut self, amount: usize) -> bool {
         let now = Instant::now();
-        let earned = now.duration_since(self.refilled).as_secs_f64() * self.rate;
-        self.tokens = (self.tokens + earned).min(self.rate);
-        self.refilled = now;
+        let added = now.duration_since(self.refilled_at).as_secs_f64() * self.rate;
+        self.tokens = (self.tokens + added).min(self.rate);
+        self.refilled_at = now;
         let amount = f64::from(u32::try_from(amount).unwrap_or(u32::MAX));
         if self.tokens < amount {
             return false;
--- a/crates/fake/src/udp_relay.rs
+++ b/crates/fake/src/udp_relay.rs
@@ -19,9 +19,9 @@
 /// Faults that a relay injects into the datagrams it forwards.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct UdpPlan {
-    /// Share of the datagrams towards the server that are dropped, from 0 to 1.
+    /// Fraction of the datagrams towards the server that are dropped, from 0 to 1.
     pub inbound_loss: f64,
-    /// Share of the datagrams towards the clients that are dropped, from 0 to 1.
+    /// Fraction of the datagrams towards the clients that are dropped, from 0 to 1.
     pub outbound_loss: f64,
     /// Maximum random delay of a datagram towards the server. Datagrams with
     /// different delays arrive out of order.
@@ -32,7 +32,8 @@
 pub type UdpRelay = RelayHandle<UdpPlan>;
 
 impl RelayHandle<UdpPlan> {
-    /// Opens a relay on a free loopback port that forwards to `server`.
+    /// Opens a relay on a free loopback port that forwards to `server`. `seed`
+    /// determines which datagrams are dropped and how long they are delayed.
     ///
     /// # Errors
     /// No port can be bound.
@@ -106,7 +107,8 @@
         let mut buffer = vec![0; 64 * 1024];
         loop {
             let Ok(count) = self.from.recv(&mut buffer).await else {
-                // The server is not reachable; it may be started again later.
+                // No process is bound to the server's port; the server may be
+                // started again later.
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 continue;
             };
--- a/crates/fake/src/verify.rs
+++ b/crates/fake/src/verify.rs
@@ -14,7 +14,8 @@
 use crate::check_not_run;
 use crate::check_overlaps;
 
-/// Describes every violated guarantee of the scheduler; empty if none is.
+/// Returns a description of each violated guarantee of the scheduler; empty if
+/// there is none.
 #[must_use]
 pub fn verify(outcomes: &[Outcome], runs: &[Run], capacity: Resources) -> Vec<String> {
     let mut violations = Vec::new();
@@ -23,6 +24,8 @@
             .iter()
             .map(|v| format!("{v:?}")),
     );
+    // An idempotent interactive or service request may run twice at the same time,
+    // since no intent is recorded before its start.
     let durable = request_keys(outcomes, |outcome| outcome.request.is_durable());
     let durable_runs: Vec<Run> = runs
         .iter()
@@ -57,6 +60,8 @@
         .collect()
 }
 
+/// Describes a missing final answer, or an output that differs from what the
+/// stand-in workers return: one line `KEY:PAYLOAD` for each member.
 fn check_answer(outcome: &Outcome) -> Option<String> {
     let id = &outcome.request.id;
     let Some(body) = &outcome.answer else {
@@ -72,7 +77,12 @@
     let expected = vec![task; usize::try_from(outcome.request.members).unwrap_or_default()];
     let expected = expected.join("\n");
     let matches = body.answer.output == expected && body.answer.has_valid_digest();
-    (!matches).then(|| format!("{id}: not its own whole answer: {:?}", body.answer.output))
+    (!matches).then(|| {
+        format!(
+            "{id}: wrong output or digest: expected {expected:?}, got {:?}",
+            body.answer.output
+        )
+    })
 }
 
 /// Counts the outcomes by the family of their final answer.
--- a/crates/fake/src/worker/behaviour.rs
+++ b/crates/fake/src/worker/behaviour.rs
@@ -15,10 +15,11 @@
     /// Calls are not handled while this is set, as if the worker's process were
     /// suspended; its tasks continue.
     pub paused: bool,
-    /// Network delay of start calls. A delayed start takes effect even if its
-    /// sender has ended or closed the connection meanwhile.
+    /// Network delay of start calls. A delayed start takes effect even if the
+    /// sending process has ended or closed the connection in the meantime.
     pub start_delay: Duration,
-    /// Accepts calls with any fence. Tests use it to check that the run log
-    /// shows the violations that the fence prevents.
+    /// Accepts claims, starts and polls with any fence; stops with an old fence are
+    /// still refused. Tests use this to check that the run log shows the
+    /// violations that fences prevent.
     pub ignore_fence: bool,
 }
--- a/crates/fake/src/worker/fake_worker.rs
+++ b/crates/fake/src/worker/fake_worker.rs
@@ -29,7 +29,7 @@
 use super::state::State;
 use super::state::TrackedTask;
 use crate::RunLog;
-use crate::run_log::base_key;
+use crate::run_log::original_key;
 
 /// Stand-in for a worker; clones share its state.
 #[derive(Clone, Debug)]
@@ -87,7 +87,7 @@
         state.fence = claim.fence;
         state.claimed = true;
         state.lease_duration = Duration::from_millis(claim.lease_millis);
-        let turn = state.next_turn();
+        let turn = state.next_reply_number();
         Ok(ClaimReply {
             incarnation: state.incarnation.clone(),
             turn,
@@ -119,7 +119,7 @@
             start.attempt.clone(),
             TrackedTask {
                 task,
-                reported_turn: 0,
+                reported_in: 0,
             },
         );
         self.log.start(&self.id, start);
@@ -139,10 +139,12 @@
         } else {
             EndResult::Succeeded
         };
-        let output = format!("{}:{}", base_key(&start.request), start.payload);
+        let output = format!("{}:{}", original_key(&start.request), start.payload);
         self.finish(&start.run, &start.attempt, result, output);
     }
 
+    /// Ends a task, unless it has already ended or the worker has restarted since
+    /// `incarnation`.
     fn finish(&self, incarnation: &str, attempt: &str, result: EndResult, output: String) {
         let mut state = self.lock();
         if state.incarnation != incarnation {
@@ -199,7 +201,7 @@
                 if state.fence != poll.fence && !state.behaviour.ignore_fence {
                     return Err(state.refusal(RefusalReason::Fenced));
                 }
-                let unreported = state.has_new_ends(poll.turn);
+                let unreported = state.has_unreported_ends(poll.turn);
                 if unreported || Instant::now() >= deadline {
                     return Ok(state.poll_reply(poll.turn));
                 }
--- a/crates/fake/src/worker/handler.rs
+++ b/crates/fake/src/worker/handler.rs
@@ -51,6 +51,8 @@
 }
 
 impl FakeWorker {
+    /// Handles a start call after the start delay, even if the sender closes the
+    /// connection before.
     async fn start_delayed(&self, start: Start) -> HttpResponse {
         let delay = self.lock().behaviour.start_delay;
         if delay.is_zero() {
--- a/crates/fake/src/worker/lease.rs
+++ b/crates/fake/src/worker/lease.rs
@@ -1,4 +1,4 @@
-//! A worker ends its tasks by itself when its lease expires.
+//! Ends the tasks of a stand-in worker when its lease expires.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -15,7 +15,8 @@
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 impl FakeWorker {
-    /// Ends all running tasks whenever the lease has expired; never returns.
+    /// Ends all running tasks whenever the lease has expired. Runs until the
+    /// runtime is shut down.
     pub async fn enforce_lease(self) {
         loop {
             tokio::time::sleep(LEASE_CHECK_INTERVAL).await;
--- a/crates/fake/src/worker/state.rs
+++ b/crates/fake/src/worker/state.rs
@@ -1,5 +1,5 @@
-//! State of a stand-in worker: its fence, its lease, its tasks and the replies
-//! in which their ends were reported.
+//! State of a stand-in worker: fence, lease, tasks, and the numbers of the replies
+//! that reported the ends of tasks.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -20,20 +20,22 @@
 
 use super::Behaviour;
 
-/// A task that runs, or that has ended without an acknowledgement of the end.
+/// A task that runs, or whose end no poll has acknowledged.
 #[derive(Debug)]
 pub(super) struct TrackedTask {
     pub(super) task: Task,
-    /// Turn of the first reply that reported the end; 0 if none has.
-    pub(super) reported_turn: ReplyNumber,
+    /// Number of the newest reply that reported the end; 0 if none has.
+    pub(super) reported_in: ReplyNumber,
 }
 
-/// An attempt that must not start any more: it has ended, or its start was
-/// refused or overtaken by a stop. Kept for one lease duration, to recognise
-/// late copies of its start.
+/// An attempt that must not start any more: its end was acknowledged, its start
+/// was refused, or a stop arrived before its start. Kept for one lease duration,
+/// to recognise delayed copies of the start.
 #[derive(Clone, Copy, Debug)]
 struct ClosedAttempt {
     at: Instant,
+    /// Whether the task has run; if so, a copy of its start is answered with
+    /// success, otherwise it is refused.
     had_started: bool,
 }
 
@@ -42,10 +44,13 @@
 pub(super) struct State {
     pub(super) incarnation: Incarnation,
     pub(super) fence: Fence,
+    /// Whether the current incarnation has accepted a claim.
     pub(super) claimed: bool,
     pub(super) lease_duration: Duration,
     pub(super) lease_expiry: Option<Instant>,
-    turn: ReplyNumber,
+    /// Number of the newest reply to a claim or poll.
+    last_reply: ReplyNumber,
+    /// Replies sent within the last lease duration, with their times.
     reply_times: VecDeque<(ReplyNumber, Instant)>,
     pub(super) tasks: HashMap<AttemptId, TrackedTask>,
     /// Attempts that must not start any more.
@@ -62,7 +67,7 @@
             claimed: false,
             lease_duration: Duration::ZERO,
             lease_expiry: None,
-            turn: 0,
+            last_reply: 0,
             reply_times: VecDeque::new(),
             tasks: HashMap::new(),
             closed: HashMap::new(),
@@ -98,10 +103,12 @@
         }
     }
 
-    pub(super) fn next_turn(&mut self) -> ReplyNumber {
-        self.turn += 1;
+    /// Returns the number of the next reply and records its time. Discards reply
+    /// times and closed attempts that are older than the lease duration.
+    pub(super) fn next_reply_number(&mut self) -> ReplyNumber {
+        self.last_reply += 1;
         let now = Instant::now();
-        self.reply_times.push_back((self.turn, now));
+        self.reply_times.push_back((self.last_reply, now));
         let duration = self.lease_duration;
         while self
             .reply_times
@@ -111,7 +118,7 @@
             self.reply_times.pop_front();
         }
         self.closed.retain(|_, closed| closed.at + duration >= now);
-        self.turn
+        self.last_reply
     }
 
     pub(super) fn has_started(&self, attempt: &str) -> bool {
@@ -126,6 +133,7 @@
             .or_insert(ClosedAttempt { at, had_started });
     }
 
+    /// Returns why a start must be refused; `None` if the task may start.
     pub(super) fn refusal_reason(
         &self,
         start: &Start,
@@ -140,7 +148,13 @@
         if self.closed.contains_key(&start.attempt) {
             return Some(RefusalReason::Full);
         }
-        if !self.reply_times.iter().any(|(turn, _)| *turn == start.turn) {
+        // The start is based on a reply that is older than the lease duration, so a
+        // record of the attempt may already be discarded.
+        if !self
+            .reply_times
+            .iter()
+            .any(|(reply, _)| *reply == start.turn)
+        {
             return Some(RefusalReason::LeaseOver);
         }
         if self
@@ -156,6 +170,8 @@
         (!fits).then_some(RefusalReason::Full)
     }
 
+    /// Checks a poll, discards the ends that it acknowledges, and extends the lease.
+    /// The lease runs from the time at which the acknowledged reply was sent.
     pub(super) fn accept_poll(&mut self, poll: &Poll) -> Result<(), Refusal> {
         if poll.fence != self.fence && !self.behaviour.ignore_fence {
             return Err(self.refusal(RefusalReason::Fenced));
@@ -168,7 +184,10 @@
                 self.close_attempt(attempt.clone(), true);
             }
         }
-        let acknowledged = self.reply_times.iter().find(|(turn, _)| *turn == poll.turn);
+        let acknowledged = self
+            .reply_times
+            .iter()
+            .find(|(reply, _)| *reply == poll.turn);
         if let Some((_, sent_at)) = acknowledged {
             let expiry = *sent_at + self.lease_duration;
             self.lease_expiry = self.lease_expiry.max(Some(expiry));
@@ -176,23 +195,25 @@
         Ok(())
     }
 
-    /// Whether a task has ended and no acknowledged reply has reported its end.
-    pub(super) fn has_new_ends(&self, acknowledged: ReplyNumber) -> bool {
+    /// Whether an end has not been reported yet, or was last reported after the
+    /// reply `acknowledged`.
+    pub(super) fn has_unreported_ends(&self, acknowledged: ReplyNumber) -> bool {
         let unreported = |tracked: &TrackedTask| {
             tracked.task.end.is_some()
-                && (tracked.reported_turn == 0 || tracked.reported_turn > acknowledged)
+                && (tracked.reported_in == 0 || tracked.reported_in > acknowledged)
         };
         self.tasks.values().any(unreported)
     }
 
+    /// Creates a poll reply with the ends that have not been reported yet, or were
+    /// last reported after the reply `acknowledged`.
     pub(super) fn poll_reply(&mut self, acknowledged: ReplyNumber) -> PollReply {
-        let turn = self.next_turn();
+        let turn = self.next_reply_number();
         let mut ended = Vec::new();
         for tracked in self.tasks.values_mut() {
-            let acknowledged_end =
-                tracked.reported_turn != 0 && tracked.reported_turn <= acknowledged;
+            let acknowledged_end = tracked.reported_in != 0 && tracked.reported_in <= acknowledged;
             if tracked.task.end.is_some() && !acknowledged_end {
-                tracked.reported_turn = turn;
+                tracked.reported_in = turn;
                 ended.push(tracked.task.clone());
             }
         }
