--- a/crates/site/src/advice.rs
+++ b/crates/site/src/advice.rs
@@ -17,14 +17,16 @@
 
 use crate::FakeWorker;
 
-/// Advises that all workers are good, and lists the machines of the live ones.
+/// Gives a ticket for each worker that a call for advice names, and lists the machines of live
+/// workers.
 #[derive(Debug)]
 pub struct FakeAdvice {
+    /// Number of calls for advice so far.
     calls: AtomicUsize,
     workers: Mutex<Vec<Arc<FakeWorker>>>,
-    /// Number of lists of machines made so far.
+    /// Number of calls for the list of machines so far.
     machine_lists: AtomicUsize,
-    /// Time from making a list of machines until the reply.
+    /// Time from reading the state of the machines until the list is sent.
     list_delay: Mutex<Duration>,
 }
 
@@ -46,16 +48,17 @@
         workers.push(worker);
     }
 
-    /// Sets the time from making a list of machines until the reply.
+    /// Sets the time from reading the state of the machines until the list is sent, which may
+    /// then be outdated.
     pub fn set_list_delay(&self, delay: Duration) {
-        let mut kept = self
+        let mut list_delay = self
             .list_delay
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        *kept = delay;
+        *list_delay = delay;
     }
 
-    /// Number of lists of machines made so far.
+    /// Returns the number of calls for the list of machines so far.
     #[must_use]
     pub fn machine_lists(&self) -> usize {
         self.machine_lists.load(Ordering::Relaxed)
@@ -70,7 +73,7 @@
         json!({"machines": machines, "next_token": null})
     }
 
-    /// Returns the number of advice calls so far.
+    /// Returns the number of calls for advice so far.
     #[must_use]
     pub fn calls(&self) -> usize {
         self.calls.load(Ordering::Relaxed)
@@ -92,6 +95,7 @@
         self.calls.fetch_add(1, Ordering::Relaxed);
         let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
         let named = body["workers"].as_array().cloned().unwrap_or_default();
+        // The second value is the text of the ticket.
         let good: Vec<Value> = named.into_iter().map(|id| json!([id, "t"])).collect();
         web::json(StatusCode::OK, &json!({"good": good, "valid_ms": 1500}))
     }
--- a/crates/site/src/caller.rs
+++ b/crates/site/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller, which submits jobs and queries their status at any process.
+//! A caller, which submits jobs to the processes of a cell and queries their status.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -65,10 +65,10 @@
         reply.map_or(0, |reply| reply.status.as_u16())
     }
 
-    /// Waits until a GET request returns an HTTP status.
+    /// Waits until a GET request returns the HTTP status `status`.
     ///
     /// # Panics
-    /// Panics if it does not within a minute.
+    /// Panics if none does within a minute.
     pub async fn wait_status(&self, server: SocketAddr, path: &str, status: u16) {
         let polling = async {
             while self.status(server, path).await != status {
@@ -76,10 +76,13 @@
             }
         };
         let reached = tokio::time::timeout(WAIT_LIMIT, polling).await;
-        assert!(reached.is_ok(), "{path} never gives {status}");
+        assert!(
+            reached.is_ok(),
+            "{path} did not return HTTP status {status} within a minute"
+        );
     }
 
-    /// Submits a job at each of `servers` in turn until one accepts it.
+    /// Submits a job to each of `servers`, again and again, until one accepts it.
     ///
     /// # Panics
     /// Panics if none accepts it within a minute.
@@ -94,7 +97,10 @@
             }
         };
         let accepted = tokio::time::timeout(WAIT_LIMIT, attempts).await;
-        assert!(accepted.is_ok(), "{path} was never accepted");
+        assert!(
+            accepted.is_ok(),
+            "{path}: no server accepted the job within a minute"
+        );
     }
 
     /// Waits until any of `servers` reports the job status `state`.
@@ -114,7 +120,10 @@
             }
         };
         let reported = tokio::time::timeout(WAIT_LIMIT, polling).await;
-        assert!(reported.is_ok(), "{path} is shown as {last}, not {state}");
+        assert!(
+            reported.is_ok(),
+            "{path}: job status was last {last}, expected {state}"
+        );
     }
 }
 
--- a/crates/site/src/cell.rs
+++ b/crates/site/src/cell.rs
@@ -1,5 +1,5 @@
-//! A whole cell on loopback addresses: fakes of the platform's services and several processes,
-//! each on a runtime of its own that can be killed.
+//! A whole cell on loopback addresses: fakes of the platform's services, and several cell
+//! processes, each on a tokio runtime of its own, so that a test can kill it.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -41,12 +41,14 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Number of the next cell of this test program.
-static CELLS: AtomicU8 = AtomicU8::new(1);
+static NEXT_CELL: AtomicU8 = AtomicU8::new(1);
 
 /// A running process of the cell.
 struct Member {
     runtime: Runtime,
+    /// Makes the process stop.
     stop: Option<oneshot::Sender<()>>,
+    /// Receives a message when the process has stopped.
     stopped: Option<oneshot::Receiver<()>>,
 }
 
@@ -56,27 +58,33 @@
     pub store: Arc<FakeStore>,
     /// First incarnation of each worker.
     pub workers: Vec<Arc<FakeWorker>>,
-    /// Supervisors of the workers, which hold their current incarnations.
+    /// Supervisors of the workers, which give access to their current incarnations.
     pub supervisors: Vec<Arc<WorkerSupervisor>>,
     /// Fake of the advice and of the list of machines.
     pub advice: Arc<FakeAdvice>,
     /// Log of the runs on all workers.
     pub log: RunLog,
-    /// Proxies between the processes and the store.
+    /// Proxies between the processes and the store, one for each process.
     pub store_proxies: Vec<Arc<StoreProxy>>,
+    /// Address at which the processes reach each worker.
     addresses: Vec<SocketAddr>,
     worker_proxies: Vec<Arc<WorkerProxy>>,
+    /// Address of the fake of the advice and of the list of machines.
     services: SocketAddr,
+    /// Addresses of the store proxies.
     stores: Vec<SocketAddr>,
-    /// Number in the loopback addresses of the cell, which differs from those of other cells.
+    /// Number of the cell in this test program, which is part of its loopback addresses.
     number: u8,
+    /// Setting `keep_s`: time for which ended jobs are retained, in seconds.
     keep_s: f64,
+    /// Id under which a worker restarts after a crash.
     restart_id: RestartId,
     /// Link to the workers and its rate in megabits per second; none if it is unlimited.
     link: Option<(Arc<LimitedLink>, f64)>,
     /// Number of cores of hosts that differ from the default.
     cores: HashMap<usize, f64>,
     members: Vec<Option<Member>>,
+    /// Stops the fakes when it is dropped.
     serving: watch::Sender<bool>,
 }
 
@@ -157,7 +165,7 @@
             worker_proxies: Vec::new(),
             services,
             stores,
-            number: CELLS.fetch_add(1, Ordering::Relaxed),
+            number: NEXT_CELL.fetch_add(1, Ordering::Relaxed),
             keep_s,
             link,
             cores: HashMap::new(),
@@ -201,33 +209,36 @@
         self.register(index);
     }
 
-    /// Delays start commands to a worker; they reach the incarnation that is current after the
-    /// delay.
+    /// Delays start commands to a worker. A delayed command reaches the incarnation that is
+    /// current after the delay.
     pub fn delay_starts(&self, index: usize, delay: Duration) {
         self.worker_proxies[index].set_start_delay(delay);
     }
 
-    /// Returns the number of acknowledgements that reached a worker while a start command to
-    /// it was delayed.
+    /// Returns the number of acknowledgements of ended runs that reached a worker while a start
+    /// command to it was delayed.
     #[must_use]
     pub fn overlapping_acks(&self, index: usize) -> usize {
         self.worker_proxies[index].overlapping_acks()
     }
 
-    /// Restarts a worker while the next acknowledgement of its ends is in transit; the
-    /// acknowledgement reaches the new incarnation after that has ended a run. Returns when
-    /// the new incarnation has started.
+    /// Restarts a worker while the next acknowledgement of its ended runs is in transit. The
+    /// acknowledgement reaches the new incarnation after a run of this incarnation has ended.
+    /// Returns when the new incarnation has started.
     ///
     /// # Panics
-    /// Panics if no end is acknowledged within a minute.
+    /// Panics if no ended run is acknowledged within a minute.
     pub async fn restart_before_ack(&self, index: usize) {
         let mut started = self.worker_proxies[index].arm_restart();
         started.mark_unchanged();
         let started = tokio::time::timeout(WAIT_LIMIT, started.changed()).await;
-        assert!(started.is_ok(), "no end is acknowledged");
+        assert!(
+            started.is_ok(),
+            "no ended run was acknowledged within a minute"
+        );
     }
 
-    /// Returns the epoch of the current ownership of the pool, as stored.
+    /// Returns the epoch of the pool's ownership in the store; none if there is none.
     #[must_use]
     pub fn epoch(&self) -> Option<u64> {
         let row = self
@@ -259,7 +270,7 @@
         self.store.write("servers", &worker.id, &registration_row);
     }
 
-    /// Changes the number of cores of a worker and of its registration.
+    /// Changes the number of cores of a worker and rewrites its registration accordingly.
     pub fn resize(&self, index: usize, cores: usize) {
         self.workers[index].set_cores(cores);
         let mut resized = self.workers[index].registration_row(self.addresses[index]);
@@ -320,7 +331,7 @@
         runtime.spawn(async move {
             let process = CellProcess::open(settings).await.expect("process starts");
             let _ = opened_tx.send(());
-            // The sender is dropped when the process is killed.
+            // An error means that the process is killed, which drops the sender.
             if stop_rx.await.is_ok() {
                 process.close().await;
                 let _ = stopped_tx.send(());
@@ -344,7 +355,7 @@
     /// Freezes a process: none of its tasks runs for `time`, while its connections stay open.
     pub fn freeze(&self, index: usize, time: Duration) {
         if let Some(member) = &self.members[index] {
-            // The runtime has one thread, which this blocks.
+            // Blocks the only thread of the runtime.
             member
                 .runtime
                 .spawn(async move { std::thread::sleep(time) });
@@ -371,8 +382,8 @@
         in_time
     }
 
-    /// Returns the index of the process that owns the pool, as stored; none if the pool is
-    /// free.
+    /// Returns the index of the process that owns the pool according to the store; none if no
+    /// process of the cell does.
     #[must_use]
     pub fn owner(&self) -> Option<usize> {
         let row = self
@@ -402,7 +413,7 @@
         settings
     }
 
-    /// Waits until the stored owner satisfies `accepts`; returns its index.
+    /// Waits until `accepts` returns true for the index of the stored owner; returns the index.
     ///
     /// # Panics
     /// Panics if it does not within a minute.
@@ -416,7 +427,7 @@
             }
         };
         let found = tokio::time::timeout(WAIT_LIMIT, polling).await;
-        found.expect("no owner as expected")
+        found.expect("an accepted owner within a minute")
     }
 
     /// Kills all processes.
@@ -430,7 +441,7 @@
 /// Shuts down a runtime with all its tasks, and waits until its sockets are closed.
 async fn shut_down(runtime: Runtime) {
     let ended = tokio::task::spawn_blocking(move || runtime.shutdown_timeout(SHUTDOWN_TIMEOUT));
-    // The result can only be a panic within the shutdown, which is ignored.
+    // The only possible error is a panic during the shutdown, which is ignored.
     let _ = ended.await;
 }
 
@@ -446,8 +457,8 @@
     address
 }
 
-/// Returns a configuration with the queues `plain`, without advice, and `advised`, with
-/// advice; a version above 1 has the queue `added`, too.
+/// Returns a configuration with the queue `plain`, whose steps need no advice, and the queue
+/// `advised`, whose steps do. A version above 1 also has the queue `added`.
 #[must_use]
 pub fn config(version: u64) -> Value {
     let queue = |name: &str| {
@@ -470,8 +481,9 @@
     })
 }
 
-/// Returns a job of one step with `count` tasks; `text` is the payload, which determines how
-/// they end.
+/// Returns a job of one step with `count` tasks. `payload` determines how they end: it is
+/// `fail`, a run time in milliseconds, or `crash INDEX RUN_TIME CRASH_TIME`, with which the task
+/// with this index crashes its worker after the crash time and the others succeed.
 #[must_use]
 pub fn job(count: u32, payload: &str) -> Value {
     json!({
--- a/crates/site/src/clock.rs
+++ b/crates/site/src/clock.rs
@@ -18,8 +18,8 @@
     })
 }
 
-/// Ends the runs of a worker and carries out delayed commands when they are due, whether the
-/// worker is reachable or not.
+/// Ends the runs of a worker and carries out its delayed commands when they are due, even while
+/// the worker is unreachable.
 pub async fn run_clock(worker: Arc<FakeWorker>, stop: watch::Receiver<bool>) {
     // The channel closes when the test ends.
     while stop.has_changed().is_ok() {
--- a/crates/site/src/delayed.rs
+++ b/crates/site/src/delayed.rs
@@ -8,11 +8,11 @@
 /// Which commands a worker leaves unanswered, and when it carries them out.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DelayPlan {
-    /// Share of the start commands, 0 to 1.
+    /// Fraction of the start commands that is left unanswered, 0 to 1.
     pub starts: f64,
-    /// Share of the stop commands, 0 to 1.
+    /// Fraction of the stop commands that is left unanswered, 0 to 1.
     pub stops: f64,
-    /// Share of the lease renewals, 0 to 1.
+    /// Fraction of the lease renewals that is left unanswered, 0 to 1.
     pub renewals: f64,
     /// Shortest time until a command is carried out.
     pub min_delay: Duration,
@@ -28,7 +28,7 @@
     pub(crate) body: Value,
 }
 
-/// Commands of a worker that are still to be carried out.
+/// Commands that a worker has left unanswered and not carried out yet.
 #[derive(Debug, Default)]
 pub(crate) struct DelayedCommands {
     plan: DelayPlan,
@@ -43,12 +43,12 @@
 
     /// Defers a command if the plan selects it; returns whether it did.
     pub(crate) fn defer(&mut self, path: &str, body: &Value) -> bool {
-        let share = match path {
+        let fraction = match path {
             "/-/run-start" => self.plan.starts,
             "/-/run-stop" => self.plan.stops,
             _ => self.plan.renewals,
         };
-        if self.next_random() >= share {
+        if self.next_random() >= fraction {
             return false;
         }
         let spread = self.plan.max_delay.saturating_sub(self.plan.min_delay);
@@ -66,8 +66,8 @@
         let now = Instant::now();
         let due = self.pending.iter().enumerate();
         let due = due.filter(|(_, command)| command.due <= now);
-        let (at, _) = due.min_by_key(|(_, command)| command.due)?;
-        Some(self.pending.swap_remove(at))
+        let (index, _) = due.min_by_key(|(_, command)| command.due)?;
+        Some(self.pending.swap_remove(index))
     }
 
     /// Returns the number of deferred start commands.
@@ -88,7 +88,8 @@
         self.pending.clear();
     }
 
-    /// Returns a pseudo-random number from 0 to below 1; the sequence is the same in each run.
+    /// Returns a pseudo-random number from 0 to below 1. The sequence is the same for each worker
+    /// and in each test run.
     fn next_random(&mut self) -> f64 {
         self.random_state = self
             .random_state
--- a/crates/site/src/finish.rs
+++ b/crates/site/src/finish.rs
@@ -1,15 +1,15 @@
-//! How a simulated task ends, as its payload says.
+//! How a simulated task ends, which its payload determines.
 
 use std::time::Duration;
 
-/// Run time of a task whose payload names none.
+/// Run time of a task whose payload contains none.
 const DEFAULT_RUN_TIME: Duration = Duration::from_millis(20);
 
-/// Time from the start of a task that crashes its worker until the crash, if the payload names
-/// none.
+/// Time from the start of a task that crashes its worker until the crash, if the payload
+/// contains none.
 const DEFAULT_CRASH_TIME: Duration = Duration::from_millis(10);
 
-/// Result of a task that is not stopped and whose lease does not expire.
+/// How a task ends unless it is stopped or the worker's lease expires first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Finish {
     /// The task succeeds.
@@ -21,11 +21,12 @@
 }
 
 impl Finish {
-    /// Parses a payload; returns the result of the task and its run time. The payload is
-    /// `fail`, a run time in milliseconds, or `crash INDEX TIME`: the task with this index
-    /// crashes its worker, the others succeed after the time. A third number is the time until
-    /// the crash.
-    pub(crate) fn from_text(payload: &str, task: &str) -> (Finish, Duration) {
+    /// Parses a payload; returns how the task ends and its run time. The payload is `fail`, a
+    /// run time in milliseconds, or `crash INDEX RUN_TIME CRASH_TIME`: the task with this index
+    /// crashes its worker after the crash time, the others succeed after the run time. Both
+    /// times are in milliseconds and optional. `task` is the task's name, which ends in its
+    /// index.
+    pub(crate) fn parse(payload: &str, task: &str) -> (Finish, Duration) {
         let mut words = payload.split(' ');
         let first = words.next().unwrap_or_default();
         let number = |word: Option<&str>| word.and_then(|word| word.parse().ok());
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -1,5 +1,6 @@
-//! Fakes of the platform's services, written from its published protocol, and a harness that
-//! runs whole processes against them. Only tests use this crate.
+//! Fakes of the platform's services, and a harness that runs whole processes against them. The
+//! fakes implement the platform's published protocol without sharing code with its clients.
+//! Only tests use this crate.
 
 mod advice;
 mod caller;
--- a/crates/site/src/limited_link.rs
+++ b/crates/site/src/limited_link.rs
@@ -15,15 +15,15 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// Overhead of a connection in each direction, in bytes: opening, acknowledgements and
-/// closing.
+/// Bytes for opening, acknowledging and closing a connection; they are counted only in the
+/// direction to the workers.
 const CONNECTION_BYTES: usize = 240;
 
-/// Bytes of the headers of each packet.
-const PACKET_BYTES: usize = 52;
+/// Size of the headers of each packet in bytes.
+const HEADER_BYTES: usize = 52;
 
 /// Largest payload of a packet in bytes.
-const MAX_PACKET: usize = 1460;
+const MAX_PAYLOAD: usize = 1460;
 
 /// Time for which a connection to a worker stays open after the caller has closed its side:
 /// data already sent still arrives, and so does the reply.
@@ -32,7 +32,9 @@
 /// One direction of a link.
 #[derive(Debug)]
 struct Direction {
+    /// Rate in bytes per second.
     rate: f64,
+    /// Time at which the last byte so far is transmitted.
     idle_at: Mutex<Instant>,
 }
 
@@ -44,7 +46,7 @@
         }
     }
 
-    /// Waits until these bytes are transmitted, after all earlier ones.
+    /// Waits until `bytes` bytes are transmitted after all bytes of earlier calls.
     async fn transmit(&self, bytes: usize) {
         let until = {
             let mut idle_at = self.idle_at.lock().unwrap_or_else(PoisonError::into_inner);
@@ -57,15 +59,17 @@
     }
 }
 
-/// A network link of limited rate.
+/// A network link of limited rate between the processes and the workers.
 #[derive(Debug)]
 pub struct LimitedLink {
+    /// Direction to the workers.
     outbound: Direction,
+    /// Direction from the workers.
     inbound: Direction,
 }
 
 impl LimitedLink {
-    /// Creates a link of `mbps` megabits a second in each direction.
+    /// Creates a link of `mbps` megabits per second in each direction.
     #[must_use]
     pub fn new(mbps: f64) -> Arc<LimitedLink> {
         let rate = mbps * 125_000.0;
@@ -75,7 +79,8 @@
         })
     }
 
-    /// Returns an address whose connections reach `server` over the link.
+    /// Returns an address whose connections are forwarded to `server` over the link until `stop`
+    /// changes or its sender is dropped.
     ///
     /// # Panics
     /// Panics if no address can be bound.
@@ -125,10 +130,10 @@
     R: AsyncRead + Unpin,
     W: AsyncWrite + Unpin,
 {
-    let mut packet = [0; MAX_PACKET];
+    let mut packet = [0; MAX_PAYLOAD];
     while let Ok(length @ 1..) = from.read(&mut packet).await {
-        direction.transmit(length + PACKET_BYTES).await;
-        // The receiver may have closed the connection; the bytes used the link nevertheless.
+        direction.transmit(length + HEADER_BYTES).await;
+        // The receiver may have closed the connection; the bytes have used the link anyway.
         let _ = to.write_all(&packet[..length]).await;
     }
     to
--- a/crates/site/src/loopback.rs
+++ b/crates/site/src/loopback.rs
@@ -6,10 +6,16 @@
 
 use serde_json::json;
 
-/// Ports of each host.
+/// Port for callers, the same on each host.
 const CALLER_PORT: u16 = 7001;
+
+/// Port for readiness checks.
 const READY_PORT: u16 = 7002;
+
+/// First port for the other processes of the cell.
 const PEER_PORT: u16 = 7003;
+
+/// Port for metrics.
 const METRICS_PORT: u16 = 7004;
 
 /// A host with a loopback address of its own.
@@ -20,16 +26,16 @@
 }
 
 impl LoopbackHost {
-    /// Returns host `index` of a cell. `cell_number` is a number that is unique among the cells of a
-    /// test program; the address also depends on the id of the test program, so that several
+    /// Returns host `index` of a cell. `cell_number` is unique among the cells of a test program.
+    /// The address also depends on the process id of the test program, so that several test
     /// programs can run at the same time.
     ///
     /// # Panics
-    /// Panics if a cell has 255 hosts or more.
+    /// Panics if `index` is 255 or more.
     #[must_use]
     pub fn new(cell_number: u8, index: usize) -> LoopbackHost {
         let program = u8::try_from(std::process::id() % 200).expect("below 200") + 20;
-        let index = u8::try_from(index).expect("few hosts");
+        let index = u8::try_from(index).expect("index below 256");
         LoopbackHost {
             index,
             ip: Ipv4Addr::new(127, program, cell_number, index + 1),
@@ -64,8 +70,8 @@
         SocketAddr::new(self.ip(), port)
     }
 
-    /// Returns the settings of the process as YAML. `services` is the address of the advice
-    /// and of the list of machines, if there are such services.
+    /// Returns the settings of the process as YAML. `store` is the address of the store,
+    /// `services` that of the advice and of the list of machines, if there are such services.
     #[must_use]
     pub fn settings(self, store: SocketAddr, services: Option<SocketAddr>) -> String {
         let services = services.map_or(String::new(), |address| address.to_string());
--- a/crates/site/src/registration.rs
+++ b/crates/site/src/registration.rs
@@ -1,4 +1,4 @@
-//! Rows by which workers register in the store.
+//! Rows with which workers register in the store.
 
 use std::net::SocketAddr;
 
--- a/crates/site/src/run_log.rs
+++ b/crates/site/src/run_log.rs
@@ -1,4 +1,4 @@
-//! Log of the runs on all simulated workers, by which the tests check a cell's promises.
+//! Log of the runs on all simulated workers, with which tests check a cell's guarantees.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -16,14 +16,15 @@
 pub enum WorkerEvent {
     /// A run started: worker, task, run.
     Started(String, String, u64),
-    /// A run ended: worker, task, run, how.
+    /// A run ended: worker, task, run, kind of end (`done`, `failed` or `stopped`; `lapsed` if
+    /// the worker's lease expired, `gone` if the worker went down).
     Ended(String, String, u64, String),
-    /// The worker's lease expired before this end was acknowledged, so the end is void and the
-    /// task may run again: task, run.
+    /// The worker's lease expired, or the worker went down, before this end was acknowledged. The
+    /// end is void, and the task may run again: task, run.
     Discarded(String, u64),
-    /// The owner acknowledged an end: task, run, how.
+    /// The owner acknowledged an end: task, run, kind of end.
     Acknowledged(String, u64, String),
-    /// A start exceeded the cores of the worker: worker, task.
+    /// A task was started although all cores of the worker were in use: worker, task.
     Overbooked(String, String),
 }
 
@@ -38,7 +39,7 @@
     pub run: u64,
     /// Time of the start.
     pub begin: Instant,
-    /// Time and kind of the end; none while it runs.
+    /// Time and kind of the end, as in [`WorkerEvent::Ended`]; none while the task runs.
     pub end: Option<(Instant, String)>,
 }
 
@@ -72,7 +73,8 @@
         events.iter().map(|(_, event)| event.clone()).collect()
     }
 
-    /// Returns the number of runs started for the tasks of a job.
+    /// Returns the number of runs that were started for the tasks of a job, or for one task.
+    /// `job` is the id of the job or the name of the task.
     #[must_use]
     pub fn starts(&self, job: &str) -> usize {
         let events = self.lock();
@@ -118,9 +120,9 @@
         spans.iter().filter(|span| span.lost()).count()
     }
 
-    /// Returns violations of what a cell promises: a task that runs on two workers at a time,
-    /// that starts again after it was done or after [`MAX_ATTEMPTS`] failed runs that were
-    /// acknowledged, or a worker whose cores are exceeded.
+    /// Returns the violations of a cell's guarantees: a task that runs twice at the same time,
+    /// a task that starts again after it was done or after [`ATTEMPTS`] acknowledged failures,
+    /// or a worker on which more tasks run than it has cores.
     #[must_use]
     pub fn violations(&self) -> Vec<String> {
         let mut failures: HashMap<String, HashSet<u64>> = HashMap::new();
@@ -143,7 +145,7 @@
                     let failed = failures.get(task).map_or(0, HashSet::len);
                     if failed >= ATTEMPTS {
                         violations.push(format!(
-                            "{task} run {run} started after {failed} failed runs"
+                            "{task} run {run} started after {failed} failed runs, limit {ATTEMPTS}"
                         ));
                     }
                 }
@@ -164,7 +166,9 @@
                     }
                 }
                 WorkerEvent::Overbooked(worker, task) => {
-                    violations.push(format!("{task} is one too many for {worker}"));
+                    violations.push(format!(
+                        "{task} was started on {worker}, where all cores were in use"
+                    ));
                 }
             }
         }
--- a/crates/site/src/scripted.rs
+++ b/crates/site/src/scripted.rs
@@ -11,7 +11,7 @@
 pub struct ScriptedReply {
     /// Whether the transaction is carried out.
     pub commit: bool,
-    /// Time until the reply.
+    /// Delay of the reply.
     pub delay: Duration,
     /// Kind of reply.
     pub reply: Reply,
@@ -34,7 +34,7 @@
         match self.reply {
             Reply::Status(status) => {
                 let status = StatusCode::from_u16(status).unwrap_or(StatusCode::IM_A_TEAPOT);
-                web::error(status, "as the test says")
+                web::error(status, "status set by the test")
             }
             Reply::Malformed => web::json(StatusCode::OK, &json!({})),
             Reply::Lost => std::future::pending().await,
--- a/crates/site/src/store.rs
+++ b/crates/site/src/store.rs
@@ -28,7 +28,7 @@
 const FEED_ROWS: usize = 500;
 
 /// Table, part and key of a row.
-type Name = (String, String, String);
+type RowName = (String, String, String);
 
 /// Kinds of calls that the store refuses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -49,13 +49,13 @@
     pub down: bool,
     /// Some calls are refused with 503; the others are served.
     pub refused_calls: RefusedCalls,
-    /// Number of the next transactions that are carried out and not answered.
+    /// Number of the next transactions that are carried out but get no reply.
     pub lost_replies: usize,
-    /// Time that each transaction takes.
+    /// Time from the request of each transaction until it is carried out.
     pub delay: Duration,
-    /// Table whose rows are read at once, and delay of the reply.
+    /// Table, and delay of the replies with its rows, which may then be outdated.
     pub slow_rows: Option<(&'static str, Duration)>,
-    /// Table whose feed replies are delayed, and the delay.
+    /// Table, and delay of the feed replies with its changes.
     pub slow_feed: Option<(&'static str, Duration)>,
     /// The feed does not answer; other calls are served.
     pub hung_feed: bool,
@@ -65,14 +65,17 @@
 
 #[derive(Default)]
 struct Rows {
-    /// Value and version of each row.
-    live: BTreeMap<Name, (String, u64)>,
-    changes: Vec<(u64, Name, Option<String>)>,
+    /// Base64-encoded value and version of each row.
+    live: BTreeMap<RowName, (String, u64)>,
+    /// History of changes, which the feed returns: version, row and new value, none if the row
+    /// was removed.
+    changes: Vec<(u64, RowName, Option<String>)>,
+    /// Version of the store, which increases with each write or transaction.
     version: u64,
-    /// Changes up to this version were dropped from the history.
+    /// Version up to which changes were dropped from the history.
     dropped_upto: u64,
     faults: StoreFaults,
-    /// Number of transactions requested, by the tables of their preconditions.
+    /// Number of requested transactions for each table that their preconditions name.
     transactions: BTreeMap<String, usize>,
     /// Table, and handling of the next transactions that write to it.
     script: (String, VecDeque<ScriptedReply>),
@@ -81,6 +84,7 @@
 /// A simulated store.
 pub struct FakeStore {
     rows: Mutex<Rows>,
+    /// Version of the store, which wakes waiting feed calls.
     version: watch::Sender<u64>,
 }
 
@@ -99,16 +103,17 @@
         self.rows.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether the reply to a transaction is lost. This is decided when the reply is due,
-    /// since the faults may have ended while a slow store processed the transaction.
-    fn loses_reply(&self) -> bool {
+    /// Returns whether the reply to a transaction is lost, and counts it if so. This is decided
+    /// when the reply is due, since the faults may have ended while a slow store processed the
+    /// transaction.
+    fn take_lost_reply(&self) -> bool {
         let mut rows = self.lock();
         let lost = rows.faults.lost_replies > 0;
         rows.faults.lost_replies -= usize::from(lost);
         lost
     }
 
-    /// Sets the faults of all further calls.
+    /// Sets the faults of all later calls.
     pub fn set_faults(&self, faults: StoreFaults) {
         self.lock().faults = faults;
     }
@@ -118,7 +123,7 @@
         self.lock().script = (table.to_owned(), replies.iter().copied().collect());
     }
 
-    /// Writes a row to any part, as a process of the cell would.
+    /// Writes a row to a part, as a process of the cell would.
     pub fn write_row(&self, table: &str, part: &str, key: &str, value: &[u8]) {
         let name = (table.to_owned(), part.to_owned(), key.to_owned());
         let mut rows = self.lock();
@@ -144,7 +149,7 @@
         }
     }
 
-    /// Takes the next entry of the script if it applies to a transaction.
+    /// Takes the next entry of the script if the transaction writes to the script's table.
     fn next_scripted(&self, body: &Value) -> Option<ScriptedReply> {
         let mut rows = self.lock();
         let table = rows.script.0.clone();
@@ -156,7 +161,7 @@
         }
     }
 
-    /// Drops the history of changes.
+    /// Drops the history of changes. Feed calls that need it are answered with 410.
     pub fn forget(&self) {
         let mut rows = self.lock();
         rows.dropped_upto = rows.version;
@@ -202,8 +207,7 @@
             .count()
     }
 
-    /// Returns the number of writes and transactions so far, which is the version of the
-    /// store.
+    /// Returns the version of the store, which is the number of writes and transactions so far.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.lock().version
@@ -266,7 +270,7 @@
         let mut version = self.version.subscribe();
         loop {
             version.borrow_and_update();
-            if let Some(response) = self.changes(&table, after, false) {
+            if let Some(response) = self.feed_reply(&table, after, false) {
                 return response;
             }
             if tokio::time::timeout_at(until, version.changed())
@@ -274,15 +278,15 @@
                 .is_err()
             {
                 return self
-                    .changes(&table, after, true)
+                    .feed_reply(&table, after, true)
                     .unwrap_or_else(|| web::error(StatusCode::GONE, "forgotten"));
             }
         }
     }
 
-    /// Returns the feed reply with the changes of a table after a version. If there are none,
-    /// returns none, or an empty reply if `empty` is set.
-    fn changes(&self, table: &str, after: u64, empty: bool) -> Option<HttpResponse> {
+    /// Returns the feed reply with the changes of a table after a version. If there are no such
+    /// changes, returns none, or an empty reply if `allow_empty` is set.
+    fn feed_reply(&self, table: &str, after: u64, allow_empty: bool) -> Option<HttpResponse> {
         let rows = self.lock();
         if after < rows.dropped_upto {
             return Some(web::error(StatusCode::GONE, "forgotten"));
@@ -293,10 +297,10 @@
             .take(FEED_ROWS)
             .map(|(version, name, value)| (*version, row_json(name, value.as_ref(), *version)))
             .collect();
-        if found.is_empty() && !empty {
+        if found.is_empty() && !allow_empty {
             return None;
         }
-        // A full reply covers the history up to its last row only.
+        // A reply with the maximum number of rows covers the history only up to its last row.
         let last = found.last().filter(|_| found.len() == FEED_ROWS);
         let version = last.map_or(rows.version, |(version, _)| *version);
         let found: Vec<Value> = found.into_iter().map(|(_, row)| row).collect();
@@ -306,7 +310,7 @@
 }
 
 impl Rows {
-    fn put(&mut self, name: Name, value: Option<String>, version: u64) {
+    fn put(&mut self, name: RowName, value: Option<String>, version: u64) {
         self.changes.push((version, name.clone(), value.clone()));
         match value {
             Some(value) => self.live.insert(name, (value, version)),
@@ -319,7 +323,7 @@
     async fn handle(&self, request: HttpRequest) -> HttpResponse {
         let faults = self.lock().faults;
         if faults.down {
-            return web::error(StatusCode::SERVICE_UNAVAILABLE, "try later");
+            return web::error(StatusCode::SERVICE_UNAVAILABLE, "injected fault");
         }
         let write = request.path == "/-/rows-tx";
         let refused = match faults.refused_calls {
@@ -331,7 +335,7 @@
             .refused_part
             .is_some_and(|part| concerns_part(&request, part));
         if refused || part_refused {
-            return web::error(StatusCode::SERVICE_UNAVAILABLE, "try later");
+            return web::error(StatusCode::SERVICE_UNAVAILABLE, "injected fault");
         }
         match request.path.as_str() {
             "/-/rows-tx" => {
@@ -345,7 +349,7 @@
                 }
                 tokio::time::sleep(faults.delay).await;
                 let response = self.transact(&body);
-                if self.loses_reply() {
+                if self.take_lost_reply() {
                     std::future::pending::<()>().await;
                 }
                 response
@@ -383,19 +387,19 @@
     body[name].as_array().map_or(&[], Vec::as_slice)
 }
 
-fn row_name(row: &Value) -> Name {
+fn row_name(row: &Value) -> RowName {
     let text = |name: &str| row[name].as_str().unwrap_or_default().to_owned();
     (text("table"), text("part"), text("key"))
 }
 
-fn row_json(name: &Name, value: Option<&String>, version: u64) -> Value {
+fn row_json(name: &RowName, value: Option<&String>, version: u64) -> Value {
     json!({
         "table": name.0, "part": name.1, "key": name.2,
         "value": value.map_or("", String::as_str), "ver": version, "tombstone": value.is_none(),
     })
 }
 
-/// Whether a call reads rows of a part or writes to it.
+/// Whether a call reads rows of a part or is a transaction that writes to it.
 fn concerns_part(request: &HttpRequest, part: &str) -> bool {
     if request.path != "/-/rows-tx" {
         return request.parameter("part").as_deref() == Some(part);
@@ -404,11 +408,11 @@
     list(&body, "puts").iter().any(|put| put["part"] == part)
 }
 
-/// Proxy between one process and the store, which can be cut off.
+/// Proxy between one process and the store, which can cut off the process or refuse its calls.
 pub struct StoreProxy {
     store: Arc<FakeStore>,
     cut: AtomicBool,
-    refused_calls: AtomicBool,
+    refuses: AtomicBool,
 }
 
 impl StoreProxy {
@@ -418,18 +422,18 @@
         Arc::new(StoreProxy {
             store,
             cut: AtomicBool::new(false),
-            refused_calls: AtomicBool::new(false),
+            refuses: AtomicBool::new(false),
         })
     }
 
-    /// Sets whether calls and replies are dropped without an error.
+    /// Sets whether calls and replies are dropped, so that the process gets no reply.
     pub fn set_cut(&self, cut: bool) {
         self.cut.store(cut, Ordering::Relaxed);
     }
 
-    /// Sets whether this process's calls are refused with 503.
-    pub fn set_refuses(&self, refused_calls: bool) {
-        self.refused_calls.store(refused_calls, Ordering::Relaxed);
+    /// Sets whether the calls of the process are refused with 503.
+    pub fn set_refuses(&self, refuses: bool) {
+        self.refuses.store(refuses, Ordering::Relaxed);
     }
 
     async fn wait_if_cut(&self) {
@@ -442,8 +446,8 @@
 impl Handler for StoreProxy {
     async fn handle(&self, request: HttpRequest) -> HttpResponse {
         self.wait_if_cut().await;
-        if self.refused_calls.load(Ordering::Relaxed) {
-            return web::error(StatusCode::SERVICE_UNAVAILABLE, "try later");
+        if self.refuses.load(Ordering::Relaxed) {
+            return web::error(StatusCode::SERVICE_UNAVAILABLE, "injected fault");
         }
         let response = self.store.handle(request).await;
         self.wait_if_cut().await;
--- a/crates/site/src/supervisor.rs
+++ b/crates/site/src/supervisor.rs
@@ -26,11 +26,12 @@
 /// Time from a crash until the worker has restarted under another id.
 const CHANGED_ID_DELAY: Duration = Duration::from_millis(1500);
 
-/// Time from a crash until the worker has restarted under the same id; so short that it is
-/// missing from no list of machines.
+/// Time from a crash until the worker has restarted under the same id. An owner reads the list
+/// of machines when a worker has been unresponsive for 250 ms; by then this worker is listed
+/// again.
 const SAME_ID_DELAY: Duration = Duration::from_millis(100);
 
-/// Time between two checks of the worker.
+/// Time between two checks for runs that are due and for crashes.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Services that a supervised worker uses.
@@ -52,7 +53,7 @@
     Changed,
     /// The same id.
     Same,
-    /// A new id and the same id in turn.
+    /// The same id and a new id alternately, beginning with the same id.
     Alternating,
     /// A new id; the worker does not report its incarnation.
     Unreported,
@@ -70,7 +71,7 @@
 }
 
 impl Restart {
-    /// Returns a restart that takes `down` and registers at once.
+    /// Returns a restart that takes `downtime`, after which the worker registers at once.
     #[must_use]
     pub fn after(downtime: Duration) -> Restart {
         Restart {
@@ -83,6 +84,7 @@
 
 /// Runs a worker and restarts it after a task has crashed it.
 pub struct WorkerSupervisor {
+    /// Id of the first incarnation; new ids are derived from it.
     name: String,
     context: WorkerContext,
     restart_id: RestartId,
@@ -117,8 +119,8 @@
         self.lock().clone()
     }
 
-    /// Ends the worker's runs when they are due and restarts it after crashes. `address` is
-    /// the address of the worker.
+    /// Ends the worker's runs when they are due, and restarts the worker after crashes, until
+    /// the sender of `stop` is dropped. `address` is the address of the worker.
     pub async fn supervise(
         self: Arc<WorkerSupervisor>,
         address: SocketAddr,
@@ -138,7 +140,7 @@
         }
     }
 
-    /// Restarts the worker after a crash, unless it was restarted during the delay.
+    /// Restarts the worker after a crash, unless the test has restarted it during the delay.
     async fn restart_crashed(&self, crashed: &Arc<FakeWorker>, incarnations: usize) {
         let same = match self.restart_id {
             RestartId::Changed | RestartId::Unreported => false,
@@ -158,7 +160,7 @@
             self.start_incarnation(0);
             self.register();
         } else {
-            self.rename(crashed, incarnations);
+            self.restart_renamed(crashed, incarnations);
         }
     }
 
@@ -176,9 +178,10 @@
         self.register();
     }
 
+    /// Starts the next incarnation under the same id.
     fn start_incarnation(&self, clock_back: u64) {
         let former = self.current();
-        // Incarnations are told apart by their start in milliseconds.
+        // The start time identifies the incarnation, so it must differ from the former one.
         let incarnation = match clock_back {
             0 => wall_millis().max(former.incarnation + 1),
             back => former.incarnation - back,
@@ -200,7 +203,8 @@
         }
     }
 
-    fn rename(&self, former: &FakeWorker, incarnations: usize) {
+    /// Starts the next incarnation under a new id, and registers it in place of the former one.
+    fn restart_renamed(&self, former: &FakeWorker, incarnations: usize) {
         let id = format!("{}-{incarnations}", self.name);
         let next = FakeWorker::new(&id, self.context.log.clone());
         next.set_omits_incarnation(self.restart_id == RestartId::Unreported);
--- a/crates/site/src/worker.rs
+++ b/crates/site/src/worker.rs
@@ -24,11 +24,11 @@
 use crate::finish::Finish;
 use crate::wall_millis;
 
-/// Time between two checks for ended runs while a call waits for one.
+/// Time between two checks for ended runs while a lease renewal waits for one.
 pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Time from the first worker report that lists an end until the end counts as reported, in
-/// tests without disruptions.
+/// Time from the first worker report that lists an end until the end counts as received by the
+/// owner, in tests without disruptions.
 const REPORT_TIME: Duration = Duration::from_millis(100);
 
 /// A run in progress.
@@ -36,6 +36,7 @@
 struct Run {
     number: u64,
     begin: Instant,
+    /// Time at which the run ends by itself.
     end: Instant,
     finish: Finish,
 }
@@ -55,12 +56,12 @@
     task: String,
     run: u64,
     how: String,
-    /// Time of the first worker report that listed the run.
+    /// Time of the first worker report that listed the end.
     listed: Option<Instant>,
 }
 
 impl Ended {
-    /// Whether the end counts as reported, in tests without disruptions.
+    /// Whether the end counts as received by the owner, in tests without disruptions.
     fn reported(&self) -> bool {
         self.listed
             .is_some_and(|listed| listed.elapsed() > REPORT_TIME)
@@ -68,19 +69,19 @@
 }
 
 #[derive(Debug, Default)]
-#[allow(clippy::struct_excessive_bools)] // independent facts
+#[allow(clippy::struct_excessive_bools)] // independent flags
 struct State {
     /// Highest fencing token received.
     highest_token: u64,
     /// Expiry of the lease, in milliseconds of the worker's clock.
-    lease: u64,
+    lease_expiry: u64,
     running: BTreeMap<String, Run>,
     ended: Vec<Ended>,
-    /// Number of runs that have ended, which numbers them.
+    /// Number of runs that have ended; each end gets the next number.
     end_count: u64,
-    /// Ends up to this number were judged when a lease expired or the worker went down.
+    /// [`FakeWorker::discard_ends`] has checked the ends up to this number.
     discarded_upto: u64,
-    /// Highest run of each task that has ended or was stopped; older starts are refused.
+    /// Highest run of each task that has ended or was stopped; starts up to it are refused.
     latest_ended: HashMap<String, u64>,
     /// Calls get no reply.
     silent: bool,
@@ -89,19 +90,18 @@
     /// A task has crashed the worker.
     crashed: bool,
     capacity: Cores,
-    /// Number of the next start commands that are carried out and not answered.
-    lose_start_replies: usize,
-    /// Commands of this epoch and later ones do not arrive.
+    /// Number of the next start commands that are carried out but get no reply.
+    unanswered_starts: usize,
+    /// Commands from owners of this epoch and later ones are dropped.
     cut_from: Option<u64>,
-    /// Commands of this epoch and earlier ones do not arrive.
+    /// Commands from owners of this epoch and earlier ones are dropped.
     cut_upto: u64,
     delayed: DelayedCommands,
-    /// Additional time until each reply.
-    delay: Duration,
-    /// Worker reports and registrations leave out the incarnation.
+    /// Delay of each reply.
+    reply_delay: Duration,
+    /// Worker reports and registrations omit the incarnation.
     omits_incarnation: bool,
-    /// The test has no disruptions: ends stand after they were listed, without an
-    /// acknowledgement.
+    /// The test has no disruptions: an end that was listed counts without an acknowledgement.
     undisturbed: bool,
 }
 
@@ -112,6 +112,7 @@
     pub id: String,
     /// Start of this incarnation in Unix milliseconds, which identifies it.
     pub incarnation: u64,
+    /// Time at which the worker's clock is 0.
     origin: Instant,
     state: Mutex<State>,
     log: RunLog,
@@ -130,8 +131,8 @@
         })
     }
 
-    /// Ends this incarnation and returns the next one under the same id, which starts at
-    /// `incarnation` and has no runs or ends. Delayed commands that this incarnation has not
+    /// Ends this incarnation and returns the next one under the same id, which has the start
+    /// time `incarnation`, no runs and no ends. Delayed commands that this incarnation has not
     /// carried out reach the next one.
     pub(crate) fn next_incarnation(&self, incarnation: u64) -> Arc<FakeWorker> {
         let delayed = std::mem::take(&mut self.lock().delayed);
@@ -156,8 +157,7 @@
         u64::try_from(self.origin.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Carries out delayed commands and ends runs that are due, also while the worker is
-    /// unreachable.
+    /// Carries out delayed commands and ends runs that are due, even if the worker is silent.
     pub fn tick(&self) {
         let mut state = self.lock();
         self.process_due(&mut state);
@@ -177,7 +177,7 @@
         state.silent = true;
         state.dead = true;
         state.delayed.clear();
-        // Ends that it still lists will never be acknowledged.
+        // Ends that the worker still lists will never be acknowledged.
         self.discard_ends(state);
         for (task, run) in std::mem::take(&mut state.running) {
             let how = "gone".to_owned();
@@ -205,33 +205,31 @@
 
     /// Carries out the next `count` start commands without answering them.
     pub fn lose_start_replies(&self, count: usize) {
-        self.lock().lose_start_replies = count;
+        self.lock().unanswered_starts = count;
     }
 
-    /// Drops commands of `epoch` and later ones: the worker is cut off from these owners only.
+    /// Drops commands from owners of `epoch` and later ones; other owners reach the worker.
     pub fn cut_from_epoch(&self, epoch: Option<u64>) {
         self.lock().cut_from = epoch;
     }
 
-    /// Drops commands of `epoch` and earlier ones: the worker is cut off from these owners
-    /// only.
+    /// Drops commands from owners of `epoch` and earlier ones; other owners reach the worker.
     pub fn cut_upto_epoch(&self, epoch: u64) {
         self.lock().cut_upto = epoch;
     }
 
-    /// Delays each reply by this time; a reply reflects the state before the delay.
+    /// Delays each reply; a reply contains the state before the delay.
     pub fn set_delay(&self, delay: Duration) {
-        self.lock().delay = delay;
+        self.lock().reply_delay = delay;
     }
 
-    /// Declares that the test has no disruptions: an end stands after the worker has listed
-    /// it, whether the owner has acknowledged it or not.
+    /// Declares that the test has no disruptions. Then an end that the worker has listed counts,
+    /// even if the lease expires before the owner has acknowledged it.
     pub fn set_undisturbed(&self, undisturbed: bool) {
         self.lock().undisturbed = undisturbed;
     }
 
-    /// Sets whether worker reports and registrations leave out the incarnation, as those of
-    /// other releases do.
+    /// Sets whether worker reports and registrations omit the incarnation, as in other releases.
     pub fn set_omits_incarnation(&self, omits_incarnation: bool) {
         self.lock().omits_incarnation = omits_incarnation;
     }
@@ -257,15 +255,13 @@
         self.lock().end_count
     }
 
-    /// Returns the number of start commands that were left unanswered and are not carried out
-    /// yet.
+    /// Returns the number of unanswered start commands that are not carried out yet.
     #[must_use]
     pub fn delayed_starts(&self) -> usize {
         self.lock().delayed.starts()
     }
 
-    /// Returns the number of lease renewals that were left unanswered and are not carried out
-    /// yet.
+    /// Returns the number of unanswered lease renewals that are not carried out yet.
     #[must_use]
     pub fn delayed_renewals(&self) -> usize {
         self.lock().delayed.renewals()
@@ -285,7 +281,7 @@
     /// Ends the runs whose run time is over or whose lease has expired.
     fn end_due_runs(&self, state: &mut State) {
         let now = Instant::now();
-        let expired = state.lease <= self.clock();
+        let expired = state.lease_expiry <= self.clock();
         let due: Vec<String> = state
             .running
             .iter()
@@ -311,13 +307,12 @@
         }
     }
 
-    /// Records ends as discarded that were not acknowledged before the lease expired or the
-    /// worker went down.
+    /// Records that unacknowledged ends are void: the lease has expired or the worker went down.
     fn discard_ends(&self, state: &mut State) {
         let (discarded_upto, undisturbed) = (state.discarded_upto, state.undisturbed);
-        let stands = |end: &&Ended| end.number <= discarded_upto || undisturbed && end.reported();
-        let lost = state.ended.iter().filter(|end| !stands(end));
-        for end in lost {
+        let settled = |end: &&Ended| end.number <= discarded_upto || undisturbed && end.reported();
+        let discarded = state.ended.iter().filter(|end| !settled(end));
+        for end in discarded {
             self.log
                 .push(WorkerEvent::Discarded(end.task.clone(), end.run));
         }
@@ -354,7 +349,7 @@
         if lease <= self.clock() {
             return self.refuse("late");
         }
-        state.lease = state.lease.max(lease);
+        state.lease_expiry = state.lease_expiry.max(lease);
         if state
             .latest_ended
             .get(&task)
@@ -363,8 +358,8 @@
             return self.refuse("old");
         }
         if !state.running.contains_key(&task) {
-            let text = body["spec"].as_str().unwrap_or_default();
-            let (finish, time) = Finish::from_text(text, &task);
+            let payload = body["spec"].as_str().unwrap_or_default();
+            let (finish, time) = Finish::parse(payload, &task);
             let started = Run {
                 number: run,
                 begin: Instant::now(),
@@ -397,9 +392,10 @@
         web::json(StatusCode::OK, &json!({"clock_ms": self.clock()}))
     }
 
+    /// Extends the lease and removes acknowledged ends; returns a report and whether it has ends.
     fn renew(&self, state: &mut State, body: &Value) -> (Value, bool) {
         if let Some(lease) = body["deadline_ms"].as_u64() {
-            state.lease = state.lease.max(lease);
+            state.lease_expiry = state.lease_expiry.max(lease);
         }
         let seen = body["seen_upto"].as_u64().unwrap_or(0);
         for end in state.ended.extract_if(.., |end| end.number <= seen) {
@@ -428,17 +424,18 @@
         (body, !state.ended.is_empty())
     }
 
+    /// Replies to a lease renewal when a run has ended, or after the wait that it asks for.
     async fn wait_for_end(&self, body: &Value) -> HttpResponse {
         let wait = Duration::from_millis(body["wait_ms"].as_u64().unwrap_or(0));
         let until = Instant::now() + wait;
         loop {
-            let (reply, ends, silent) = {
+            let (reply, ends, dead) = {
                 let mut state = self.lock();
                 self.process_due(&mut state);
                 let (reply, ends) = self.renew(&mut state, body);
                 (reply, ends, state.dead)
             };
-            if silent {
+            if dead {
                 // The worker has gone down since the call arrived.
                 std::future::pending::<()>().await;
             }
@@ -459,8 +456,7 @@
         None
     }
 
-    /// Carries out a command. Returns none for a lease renewal that is not refused, whose
-    /// reply may have to wait for an end.
+    /// Carries out a command; returns none for an accepted renewal, which may wait for an end.
     fn execute(&self, state: &mut State, path: &str, body: &Value) -> Option<HttpResponse> {
         if let Some(refused) = self.check_token(state, body) {
             return Some(refused);
@@ -485,8 +481,8 @@
             if state.silent || cut || state.delayed.defer(&request.path, &body) {
                 (None, true)
             } else {
-                let lost = request.path == "/-/run-start" && state.lose_start_replies > 0;
-                state.lose_start_replies -= usize::from(lost);
+                let lost = request.path == "/-/run-start" && state.unanswered_starts > 0;
+                state.unanswered_starts -= usize::from(lost);
                 (self.execute(&mut state, &request.path, &body), lost)
             }
         };
@@ -497,7 +493,7 @@
             Some(response) => response,
             None => self.wait_for_end(&body).await,
         };
-        let delay = self.lock().delay;
+        let delay = self.lock().reply_delay;
         tokio::time::sleep(delay).await;
         response
     }
--- a/crates/site/src/worker_proxy.rs
+++ b/crates/site/src/worker_proxy.rs
@@ -1,5 +1,6 @@
-//! Proxy of a worker's address that can be closed for good, as when the worker moves to
-//! another address, and that can delay start commands.
+//! Proxy between the processes and a worker. It can be closed permanently, as when the worker
+//! moves to another address, delay start commands, and restart the worker before an
+//! acknowledgement arrives.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -22,10 +23,10 @@
 /// Time between the end of an incarnation and the start of the next one.
 const RESTART_DOWNTIME: Duration = Duration::from_millis(5);
 
-/// Longest time for which an acknowledgement is delayed.
+/// Longest time for which an acknowledgement is delayed after a restart.
 const MAX_ACK_DELAY: Duration = Duration::from_secs(2);
 
-/// Time between two checks of a worker.
+/// Time between two checks whether a run has ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Forwards calls to the current incarnation of a worker. Calls get no reply once the proxy is
@@ -34,14 +35,14 @@
     supervisor: Arc<WorkerSupervisor>,
     closed: AtomicBool,
     /// Delay of start commands.
-    delay: Mutex<Duration>,
-    /// Whether the worker restarts before the next acknowledgement is delivered.
+    start_delay: Mutex<Duration>,
+    /// Whether the worker restarts before the next acknowledgement of ended runs is delivered.
     restart_armed: AtomicBool,
-    /// Number of such restarts.
+    /// Number of restarts of the worker by this proxy.
     restarts: watch::Sender<usize>,
     /// Number of start commands that are delayed at present.
     delayed_starts: Arc<AtomicUsize>,
-    /// Number of acknowledgements that arrived while a start command was delayed.
+    /// Number of acknowledgements of ended runs that arrived while a start command was delayed.
     overlapping_acks: AtomicUsize,
 }
 
@@ -50,7 +51,7 @@
         Arc::new(WorkerProxy {
             supervisor,
             closed: AtomicBool::new(false),
-            delay: Mutex::default(),
+            start_delay: Mutex::default(),
             restart_armed: AtomicBool::new(false),
             restarts: watch::Sender::new(0),
             delayed_starts: Arc::default(),
@@ -58,7 +59,7 @@
         })
     }
 
-    /// Number of acknowledgements that arrived while a start command was delayed.
+    /// Number of acknowledgements of ended runs that arrived while a start command was delayed.
     pub(crate) fn overlapping_acks(&self) -> usize {
         self.overlapping_acks.load(Ordering::Relaxed)
     }
@@ -68,12 +69,14 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Duration> {
-        self.delay.lock().unwrap_or_else(PoisonError::into_inner)
+        self.start_delay
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Restarts the worker while the next acknowledgement is in transit; the acknowledgement
-    /// reaches the new incarnation after that has ended a run. The returned channel changes
-    /// when the new incarnation has started.
+    /// Restarts the worker while the next acknowledgement of ended runs is in transit. The
+    /// acknowledgement reaches the new incarnation after a run of this incarnation has ended.
+    /// The returned channel changes when the new incarnation has started.
     pub(crate) fn arm_restart(&self) -> watch::Receiver<usize> {
         self.restart_armed.store(true, Ordering::Relaxed);
         self.restarts.subscribe()
@@ -86,15 +89,15 @@
         self.supervisor
             .restart(Restart::after(RESTART_DOWNTIME))
             .await;
-        self.restarts.send_modify(|times| *times += 1);
-        let incarnation = self.supervisor.current();
+        self.restarts.send_modify(|count| *count += 1);
+        let restarted = self.supervisor.current();
         let ended = async {
-            while incarnation.ends() == 0 {
+            while restarted.ends() == 0 {
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        // If no run ends within this time, the acknowledgement can remove no end and is
-        // delivered.
+        // If no run ends within the maximum delay, the acknowledgement is delivered anyway; the
+        // new incarnation then has no end that it could remove.
         let _ = tokio::time::timeout(MAX_ACK_DELAY, ended).await;
     }
 
@@ -103,7 +106,7 @@
     }
 }
 
-/// Whether a command acknowledges ends.
+/// Whether a command acknowledges ended runs.
 fn acknowledges(request: &HttpRequest) -> bool {
     let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
     body["seen_upto"].as_u64().is_some_and(|seen| seen > 0)
@@ -119,13 +122,15 @@
             let (delayed_starts, supervisor) =
                 (self.delayed_starts.clone(), self.supervisor.clone());
             // The command arrives even if the caller no longer waits for the reply.
-            let carried = tokio::spawn(async move {
+            let reply = tokio::spawn(async move {
                 delayed_starts.fetch_add(1, Ordering::Relaxed);
                 tokio::time::sleep(delay).await;
                 delayed_starts.fetch_sub(1, Ordering::Relaxed);
                 supervisor.handle(request).await
             });
-            return carried.await.expect("the delayed start is carried out");
+            return reply
+                .await
+                .expect("the delayed start command is carried out");
         }
         if self.delayed_starts.load(Ordering::Relaxed) > 0 && acknowledges(&request) {
             self.overlapping_acks.fetch_add(1, Ordering::Relaxed);
