--- a/crates/cell/tests/failures.rs
+++ b/crates/cell/tests/failures.rs
@@ -174,7 +174,7 @@
     let cell = TestCell::open(2, 2).await;
     let caller = Caller::new();
     submit_jobs(&cell, &caller, 2, "20").await;
-    cell.store.forget();
+    cell.store.drop_history();
 
     let path = "/plain/00000000000000c3";
     caller.submit(&cell.servers(), path, &job(2, "20")).await;
--- a/crates/cell/tests/retention.rs
+++ b/crates/cell/tests/retention.rs
@@ -34,7 +34,7 @@
 
     let removals = async {
         while cell.store.count(cell::JOB_TABLE) > 0 {
-            cell.store.forget();
+            cell.store.drop_history();
             tokio::time::sleep(CHECK_INTERVAL).await;
         }
     };
--- a/crates/daemon/tests/soak/testbed.rs
+++ b/crates/daemon/tests/soak/testbed.rs
@@ -305,7 +305,7 @@
             Event::StoreRelay(index, plan) => self.hosts[index].store_relay.set_plan(plan),
             Event::WorkerRelay(index, plan) => self.worker_relays[index].set_plan(plan),
             Event::Store(faults) => self.store.set_faults(faults),
-            Event::DropHistory => self.store.forget(),
+            Event::DropHistory => self.store.drop_history(),
             Event::LoseStarts(index, count) => {
                 self.workers[index].current().lose_start_replies(count);
             }
--- a/crates/site/src/store.rs
+++ b/crates/site/src/store.rs
@@ -162,7 +162,7 @@
     }
 
     /// Drops the history of changes. Feed calls that need it are answered with 410.
-    pub fn forget(&self) {
+    pub fn drop_history(&self) {
         let mut rows = self.lock();
         rows.dropped_upto = rows.version;
         rows.changes.clear();
