--- a/crates/fake/src/worker/state.rs
+++ b/crates/fake/src/worker/state.rs
@@ -148,8 +148,8 @@
         if self.closed.contains_key(&start.attempt) {
             return Some(RefusalReason::Full);
         }
-        // The start is based on a reply that is older than the lease duration, so a
-        // record of the attempt may already be discarded.
+        // If the start is based on a reply that is older than the lease duration, the
+        // record that its attempt is closed may already be discarded.
         if !self
             .reply_times
             .iter()
--- a/crates/site/src/cell.rs
+++ b/crates/site/src/cell.rs
@@ -34,7 +34,7 @@
 use crate::WorkerSupervisor;
 use crate::worker_proxy::WorkerProxy;
 
-/// Timeout of a runtime for ending its tasks.
+/// Timeout of the shutdown of a runtime.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Time between two reads of the store.
--- a/crates/site/src/run_log.rs
+++ b/crates/site/src/run_log.rs
@@ -73,8 +73,8 @@
         events.iter().map(|(_, event)| event.clone()).collect()
     }
 
-    /// Returns the number of runs that were started for the tasks of a job, or for one task.
-    /// `job` is the id of the job or the name of the task.
+    /// Returns the number of runs that were started for the tasks whose names begin with `job`:
+    /// the id of a job, or the name of a task.
     #[must_use]
     pub fn starts(&self, job: &str) -> usize {
         let events = self.lock();
@@ -84,7 +84,8 @@
         started.count()
     }
 
-    /// Returns the runs of the tasks of a job, in the order of their starts.
+    /// Returns the runs of the tasks whose names begin with `job`, in the order of their starts;
+    /// those of all tasks if `job` is empty.
     #[must_use]
     pub fn spans(&self, job: &str) -> Vec<RunSpan> {
         let mut spans: Vec<RunSpan> = Vec::new();
--- a/crates/site/src/worker.rs
+++ b/crates/site/src/worker.rs
@@ -27,8 +27,7 @@
 /// Time between two checks for ended runs while a lease renewal waits for one.
 pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Time from the first worker report that lists an end until the end counts as received by the
-/// owner, in tests without disruptions.
+/// Time after which a listed end counts as received by the owner, in tests without disruptions.
 const REPORT_TIME: Duration = Duration::from_millis(100);
 
 /// A run in progress.
@@ -52,6 +51,7 @@
 /// A run that has ended.
 #[derive(Debug)]
 struct Ended {
+    /// Number of the end; the owner acknowledges all ends up to a number.
     number: u64,
     task: String,
     run: u64,
