--- a/crates/fake/src/worker/state.rs
+++ b/crates/fake/src/worker/state.rs
@@ -1,5 +1,5 @@
-//! State of a stand-in worker: its fence, its lease, its tasks and the replies
-//! in which their ends were reported.
+//! State of a stand-in worker: fence, lease, tasks, and the numbers of the replies
+//! that reported the ends of tasks.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -20,20 +20,22 @@
 
 use super::Behaviour;
 
-/// A task that runs, or that has ended without an acknowledgement of the end.
+/// A task that runs, or whose end no poll has acknowledged.
 #[derive(Debug)]
 pub(super) struct TrackedTask {
     pub(super) task: Task,
     /// Number of the newest reply that reported the end; 0 if none has.
-    pub(super) reporting_reply: ReplyNumber,
+    pub(super) reported_in: ReplyNumber,
 }
 
-/// An attempt that must not start any more: it has ended, or its start was
-/// refused or overtaken by a stop. Kept for one lease duration, to recognise
-/// late copies of its start.
+/// An attempt that must not start any more: its end was acknowledged, its start
+/// was refused, or a stop arrived before its start. Kept for one lease duration,
+/// to recognise delayed copies of the start.
 #[derive(Clone, Copy, Debug)]
 struct ClosedAttempt {
     at: Instant,
+    /// Whether the task has run; if so, a copy of its start is answered with
+    /// success, otherwise it is refused.
     had_started: bool,
 }
 
@@ -42,10 +44,13 @@
 pub(super) struct State {
     pub(super) incarnation: Incarnation,
     pub(super) fence: Fence,
+    /// Whether the current incarnation has accepted a claim.
     pub(super) claimed: bool,
     pub(super) lease_duration: Duration,
     pub(super) lease_expiry: Option<Instant>,
-    reply_number: ReplyNumber,
+    /// Number of the newest reply to a claim or poll.
+    last_reply: ReplyNumber,
+    /// Replies sent within the last lease duration, with their times.
     reply_times: VecDeque<(ReplyNumber, Instant)>,
     pub(super) tasks: HashMap<AttemptId, TrackedTask>,
     /// Attempts that must not start any more.
@@ -62,7 +67,7 @@
             claimed: false,
             lease_duration: Duration::ZERO,
             lease_expiry: None,
-            reply_number: 0,
+            last_reply: 0,
             reply_times: VecDeque::new(),
             tasks: HashMap::new(),
             closed: HashMap::new(),
@@ -98,10 +103,12 @@
         }
     }
 
+    /// Returns the number of the next reply and records its time. Discards reply
+    /// times and closed attempts that are older than the lease duration.
     pub(super) fn next_reply_number(&mut self) -> ReplyNumber {
-        self.reply_number += 1;
+        self.last_reply += 1;
         let now = Instant::now();
-        self.reply_times.push_back((self.reply_number, now));
+        self.reply_times.push_back((self.last_reply, now));
         let duration = self.lease_duration;
         while self
             .reply_times
@@ -111,7 +118,7 @@
             self.reply_times.pop_front();
         }
         self.closed.retain(|_, closed| closed.at + duration >= now);
-        self.reply_number
+        self.last_reply
     }
 
     pub(super) fn has_started(&self, attempt: &str) -> bool {
@@ -126,6 +133,7 @@
             .or_insert(ClosedAttempt { at, had_started });
     }
 
+    /// Returns why a start must be refused; `None` if the task may start.
     pub(super) fn refusal_reason(
         &self,
         start: &Start,
@@ -140,10 +148,12 @@
         if self.closed.contains_key(&start.attempt) {
             return Some(RefusalReason::Full);
         }
+        // If the start is based on a reply that is older than the lease duration, the
+        // record that its attempt is closed may already be discarded.
         if !self
             .reply_times
             .iter()
-            .any(|(reply_number, _)| *reply_number == start.reply_number)
+            .any(|(reply, _)| *reply == start.reply_number)
         {
             return Some(RefusalReason::LeaseOver);
         }
@@ -160,6 +170,8 @@
         (!fits).then_some(RefusalReason::Full)
     }
 
+    /// Checks a poll, discards the ends that it acknowledges, and extends the lease.
+    /// The lease runs from the time at which the acknowledged reply was sent.
     pub(super) fn accept_poll(&mut self, poll: &Poll) -> Result<(), Refusal> {
         if poll.fence != self.fence && !self.behaviour.ignore_fence {
             return Err(self.refusal(RefusalReason::Fenced));
@@ -175,7 +187,7 @@
         let acknowledged = self
             .reply_times
             .iter()
-            .find(|(reply_number, _)| *reply_number == poll.reply_number);
+            .find(|(reply, _)| *reply == poll.reply_number);
         if let Some((_, sent_at)) = acknowledged {
             let expiry = *sent_at + self.lease_duration;
             self.lease_expiry = self.lease_expiry.max(Some(expiry));
@@ -183,23 +195,25 @@
         Ok(())
     }
 
-    /// Whether a task has ended and no acknowledged reply has reported its end.
-    pub(super) fn has_new_ends(&self, acknowledged: ReplyNumber) -> bool {
+    /// Whether an end has not been reported yet, or was last reported after the
+    /// reply `acknowledged`.
+    pub(super) fn has_unreported_ends(&self, acknowledged: ReplyNumber) -> bool {
         let unreported = |tracked: &TrackedTask| {
             tracked.task.end.is_some()
-                && (tracked.reporting_reply == 0 || tracked.reporting_reply > acknowledged)
+                && (tracked.reported_in == 0 || tracked.reported_in > acknowledged)
         };
         self.tasks.values().any(unreported)
     }
 
+    /// Creates a poll reply with the ends that have not been reported yet, or were
+    /// last reported after the reply `acknowledged`.
     pub(super) fn poll_reply(&mut self, acknowledged: ReplyNumber) -> PollReply {
         let reply_number = self.next_reply_number();
         let mut ended = Vec::new();
         for tracked in self.tasks.values_mut() {
-            let acknowledged_end =
-                tracked.reporting_reply != 0 && tracked.reporting_reply <= acknowledged;
+            let acknowledged_end = tracked.reported_in != 0 && tracked.reported_in <= acknowledged;
             if tracked.task.end.is_some() && !acknowledged_end {
-                tracked.reporting_reply = reply_number;
+                tracked.reported_in = reply_number;
                 ended.push(tracked.task.clone());
             }
         }
