--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -10,7 +10,7 @@
 #[snafu(visibility(pub(crate)))]
 pub enum DaemonError {
     /// The settings file cannot be read.
-    #[snafu(display("{}: {source}", path.display()))]
+    #[snafu(display("cannot read the settings file {}: {source}", path.display()))]
     Read {
         /// Path of the settings file.
         path: PathBuf,
@@ -18,7 +18,7 @@
         source: std::io::Error,
     },
     /// The settings file is invalid.
-    #[snafu(display("{}: {reason}", path.display()))]
+    #[snafu(display("invalid settings in {}: {reason}", path.display()))]
     Settings {
         /// Path of the settings file.
         path: PathBuf,
@@ -26,7 +26,7 @@
         reason: String,
     },
     /// The address for callers cannot be bound.
-    #[snafu(display("cannot listen on {address}: {source}"))]
+    #[snafu(display("cannot listen for callers on {address} (http.listen): {source}"))]
     Listen {
         /// Address from the settings.
         address: SocketAddr,
@@ -40,32 +40,31 @@
         source: peer::OpenError,
     },
     /// The metrics cannot be registered.
-    #[snafu(display("metrics: {source}"), context(false))]
+    #[snafu(display("cannot register the metrics: {source}"), context(false))]
     Metrics {
         /// Error from the metrics registry.
         source: prometheus::Error,
     },
-    /// The settings name another number of shards than the cell was created with, or the
-    /// parameters of the cell have another format.
+    /// The settings contain another number of shards than the cell was created with.
     #[snafu(display(
-        "cell.shards: found {found}, allowed: {allowed}, the number that the cell was created with"
+        "cell.shards: found {found}, allowed: {allowed} (the number that the cell was created with)"
     ))]
     ShardCount {
         /// Number of shards in the settings.
         found: u16,
-        /// Number of shards in the table.
+        /// Number of shards in the parameters of the cell, a row of the table.
         allowed: u16,
     },
-    /// The parameters of the cell in the table cannot be decoded.
+    /// The table row with the parameters of the cell is damaged or has an unknown format.
     #[snafu(display("{source}"), context(false))]
     Store {
         /// Error from decoding the row.
         source: shard::ShardError,
     },
-    /// An essential task has ended, which none does in normal operation.
-    #[snafu(display("the task {task} has ended unexpectedly"))]
+    /// An async task of the process has ended, which none does before a planned stop.
+    #[snafu(display("the async task {task} has ended unexpectedly; the process stops"))]
     TaskEnded {
-        /// Name of the task.
+        /// Name of the task: `hosts`, `peers`, `keeper` (the shard manager), `http` or `upload`.
         task: &'static str,
     },
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,4 +1,5 @@
-//! The `clovermountd` process: settings, supervision, start and stop.
+//! The `clovermountd` process: its settings, its start, the supervision of its async tasks, and
+//! its stop.
 
 mod error;
 mod process;
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,8 @@
 //! Command line of the `clovermountd` daemon.
+//!
+//! The exit code is 1 if the process cannot start or stops because of a fault, and 2 if the
+//! command line or the settings are invalid. With `--cell`, every error during the start gives 2,
+//! except a failed set-up of the runtime or of the signal handlers, which gives 1.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -11,15 +15,15 @@
 use daemon::SignalAction;
 use daemon::Signals;
 
-/// Entry process of a clovermount cell. It runs until SIGTERM or SIGINT, then
-/// hands its work over and stops. Log level: `RUST_LOG` (default `info`).
+/// Process of a clovermount cell. It runs until SIGTERM or SIGINT, then leaves
+/// its work to the other processes and stops. Log level: `RUST_LOG` (default `info`).
 #[derive(FromArgs)]
 struct Options {
-    /// settings file (YAML); see docs/SETTINGS.md
+    /// serve requests, with this settings file (YAML); see docs/SETTINGS.md
     #[argh(option)]
     settings: Option<PathBuf>,
-    /// run on the platform: jobs of tasks, settings file named by the
-    /// environment variable `CLOVERMOUNT_BOOT`
+    /// serve jobs on the platform; the environment variable `CLOVERMOUNT_BOOT`
+    /// names the settings file
     #[argh(switch)]
     cell: bool,
 }
@@ -29,7 +33,10 @@
     let outcome = match (options.cell, options.settings) {
         (true, None) => run_cell(),
         (false, Some(path)) => run_process(&path),
-        _ => Err((2, "give either --settings or --cell".to_owned())),
+        _ => Err((
+            2,
+            "required: either --settings FILE or --cell, and not both".to_owned(),
+        )),
     };
     match outcome {
         Ok(()) => ExitCode::SUCCESS,
@@ -67,8 +74,8 @@
     Ok(())
 }
 
-/// Runs a process on the platform, on a single thread: an entry host has only a fraction of
-/// a core.
+/// Runs a process that serves jobs on the platform. It uses a single thread, since its host
+/// has only a fraction of a core for it.
 fn run_cell() -> Result<(), Failure> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -82,7 +89,7 @@
     let level = std::env::var("RUST_LOG").unwrap_or_else(|_| "info".to_owned());
     let logs = cell::start_logging(&level);
     let path = CellSettings::path().map_err(|error| failure(2, error))?;
-    log::info!(code = 105, settings:% = path.display(); "starting");
+    log::info!(code = 105, settings:% = path.display(); "starting, reading the settings file");
     let settings = CellSettings::load(&path).map_err(|error| failure(2, error))?;
     let mut current = settings.clone();
     let process = CellProcess::open(settings)
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -1,9 +1,10 @@
-//! One running process: its start and the supervision of its tasks.
+//! A process that serves requests: its start and the supervision of its async tasks.
 //!
-//! [`Process`] owns five tasks: the upload of events, the host list watch, the service for
-//! other processes, the shard manager (which owns the shards, each with its journal and its
-//! links to workers) and the HTTP server. None of them ends in normal operation; if one does,
-//! the whole process stops, and the other processes take over its shards.
+//! [`Process`] runs five async tasks: the upload of events, the poll of the host list, the
+//! service for other processes, the shard manager (which runs the shards that this process
+//! owns, each with its journal and its links to workers) and the HTTP server. None of them ends
+//! before a planned stop; if one does, the whole process stops, and the other processes take
+//! over its shards.
 
 use std::hash::BuildHasher;
 use std::hash::Hasher;
@@ -55,8 +56,8 @@
 use crate::Settings;
 use crate::upload_events;
 
-/// Worker threads of the runtime. Entry hosts are small, and each additional thread costs
-/// memory (an allocator arena of its own) and wake-ups.
+/// Worker threads of the runtime. The hosts of the processes are small, and each additional
+/// thread costs memory (an allocator arena of its own) and wake-ups.
 const WORKER_THREADS: usize = 2;
 
 /// Builds the Tokio runtime of a process.
@@ -71,30 +72,32 @@
 /// Timeout of one call to a worker.
 const WORKER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Delay before [`CELL_PARAMS`] is read again after the table failed.
+/// Delay before the row [`CELL_PARAMS`] is read again after a failed read.
 const PARAMS_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Context of a process that reaches the platform's services over HTTP.
 type HttpContext = Context<HttpTable, HttpObjectStore, HttpHostList>;
 
-/// A running process.
+/// A running process that serves requests.
 #[derive(Debug)]
 pub struct Process {
     pub(crate) context: Arc<HttpContext>,
-    pub(crate) node: PeerEndpoint,
+    /// Transport to the other processes.
+    pub(crate) endpoint: PeerEndpoint,
     address: SocketAddr,
     pub(crate) shard_manager: mpsc::Sender<ShardManagerCommand>,
     pub(crate) in_flight: InFlightLimit,
-    /// Set when a planned stop begins.
+    /// Set when a planned stop begins; the health check fails from then on.
     pub(crate) stopping: watch::Sender<bool>,
-    /// Set to make the HTTP server accept no more connections and finish.
-    pub(crate) stop: watch::Sender<bool>,
-    /// Set to send a pending answer to callers that still wait.
+    /// Set to make the HTTP server accept no more connections and end with the open ones.
+    pub(crate) stop_http: watch::Sender<bool>,
+    /// Set to answer all waiting callers at once, without a final result; they can then ask
+    /// another process.
     pub(crate) redirect_callers: watch::Sender<bool>,
     pub(crate) tasks: Tasks,
 }
 
-/// Essential tasks: if one of them ends, the process stops.
+/// Async tasks of a process; if one of them ends, the process stops.
 #[derive(Debug)]
 pub(crate) struct Tasks {
     hosts: JoinHandle<()>,
@@ -105,8 +108,7 @@
 }
 
 impl Tasks {
-    /// Aborts all tasks.
-    pub(crate) fn close(self) {
+    pub(crate) fn abort(self) {
         let tasks = [
             self.hosts,
             self.peers,
@@ -121,7 +123,8 @@
 }
 
 impl Process {
-    /// Joins the cell and starts the tasks of the process.
+    /// Checks the settings against those of the cell and starts the async tasks of the process.
+    /// While the table cannot be read, it waits and tries again.
     ///
     /// # Errors
     /// See [`DaemonError`].
@@ -140,11 +143,11 @@
         let (view_sender, view) = watch::channel(Arc::new(View::default()));
         let (shard_manager, commands) = mpsc::channel(64);
         let (stopping, stopping_view) = watch::channel(false);
-        let (stop, stop_view) = watch::channel(false);
+        let (stop_http, http_stopped) = watch::channel(false);
         let (redirect_callers, redirect_callers_view) = watch::channel(false);
         let in_flight = InFlightLimit::new(settings.http.in_flight);
         let hints = Arc::new(Notify::new());
-        let ports = ShardManagerChannels {
+        let channels = ShardManagerChannels {
             hosts: hosts.clone(),
             view: view_sender,
             hints: hints.clone(),
@@ -165,11 +168,11 @@
             redirect_callers: redirect_callers_view,
         };
         let service = CellService::new(&context.process, view, hints);
-        let node = context.endpoint.clone();
+        let endpoint = context.endpoint.clone();
         let tasks = Tasks {
             hosts: tokio::spawn(watch_hosts(context.hosts.clone(), host_sender)),
-            peers: tokio::spawn(async move { node.serve(service).await }),
-            shard_manager: tokio::spawn(ShardManager::new(context.clone(), ports).run()),
+            peers: tokio::spawn(async move { endpoint.serve(service).await }),
+            shard_manager: tokio::spawn(ShardManager::new(context.clone(), channels).run()),
             upload: tokio::spawn(upload_events(
                 context.objects.clone(),
                 context.timeline.clone(),
@@ -178,7 +181,7 @@
                 listener,
                 Arc::new(api),
                 http_limits(settings),
-                stop_view,
+                http_stopped,
             )),
         };
         let event = Event::new(Kind::ProcessStarted);
@@ -186,13 +189,13 @@
             .timeline
             .record(event.detail(format!("serving callers on {address}")));
         Ok(Process {
-            node: context.endpoint.clone(),
+            endpoint: context.endpoint.clone(),
             context,
             address,
             shard_manager,
             in_flight,
             stopping,
-            stop,
+            stop_http,
             redirect_callers,
             tasks,
         })
@@ -204,8 +207,9 @@
         self.address
     }
 
-    /// Waits until an essential task has ended, closes the gate so that the shards decide
-    /// nothing more, and returns the error that names the task.
+    /// Waits until an async task of the process has ended, revokes the process's right to act
+    /// under its lease, so that its shards decide nothing more, and returns the error that names
+    /// the task.
     pub async fn wait_for_failure(&mut self) -> DaemonError {
         let task = tokio::select! {
             _ = &mut self.tasks.hosts => "hosts",
@@ -245,6 +249,7 @@
         peer: settings.peer.advertise.unwrap_or(settings.peer.listen),
         http: settings.http.listen,
         shards: settings.cell.shards,
+        // Replaced by the id in the row `CELL_PARAMS` when the process joins the cell.
         cell: 0,
         write_rate: settings.cell.write_rate,
         reclaim: settings.lease.reclaim,
@@ -256,12 +261,13 @@
         endpoint,
         timeline,
         gate: Arc::new(LeaseGate::new()),
+        // Applies until the shard manager has counted the live processes and sets the rate.
         pacer: Pacer::new(f64::from(settings.cell.write_rate) / 8.0),
     })
 }
 
-/// Checks the settings against the cell's parameters in the table and returns the cell's id; the
-/// first process of a cell writes the parameters and chooses the id.
+/// Checks the settings against the cell's parameters in the table and returns the cell's id. The
+/// first process of a cell writes the parameters, with a random id.
 ///
 /// The number of shards is fixed from then on. A process with another number would route
 /// requests to other shards, and the same request id could run twice.
@@ -271,7 +277,7 @@
         shards: context.shards,
         cell: RandomState::new().build_hasher().finish(),
     };
-    let commit = Commit::default()
+    let create = Commit::default()
         .check(CELL_PARAMS, 0)
         .put(CELL_PARAMS, encode_row(&params));
     loop {
@@ -287,12 +293,14 @@
                 });
             }
             Ok(None) => {
-                // Other processes may write the row at the same time: the next read returns
-                // the one that was committed.
-                let _ = context.table.commit(&commit).await;
+                // Another process may create the row at the same time, so the result is ignored:
+                // the next read returns the row that was committed.
+                let _ = context.table.commit(&create).await;
             }
             Err(error) => {
-                log::warn!("cannot read the parameters of the cell, retrying: {error}");
+                log::warn!(
+                    "cannot read row {CELL_PARAMS} (parameters of the cell) from the table, next try in {PARAMS_RETRY_DELAY:?}: {error}"
+                );
                 tokio::time::sleep(PARAMS_RETRY_DELAY).await;
             }
         }
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name of the process, unique in the cell, the same after a restart.
+    /// Name of the process: unique in the cell, and the same after a restart.
     pub name: String,
     /// Failure domain of the process.
     pub domain: String,
@@ -77,10 +77,10 @@
 pub struct PeerSettings {
     /// Listen address.
     pub listen: SocketAddr,
-    /// Address that the other processes connect to, if it differs from `listen`.
+    /// Address at which the other processes reach this one; `listen` if not set.
     #[serde(default)]
     pub advertise: Option<SocketAddr>,
-    /// Folder with the key files.
+    /// Folder with the key and certificate files of the transport.
     pub keys: PathBuf,
 }
 
@@ -88,13 +88,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// Address of the transactional table.
+    /// Address of the table, a transactional key-value store.
     pub table: SocketAddr,
     /// Address of the object store.
     pub objects: SocketAddr,
-    /// Address of the host list.
+    /// Address of the host list, which names the workers.
     pub hosts: SocketAddr,
-    /// Timeout of one call, in milliseconds.
+    /// Timeout of one call to any of these services, in milliseconds.
     #[serde(default = "default_timeout")]
     pub timeout_millis: u64,
 }
@@ -108,9 +108,12 @@
     pub ttl_millis: u64,
     /// Interval between renewals of the lease, in milliseconds.
     pub renew_millis: u64,
-    /// Time after a renewal for which the process may act on its lease, in milliseconds.
+    /// Time from the start of a successful renewal for which the process may act as the owner of
+    /// its shards, in milliseconds. Shorter than `ttl_millis`, so that the process has stopped
+    /// acting before a successor starts.
     pub hold_millis: u64,
-    /// Duration of the lease under which workers run tasks, in milliseconds.
+    /// Lease of the tasks on a worker, in milliseconds: the worker stops them if the owner of
+    /// their shard has not renewed it for this time.
     pub task_millis: u64,
     /// Retention time of answers to requests, in milliseconds.
     pub retention_millis: u64,
@@ -184,7 +187,7 @@
     /// Parses and validates settings in YAML.
     ///
     /// # Errors
-    /// Message that names the first invalid field, and its line if that is known.
+    /// Message that names the first invalid field, and its line if the text shows it.
     pub fn parse(text: &str) -> Result<Settings, String> {
         let settings: Settings = serde_saphyr::from_str(text).map_err(|error| error.to_string())?;
         match settings.first_violation() {
@@ -292,8 +295,8 @@
 }
 
 impl Violation {
-    /// Formats the violation as an error message, with the line of the field if it is found in
-    /// `text`.
+    /// Formats the violation as an error message. It begins with the line of the field, if a line
+    /// of `text` contains both the field and the value found.
     fn message(&self, text: &str) -> String {
         let names_field = |line: &&str| {
             let line = line.trim_start().trim_start_matches("- ");
--- a/crates/daemon/src/signals.rs
+++ b/crates/daemon/src/signals.rs
@@ -6,9 +6,9 @@
 
 /// Handlers of SIGTERM, SIGINT and SIGHUP.
 ///
-/// Before [`Signals::install`] the default action of these signals applies, which ends the
-/// process: a SIGHUP for changed settings during the start once killed it. So the handlers
-/// are installed before anything else is done.
+/// Until [`Signals::install`], the default action of these signals applies, which ends the
+/// process. A SIGHUP for changed settings may arrive while the process starts, so the handlers
+/// must be installed before anything else is done.
 #[derive(Debug)]
 pub struct Signals {
     hangup: Signal,
@@ -20,7 +20,7 @@
     /// Installs the handlers. Must be called within a Tokio runtime.
     ///
     /// # Errors
-    /// The operating system rejects a handler.
+    /// The operating system refuses to install a handler.
     pub fn install() -> std::io::Result<Signals> {
         Ok(Signals {
             hangup: signal(SignalKind::hangup())?,
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -2,7 +2,8 @@
 //!
 //! Platforms kill a process about 30 s after SIGTERM. The timeouts add up to less, so the
 //! stop completes in time even if the platform's services, the other processes or the
-//! callers do not respond. Each step records an event that says what it left undone.
+//! callers do not respond. The hand-over of the shards and the wait for callers each record an
+//! event that says what was not completed.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -17,40 +18,41 @@
 use crate::Process;
 use crate::upload_since;
 
-/// Timeout of the hand-over. A shard has 5 s to finish its journal, then one or two calls
-/// to the table follow.
+/// Timeout of the hand-over of all shards. A shard has 5 s to finish its journal, then one or
+/// two calls to the table follow.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Time for which a stopping process still accepts requests, so that the load balancer sees
 /// the failing health check before connections are refused.
 const BALANCER_GRACE: Duration = Duration::from_millis(1500);
 
-/// Timeout for the answers to requests in progress. Equals the wait of a caller that only
-/// needs to know whether its request was accepted.
+/// Timeout for the answers to requests in progress. Equals the default wait of a submission
+/// with `wait=false`, which needs to know only whether the request was accepted.
 const ANSWERS_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Timeout for sending the remaining callers their pending answers, and again for closing
-/// the connections to the other processes.
+/// Timeout of two steps: of answering the callers that still wait after [`ANSWERS_TIMEOUT`],
+/// and of closing the connections to the other processes.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Process {
-    /// Stops the process as planned: hands the shards over and lets the requests in progress
-    /// finish, without refusing any. Callers of long tasks get a pending answer and ask
-    /// another process.
+    /// Stops the process as planned: hands its shards over to other processes and lets the
+    /// requests in progress finish, without refusing any. Callers of requests that run for longer
+    /// are answered that these are still pending, and can ask another process.
     pub async fn close(mut self) {
         self.context.timeline.record(Event::new(Kind::StopBegan));
         self.stopping.send_replace(true);
         self.hand_over().await;
         tokio::time::sleep(BALANCER_GRACE).await;
-        self.stop.send_replace(true);
+        self.stop_http.send_replace(true);
         self.drain_callers().await;
-        self.tasks.close();
-        let _ = timeout(CLOSE_TIMEOUT, self.node.close()).await;
+        self.tasks.abort();
+        let _ = timeout(CLOSE_TIMEOUT, self.endpoint.close()).await;
         self.context.timeline.record(Event::new(Kind::Stopped));
         upload_since(&self.context.objects, &self.context.timeline, 0).await;
     }
 
-    /// Tells the shard manager to hand the shards over and records the result.
+    /// Makes the shard manager hand all shards over and delete the lease of the process, and
+    /// records the result.
     async fn hand_over(&self) {
         let began = Instant::now();
         let reply = async {
@@ -63,18 +65,17 @@
         };
         let outcome = match timeout(HANDOVER_TIMEOUT, reply).await {
             Ok(Some(handover)) => describe(handover),
-            Ok(None) => "hand-over: not made, the keeper task has ended".to_owned(),
-            Err(_) => "hand-over: timed out".to_owned(),
+            Ok(None) => "hand-over: failed, the shard manager (task keeper) has ended".to_owned(),
+            Err(_) => "hand-over: timed out, no result from the shard manager".to_owned(),
         };
         self.record_step(began, &outcome);
     }
 
-    /// Waits for the answers to open requests, then sends a pending answer to the callers that
-    /// still wait.
+    /// Waits for the answers to the requests in progress, at most for [`ANSWERS_TIMEOUT`], and
+    /// then answers the callers that still wait that their request is pending.
     ///
-    /// A request may run for longer than the platform lets this process stop. Waiting for its
-    /// answer would end in a kill that breaks all connections, so callers that still wait
-    /// after [`ANSWERS_TIMEOUT`] get a pending answer.
+    /// A request may run for longer than the time that the platform allows for a stop. If this
+    /// process waited for its answer, it would be killed, which breaks all connections.
     async fn drain_callers(&mut self) {
         let began = Instant::now();
         if timeout(ANSWERS_TIMEOUT, &mut self.tasks.http).await.is_ok() {
@@ -85,8 +86,9 @@
         self.redirect_callers.send_replace(true);
         let ended = timeout(CLOSE_TIMEOUT, &mut self.tasks.http).await.is_ok();
         let connections = if ended { "ended" } else { "cut" };
-        let outcome =
-            format!("callers: {open} requests got a pending answer, connections {connections}");
+        let outcome = format!(
+            "callers: {open} still waited and were answered as pending, connections {connections}"
+        );
         self.record_step(began, &outcome);
     }
 
@@ -104,6 +106,12 @@
         unconfirmed,
         lease_deleted,
     } = handover;
-    let lease = if lease_deleted { "gone" } else { "may stand" };
-    format!("hand-over: {confirmed} shards confirmed, {unconfirmed} not, lease {lease}")
+    let lease = if lease_deleted {
+        "deleted"
+    } else {
+        "may remain until it expires"
+    };
+    format!(
+        "hand-over: confirmed for {confirmed} shards, not confirmed for {unconfirmed}, lease {lease}"
+    )
 }
--- a/crates/daemon/src/uploader.rs
+++ b/crates/daemon/src/uploader.rs
@@ -1,5 +1,5 @@
-//! Uploads the timeline to the platform's object store at a bounded rate, so that the events
-//! of a process can be read after it has ended.
+//! Uploads the timeline (the recent events of a process) to the platform's object store at a
+//! bounded rate, so that the events can be read after the process has ended.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 use event::Timeline;
 use store::ObjectStore;
 
-/// Interval between uploads. Each writes one object if there are new events.
+/// Interval between uploads. Each upload writes one object, or none if there are no new events.
 const UPLOAD_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Maximum number of events in one object; the rest goes into the next object.
+/// Maximum number of events in one object; the next upload continues with the rest.
 const MAX_EVENTS: usize = 4000;
 
 /// Uploads new events until the process ends. While the object store is down, events stay in
@@ -25,7 +25,8 @@
     }
 }
 
-/// Uploads events newer than `after` and returns the stamp of the last stored event.
+/// Uploads events newer than `after` as one object, and returns the stamp of the last one
+/// stored: `after` if there are none or the upload fails.
 pub async fn upload_since<O: ObjectStore>(objects: &O, timeline: &Timeline, after: Stamp) -> Stamp {
     let events = timeline.events_after(after, MAX_EVENTS);
     let Some(last) = events.last().map(|event| event.stamp) else {
@@ -40,13 +41,16 @@
             last
         }
         Err(error) => {
-            log::debug!("timeline upload failed, will retry: {error}");
+            log::debug!(
+                "upload of events to the object store failed, they stay in memory: {error}"
+            );
             after
         }
     }
 }
 
-/// Object names begin with the stamp, so that objects of all processes sort by time.
+/// Name of the object for these events. It begins with the stamp of the last one, so that the
+/// objects of all processes sort by time.
 fn object_name(events: &[Event], last: Stamp) -> String {
     let process = events.first().map_or("", |event| &event.process);
     format!("timeline/{last:020}-{process}")
