--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -162,7 +162,7 @@
             metrics: Metrics::new()?,
             timeline: context.timeline.clone(),
             hosts,
-            keeper: shard_manager.clone(),
+            shard_manager: shard_manager.clone(),
             gate: context.gate.clone(),
             stopping: stopping_view,
             redirect_callers: redirect_callers_view,
--- a/crates/daemon/tests/reporting/fixture.rs
+++ b/crates/daemon/tests/reporting/fixture.rs
@@ -66,7 +66,7 @@
         let timeline = Arc::new(Timeline::new("a-1"));
         let endpoint = open_node(&keys, ([127, 0, 0, 1], 0).into(), timeline.clone());
         let (view_sender, view) = watch::channel(Arc::new(View::default()));
-        let (keeper, commands) = mpsc::channel(4);
+        let (shard_manager, commands) = mpsc::channel(4);
         let gate = Arc::new(LeaseGate::new());
         let api = Api {
             router: Router::new(endpoint.clone(), 1, view.clone()),
@@ -77,7 +77,7 @@
             metrics: Metrics::new().expect("metrics"),
             timeline: timeline.clone(),
             hosts: watch::channel(None).1,
-            keeper,
+            shard_manager,
             gate: gate.clone(),
             stopping: watch::channel(false).1,
             redirect_callers: watch::channel(false).1,
--- a/crates/entry/src/api.rs
+++ b/crates/entry/src/api.rs
@@ -84,9 +84,9 @@
     pub timeline: Arc<Timeline>,
     /// Latest host list read from the platform; none before the first read.
     pub hosts: watch::Receiver<Hosts>,
-    /// Sends new configuration versions to the keeper task, which manages the
+    /// Sends new configuration versions to the shard manager, which manages the
     /// process's lease and shards.
-    pub keeper: mpsc::Sender<ShardManagerCommand>,
+    pub shard_manager: mpsc::Sender<ShardManagerCommand>,
     /// Open while the process has the right to act.
     pub gate: Arc<LeaseGate>,
     /// Becomes true when a planned stop begins.
@@ -278,7 +278,7 @@
                 self.timeline
                     .record(event.detail(format!("{} as {}", patch.id, versioned.version)));
                 let _ = self
-                    .keeper
+                    .shard_manager
                     .send(ShardManagerCommand::Adopt(versioned.clone()))
                     .await;
                 Ok(web::json(StatusCode::OK, &self.config_body(&versioned)))
