--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -100,10 +100,15 @@
 /// Async tasks of a process; if one of them ends, the process stops.
 #[derive(Debug)]
 pub(crate) struct Tasks {
+    /// Polls the host list.
     hosts: JoinHandle<()>,
+    /// Answers calls of the other processes.
     peers: JoinHandle<()>,
+    /// Runs the shards of this process and renews its lease.
     shard_manager: JoinHandle<()>,
+    /// Serves callers and operators; also ends after [`Process::stop_http`] was set.
     pub(crate) http: JoinHandle<()>,
+    /// Uploads events to the object store.
     upload: JoinHandle<()>,
 }
 
--- a/crates/daemon/tests/fencing.rs
+++ b/crates/daemon/tests/fencing.rs
@@ -1,5 +1,6 @@
-//! A start that reaches the worker late, with the worker's fence and without it. The test
-//! without the fence shows that the checker detects the failure that the fence prevents.
+//! Starts of a killed owner that reach the worker after the successor has claimed it. In one
+//! test the worker refuses calls with an older fence (the fencing token of an owner); in the
+//! other it accepts any fence, which shows that the checker detects the failure.
 
 mod support;
 
@@ -14,15 +15,16 @@
 use crate::support::load_plan;
 use crate::support::open_cell;
 
-/// Delay of starts, longer than a take-over.
+/// Delay of starts on their way to the workers; longer than a take-over takes.
 const START_DELAY: Duration = Duration::from_secs(7);
 
 fn nth_confirmation(number: u32) -> Request {
     confirmation_request(&format!("confirm-{number}"))
 }
 
-/// Kills a process while its starts are on their way to the workers, which receive them long
-/// after another process has claimed the workers. Returns the violations found.
+/// Kills a process while its starts are on their way to the workers. They arrive after another
+/// process has taken its shards over and claimed the workers. Returns the violations that
+/// [`verify`] finds.
 async fn kill_owner_with_delayed_starts(cell: &mut Cell) -> Vec<String> {
     let plan = load_plan(cell, 60, 60, nth_confirmation);
     for worker in &cell.platform.workers {
@@ -39,11 +41,11 @@
     verify(&outcomes, &cell.platform.log.runs(), cell.platform.capacity)
 }
 
-// Guards against a confirmation that runs twice. Its owner sends the start and dies; the
-// successor claims the worker, which does not list the task, and starts it again; then the
-// first start arrives. The worker must refuse starts of an older epoch.
+// Guards against a confirmation that runs twice. Its owner sends the start and is killed. The
+// successor claims the worker, whose reply does not list the task, and starts it again. Then
+// the first start arrives. The worker must refuse it, because its fence has an older epoch.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_delayed_start_of_a_dead_owner_is_refused() {
+async fn a_delayed_start_of_a_killed_owner_is_refused() {
     let mut cell = open_cell(3).await;
 
     let violations = kill_owner_with_delayed_starts(&mut cell).await;
--- a/crates/daemon/tests/foreign_table.rs
+++ b/crates/daemon/tests/foreign_table.rs
@@ -1,11 +1,12 @@
 //! A process whose table address leads to the table of another cell.
 //!
-//! Once in 64 runs a request had no answer for 40 s while a process was stopped as planned. A
-//! failed test had left its processes running, and the table of a later test got the port of
-//! theirs. They found no lease row of their own there, wrote one, and claimed shards as owners
-//! that no other process could reach, since their keys differ. A process that has lost its
-//! lease must check that the table belongs to its cell; without this check the first test
-//! finds no answers for 40 s and a fourth lease in the table.
+//! This happens if a failed test leaves its processes running and the table of a later test gets
+//! the port of theirs. These processes find no lease row of their own there, write one, and
+//! claim shards. No process of the other cell can reach them, since the keys of the cells
+//! differ, so requests get no answer: in 1 of 64 runs, one had none for 40 s while a process was
+//! stopped as planned. A process that has lost its lease must therefore check that the table
+//! belongs to its cell. Without this check, the first test finds requests that have no answer
+//! for 40 s and a fourth lease in the table.
 
 mod support;
 
@@ -24,20 +25,20 @@
 
 /// Redirects the table connection of the first process of `other` to the table of `cell`.
 async fn redirect_table(cell: &Cell, other: &Cell) {
-    let table = &other.members[0].table;
-    table.set_plan(RelayPlan {
+    let relay = &other.members[0].table;
+    relay.set_plan(RelayPlan {
         cut: true,
         ..RelayPlan::default()
     });
     tokio::time::sleep(Duration::from_millis(100)).await;
-    table.set_plan(RelayPlan {
+    relay.set_plan(RelayPlan {
         redirect: Some(cell.platform.table_address),
         ..RelayPlan::default()
     });
 }
 
 /// Guards against shards that are claimed by a process of another cell, which the processes
-/// of this cell cannot reach.
+/// of this cell cannot reach. Such a process must write no lease to this cell's table.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_process_redirected_to_another_cells_table_does_not_join() {
     let other = open_cell(1).await;
@@ -60,7 +61,8 @@
     other.close();
 }
 
-/// Guards against a process that never rejoins its cell after its table was unreachable.
+/// Guards against a process that never serves its cell again after its table connection led to
+/// the table of another cell.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_process_resumes_when_its_own_table_is_back() {
     let cell = open_cell(1).await;
--- a/crates/daemon/tests/harness.rs
+++ b/crates/daemon/tests/harness.rs
@@ -9,10 +9,11 @@
 use crate::support::open_cell;
 
 // Guards against processes that outlive a failed test, which drops its cell without closing
-// it. Such processes kept connecting to the port of their table, on which a later test had
-// opened its own, and claimed shards there: rows named `"owner":"entry-2-1a2390386c9",
-// "epoch":2` while the later test's process was `entry-2-1a2390af470`. These owners could not
-// be reached, so callers of the later test got no final answer.
+// it. They keep connecting to the port of their table. Once a later test has opened its own
+// table on that port, they claim shards in it: a shard row contains
+// `"owner":"entry-2-1a2390386c9","epoch":2`, while the incarnation of the later test's process
+// is `entry-2-1a2390af470`. The later test's processes cannot reach such owners, so its callers
+// get no final answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn dropping_a_cell_ends_its_processes() {
     let cell = open_cell(1).await;
--- a/crates/daemon/tests/link.rs
+++ b/crates/daemon/tests/link.rs
@@ -1,4 +1,5 @@
-//! The link of a new owner to a worker whose tasks end during the change of owner.
+//! The link (the connection of a shard's owner to a worker) of a new owner, when tasks end just
+//! after the new owner has claimed the worker.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,10 +32,10 @@
 /// Run time of the task.
 const TASK_TIME: Duration = Duration::from_millis(200);
 
-/// Lease of the tasks on the worker.
+/// Lease of the worker's tasks: they are stopped if no poll renews it for this time.
 const TASK_LEASE: Duration = Duration::from_secs(10);
 
-/// A worker that receives the polls of one epoch only after its tasks have ended.
+/// A worker that handles the polls of one epoch only after its tasks have ended.
 #[derive(Clone, Debug)]
 struct DelayedPolls {
     worker: FakeWorker,
@@ -42,13 +43,13 @@
 }
 
 impl Handler for DelayedPolls {
-    async fn handle(&self, asked: HttpRequest) -> HttpResponse {
-        let poll = serde_json::from_slice::<Poll>(&asked.body);
+    async fn handle(&self, request: HttpRequest) -> HttpResponse {
+        let poll = serde_json::from_slice::<Poll>(&request.body);
         let delayed = poll.is_ok_and(|poll| poll.fence.epoch == self.epoch);
         while delayed && self.worker.running_count() > 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        self.worker.handle(asked).await
+        self.worker.handle(request).await
     }
 }
 
@@ -131,7 +132,7 @@
     TestLink { commands, inputs }
 }
 
-/// The owner's side of a link.
+/// A link, as seen by the shard that it reports to.
 struct TestLink {
     /// The link ends when this sender is dropped.
     commands: mpsc::UnboundedSender<shard::LinkCommand>,
@@ -156,13 +157,13 @@
     }
 }
 
-// Guards against a restock that never gets an answer because it ends while its shard changes
-// owners. The new owner claims the worker, which lists the task as running; the task ends;
-// the reply to the first poll after the claim reports the end. The link used the turn of
-// that reply but ignored the ended tasks, and its next poll acknowledged them, so the worker
-// did not report them again.
+// Guards against a restock that is never answered because it ends while its shard changes
+// owners. The new owner claims the worker, whose reply lists the task as running; the task ends;
+// the reply to the first poll after the claim reports the end. If the link uses only the number
+// (`turn`) of this reply and ignores the ended tasks, its next poll acknowledges them, and the
+// worker does not report them again.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_end_just_after_a_claim_is_reported() {
+async fn a_task_end_just_after_a_claim_is_reported() {
     let worker = make_worker();
     let (address, stop) = serve_delayed(&worker, 2).await;
     let client = WorkerClient::new(Duration::from_secs(1));
--- a/crates/daemon/tests/partitions.rs
+++ b/crates/daemon/tests/partitions.rs
@@ -1,4 +1,4 @@
-//! Packet loss between processes, in one direction or both.
+//! Datagrams between the processes that are dropped, in one direction or both, or reordered.
 
 mod support;
 
@@ -15,9 +15,10 @@
 use crate::support::shard_rows;
 use crate::support::wait_balanced;
 
-// Guards against shards that move back and forth, or requests that fail, while datagrams to
-// one process are dropped but those from it arrive, and all processes reach the table. This
-// happens if a process is judged by its reachability instead of by its lease.
+// Guards against shards that move back and forth, or requests that fail, while the datagrams to
+// one process are dropped and those from it arrive, and all processes reach the table. This
+// happens if shards are taken over from a process that cannot be reached, although its lease in
+// the table is renewed.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_one_way_partition_moves_no_shards() {
     let cell = open_cell(3).await;
@@ -42,9 +43,9 @@
     cell.close();
 }
 
-// Guards against replies that are truncated or reach another caller. Datagrams between the
-// processes are dropped (in all, about a third of the round trips) or arrive out of order,
-// so replies must not be matched to calls by their order.
+// Guards against replies that are truncated or reach the wrong caller. Datagrams between the
+// processes are dropped, so that about a third of the round trips fail, or arrive out of order.
+// Replies must not be matched to calls by their order.
 #[tokio::test(flavor = "multi_thread")]
 async fn each_caller_gets_its_own_answer_despite_loss_and_reordering() {
     let cell = open_cell(3).await;
--- a/crates/daemon/tests/patches.rs
+++ b/crates/daemon/tests/patches.rs
@@ -1,4 +1,5 @@
-//! Patches of the configuration: concurrent patches, lost answers and invalid documents.
+//! Patches of the configuration: concurrent and repeated patches, invalid documents, and a
+//! change of a team's quota.
 
 mod support;
 
@@ -31,6 +32,8 @@
     }
 }
 
+/// Waits until the process with this index reports that all processes use at least this version
+/// of the configuration; returns false if it does not within 15 s.
 async fn wait_everywhere(cell: &Cell, index: usize, version: u64) -> bool {
     let deadline = Instant::now() + Duration::from_secs(15);
     while Instant::now() < deadline {
@@ -43,9 +46,9 @@
     false
 }
 
-// Guards against two operators who patch version 1 through two processes at the same time
-// and both get the answer that it became version 2. This happens if the version is
-// checked before the write instead of in the same transaction.
+// Guards against two operators who patch the same version through two processes at the same
+// time and both get the answer that their patch is the next version. This happens if the version
+// is checked before the write instead of in the same transaction.
 #[tokio::test(flavor = "multi_thread")]
 async fn exactly_one_of_two_concurrent_patches_is_accepted() {
     let cell = open_cell(3).await;
@@ -75,9 +78,10 @@
     cell.close();
 }
 
-// Guards against answering an operator who repeats a patch after a lost answer that it is
-// stale, although the newer version is that same patch. The commit takes effect, its answer
-// is lost, and the patch is sent again through another process, which must recognise its id.
+// Guards against refusing a repeated patch as stale although the newer version is the result of
+// this same patch. The commit of the patch takes effect, but the table's answer to it is lost,
+// so the operator sends the patch again through another process. This process must recognise
+// the id of the patch.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_repeated_patch_is_recognised_by_its_id() {
     let cell = open_cell(2).await;
@@ -122,9 +126,9 @@
     cell.close();
 }
 
-// Guards against a process that serves an older version than it has shown before. A patch is
-// accepted while one process is paused and another is replaced; a process must not adopt
-// whichever version it read or received last.
+// Guards against a process that stays at, or returns to, an older version of the configuration.
+// A patch is accepted while one process is paused and another is killed and started again. A
+// process must adopt the highest version, not the one that it has read or received last.
 #[tokio::test(flavor = "multi_thread")]
 async fn all_processes_adopt_a_patch_after_a_pause_and_a_restart() {
     let mut cell = open_cell(3).await;
@@ -147,16 +151,16 @@
     cell.close();
 }
 
-// Guards against requests that never start although their team has quota left. With a quota
-// of 4 slots in a cell of 16 shards, an equal part for each shard would not be enough for
-// one task on most shards.
+// Guards against requests that never start although their team has quota left. If a quota of
+// 4 slots were divided equally among the 16 shards of the cell, no shard could start a task.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_small_quota_is_used_fully_and_never_exceeded() {
     let cell = open_cell(2).await;
     let quota = json!({
         "cpu_milli": 8000, "memory_mib": 8000, "slots": 4, "power_watts": 400,
     });
-    // The span of an existing team cannot change, so the team is removed and created again.
+    // The span of an existing team (the number of its shards) cannot change, so the team is
+    // removed and created again.
     let remove = Patch {
         id: "remove".to_owned(),
         version: 1,
@@ -198,7 +202,8 @@
         .runs()
         .into_iter()
         .filter(|run| run.request.contains("small"));
-    // Checks the quota as the capacity of one worker that ran all tasks of the team.
+    // Checks the quota as if it were the capacity of a single worker that ran all tasks of the
+    // team.
     let runs: Vec<Run> = runs
         .map(|run| Run {
             worker: "team".to_owned(),
--- a/crates/daemon/tests/reporting/answers.rs
+++ b/crates/daemon/tests/reporting/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of a process that doesn't own the shard of a request.
+//! Answers of a process that does not own the shard of a request, but calls its owner.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -38,10 +38,11 @@
     }
 }
 
-// Guards against the status "pending" (500) for a request that was never submitted. The
-// owner of its shard could not be reached, so the process could not know the request's state.
+// Guards against the status "pending" (code 500) for a request that was never submitted. The
+// process can reach no owner of the request's shard, so it has no information about the request
+// and must answer with HTTP status 503.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_whose_owner_does_not_answer_is_not_shown_as_pending() {
+async fn a_request_whose_owner_cannot_be_reached_is_not_shown_as_pending() {
     let fixture = Fixture::new();
 
     let reply = fixture
@@ -52,9 +53,10 @@
     assert_eq!(reply.status().as_u16(), 503);
 }
 
-// Guards against the answer "not run" for a request that has run. The first owner started it
-// and ended; the entry host submitted it again to the successor without saying that this was
-// a second try. The successor found no record of it and handled it as a new request.
+// Guards against the answer "not run" for a request that has run. The first owner starts it and
+// ends before it answers, so the process that accepted the call submits it again, to the
+// successor. The second submission must contain the time of the first (`sent_millis`).
+// Otherwise the successor, which finds no record of the request, handles it as a new one.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_second_try_carries_the_time_of_the_first() {
     let fixture = Fixture::new();
@@ -62,8 +64,8 @@
     let mut view = View::default();
     view.local.insert(0, owner);
     let (_publish, view) = watch::channel(Arc::new(view));
-    let (node, _) = fixture.other_node();
-    let router = Router::new(node, 1, view);
+    let (endpoint, _) = fixture.other_endpoint();
+    let router = Router::new(endpoint, 1, view);
     let submission = Submission {
         request: lookup(),
         waited_millis: 0,
@@ -72,10 +74,10 @@
     let before = event::wall_millis();
 
     let (_redirect_sender, redirect_callers) = watch::channel(false);
-    let wait_limit = Duration::from_secs(5);
+    let answer_timeout = Duration::from_secs(5);
     let submitting = tokio::spawn(async move {
         router
-            .submit(submission, wait_limit, redirect_callers)
+            .submit(submission, answer_timeout, redirect_callers)
             .await
     });
     let first = next_submission(&mut inbox, None).await;
@@ -88,8 +90,8 @@
     assert!((before..=event::wall_millis()).contains(&sent), "{sent}");
 }
 
-/// Receives the next submission as the owner of its shard. Sends `answer`, or with `None`
-/// drops the reply channel, as an owner that ends.
+/// Receives the next submission in the place of the owner of its shard. Replies with `answer`;
+/// if it is `None`, drops the reply channel without a reply, as an owner does that ends.
 async fn next_submission(
     inbox: &mut mpsc::UnboundedReceiver<ShardTaskMessage>,
     answer: Option<Answer>,
--- a/crates/daemon/tests/reporting/cell.rs
+++ b/crates/daemon/tests/reporting/cell.rs
@@ -1,4 +1,5 @@
-//! Events, metrics and replies that describe the cell and the platform's table.
+//! Events, metrics and replies about the other processes of the cell, the configuration and the
+//! platform's table.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -23,7 +24,7 @@
 use crate::fixture::unused_address;
 use crate::stubs::Fault;
 
-/// Service of another process; its replies say whether that process reaches the table.
+/// Service of another process, which is asked whether that process reaches the table.
 #[derive(Clone, Debug, Default)]
 struct OtherProcess {
     table_reachable: Arc<AtomicBool>,
@@ -41,7 +42,7 @@
     }
 }
 
-/// A fixture whose table holds version 3 of the configuration.
+/// A fixture whose table contains version 3 of the configuration.
 fn fixture_with_config() -> Fixture {
     let fixture = Fixture::new();
     let mut config = initial_config();
@@ -62,17 +63,17 @@
     false
 }
 
-// Guards against the event that the table answers again (205) in the middle of an outage.
-// Another process had confirmed the outage, so the shards went on; then that process reached
-// the table again and this one did not, so the shards stopped. The end of the confirmation is
-// not the end of the outage.
+// Guards against the event that the table is available again (`outage_left`, 205) while this
+// process still cannot reach it. Another process has confirmed the outage, so the shards of this
+// one continue. Then the other process reaches the table again and no longer confirms the
+// outage, so the shards of this one stop. The event to record is `outage_unconfirmed`.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_outage_does_not_end_while_the_table_does_not_answer() {
+async fn no_end_of_an_outage_is_reported_while_the_table_does_not_answer() {
     let mut fixture = Fixture::new();
     let other = OtherProcess::default();
-    let (node, address) = fixture.other_node();
+    let (endpoint, address) = fixture.other_endpoint();
     let service = other.clone();
-    tokio::spawn(async move { node.serve(service).await });
+    tokio::spawn(async move { endpoint.serve(service).await });
     fixture.add_member(address, LeaseState::Live);
     fixture.start_shard_manager();
     assert!(wait_for_view(&fixture, |view| view.members.len() == 2).await);
@@ -90,8 +91,9 @@
     assert!(!fixture.events().contains(&"outage_left".to_owned()));
 }
 
-// Guards against reporting a damaged row (600), which an operator has to repair, when the
-// table only refused the read. Any error while the configuration was read counted as damage.
+// Guards against the event that a row is damaged (`row_damaged`, 600), which an operator has to
+// repair, when the table has only refused to read the row of the configuration. Not every error
+// while a row is read means that the row is damaged.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_refused_read_is_not_reported_as_a_damaged_row() {
     let mut fixture = fixture_with_config();
@@ -107,9 +109,9 @@
     assert!(!fixture.events().contains(&"row_damaged".to_owned()));
 }
 
-// As above, for the journal of a shard that the process takes over.
+// The same failure for the journal rows of a shard that the process takes over.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_refused_read_of_a_journal_is_not_reported_as_damage() {
+async fn a_refused_read_of_a_journal_is_not_reported_as_a_damaged_row() {
     let mut fixture = Fixture::new();
     fixture
         .table
@@ -137,9 +139,9 @@
     );
 }
 
-// Guards against reporting a configuration as in force everywhere while a leaving process
-// still uses the previous version. A leaving process runs its shards until they are handed
-// over, but only processes that accept new shards were counted.
+// Guards against reporting that all processes use a version of the configuration while a leaving
+// process still uses an earlier one. A leaving process claims no more shards, but runs its own
+// until they are handed over, so its version must count too.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_process_counts_for_the_lowest_configuration_version() {
     let mut fixture = fixture_with_config();
@@ -153,8 +155,9 @@
     assert_eq!(fixture.current_view().lowest_config_version(), 0);
 }
 
-// Guards against a gauge that shows the table as reachable (1) while a call has waited for an
-// answer for seconds. The view is published between calls, so it does not change during one.
+// Guards against a metric that shows the table as reachable (1) while a call to it has waited
+// for its answer for seconds. The process publishes its view of the cell only between calls, so
+// the metric must be computed from the time of the table's last answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_table_that_does_not_answer_is_not_shown_as_reachable() {
     let mut fixture = Fixture::new();
@@ -172,10 +175,11 @@
     assert!(text.contains("clovermount_table_reachable 0"), "{text}");
 }
 
-// Guards against an outdated view that can't be recognised as such: a process that could not
-// read the table showed three live members of a cell in which it had been alone for minutes.
+// Guards against a view of the cell that is out of date without showing it. A process that
+// cannot read the table may show three live members although it has been alone in the cell for
+// minutes.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_age_of_the_view_is_shown() {
+async fn the_age_of_the_view_grows_while_the_table_does_not_answer() {
     let mut fixture = Fixture::new();
     fixture.start_shard_manager();
     assert!(
@@ -195,9 +199,9 @@
     assert!(age.is_some_and(|age| age > 2.0), "{text}");
 }
 
-// Guards against an event that reports a patch as refused (502) although it is in force on
-// all processes. The answer of the table was lost, so the answer to the caller says that
-// the outcome is unknown; the event must say the same.
+// Guards against the event that a patch was refused (502) although all processes use it. The
+// table's answer to the commit is lost, so the caller is answered that the outcome is unknown;
+// the event (`patch_unknown`) must say the same.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_patch_whose_outcome_is_unknown_is_not_recorded_as_refused() {
     let fixture = fixture_with_config();
--- a/crates/daemon/tests/reporting/fixture.rs
+++ b/crates/daemon/tests/reporting/fixture.rs
@@ -1,4 +1,4 @@
-//! A process's shard manager and API on top of the stubs.
+//! The shard manager and the HTTP API of one process, on top of the stubs.
 
 use std::net::SocketAddr;
 use std::net::UdpSocket;
@@ -45,7 +45,8 @@
 /// Access token of the operator.
 pub(crate) const OPERATOR_TOKEN: &str = "the-operator";
 
-/// The parts of one process, on top of the stubs.
+/// The shard manager and the HTTP API of the process `a-1`, the only one of its cell unless
+/// [`Fixture::add_member`] adds another one.
 pub(crate) struct Fixture {
     pub(crate) table: StubTable,
     pub(crate) timeline: Arc<Timeline>,
@@ -64,7 +65,7 @@
         peer::generate_keys(&keys.path().join("keys")).expect("keys");
         let table = StubTable::default();
         let timeline = Arc::new(Timeline::new("a-1"));
-        let endpoint = open_node(&keys, ([127, 0, 0, 1], 0).into(), timeline.clone());
+        let endpoint = open_endpoint(&keys, ([127, 0, 0, 1], 0).into(), timeline.clone());
         let (view_sender, view) = watch::channel(Arc::new(View::default()));
         let (shard_manager, commands) = mpsc::channel(4);
         let gate = Arc::new(LeaseGate::new());
@@ -114,13 +115,13 @@
         }
     }
 
-    /// Opens the node of another process of the cell; returns it and its address.
-    pub(crate) fn other_node(&self) -> (PeerEndpoint, SocketAddr) {
+    /// Opens the endpoint of another process of the cell; returns it and its address.
+    pub(crate) fn other_endpoint(&self) -> (PeerEndpoint, SocketAddr) {
         let local_address =
             UdpSocket::bind(("127.0.0.1", 0)).and_then(|socket| socket.local_addr());
         let address = local_address.expect("a free address");
         let timeline = Arc::new(Timeline::new("b-1"));
-        (open_node(&self.keys, address, timeline), address)
+        (open_endpoint(&self.keys, address, timeline), address)
     }
 
     /// Writes the member and lease rows of another process, `b-1`.
@@ -142,9 +143,9 @@
         self.table.put(&lease_key("b-1"), &encode_row(&lease));
     }
 
-    /// Starts the shard manager.
+    /// Starts the shard manager; may be called once.
     pub(crate) fn start_shard_manager(&mut self) {
-        let ports = ShardManagerChannels {
+        let channels = ShardManagerChannels {
             hosts: watch::channel(None).1,
             view: self
                 .view_sender
@@ -156,7 +157,7 @@
                 .take()
                 .expect("a shard manager that was not started"),
         };
-        tokio::spawn(ShardManager::new(self.context.clone(), ports).run());
+        tokio::spawn(ShardManager::new(self.context.clone(), channels).run());
     }
 
     /// The view of the cell that the shard manager published last.
@@ -208,11 +209,11 @@
     ([127, 0, 0, 1], 1).into()
 }
 
-fn open_node(keys: &TempDir, listen: SocketAddr, timeline: Arc<Timeline>) -> PeerEndpoint {
+fn open_endpoint(keys: &TempDir, listen: SocketAddr, timeline: Arc<Timeline>) -> PeerEndpoint {
     let keys = KeyFiles {
         folder: keys.path().join("keys"),
     };
-    PeerEndpoint::open(listen, &keys, timeline).expect("node")
+    PeerEndpoint::open(listen, &keys, timeline).expect("endpoint")
 }
 
 fn operator_tokens() -> Tokens {
--- a/crates/daemon/tests/reporting/links.rs
+++ b/crates/daemon/tests/reporting/links.rs
@@ -1,4 +1,4 @@
-//! Reports of a link to a worker, sent to its shard.
+//! Reports of a link, the connection of a shard's owner to a worker, to the shard.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -41,13 +41,16 @@
 struct State {
     /// Number of the current incarnation of the worker.
     incarnation_number: u32,
+    /// Whether the current incarnation has been claimed.
     claimed: bool,
+    /// Number of start calls received by all incarnations.
     starts: u32,
+    /// Number of stop calls received by all incarnations.
     stops: u32,
 }
 
-/// A worker that fails the first stop without carrying it out. With `restarts`, it also
-/// carries out the first start, loses the answer and restarts.
+/// A worker that answers the first stop with an error and does not carry it out. With
+/// `restarts`, it also carries out the first start, but answers it with an error and restarts.
 #[derive(Clone, Debug, Default)]
 struct FaultyWorker {
     state: Arc<Mutex<State>>,
@@ -122,8 +125,8 @@
 }
 
 impl Handler for FaultyWorker {
-    async fn handle(&self, asked: HttpRequest) -> HttpResponse {
-        match asked.path.as_str() {
+    async fn handle(&self, request: HttpRequest) -> HttpResponse {
+        match request.path.as_str() {
             "/v1/claim" => self.claim(),
             "/v1/start" => self.start(),
             "/v1/stop" => self.stop(),
@@ -132,7 +135,7 @@
     }
 }
 
-/// The shard's side of a link to a worker.
+/// A link to a [`FaultyWorker`], as seen by the shard that it reports to.
 struct TestLink {
     worker: FaultyWorker,
     commands: mpsc::UnboundedSender<LinkCommand>,
@@ -158,7 +161,7 @@
         }
     }
 
-    /// The next report, except lists of ended tasks.
+    /// Waits for the next report and returns it; skips lists of ended tasks.
     async fn next(&mut self) -> Input {
         loop {
             let report = tokio::time::timeout(REPORT_TIMEOUT, self.reports.recv()).await;
@@ -201,12 +204,12 @@
     })
 }
 
-// Guards against a confirmation that runs twice and a lookup that has run but is answered
-// "not run". The worker carries out the start, its answer is lost, and it restarts; the start
-// is sent again and refused, since the new incarnation is not claimed. The refusal concerns
-// only the second message and does not prove that the first one started nothing.
+// Guards against a confirmation that runs twice, and a lookup that has run but is answered "not
+// run". The worker carries out a start, its answer is lost, and it restarts. The link sends the
+// start again, and it is refused, since the new incarnation has not been claimed. This refusal
+// does not prove that the first start call started nothing.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_refusal_after_a_lost_answer_does_not_prove_that_nothing_started() {
+async fn a_refusal_after_a_lost_answer_is_not_reported_as_not_started() {
     let worker = FaultyWorker {
         restarts: true,
         ..FaultyWorker::default()
@@ -228,10 +231,10 @@
     assert!(!inputs.iter().any(is_not_started), "{inputs:?}");
 }
 
-// Guards against the event that a worker does not answer (302) when it has answered with a
-// refusal because it restarted and must be claimed again.
+// Guards against the event that a worker does not answer (302) when it has answered a poll with
+// a refusal, because it has restarted and must be claimed again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_worker_that_refuses_is_not_reported_as_silent() {
+async fn a_worker_that_refuses_a_poll_is_reported_as_refusing() {
     let worker = FaultyWorker {
         restarts: true,
         ..FaultyWorker::default()
@@ -252,10 +255,10 @@
     assert!(inputs.iter().any(is_refused), "{inputs:?}");
 }
 
-// Guards against a cancelled task that runs to its end because the call to stop it failed
-// once and was not repeated.
+// Guards against a cancelled task that runs to its end because the call to stop it has failed
+// and is not repeated.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_stop_is_sent_again() {
+async fn a_failed_stop_is_sent_again() {
     let mut link = TestLink::open(FaultyWorker::default()).await;
     link.next().await;
     link.commands.send(start()).expect("an open link");
--- a/crates/daemon/tests/reporting/main.rs
+++ b/crates/daemon/tests/reporting/main.rs
@@ -1,5 +1,6 @@
-//! What a process reports about itself and the cell (answers, events, metrics) rests on
-//! confirmed facts, not on calls that it has sent or on assumptions.
+//! Checks that what a process reports (answers, events, metrics, and a link's reports to its
+//! shard) is based on replies that it has received, not on calls that it has sent or on
+//! assumptions.
 
 mod answers;
 mod cell;
--- a/crates/daemon/tests/reporting/stubs.rs
+++ b/crates/daemon/tests/reporting/stubs.rs
@@ -1,4 +1,5 @@
-//! In-memory stubs of the platform's services; the table can be made to fail.
+//! Stubs of the platform's services: a table in memory with injected faults, an object store
+//! without objects and a host list without workers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -26,7 +27,7 @@
     RefuseReads(String),
     /// No transaction takes effect, and its outcome is reported as unknown.
     LoseCommits,
-    /// Calls are never answered.
+    /// No call is ever answered.
     Hang,
 }
 
@@ -37,7 +38,7 @@
     last_version: u64,
 }
 
-/// An in-memory table.
+/// A table in memory; clones share the rows.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StubTable {
     state: Arc<Mutex<State>>,
@@ -53,7 +54,8 @@
         self.lock().fault = fault;
     }
 
-    /// Writes a row without a transaction, as if another process had.
+    /// Writes a row without a transaction and without regard to the fault, in place of another
+    /// process.
     pub(crate) fn put(&self, key: &str, value: &str) {
         self.lock().put(key, value);
     }
--- a/crates/daemon/tests/request_path.rs
+++ b/crates/daemon/tests/request_path.rs
@@ -1,4 +1,4 @@
-//! The path of a request through real processes: submit, placement, start and answer.
+//! The path of a request through real processes, from its submission to its answer.
 
 mod support;
 
@@ -10,6 +10,8 @@
 
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
+// Guards against a retry that runs the request again or gets another answer than the first try.
+// The retries go through all processes, also those that do not own the shard of the request.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_is_the_same_through_every_process() {
     let cell = open_cell(3).await;
@@ -30,6 +32,7 @@
         );
     }
 
+    // Code of the answer to a request that has succeeded.
     assert_eq!(first.number, 100, "{first:?}");
     assert!(first.answer.has_valid_digest());
     assert!(retries.iter().all(|retry| *retry == first), "{retries:?}");
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Validation of settings: typical mistakes of a new user, and the example files.
+//! Validation of settings: typical mistakes in a settings file, and the example files.
 
 use std::path::Path;
 
--- a/crates/daemon/tests/signals.rs
+++ b/crates/daemon/tests/signals.rs
@@ -1,4 +1,4 @@
-//! Signals that arrive while a process starts.
+//! A signal that arrives while a process starts.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -17,7 +17,8 @@
 use site::LoopbackHost;
 use tempfile::TempDir;
 
-/// Store address on which nothing listens; the process serves its metrics without a store.
+/// Address on which nothing listens, used for the store: a process serves its metrics even if
+/// it cannot reach the store.
 const UNUSED_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
 
 fn kill_and_wait(mut child: Child) {
@@ -25,10 +26,10 @@
     child.wait().expect("wait");
 }
 
-/// Guards against a process that ends right after its start (seed 5 of the soak). SIGHUP for
-/// changed settings arrived before the process served; its handler was installed last, and
-/// the signal's default action ends the process. Now the first log line (code 105) is written
-/// after the handlers are installed.
+/// Guards against a process that ends right after its start, because SIGHUP for changed settings
+/// arrives before the handler of this signal is installed: the default action of the signal ends
+/// the process (seed 5 of the soak). The handlers must be installed before the first log line
+/// (code 105) is written.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_process_survives_sighup_while_it_starts() {
     let host = LoopbackHost::new(250, 0);
--- a/crates/daemon/tests/store_faults.rs
+++ b/crates/daemon/tests/store_faults.rs
@@ -1,4 +1,5 @@
-//! Outages, lost answers and partitions of the platform's table and object store.
+//! Outages of the platform's table and object store, lost answers of the table, and a process
+//! that alone cannot reach the table.
 
 mod support;
 
@@ -20,7 +21,7 @@
 use crate::support::shard_rows;
 use crate::support::wait_balanced;
 
-/// Duration of an outage, longer than the lease of a process.
+/// Duration of an outage: three times the TTL of a process's lease.
 const OUTAGE_TIME: Duration = Duration::from_secs(6);
 
 fn nth_lookup(number: u32) -> Request {
@@ -34,9 +35,10 @@
     }
 }
 
-// Guards against lookups that fail while the table is down. The table refuses every call for
-// three lease times under load; owners must not stop when their lease expires if no other
-// process can take their shards over.
+// Guards against lookups that fail while the table is down. The table refuses every call, under
+// load, for three times the TTL of a lease. An owner whose lease cannot be renewed must continue
+// if the other processes cannot reach the table either, since none can then take its shards
+// over.
 #[tokio::test(flavor = "multi_thread")]
 async fn lookups_succeed_during_an_outage() {
     let cell = open_cell(3).await;
@@ -53,15 +55,15 @@
 
     assert_no_violations(&cell, &outcomes);
     assert_all_succeeded(&outcomes);
-    // No shard changed its owner when the table came back.
+    // No shard has changed its owner during the outage or after it.
     assert_eq!(shard_rows(&cell), before);
     cell.close();
 }
 
-// Guards against a confirmation that was answered "not run" and runs when the table comes
-// back. Its intent cannot be recorded before its deadline, so its caller gets "not run"; the
-// pending commit of the intent succeeds later. The owner must check whether the request was
-// answered before it sends the start.
+// Guards against a confirmation that was answered "not run" and runs once the table is back.
+// The intent to start it cannot be recorded before its deadline, so its caller gets "not run".
+// The commit of the intent, which is still being tried, succeeds later. Before the owner sends
+// the start, it must check that the request was not answered.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_whose_intent_was_not_recorded_in_time_never_runs() {
     let cell = open_cell(3).await;
@@ -83,11 +85,12 @@
     cell.close();
 }
 
-// Guards against a restock that runs twice or is never answered after the table has lost an
-// answer. Every few commits take effect without an answer; that must be treated neither as a
-// failed commit nor as a conflict with a newer owner.
+// Guards against a restock that runs twice or is never answered after the table's answer to a
+// commit was lost. Every half second, the next two commits take effect without an answer. The
+// owner must treat such a commit neither as failed nor, when its repetition finds the row
+// changed, as a conflict with a newer owner.
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_answers_of_the_table_break_no_request() {
+async fn no_request_fails_after_lost_answers_of_the_table() {
     let cell = open_cell(3).await;
     let plan = load_plan(&cell, 100, 800, mixed_request);
 
@@ -106,11 +109,11 @@
     cell.close();
 }
 
-// Guards against two processes that decide for one shard. One process alone loses the table
-// while the others reach it and take its shards over; it must not treat its own partition as
-// an outage for all.
+// Guards against two processes that act as the owner of one shard. One process alone cannot
+// reach the table, while the others reach it and take its shards over. It must not treat its own
+// partition as an outage of the table, during which owners continue.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_process_that_alone_loses_the_table_is_taken_over() {
+async fn shards_of_a_process_that_alone_loses_the_table_are_taken_over() {
     let cell = open_cell(3).await;
     let plan = load_plan(&cell, 100, 1000, mixed_request);
 
@@ -135,11 +138,11 @@
     cell.close();
 }
 
-// Guards against a restock that runs twice. The table loses the answer to the commit of its
-// intent, the owner is killed right after, and the successor finds the intent. An intent does
-// not prove that the task was started.
+// Guards against a restock that runs twice. The table's answer to the commit of its intent is
+// lost, the owner is killed right after, and the successor finds the intent in the journal. An
+// intent proves neither that the task was started nor that it was not.
 #[tokio::test(flavor = "multi_thread")]
-async fn no_task_runs_twice_after_a_lost_answer_and_the_owners_death() {
+async fn no_task_runs_twice_after_a_lost_answer_and_a_kill_of_the_owner() {
     let mut cell = open_cell(3).await;
     let plan = load_plan(&cell, 100, 600, mixed_request);
 
@@ -157,10 +160,11 @@
     cell.close();
 }
 
-// Guards against shards that are never served again when their owner is killed while the
-// table is down. The age of a lease must neither be lost nor grow during the outage.
+// Guards against shards that are never served again when their owner is killed while the table
+// is down. The time of the outage does not count towards the age of a lease; once the table is
+// back, the other processes must find out again that this lease is not renewed.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_owner_that_dies_during_an_outage_is_replaced_after_it() {
+async fn an_owner_killed_during_an_outage_is_replaced_after_it() {
     let mut cell = open_cell(3).await;
     let plan = load_plan(&cell, 100, 900, mixed_request);
 
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -21,10 +21,11 @@
 /// Path of the daemon under test.
 pub const DAEMON_PATH: &str = env!("CARGO_BIN_EXE_clovermountd");
 
-/// Timeout for a new cell to settle.
-const SETTLE_TIMEOUT: Duration = Duration::from_mins(1);
+/// Timeout until each shard of a new cell has an owner and workers.
+const READY_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Starts a cell of `processes` processes and waits until it is configured and settled.
+/// Starts a cell of `processes` processes and waits until it is configured and each shard is
+/// served.
 pub async fn open_cell(processes: usize) -> Cell {
     let plan = CellPlan {
         processes,
@@ -33,7 +34,7 @@
     open_cell_with(plan).await
 }
 
-/// Starts a cell from a plan and waits until it is configured and settled.
+/// Starts a cell from a plan and waits until it is configured and each shard is served.
 pub async fn open_cell_with(plan: CellPlan) -> Cell {
     let mut cell = Cell::open(plan).await.expect("cell");
     for index in 0..cell.members.len() {
@@ -43,7 +44,7 @@
     for _ in 0..200 {
         match cell.configure().await {
             Ok(()) => {
-                cell.wait_ready(SETTLE_TIMEOUT).await.expect("settled");
+                cell.wait_ready(READY_TIMEOUT).await.expect("a ready cell");
                 return cell;
             }
             Err(error) => last_error = error,
@@ -61,9 +62,9 @@
 
 /// Waits until each shard is owned by the process that shard placement assigns it to.
 ///
-/// A cell may serve before that: the process that starts first claims more than its part and
-/// hands the rest over, one shard every three seconds. Such a hand-over may be delayed by an
-/// outage and be made after it.
+/// A cell is ready before that: the process that starts first claims more shards than are
+/// assigned to it, and hands the others over at a rate of one in three seconds. Without this
+/// wait, a test of an outage could find hand-overs that have nothing to do with the outage.
 pub async fn wait_balanced(cell: &Cell) {
     let names: Vec<String> = (0..cell.members.len())
         .map(|member| format!("entry-{member}"))
@@ -89,7 +90,7 @@
     assert!(balanced.is_ok(), "{:#?}", shard_rows(cell));
 }
 
-/// Starts one process of a cell.
+/// Starts the process with this index.
 pub fn start(cell: &mut Cell, index: usize) {
     cell.start(index, Path::new(DAEMON_PATH), &[])
         .expect("daemon starts");
@@ -106,7 +107,8 @@
     }
 }
 
-/// Asserts that the answers and the runs so far violate no rule of the checker.
+/// Asserts that the answers and the runs so far violate none of the guarantees that
+/// [`fake::verify`] checks.
 #[track_caller]
 pub fn assert_no_violations(cell: &Cell, outcomes: &[Outcome]) {
     let violations = verify(outcomes, &cell.platform.log.runs(), cell.platform.capacity);
--- a/crates/daemon/tests/takeover.rs
+++ b/crates/daemon/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! Processes that are killed, paused or stopped under load.
+//! Processes that are killed, paused or stopped under load, and the take-over of their shards.
 
 mod support;
 
@@ -27,8 +27,9 @@
 use crate::support::start;
 
 // Guards against requests that are lost or run twice after a process was killed under load.
-// Its shards are taken over, and callers that lost their connection ask another process. The
-// successor must know which tasks the former owner had started.
+// Other processes take its shards over, and callers that have lost their connection ask another
+// process. The successor must find out, from the journal and the workers, which tasks the
+// former owner has started.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_request_is_lost_or_run_twice_after_a_kill() {
     let mut cell = open_cell(3).await;
@@ -49,11 +50,12 @@
     cell.close();
 }
 
-// Guards against a process that was paused for twice the TTL and then answers "not run" for
-// requests that its successor has run, or starts them again. This happens if the process
-// resumes with earlier decisions without checking its lease against the clock again.
+// Guards against a process that was paused for twice the TTL of its lease and then answers "not
+// run" for requests that its successor has run, or starts them again. This happens if the
+// process, once it resumes, carries out decisions made before the pause without checking its
+// lease against the clock again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_process_paused_past_its_lease_acts_on_no_old_decision() {
+async fn a_process_paused_past_its_lease_carries_out_no_earlier_decision() {
     let cell = open_cell(3).await;
     let plan = load_plan(&cell, 100, 800, mixed_request);
 
@@ -68,8 +70,9 @@
     cell.close();
 }
 
-// Guards against errors at callers while a process is replaced as planned: on SIGTERM under
-// load, requests in progress must not be cut off, nor refused between two owners.
+// Guards against failed requests while a process is stopped as planned, by SIGTERM under load.
+// Its requests in progress must neither lose their connections nor be refused while their shard
+// is handed over to another owner.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_fails_no_request() {
     let mut cell = open_cell(3).await;
@@ -105,9 +108,10 @@
     assert_eq!(violations.len(), 3, "{violations:?}");
 }
 
-// Guards against requests through a stopping process that wait for a minute and then get
-// "no owner". All processes are replaced one after the other, so shards move again after a
-// process has handed its own over. It must keep following the changes of ownership.
+// Guards against requests through a stopping process that wait for a minute and then get the
+// answer "no owner". All processes are replaced one after the other, so the owners of the
+// shards change again after a stopping process has handed over its own. It must read these
+// changes until it ends.
 #[tokio::test(flavor = "multi_thread")]
 async fn all_processes_are_replaced_without_a_failed_request() {
     let mut cell = open_cell(3).await;
@@ -121,7 +125,7 @@
         start(&mut cell, index);
         cell.wait_ready(Duration::from_secs(30))
             .await
-            .expect("settled");
+            .expect("a ready cell");
     }
     let outcomes = load.await.expect("load");
 
@@ -134,11 +138,11 @@
     restock_request(&format!("restock-{number}"), Duration::from_secs(1))
 }
 
-// Guards against restocks without an answer after their shard was handed over while they
-// ran; the process that had accepted the calls then waited for them in its own stop. The
-// workers answer slowly, as on a busy machine, so many tasks end between the new owner's
-// claim of the worker and its first poll. The reply to that poll reported the ends; the
-// owner acknowledged it without handling them.
+// Guards against restocks that are never answered because their shard was handed over while
+// they ran. The workers answer slowly, as on a busy machine, so many tasks end between the new
+// owner's claim of their worker and its first poll. The reply to this poll reports the ends. An
+// owner that ignores them, but acknowledges the reply with its next poll, does not get them
+// again; and the process that accepted the calls waits for them during its own stop.
 #[tokio::test(flavor = "multi_thread")]
 async fn tasks_that_end_while_their_shard_is_handed_over_are_answered() {
     let cell = open_cell(3).await;
@@ -169,8 +173,8 @@
 async fn submit_long_task(cell: &Cell, index: usize) -> JoinHandle<Result<AnswerBody, CallError>> {
     let (client, server) = (cell.caller.clone(), cell.http(index));
     let request = restock_request("long", Duration::from_mins(1));
-    let wait_limit = Duration::from_mins(2);
-    let caller = tokio::spawn(async move { client.submit(server, &request, wait_limit).await });
+    let answer_timeout = Duration::from_mins(2);
+    let caller = tokio::spawn(async move { client.submit(server, &request, answer_timeout).await });
     let runs = || cell.platform.log.runs();
     while !runs().iter().any(|run| run.request.ends_with("/long")) {
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -179,10 +183,10 @@
 }
 
 // Guards against a planned stop that takes longer than the half minute that platforms allow,
-// so that the process is killed and its callers' connections break. The process had handed
-// its shards over within 0.1 s, then waited up to a minute for the answers to requests that
-// ran under other owners. It need not wait: callers get a pending answer and ask another
-// process.
+// so that the process is killed and its callers' connections break. A process hands its shards
+// over within 0.1 s, but its callers may wait up to a minute for the answers to requests that
+// run under other owners. It must not wait for these answers: its callers are answered that the
+// requests are pending, and can ask another process.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_does_not_wait_for_long_tasks() {
     let mut cell = open_cell(2).await;
@@ -204,9 +208,9 @@
 }
 
 // Guards against a planned stop that takes longer than the half minute that platforms allow
-// while the table is down. A process renews its lease before it hands its shards over, so it
-// waited up to a minute for a hand-over that had not begun. The other processes can take the
-// shards over without it.
+// while the table is down. A process renews its lease before it hands its shards over, and so
+// would wait up to a minute for a hand-over that cannot begin. It must stop without one: the
+// other processes can take the shards over once the table is back.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_does_not_wait_for_the_table() {
     let mut cell = open_cell(2).await;
@@ -217,7 +221,7 @@
     cell.platform.set_outage(false);
 
     assert_eq!(ended, Some(true), "{}", cell.log(1));
-    let served = cell.wait_ready(Duration::from_secs(30)).await;
-    assert_eq!(served, Ok(()), "{}", cell.log(0));
+    let ready = cell.wait_ready(Duration::from_secs(30)).await;
+    assert_eq!(ready, Ok(()), "{}", cell.log(0));
     cell.close();
 }
--- a/crates/daemon/tests/workers.rs
+++ b/crates/daemon/tests/workers.rs
@@ -1,5 +1,5 @@
-//! Workers that leave, restart, pause, fail every task or answer late, and gangs and shards
-//! that compete for them.
+//! Workers that leave, restart, pause, fail every task or answer late; gangs and shards that
+//! compete for workers; and the cancellation of queued requests.
 
 mod support;
 
@@ -29,15 +29,16 @@
     restock_request(&format!("long-{number}"), Duration::from_secs(6))
 }
 
-/// All workers, sorted by their number of running tasks, highest first.
+/// All workers, those with the most running tasks first.
 fn workers_by_load(cell: &Cell) -> Vec<fake::FakeWorker> {
     let mut workers = cell.platform.workers.clone();
     workers.sort_by_cached_key(|worker| std::cmp::Reverse(worker.running_count()));
     workers
 }
 
-// Guards against new tasks on a worker that the host list marks as leaving, under load. This
-// happens if the host list is read too seldom, or only when a shard opens.
+// Guards against new tasks on a worker that the host list has marked as leaving for more than
+// two seconds, under load. This happens if the host list is read too seldom, or only when a
+// process becomes the owner of a shard.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_worker_gets_no_new_task_after_two_seconds() {
     let cell = open_cell(2).await;
@@ -66,8 +67,8 @@
 }
 
 // Guards against long restocks that are lost or start from the beginning when their worker
-// leaves while they run. It isn't enough to place no new tasks on a leaving worker: running
-// tasks must be checkpointed and moved.
+// leaves while they run. It isn't enough to place no new tasks on a leaving worker: tasks that
+// run there must be checkpointed and continued on other workers.
 #[tokio::test(flavor = "multi_thread")]
 async fn long_tasks_on_a_leaving_worker_move_by_checkpoint() {
     let cell = open_cell(2).await;
@@ -80,19 +81,19 @@
     let outcomes = load.await.expect("load");
 
     let runs = cell.platform.log.runs();
-    let moved = runs
+    let checkpointed = runs
         .iter()
         .filter(|run| run.result == Some(worker::EndResult::Checkpointed))
         .count();
-    assert!(moved > 0, "nothing was checkpointed");
+    assert!(checkpointed > 0, "no task was checkpointed");
     assert_no_violations(&cell, &outcomes);
     assert_all_succeeded(&outcomes);
     cell.close();
 }
 
-// Guards against a confirmation that runs again after its worker restarted under load and
-// lost its state. That the worker does not list a task does not prove that the task was
-// never started.
+// Guards against a confirmation that runs again after its worker has restarted under load and
+// lost its state. The reply to the next claim of the worker lists no task; this does not prove
+// that the task was never started.
 #[tokio::test(flavor = "multi_thread")]
 async fn tasks_of_a_restarted_worker_do_not_count_as_never_started() {
     let cell = open_cell(2).await;
@@ -111,12 +112,12 @@
     cell.close();
 }
 
-// Guards against a restock that runs on two workers. Its worker's process is paused for
-// longer than the task lease, the owner starts the restock on another worker, and the first
-// worker resumes. The worker must check the lease against its own clock before it handles
-// the messages that have queued up.
+// Guards against a restock that runs on two workers at the same time. A worker is paused for
+// longer than the lease of its tasks (10 s), the owner starts the restock on another worker, and
+// the first worker resumes. It must check the lease against its own clock before it handles the
+// calls that have queued up.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_worker_paused_past_its_lease_runs_no_task_twice() {
+async fn a_worker_paused_past_the_lease_of_its_tasks_runs_none_twice() {
     let cell = open_cell(2).await;
     let plan = load_plan(&cell, 60, 120, nth_long_restock);
 
@@ -137,11 +138,11 @@
     cell.close();
 }
 
-// Guards against most lookups failing because of a few bad workers. Three workers fail each
-// task at once, so they are always idle; placement must consider the results of a worker,
-// not only its load.
+// Guards against a few faulty workers that make most lookups fail. Three workers fail each task
+// as soon as it starts, so they are always idle. Placement must consider the results of the
+// tasks on a worker, not only its load.
 #[tokio::test(flavor = "multi_thread")]
-async fn workers_that_fail_everything_do_not_attract_all_work() {
+async fn workers_that_fail_every_task_do_not_attract_most_tasks() {
     let cell = open_cell(2).await;
     let plan = load_plan(&cell, 200, 1200, nth_lookup);
     let client = cell.caller.clone();
@@ -157,8 +158,8 @@
     cell.close();
 }
 
-// Guards against cancelling with one record for each request: cancelling ten thousand queued
-// restocks of one day by their label then took minutes and one write each. No cancelled
+// Guards against a cancellation by label that writes one record for each request: for ten
+// thousand queued restocks of one day, it would take minutes and as many writes. No cancelled
 // request may start after the call has returned.
 #[tokio::test(flavor = "multi_thread")]
 async fn cancelling_a_label_takes_few_writes_and_starts_nothing() {
@@ -174,27 +175,28 @@
             client
                 .submit_detached(server, &request)
                 .await
+                // Code of the answer that a request is accepted and pending.
                 .is_ok_and(|answer| answer.number == 500)
         });
     }
     let accepted = submits.join_all().await;
     assert!(accepted.iter().all(|accepted| *accepted));
 
-    let writes = cell.platform.table.counts().writes;
+    let writes_before = cell.platform.table.counts().writes;
     let cancelled = cell
         .caller
         .cancel_label(cell.http(0), "day")
         .await
         .expect("cancel");
-    let writes_used = cell.platform.table.counts().writes - writes;
+    let writes_used = cell.platform.table.counts().writes - writes_before;
     let returned = cell.platform.log.now();
     tokio::time::sleep(Duration::from_secs(3)).await;
 
     assert_eq!(cancelled, 2000);
     assert!(writes_used <= 40, "{writes_used} writes");
     let started = cell.platform.log.runs();
-    // A start that was already sent when the cancel call was made may still arrive; the task
-    // is then stopped at once.
+    // A start that was sent before the cancellation may reach its worker after it; the owner
+    // then stops the task at once.
     let late = started
         .iter()
         .filter(|run| run.started_at > returned && run.request.contains("day-"));
@@ -203,11 +205,11 @@
     cell.close();
 }
 
-// Guards against a gang that runs with a member missing, and against two gangs that wait for
-// each other, while gangs and single tasks compete for the same slots. This happens if slots
-// are booked one by one.
+// Guards against a gang that runs with fewer than its 4 members, and against gangs that never
+// start because each has reserved some of the slots that another one needs. This happens if the
+// slots of a gang are reserved one by one.
 #[tokio::test(flavor = "multi_thread")]
-async fn gangs_start_whole() {
+async fn competing_gangs_start_with_all_members() {
     let cell = open_cell(2).await;
     let gangs = |number: u32| Request {
         class: Class::Gang,
@@ -233,8 +235,8 @@
 }
 
 // Guards against lookups that wait for seconds or are refused while most of the cell is idle.
-// All requests belong to one shard, whose three workers have slots for 24 tasks; the shard
-// must be able to use the free resources of other shards.
+// All requests belong to one shard, whose three workers have slots for 24 tasks. The shard must
+// offload requests to shards with free workers.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_shard_without_free_resources_uses_workers_of_other_shards() {
     let cell = open_cell(2).await;
@@ -248,17 +250,17 @@
 
     assert_all_succeeded(&outcomes);
     let runs = cell.platform.log.runs();
-    let lent = runs
+    // The attempt id of an offloaded request contains `~` and the shard that ran it.
+    let offloaded = runs
         .iter()
         .filter(|run| run.request.contains("hot-") && run.attempt.contains('~'));
-    assert!(lent.count() > 100);
+    assert!(offloaded.count() > 100);
     assert_no_violations(&cell, &outcomes);
     cell.close();
 }
 
-// Guards against a status that says a request is running on a worker that has not yet
-// received the start. A start that was only sent does not count as running; the worker must
-// have confirmed it.
+// Guards against a status that shows a request as running although its worker has not yet
+// received the start. Sending the start is not enough; the worker must have confirmed it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_is_shown_as_running_only_after_its_worker_confirmed_the_start() {
     let cell = open_cell(1).await;
