--- a/crates/daemon/tests/soak/checker.rs
+++ b/crates/daemon/tests/soak/checker.rs
@@ -1,4 +1,4 @@
-//! Checks what callers and workers have observed against the guarantees of the scheduler.
+//! Checks the guarantees of the scheduler against what callers and workers have observed.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,8 +14,8 @@
 use crate::traffic::Job;
 use crate::traffic::Outcome;
 
-/// Timeout from the end of all faults until each job has ended.
-const END_TIMEOUT: Duration = Duration::from_mins(1);
+/// Timeout from the end of all faults until each job has a final state.
+const FINAL_STATE_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// States of a job that has ended; they never change again.
 const FINAL_STATES: [&str; 3] = ["completed", "failed", "canceled"];
@@ -23,20 +23,21 @@
 /// Interval at which the state of a job is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Maximum number of starts of a task that crashes each worker. One more is allowed for each
-/// time that a process was killed or stopped: an owner that dies before it has recorded the
-/// task's first crash loses the count.
+/// Maximum number of starts of a task that crashes each worker that runs it. One more is allowed
+/// for each time that a process was killed or stopped, since a crash is not counted if the owner
+/// ends before it has recorded it.
 const MAX_STARTS: usize = 5;
 
-/// Cores of a worker, and so the maximum number of tasks of one core that it may run.
+/// Maximum number of cores of a worker, and so of tasks that it may run, as each needs one core.
 const WORKER_CORES: usize = 4;
 
-/// Checks all jobs and runs, and returns a description of each violation.
+/// Waits until the jobs have ended, checks all jobs and runs, and returns a description of each
+/// violation.
 pub async fn find_violations(testbed: &Testbed, jobs: &[Job]) -> Vec<String> {
     let caller = Caller::new();
     let servers = testbed.servers();
     let mut violations = Vec::new();
-    let deadline = tokio::time::Instant::now() + END_TIMEOUT;
+    let deadline = tokio::time::Instant::now() + FINAL_STATE_TIMEOUT;
     for job in jobs {
         let expected: &[&str] = match (job.outcome, job.fails || job.crashes) {
             (Outcome::Accepted, false) => &["completed"],
@@ -53,19 +54,25 @@
         let failed_after_crashes =
             || shown == "failed" && may_fail_after_crashes(&testbed.log, &job.id);
         if !as_expected && !failed_after_crashes() {
-            violations.push(format!("{}: {:?}, shown as {shown}", job.id, job.outcome));
+            violations.push(format!(
+                "job {}: {:?} by its caller's calls, but its state is {shown}",
+                job.id, job.outcome
+            ));
         }
     }
     for job in jobs.iter().filter(|job| job.outcome == Outcome::Refused) {
         if testbed.log.starts(&job.id) > 0 {
-            violations.push(format!("{}: was refused, but has run", job.id));
+            violations.push(format!(
+                "job {}: was refused, but one of its tasks has started",
+                job.id
+            ));
         }
     }
     for job in jobs.iter().filter(|job| job.crashes) {
         let starts = testbed.log.starts(&format!("{}.0.0.0", job.id));
         if starts > MAX_STARTS + testbed.process_ends {
             violations.push(format!(
-                "{}: {starts} starts of a task that crashes",
+                "job {}: {starts} starts of a task that crashes its workers",
                 job.id
             ));
         }
@@ -75,7 +82,8 @@
     violations
 }
 
-/// Polls the servers in turn until one shows a final state of the job, and returns it.
+/// Polls the servers one after the other until one shows a final state of the job, and returns
+/// the state.
 async fn wait_final(caller: &Caller, servers: &[SocketAddr], path: &str) -> Value {
     for server in servers.iter().cycle() {
         let shown = state(caller, *server, path).await;
@@ -87,22 +95,25 @@
     Value::Null
 }
 
+/// State of a job, as one server shows it; null if it shows none or does not answer.
 async fn state(caller: &Caller, server: SocketAddr, path: &str) -> Value {
     let (_, body) = caller.send(Method::GET, server, path, &Value::Null).await;
     body["state"].clone()
 }
 
 /// Reports each start on a worker that was already running as many tasks as it has cores.
-fn over_capacity(deeds: &[WorkerEvent]) -> Vec<String> {
+fn over_capacity(events: &[WorkerEvent]) -> Vec<String> {
     let mut running: HashMap<&str, usize> = HashMap::new();
     let mut violations = Vec::new();
-    for deed in deeds {
-        match deed {
+    for event in events {
+        match event {
             WorkerEvent::Started(worker, task, _) => {
                 let count = running.entry(worker).or_default();
                 *count += 1;
                 if *count > WORKER_CORES {
-                    violations.push(format!("{worker}: {task} is one too many"));
+                    violations.push(format!(
+                        "worker {worker}: {task} started while {WORKER_CORES} tasks ran"
+                    ));
                 }
             }
             WorkerEvent::Ended(worker, ..) => {
--- a/crates/daemon/tests/soak/main.rs
+++ b/crates/daemon/tests/soak/main.rs
@@ -1,8 +1,8 @@
-//! Randomized soak test: real processes on loopback under injected faults, checked by what
-//! callers and workers observe.
+//! Randomized soak test: real processes on loopback under injected faults. The guarantees of the
+//! scheduler are checked against what callers and workers observe.
 //!
-//! `SOAK_SEEDS=FIRST-LAST` runs these seeds instead of those of CI. For a seed that fails, the
-//! logs of the processes are kept and their folder is printed.
+//! `SOAK_SEEDS=FIRST-LAST` runs these seeds instead of those of CI. If a seed fails, the logs of
+//! its processes are kept and their folder is printed.
 
 mod checker;
 mod crash_limit;
@@ -19,17 +19,19 @@
 use testbed::Testbed;
 use traffic::Traffic;
 
-/// Seeds that CI runs: two without special faults, two with tasks that crash workers and
-/// workers that change their capacity, two with a thin link, three with workers that restart
-/// under their ids, and those that have failed before.
+/// Seeds that CI runs: two without special faults (1, 2), two with tasks that crash workers and
+/// workers that change their capacity (100, 101), two with a thin link (300, 301), three with
+/// workers that restart under their ids (400 to 402), and those that show a fault in the scheduler
+/// or in this test if it comes back:
 ///
-/// - 5: a process got SIGHUP for changed settings before it handled signals, and ended;
-/// - 12, 48, 57: the checker counted ends of tasks that had not been acknowledged when their
-///   worker's lease expired; the platform lets such tasks run again;
-/// - 197: the harness waited forever for the first log line of a process, since an earlier
-///   process had been killed before it wrote its own;
-/// - 444: an acknowledgement reached the next incarnation of a worker;
-/// - 642: the checker reported a job as lost whose task had met five crashes.
+/// - 5: a process gets SIGHUP for changed settings before it handles signals, and ends;
+/// - 12, 48, 57: the checker reports that a task runs again after its end. The end was not
+///   acknowledged before its worker's lease expired, so the task is allowed to run again;
+/// - 197: the harness waits forever for the first log line of a process, because an earlier
+///   process of the same host was killed before it wrote its own;
+/// - 444: an acknowledgement reaches the next incarnation of a worker;
+/// - 642: the checker reports a job as lost although it failed after five crashes of workers that
+///   ran its task.
 const SEEDS: [u64; 16] = [
     1, 2, 5, 12, 48, 57, 100, 101, 197, 300, 301, 400, 401, 402, 444, 642,
 ];
@@ -65,7 +67,8 @@
     (number(first)..=number(last)).collect()
 }
 
-/// Runs one seed and returns the violations found.
+/// Runs one seed. Returns the violations found, at most 20, with the plan of the seed and the
+/// folder of the logs; empty if there are none.
 async fn run_seed(seed: u64) -> Vec<String> {
     let plan = Plan::new(seed);
     let mut testbed = Testbed::open(seed).await;
@@ -82,8 +85,8 @@
     let mut violations = checker::find_violations(&testbed, &jobs).await;
     violations.append(&mut testbed.faults);
     let summary = checker::summary(&jobs);
-    let faults: Vec<&Event> = plan.events.iter().map(|(_, event)| event).collect();
-    println!("seed {seed}: {summary}; {} events", faults.len());
+    let events: Vec<&Event> = plan.events.iter().map(|(_, event)| event).collect();
+    println!("seed {seed}: {summary}; {} events", events.len());
     if violations.is_empty() {
         testbed.close();
         return violations;
--- a/crates/daemon/tests/soak/plan.rs
+++ b/crates/daemon/tests/soak/plan.rs
@@ -16,20 +16,21 @@
 /// Number of workers, with four cores each.
 pub const WORKERS: usize = 4;
 
-/// Cores of a worker before and after a resize.
-const USUAL_CORES: usize = 4;
+/// Cores of a worker, except between the two resizes of a change of its capacity.
+const FULL_CORES: usize = 4;
 
-/// Duration of the phase with faults; all faults have ended at its end.
+/// Time from the start of the callers until all faults are ended.
 pub const FAULT_TIME: Duration = Duration::from_secs(12);
 
 /// Number of faults of a seed.
 const FAULTS: std::ops::Range<usize> = 5..10;
 
-/// First seed with workers that change their capacity and tasks that may crash them. The plans
-/// of smaller seeds draw no such faults, so that they stay reproducible.
+/// First seed with workers that change their capacity and tasks that may crash them. Smaller
+/// seeds draw no random numbers for such faults, so that they still reproduce the plans of earlier
+/// failures.
 const FIRST_CRASH_SEED: u64 = 100;
 
-/// Number of capacity changes of a worker in a seed with crashes.
+/// Number of temporary capacity changes, each of one worker, in a seed with crashes.
 const RESIZES: std::ops::Range<usize> = 3..7;
 
 /// Whether workers change their capacity and tasks may crash them.
@@ -37,10 +38,10 @@
     seed >= FIRST_CRASH_SEED
 }
 
-/// First seed with a thin link to the workers and a small first host.
+/// First seed with a link of little bandwidth to the workers and a small first host.
 const FIRST_THIN_SEED: u64 = 300;
 
-/// Whether the link to the workers is thin and the first host is small.
+/// Whether the link to the workers has little bandwidth and the first host is small.
 pub fn has_thin_link(seed: u64) -> bool {
     seed >= FIRST_THIN_SEED && (!has_restarts(seed) || seed.is_multiple_of(THIN_LINK_RATIO))
 }
@@ -48,10 +49,10 @@
 /// First seed with workers that restart under their ids.
 const FIRST_RESTART_SEED: u64 = 400;
 
-/// One in this number of seeds with restarts has a thin link.
+/// Among the seeds with restarts, one in this number has a thin link.
 const THIN_LINK_RATIO: u64 = 4;
 
-/// Number of restarts in such a seed, each of one worker or of all.
+/// Number of restarts in a seed with restarts, each of one worker or of all at the same time.
 const RESTARTS: std::ops::Range<usize> = 3..8;
 
 /// Whether workers restart under their ids.
@@ -59,8 +60,8 @@
     seed >= FIRST_RESTART_SEED
 }
 
-/// A fault, or another action on the cell. The first number is the index of a process or
-/// worker, except for `Configure`.
+/// A fault, its end, or another action on the cell. The first number is the index of a process
+/// or worker, except for `Configure`.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
     /// Kills a process.
@@ -75,15 +76,17 @@
     Resume(usize),
     /// Makes a process reload its settings (SIGHUP).
     Reload(usize),
-    /// Changes the relay between a process and the store.
+    /// Sets the faults of the relay between a process and the store.
     StoreRelay(usize, RelayPlan),
-    /// Changes the relay between all processes and a worker.
+    /// Sets the faults of the relay between all processes and a worker.
     WorkerRelay(usize, RelayPlan),
     /// Sets the faults of the store.
     Store(StoreFaults),
-    /// Makes the store drop its history of changes.
+    /// Makes the store drop its history of changes, so that a process that follows the changes
+    /// must read all rows again.
     DropHistory,
-    /// Lets a worker carry out this number of starts without answering them.
+    /// Makes a worker carry out the next starts, as many as the second number says, without
+    /// answering them.
     LoseStarts(usize, usize),
     /// Writes this version of the configuration.
     Configure(u64),
@@ -95,7 +98,7 @@
 
 /// The events of a soak run, sorted by time.
 pub struct Plan {
-    /// Time since the begin of the run, and the event.
+    /// Time since the start of the callers, and the event.
     pub events: Vec<(Duration, Event)>,
 }
 
@@ -135,11 +138,11 @@
     let all = rng.random_range(0..3) == 0;
     for other in 0..WORKERS {
         let downtime = Duration::from_millis(rng.random_range(20..1_200));
-        let late_entry = rng.random_range(0..3) == 0;
+        let registers_late = rng.random_range(0..3) == 0;
         let clock_steps_back = rng.random_range(0..4) == 0;
         let restart = Restart {
             downtime,
-            registration_delay: Duration::from_millis(if late_entry { 700 } else { 0 }),
+            registration_delay: Duration::from_millis(if registers_late { 700 } else { 0 }),
             clock_back: if clock_steps_back { 2_000 } else { 0 },
         };
         if all || other == worker {
@@ -153,7 +156,7 @@
     let end = begin + Duration::from_millis(rng.random_range(300..4_000));
     let worker = rng.random_range(0..WORKERS);
     events.push((begin, Event::Resize(worker, rng.random_range(1..4))));
-    events.push((end, Event::Resize(worker, USUAL_CORES)));
+    events.push((end, Event::Resize(worker, FULL_CORES)));
 }
 
 fn add_fault(rng: &mut StdRng, events: &mut Vec<(Duration, Event)>) {
@@ -184,7 +187,7 @@
             }
         }
         6 => {
-            // A rolling restart of all processes.
+            // A rolling restart of all processes, 800 ms apart.
             for host in 0..HOSTS {
                 let at = begin + Duration::from_millis(800) * u32::try_from(host).unwrap_or(0);
                 add(at, Event::Stop(host));
--- a/crates/daemon/tests/soak/testbed.rs
+++ b/crates/daemon/tests/soak/testbed.rs
@@ -1,4 +1,5 @@
-//! A cell of real processes, with a relay on each connection to the store and the workers.
+//! A cell of real processes on top of a fake store and fake workers, with a relay that injects
+//! faults between each process and the store, and between the processes and each worker.
 
 use std::fs::File;
 use std::net::SocketAddr;
@@ -42,21 +43,21 @@
 /// Path of the daemon under test.
 const DAEMON_PATH: &str = env!("CARGO_BIN_EXE_clovermountd");
 
-/// Timeout for a process to end after SIGTERM, and to write its first log line. Its settings
-/// allow 6 s for a stop.
+/// Timeout for a process to end after SIGTERM, and to write its first log line. The settings of
+/// the processes (`grace_s`) allow 6 s for a stop.
 const STOP_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Interval at which the state of a process is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Bandwidth of a thin link, in megabits per second: a dozen simultaneous starts occupy it for
-/// half a second.
+/// Bandwidth of a thin link, in megabits per second: the messages of a dozen simultaneous starts
+/// occupy it for half a second.
 const THIN_LINK_MBPS: f64 = 0.15;
 
-/// Cores of the first host in a seed with a thin link: a fraction of one.
+/// Cores of the first host in a seed with a thin link.
 const SMALL_HOST_CORES: f64 = 0.1;
 
-/// Adapts the settings of a host to a seed with a thin link.
+/// Adapts the settings (JSON) of the process on host `index` to a seed with a thin link.
 fn thin_link_settings(text: &str, index: usize) -> String {
     let mut settings: Value = serde_json::from_str(text).expect("settings are JSON");
     settings["link_mbps"] = json!(THIN_LINK_MBPS);
@@ -66,6 +67,7 @@
     settings.to_string()
 }
 
+/// A host with one process of the cell, which may be killed and started again.
 struct Host {
     addresses: LoopbackHost,
     store_relay: Relay,
@@ -81,7 +83,7 @@
     fn signal(&self, signal: Signal) {
         let id = self.child.as_ref().map(Child::id);
         if let Some(id) = id.and_then(|id| i32::try_from(id).ok()) {
-            // Fails if the process has ended by itself, which `check_unexpected_end` reports.
+            // Fails if the process has ended unexpectedly, which `check_unexpected_end` reports.
             let _ = kill(Pid::from_raw(id), signal);
         }
     }
@@ -96,8 +98,9 @@
 
     /// Whether the process has written its first log line since its last start, or has ended.
     fn started(&mut self, log: &Path) -> bool {
-        // Only lines since the last start count. A process that was killed 36 ms after its
-        // start had written none, so counting the lines of all starts missed the next one.
+        // Only lines since the last start count. A process that is killed soon after its start
+        // (36 ms in one run) has written none, so the number of first lines in the log is not
+        // the number of starts.
         let text = std::fs::read(log).unwrap_or_default();
         let new_text = text.get(self.log_offset..).unwrap_or_default();
         String::from_utf8_lossy(new_text).contains("\"code\":105") || self.ended()
@@ -112,7 +115,7 @@
 /// A cell with the stubs of its platform.
 pub struct Testbed {
     pub log: RunLog,
-    /// Descriptions of processes that ended by themselves or did not stop.
+    /// Descriptions of processes that ended unexpectedly or did not end after SIGTERM.
     pub faults: Vec<String>,
     /// Number of times that a process was killed or stopped.
     pub process_ends: usize,
@@ -135,19 +138,19 @@
         let advice = FakeAdvice::new(Vec::new());
         let mut workers = Vec::new();
         let mut worker_relays = Vec::new();
-        let comes_back_as = if has_restarts(seed) {
+        let restart_id = if has_restarts(seed) {
             RestartId::Alternating
         } else {
             RestartId::Changed
         };
         let link = has_thin_link(seed).then(|| LimitedLink::new(THIN_LINK_MBPS));
         for index in 0..WORKERS {
-            let surroundings = WorkerContext {
+            let context = WorkerContext {
                 store: store.clone(),
                 advice: advice.clone(),
                 log: log.clone(),
             };
-            let worker = WorkerSupervisor::new(&format!("w{index}"), surroundings, comes_back_as);
+            let worker = WorkerSupervisor::new(&format!("w{index}"), context, restart_id);
             let mut address = serve(worker.clone(), &stop).await;
             if let Some(link) = &link {
                 address = link.listen(address, stop.clone()).await;
@@ -160,16 +163,16 @@
             workers.push(worker);
             worker_relays.push(relay);
         }
-        let services = serve(advice, &stop).await;
+        let services_address = serve(advice, &stop).await;
         store.write("op", "config", &config(1));
         let folder = TempDir::new().expect("folder");
-        let net = u8::try_from(seed % 100).expect("below 100") + 100;
+        let cell_number = u8::try_from(seed % 100).expect("below 100") + 100;
         let mut hosts = Vec::new();
         for index in 0..HOSTS {
-            let addresses = LoopbackHost::new(net, index);
+            let addresses = LoopbackHost::new(cell_number, index);
             let store_relay = Relay::open(store_address).await.expect("relay");
             let settings = folder.path().join(format!("entry-{index}.json"));
-            let mut text = addresses.settings(store_relay.address(), Some(services));
+            let mut text = addresses.settings(store_relay.address(), Some(services_address));
             if has_thin_link(seed) {
                 text = thin_link_settings(&text, index);
             }
@@ -219,6 +222,7 @@
         assert!(ready.is_ok(), "the cell did not become ready");
     }
 
+    /// Starts a process unless it runs. One that got SIGTERM is awaited first.
     async fn start(&mut self, index: usize) {
         self.check_unexpected_end(index);
         if self.hosts[index].stopping {
@@ -243,8 +247,8 @@
         host.child = Some(child.expect("the process starts"));
     }
 
-    /// Waits until a process handles signals. Its first log line is written after the
-    /// handlers are installed; until then, a signal ends the process.
+    /// Waits until a process handles signals: until its handlers are installed, a signal ends it.
+    /// The process writes its first log line after that.
     async fn wait_started(&mut self, index: usize) {
         let path = self.folder.path().join(format!("entry-{index}.log"));
         let started = async {
@@ -256,8 +260,8 @@
         assert!(started.is_ok(), "entry-{index} wrote no first log line");
     }
 
-    /// Waits until a process that got SIGTERM has ended, and records a fault if it does not
-    /// end within [`STOP_TIMEOUT`].
+    /// Waits until a process that got SIGTERM has ended; resumes it first, as it may be paused.
+    /// If it does not end within [`STOP_TIMEOUT`], records a fault and kills it.
     async fn wait_stopped(&mut self, index: usize) {
         let host = &mut self.hosts[index];
         host.signal(Signal::SIGCONT);
@@ -267,17 +271,20 @@
             }
         };
         if tokio::time::timeout(STOP_TIMEOUT, ended).await.is_err() {
-            self.faults
-                .push(format!("entry-{index} did not stop after SIGTERM"));
+            self.faults.push(format!(
+                "entry-{index} did not end within {STOP_TIMEOUT:?} after SIGTERM"
+            ));
         }
         self.hosts[index].kill();
     }
 
-    /// Records a fault if a process has ended without SIGTERM.
+    /// Records a fault if a process has ended without being killed or stopped.
     fn check_unexpected_end(&mut self, index: usize) {
         let host = &mut self.hosts[index];
         if host.child.is_some() && !host.stopping && host.ended() {
-            self.faults.push(format!("entry-{index} ended by itself"));
+            self.faults.push(format!(
+                "entry-{index} ended, but was neither killed nor stopped"
+            ));
             self.hosts[index].kill();
         }
     }
@@ -318,9 +325,10 @@
         }
     }
 
+    /// Changes the capacity of a worker, and registers it in the store.
     fn resize(&self, index: usize, cores: usize) {
         let worker = self.workers[index].current();
-        // A worker that is down cannot register; it comes back with its usual capacity.
+        // A worker that is down cannot register its capacity; it restarts with the full one.
         if worker.dead() {
             return;
         }
--- a/crates/daemon/tests/soak/traffic.rs
+++ b/crates/daemon/tests/soak/traffic.rs
@@ -1,5 +1,5 @@
-//! Callers that submit jobs at a fixed rate, retry calls without a success reply, and cancel
-//! some jobs.
+//! Callers that submit jobs at a fixed rate, retry calls that do not succeed, and cancel some of
+//! the jobs.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -37,10 +37,10 @@
     Accepted,
     /// The job was accepted, and so was its cancellation.
     Canceled,
-    /// Each try was answered with a refusal.
+    /// Each try to submit the job was answered with a refusal (429 or 503).
     Refused,
-    /// No try was accepted and some try had no clear result, or the cancellation was not
-    /// confirmed.
+    /// No try was accepted, and one got no answer or neither an acceptance nor a refusal; or the
+    /// cancellation was not confirmed. The job may have any state.
     Unknown,
 }
 
@@ -51,11 +51,11 @@
     pub id: String,
     /// Path of the job in the HTTP interface.
     pub path: String,
-    /// Whether each run of its tasks fails.
+    /// Whether each run of its tasks fails, as its specification says.
     pub fails: bool,
     /// Whether the first task of its first step crashes each worker that runs it.
     pub crashes: bool,
-    /// Outcome of the caller's calls.
+    /// Outcome of the caller's calls to submit and cancel the job.
     pub outcome: Outcome,
 }
 
@@ -73,7 +73,8 @@
         Traffic { stop, jobs }
     }
 
-    /// Stops submitting and returns all jobs, once their callers have finished their tries.
+    /// Submits no more jobs, waits until the callers have finished their calls, and returns all
+    /// jobs.
     pub async fn end(self) -> Vec<Job> {
         self.stop.send_replace(true);
         self.jobs.await.expect("callers end")
@@ -85,6 +86,7 @@
     servers: Vec<SocketAddr>,
     stopped: watch::Receiver<bool>,
 ) -> Vec<Job> {
+    // Not the random numbers of the plan, which is drawn from `seed`.
     let mut rng = StdRng::seed_from_u64(!seed);
     let caller = Caller::new();
     let mut callers = JoinSet::new();
@@ -98,13 +100,14 @@
     callers.join_all().await
 }
 
-/// The calls that one caller is going to make.
+/// The job that one caller submits, and whether and when it cancels the job.
 struct CallPlan {
     body: Value,
     fails: bool,
     crashes: bool,
-    /// Time after which an accepted job is cancelled; `None` if it is not.
+    /// Time from the acceptance of the job to its cancellation; `None` if it is not cancelled.
     cancel: Option<Duration>,
+    /// All servers, in the order in which the caller tries them.
     servers: Vec<SocketAddr>,
 }
 
@@ -115,7 +118,7 @@
         let spec = if fails {
             "fail".to_owned()
         } else if crashes {
-            // The worker crashes after 10 ms or after 400 ms.
+            // The worker crashes 10 ms or 400 ms after the start of the job's first task.
             let after = [10, 400][rng.random_range(0..2)];
             format!("crash 0 300 {after}")
         } else {
@@ -180,7 +183,7 @@
             }
             tokio::time::sleep(RETRY_PAUSE).await;
         }
-        // The job may have been cancelled or not, so any state of it is correct.
+        // The job may have been cancelled or not, so any state is allowed.
         Outcome::Unknown
     }
 }
