--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -48,6 +48,7 @@
         self.tasks.abort();
         let _ = timeout(CLOSE_TIMEOUT, self.endpoint.close()).await;
         self.context.timeline.record(Event::new(Kind::Stopped));
+        // Starts with the oldest event in memory and uploads as many as one object may contain.
         upload_since(&self.context.objects, &self.context.timeline, 0).await;
     }
 
@@ -56,15 +57,15 @@
     async fn hand_over(&self) {
         let began = Instant::now();
         let reply = async {
-            let (done, left) = oneshot::channel();
+            let (report_sender, report) = oneshot::channel();
             self.shard_manager
-                .send(ShardManagerCommand::Leave(done))
+                .send(ShardManagerCommand::Leave(report_sender))
                 .await
                 .ok()?;
-            left.await.ok()
+            report.await.ok()
         };
         let outcome = match timeout(HANDOVER_TIMEOUT, reply).await {
-            Ok(Some(handover)) => describe(handover),
+            Ok(Some(report)) => describe(report),
             Ok(None) => "hand-over: failed, the shard manager (task keeper) has ended".to_owned(),
             Err(_) => "hand-over: timed out, no result from the shard manager".to_owned(),
         };
@@ -100,12 +101,12 @@
     }
 }
 
-fn describe(handover: HandoverReport) -> String {
+fn describe(report: HandoverReport) -> String {
     let HandoverReport {
         confirmed,
         unconfirmed,
         lease_deleted,
-    } = handover;
+    } = report;
     let lease = if lease_deleted {
         "deleted"
     } else {
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -127,7 +127,7 @@
     assert!(failed.is_empty(), "{counts:?} {failed:#?}");
 }
 
-/// Returns a confirmation, a restock or one of two lookups, in turn by number.
+/// Request with this number: one in four is a confirmation, one a restock, and two are lookups.
 pub fn mixed_request(number: u32) -> Request {
     match number % 4 {
         0 => confirmation_request(&format!("confirm-{number}")),
--- a/crates/daemon/tests/takeover.rs
+++ b/crates/daemon/tests/takeover.rs
@@ -199,7 +199,7 @@
     let answer = caller.await.expect("caller").expect("a complete answer");
     assert_eq!(answer.family, Family::Pending, "{answer:?}");
     let status = cell.caller.status(cell.http(0), "long").await;
-    let status = status.expect("status").expect("known");
+    let status = status.expect("status").expect("a recorded request");
     assert_eq!(status.family, Family::Pending, "{status:?}");
     let runs = cell.platform.log.runs();
     let long = runs.iter().filter(|run| run.request.ends_with("/long"));
--- a/crates/daemon/tests/workers.rs
+++ b/crates/daemon/tests/workers.rs
@@ -274,7 +274,11 @@
     let status = cell.caller.status(cell.http(0), "late").await;
 
     assert!(accepted.is_ok(), "{accepted:?}");
-    let reason = status.expect("status").expect("known").answer.reason;
+    let reason = status
+        .expect("status")
+        .expect("a recorded request")
+        .answer
+        .reason;
     assert!(
         cell.platform
             .log
