--- a/crates/cell/tests/acceptance.rs
+++ b/crates/cell/tests/acceptance.rs
@@ -10,7 +10,7 @@
 use site::TestCell;
 use site::job;
 
-/// Opens a cell and completes one job, which shows that the store answers.
+/// Opens a cell and completes one job, so that the process and the store are ready.
 async fn open() -> (TestCell, Caller) {
     let cell = TestCell::open(1, 1).await;
     let caller = Caller::new();
@@ -28,11 +28,12 @@
     }
 }
 
-/// Guards against a reply "not accepted" for a job that then runs. The first attempt of the write
-/// gets no reply for a while, so a second one is sent, which the store carries out with a garbled
-/// reply. Then the first attempt is refused, which was treated as a refusal of both.
+/// Guards against a reply "not accepted" for a job that then runs. The process gets no reply to
+/// its first write of the job's row and sends a second one, which the store carries out, but
+/// answers with bytes that cannot be decoded. Then the store refuses the first write (503), which
+/// the process took for a refusal of both.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_refusal_of_one_attempt_is_not_taken_for_both() {
+async fn a_refusal_of_one_attempt_is_not_taken_for_a_refusal_of_both() {
     let (cell, caller) = open().await;
     let path = "/plain/00000000000000f1";
     let replies = [
@@ -45,14 +46,14 @@
         .send(Method::POST, cell.server(0), path, &job(1, "20"))
         .await;
 
-    assert_eq!(status, 200, "found by the next attempt");
+    assert_eq!(status, 200, "the next attempt finds the stored job");
     caller.wait_state(&cell.servers(), path, "completed").await;
     cell.close().await;
 }
 
 /// Guards against a reply "not accepted" for a job that then runs. The store carries out the
-/// write, but replies with an error status that does not rule this out. Every status except
-/// success was taken for a refusal.
+/// write and replies with an error status that leaves open whether it did. The process took every
+/// status except success for a refusal.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_ambiguous_error_status_is_not_taken_for_a_refusal() {
     let (cell, caller) = open().await;
@@ -65,13 +66,16 @@
             .send(Method::POST, cell.server(0), &path, &job(1, "20"))
             .await;
 
-        assert_eq!(returned, 200, "{status}: found by the next attempt");
+        assert_eq!(
+            returned, 200,
+            "store status {status}: the next attempt finds the stored job"
+        );
     }
     cell.close().await;
 }
 
-/// Guards against a reply "cancel not stored" although the store may still carry out the write:
-/// none of the attempts gets a reply.
+/// Guards against the reply that a cancel is not stored (503) although the store may still carry
+/// out the write: none of the attempts gets a reply, so the outcome is unknown (504).
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cancel_without_a_store_reply_is_not_reported_as_refused() {
     let (cell, caller) = open().await;
@@ -88,7 +92,8 @@
     cell.close().await;
 }
 
-/// A cancel that is certainly not stored is answered with 503.
+/// A cancel that is certainly not stored, because the store refuses each attempt, is answered
+/// with 503.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_refused_cancel_is_reported_as_refused() {
     let (cell, caller) = open().await;
--- a/crates/cell/tests/capacity.rs
+++ b/crates/cell/tests/capacity.rs
@@ -1,6 +1,6 @@
-//! Workers whose capacity shrinks and grows while tasks run there, with whole processes. The
-//! simulated workers check that a worker which has shrunk is filled beyond its new size for
-//! 4.5 s at most.
+//! Workers whose capacity shrinks and grows while tasks run there, with whole processes. A
+//! simulated worker records a violation if a task starts beyond the worker's new size more than
+//! 4.5 s after it has shrunk.
 
 use std::time::Duration;
 
@@ -33,9 +33,10 @@
     cell.close().await;
 }
 
-/// Guards against an owner that cannot read the registrations and goes on filling a worker
-/// which has shrunk, for the whole outage of the store: the capacity that it had last read
-/// was seconds old. In this pool the owner has already seen a worker shrink.
+/// Guards against an owner that keeps filling a worker which has shrunk for the whole outage of
+/// the store. The owner cannot read the registrations, which contain the capacities, and used
+/// those that it had read before the outage. It has read a smaller capacity of this worker once
+/// before, so it must expect it to shrink again.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_without_the_store_fills_no_worker_that_may_have_shrunk() {
     let cell = TestCell::open(1, 1).await;
--- a/crates/cell/tests/context.rs
+++ b/crates/cell/tests/context.rs
@@ -1,4 +1,5 @@
-//! Calls to the store that a process abandons after an outage.
+//! Calls that a process sent to the store during an outage and abandons once the store has
+//! recovered.
 
 use std::future::pending;
 use std::net::Ipv4Addr;
@@ -42,6 +43,7 @@
     }
 }
 
+/// View of a process while the store does not answer.
 fn unreachable() -> OwnershipView {
     OwnershipView {
         unreachable_since: Some(Duration::ZERO),
@@ -49,9 +51,10 @@
     }
 }
 
-/// Guards against task ends that reach callers up to 1.6 s after the store has recovered. The
-/// store stops answering while a write is under way and recovers, but never answers that write.
-/// The write, and the next one behind it, used to wait until its timeout.
+/// Guards against ends of tasks that reach callers only 1.6 s after the store has recovered. The
+/// store stops answering while a write is in progress, and never answers that write even after
+/// it has recovered. The process waited for the write's timeout, and the next write was queued
+/// behind it.
 #[tokio::test]
 async fn a_write_to_an_unreachable_store_is_abandoned_when_the_store_recovers() {
     let (_config, config) = watch::channel(None);
--- a/crates/cell/tests/crashing.rs
+++ b/crates/cell/tests/crashing.rs
@@ -1,4 +1,4 @@
-//! Tasks that crash their workers, with whole processes.
+//! Tasks that crash each worker on which they start, with whole processes.
 
 use std::time::Duration;
 
@@ -6,14 +6,14 @@
 use site::TestCell;
 use site::job;
 
-/// Largest number of starts of a task that crashes each worker: the platform allows two more
-/// after three crashes.
+/// Largest number of starts of a task that crashes each worker. After three crashes, the
+/// platform tolerates two more starts of the task.
 const MAX_STARTS: usize = 5;
 
-/// Guards against a task that crashes each worker it is started on, one after the other, as
-/// long as the pool has workers, while its caller waits without end: no crash was recorded. The
-/// planner has a test of its own for this. Here the simulated workers crash 10 ms after the
-/// start and come back 1.5 s later at their address, under another id.
+/// Guards against a task that crashes one worker after the other for as long as the pool has
+/// workers, while its caller gets no result: no crash was counted against the task. The
+/// simulated workers crash 10 ms after the start and restart 1.5 s later at the same address,
+/// under another id.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_task_that_crashes_its_workers_fails() {
     let cell = TestCell::open(2, 6).await;
@@ -47,8 +47,8 @@
 }
 
 /// Guards against losing the number of crashes when the owner that counted them is killed. Each
-/// owner here is killed one second after a crash, when the crash is recorded and stored; its
-/// successor has seen neither the next run nor the worker that this run crashes.
+/// owner is killed one second after a crash, when it has recorded and stored the crash. Its
+/// successor has received no report of the next run, nor of the worker that this run crashes.
 #[tokio::test(flavor = "multi_thread")]
 async fn crash_counts_survive_killed_owners() {
     let mut cell = TestCell::open(3, 6).await;
--- a/crates/cell/tests/delayed_commands.rs
+++ b/crates/cell/tests/delayed_commands.rs
@@ -1,6 +1,6 @@
 //! Workers that leave commands unanswered and carry them out seconds later, after the job was
-//! cancelled or another process has taken the pool. The log of the workers must show no task
-//! of a cancelled job that keeps running.
+//! cancelled or another process has taken the pool. According to the workers' log of their runs,
+//! no task of a cancelled job may keep running.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -22,13 +22,13 @@
 /// Time until a delayed command is carried out.
 const COMMAND_DELAY: Duration = Duration::from_millis(2200);
 
-/// Time within which a task has to end once workers answer again: a renewal without a reply
-/// takes 0.5 s, and so does a stop.
+/// Time within which a task has to end once workers answer again: a renewal call without a reply
+/// times out after 0.5 s, and so does a stop command.
 const STOP_LIMIT: Duration = Duration::from_millis(1500);
 
-/// Time after its delayed start within which a task of a cancelled job has to end, whatever
-/// share of the commands is unanswered: 3 s for which a machine counts as reachable, 3 s for
-/// the cancel and 0.2 s for the stop.
+/// Time within which a task of a cancelled job has to end, counted from its delayed start or from
+/// the cancel, whichever is later, for any share of unanswered commands: 3 s for which a machine
+/// counts as reachable, 3 s for the cancel and 0.2 s for the stop.
 const CANCEL_LIMIT: Duration = Duration::from_millis(6200);
 
 /// Returns a plan that delays all commands of the selected kinds.
@@ -43,6 +43,7 @@
     }
 }
 
+/// Sets the plan of all workers.
 fn set_delay_plan(cell: &TestCell, plan: DelayPlan) {
     for worker in &cell.workers {
         worker.set_delay_plan(plan);
@@ -53,7 +54,7 @@
     format!("/plain/{id}")
 }
 
-/// Waits until a condition holds.
+/// Waits until a condition is met; panics with `failure` after [`WAIT_LIMIT`].
 async fn wait_for(failure: &str, condition: impl Fn() -> bool) {
     let polling = async {
         while !condition() {
@@ -159,8 +160,8 @@
 }
 
 /// Guards against a task of a cancelled job that starts seconds later and keeps running. Its
-/// start command gets no reply and the job is cancelled; the stop reaches the worker first,
-/// which then refuses the start.
+/// start command is delayed, so the stop command for the same run reaches the worker first; the
+/// worker then has to refuse the start.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stop_that_overtakes_a_delayed_start_prevents_the_run() {
     let (cell, caller) = open_with(2, 2, Incarnations::Unreported).await;
@@ -196,16 +197,16 @@
     cell.close().await;
 }
 
-/// Guards against the run of a delayed start that is not stopped because stops are delayed,
-/// too.
+/// Guards against a run that keeps running because the worker received the start command late
+/// and left the stop commands unanswered, too.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_delayed_start_is_stopped_although_stops_are_delayed_too() {
     delayed_start_is_stopped(Incarnations::Unreported, delay_all(true, true, false)).await;
 }
 
-/// Guards against a delayed start that is carried out by a worker which reports its
-/// incarnation, although the worker has carried out a renewal since the owner abandoned the
-/// start.
+/// Guards against a worker that carries out a delayed start although it has meanwhile received a
+/// renewal with a higher fencing token. The owner raises the token when it abandons a start on a
+/// worker that reports its incarnation.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_delayed_start_is_refused_after_a_later_renewal() {
     let (cell, caller) = open(2, 2).await;
@@ -221,8 +222,9 @@
     cell.close().await;
 }
 
-/// Guards against a run that is not stopped where no renewal has overtaken the start, which is
-/// then carried out.
+/// Guards against a run that is not stopped after the worker has carried out its delayed start.
+/// The renewals are delayed, too, so none with a higher fencing token reaches the worker before
+/// the start.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_delayed_start_that_no_renewal_has_overtaken_is_stopped() {
     delayed_start_is_stopped(Incarnations::Reported, delay_all(true, true, true)).await;
@@ -239,9 +241,9 @@
     Registrations,
 }
 
-/// The owner sends a start command that gets no reply, and is killed. The first renewals of
-/// its successor get no reply either, so the start is carried out, while the job is cancelled.
-/// The task has to be stopped once renewals are answered.
+/// The owner sends a start command that gets no reply, and is killed. The successor's renewals
+/// are delayed, too, so the worker carries out the start, although the job is cancelled by then.
+/// The successor has to stop the task once the worker answers its renewals.
 async fn delayed_start_of_a_killed_owner(source: WorkerSource) {
     let (mut cell, caller) = open(2, 2).await;
     let owner = cell.owner().expect("an owner");
@@ -289,9 +291,9 @@
     delayed_start_of_a_killed_owner(WorkerSource::Registrations).await;
 }
 
-/// Half of all commands get no reply and are carried out later, half of the jobs are
-/// cancelled, and then the owner is killed. The tasks of cancelled jobs have to end in time,
-/// and those of the others have to run once.
+/// Half of all commands get no reply and are carried out 2 to 5 s later, half of the jobs are
+/// cancelled, and then the owner is killed. The tasks of cancelled jobs have to end within
+/// [`CANCEL_LIMIT`], and those of the others have to run once.
 async fn half_of_the_commands_are_delayed(incarnations: Incarnations) {
     let (mut cell, caller) = open_with(3, 3, incarnations).await;
     let half_delayed = DelayPlan {
@@ -338,18 +340,18 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn half_of_the_commands_may_be_delayed() {
+async fn cancels_take_effect_while_half_of_the_commands_are_delayed() {
     half_of_the_commands_are_delayed(Incarnations::Reported).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn half_of_the_commands_may_be_delayed_at_workers_without_incarnation() {
+async fn cancels_take_effect_while_workers_without_incarnation_delay_half_of_the_commands() {
     half_of_the_commands_are_delayed(Incarnations::Unreported).await;
 }
 
-/// Guards against results that reach callers up to 1.7 s late, after their objective: a call
-/// that waits for ends at a worker got no reply, and the owner made no other call to the
-/// worker until it abandoned that one.
+/// Guards against results that reach callers up to 1.7 s late, after their objective. A renewal,
+/// which waits at the worker for an end to report, got no reply, and the owner made no other call
+/// to the worker until that one timed out.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_unanswered_call_delays_the_report_of_an_end_only_briefly() {
     let cell = TestCell::open(1, 1).await;
--- a/crates/cell/tests/failures.rs
+++ b/crates/cell/tests/failures.rs
@@ -1,5 +1,6 @@
-//! Failures of owners, workers and the store, with whole processes. The log of the workers
-//! must show no task on two workers at a time, and none that runs again after it was done.
+//! Failures of owners, workers and the store, with whole processes. According to the workers' log
+//! of their runs, no task may run on two workers at a time or again after it was done; either is
+//! a violation.
 
 use std::time::Duration;
 
@@ -23,6 +24,7 @@
     paths
 }
 
+/// Waits until the jobs are completed; asserts that there were no violations.
 async fn wait_completed(cell: &TestCell, caller: &Caller, paths: &[String]) {
     for path in paths {
         caller.wait_state(&cell.servers(), path, "completed").await;
@@ -30,6 +32,7 @@
     assert_eq!(cell.log.violations(), Vec::<String>::new());
 }
 
+/// Waits until the stored owner satisfies `accepts`; returns its index, or 0 if there is none.
 async fn wait_owner(cell: &TestCell, accepts: impl Fn(Option<usize>) -> bool) -> usize {
     let polling = async {
         while !accepts(cell.owner()) {
@@ -57,9 +60,9 @@
     cell.close().await;
 }
 
-/// Guards against done tasks that run again after a take-over. The store is down, so ends are
-/// reported but not stored; the owner is killed, the store recovers and the successor claims
-/// the workers. The cause was that the successor ignored ends in worker reports that arrived
+/// Guards against done tasks that run again after a take-over. The store is down, so the owner
+/// receives ends that it cannot store; it is killed, the store recovers and the successor claims
+/// the workers, which report these ends again. The successor ignored those that it received
 /// before it had read the jobs.
 #[tokio::test(flavor = "multi_thread")]
 async fn ends_that_were_not_stored_survive_a_killed_owner() {
@@ -85,8 +88,8 @@
     cell.close().await;
 }
 
-/// Guards against callers that wait for the expiry of the ownership at each planned stop. The
-/// owner is asked to stop and has to release the pool, so that another process can take it.
+/// Guards against a pool without an owner until the ownership expires, at each planned stop. An
+/// owner that is asked to stop has to release the pool, so that another process takes it at once.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_releases_the_pool() {
     let mut cell = TestCell::open(2, 2).await;
@@ -119,8 +122,8 @@
 }
 
 /// Guards against a job that runs twice, or is rejected although it was accepted. The store
-/// commits the job, its reply is lost and the caller repeats the submission. The write
-/// requires that the row does not exist, so the repetition finds it.
+/// commits the job's row, its reply is lost and the write is repeated. The write requires that
+/// the row does not exist, so the repetition finds it and creates no second job.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_replies_of_the_store_create_no_second_job() {
     let cell = TestCell::open(2, 2).await;
@@ -167,8 +170,8 @@
     cell.close().await;
 }
 
-/// Guards against jobs that wait for the change feed after the store has dropped its history:
-/// the history is dropped, then a job is accepted.
+/// Guards against a job that never starts because the owner waits for it in the change feed. The
+/// store has dropped the history that the feed reads from, so the owner has to read all rows.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_job_is_lost_when_the_store_drops_its_history() {
     let cell = TestCell::open(2, 2).await;
@@ -184,8 +187,8 @@
 }
 
 /// Guards against tasks that never run again after their worker has died with its host. The
-/// worker dies without notice; the list of machines shows that its incarnation has ended, and
-/// its tasks have to start elsewhere.
+/// worker reports nothing before it dies; only the list of machines shows that its incarnation
+/// has ended, and its tasks have to start elsewhere.
 #[tokio::test(flavor = "multi_thread")]
 async fn tasks_of_a_dead_worker_run_elsewhere() {
     let cell = TestCell::open(2, 2).await;
@@ -201,8 +204,8 @@
     cell.close().await;
 }
 
-/// Guards against a task that runs on two workers at a time. A worker is cut off and keeps
-/// running; its tasks may start elsewhere only after its lease has expired.
+/// Guards against a task that runs on two workers at a time. A worker answers no call, but its
+/// tasks keep running; they may start elsewhere only after the worker's lease has expired.
 #[tokio::test(flavor = "multi_thread")]
 async fn tasks_of_a_cut_off_worker_wait_for_the_expiry_of_its_lease() {
     let cell = TestCell::open(2, 2).await;
@@ -218,8 +221,8 @@
     cell.close().await;
 }
 
-/// Guards against a run that is in progress twice: the reply to its start command is lost and
-/// the command is repeated.
+/// Guards against a task that is started twice: the reply to its start command is lost and the
+/// owner repeats the command.
 #[tokio::test(flavor = "multi_thread")]
 async fn unanswered_starts_run_once() {
     let cell = TestCell::open(1, 2).await;
@@ -236,10 +239,10 @@
     cell.close().await;
 }
 
-/// Guards against a task that runs on two workers at a time after the owner was cut off from
-/// the store only. The owner keeps sending commands while another process takes over; it
-/// learns of this from the workers, which refuse its epoch. Jobs arrive at all processes
-/// meanwhile.
+/// Guards against a task that runs on two workers at a time after the owner was cut off from the
+/// store, but not from the workers. The owner keeps sending commands while another process takes
+/// the pool, until the workers refuse commands of its epoch. Meanwhile jobs arrive at all
+/// processes.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_cut_off_from_the_store_only_is_replaced() {
     let cell = TestCell::open(3, 3).await;
@@ -260,10 +263,10 @@
     cell.close().await;
 }
 
-/// Guards against callers that get no reply while the store is slow, although it accepts their
-/// jobs. A transaction takes longer than the time after which the process tries again. The
-/// cause was that the first attempt was abandoned, and the second could not end within the
-/// caller's timeout.
+/// Guards against callers that get no reply while the store is slow, although it stores their
+/// jobs. A transaction takes 1.5 s, longer than the time after which the process tries again.
+/// The process abandoned the first attempt, and the second could not end within the caller's
+/// timeout.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_slow_store_still_accepts_jobs() {
     let cell = TestCell::open(1, 1).await;
@@ -285,9 +288,8 @@
 }
 
 /// Guards against refusing callers for 0.3 s although the store accepts every job. The store
-/// drops its history; feed calls get no reply for a second and are abandoned, while other
-/// calls are answered. The cause was that a process whose feed call failed took the store for
-/// unreachable.
+/// leaves the calls of the change feed unanswered, so they time out after a second, and answers
+/// all other calls. A process whose feed call had failed took the store for unreachable.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_hung_feed_refuses_no_job() {
     let cell = TestCell::open(1, 1).await;
@@ -300,7 +302,7 @@
     cell.store.set_faults(hung);
     let mut statuses = Vec::new();
 
-    // Longer than the timeout of 1 s for feed calls.
+    // The loop takes longer than the timeout of a feed call, 1 s.
     for nth in 0..30 {
         let path = format!("/plain/{:016x}", 0xe000 + nth);
         let small = job(1, "20");
@@ -313,10 +315,9 @@
     cell.close().await;
 }
 
-/// Guards against a planned stop during which nothing starts for seconds. The owner is asked
-/// to stop while the store is slow, so its last write takes long; it started nothing after the
-/// signal, and its successor waits for that write. The cause was that a stopping owner did
-/// nothing but write.
+/// Guards against a planned stop during which no task starts for seconds. The owner is asked to
+/// stop while the store is slow, so its last write, which releases the pool, takes a second, and
+/// no successor can take the pool before. Once asked to stop, the owner started no more tasks.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_that_stops_starts_tasks_until_it_has_released_the_pool() {
     let mut cell = TestCell::open(2, 1).await;
--- a/crates/cell/tests/feed.rs
+++ b/crates/cell/tests/feed.rs
@@ -1,4 +1,4 @@
-//! A change feed with more rows than one reply holds.
+//! A change feed with more rows than fit into one reply.
 
 use std::time::Duration;
 
@@ -12,11 +12,12 @@
 
 const TABLE: &str = "servers";
 
-/// Guards against a change feed that falls behind: workers that were leaving went on getting work
-/// for ten seconds. 3,000 workers write 2,000 rows a second and a feed reply holds 500, but the
-/// owner read only one reply every 0.4 s, even after a full one.
+/// Guards against reading the change feed more slowly than rows are written: workers got work for
+/// ten seconds after they had registered that they were leaving. 3,000 workers write 2,000 rows a
+/// second, and a feed reply contains at most 500, but the owner read only one reply every 0.4 s,
+/// even after a full one.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_feed_is_read_until_a_page_is_not_full() {
+async fn a_feed_is_read_until_a_reply_is_not_full() {
     let fake_store = FakeStore::new();
     let (_stop, stopped) = watch::channel(false);
     let address = serve(fake_store.clone(), &stopped).await;
--- a/crates/cell/tests/foreign.rs
+++ b/crates/cell/tests/foreign.rs
@@ -1,4 +1,5 @@
-//! Rows of another writer in the tables that the owner follows.
+//! Rows that another program has written, with unexpected content, to tables that the owner
+//! follows.
 
 use std::time::Duration;
 
@@ -8,6 +9,7 @@
 use site::job;
 use site::registration;
 
+/// Opens a cell with one worker and completes one job.
 async fn open(processes: usize) -> (TestCell, Caller) {
     let cell = TestCell::open(processes, 1).await;
     let caller = Caller::new();
@@ -17,8 +19,8 @@
     (cell, caller)
 }
 
-/// Guards against losing a usable worker: it got no work any more after its row had been
-/// overwritten with one of unknown state and capacity, which the owner applied.
+/// Guards against losing a usable worker. Its registration was overwritten with one that states
+/// no valid state, address or capacity; the owner applied it, and the worker got no more work.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_worker_stays_usable_after_its_row_is_overwritten() {
     let (cell, caller) = open(1).await;
@@ -40,8 +42,9 @@
     cell.close().await;
 }
 
-/// Guards against using the row of an unknown service: the owner called the address that it
-/// named, and delayed tasks of a former owner because of it.
+/// Guards against using the registration of a worker of a service that the configuration does not
+/// contain. The owner called the address in it, and a successor waited for that worker before it
+/// started tasks of the former owner again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_row_of_an_unknown_service_adds_no_worker() {
     let (cell, caller) = open(1).await;
@@ -56,15 +59,16 @@
         .store
         .raw(cell::USED_WORKER_TABLE, cell::OWNER_PART, "w-foreign");
 
-    assert_eq!(row, None, "the owner stored it as a used worker");
+    assert_eq!(row, None, "the owner stored a row of a worker in use");
     let path = "/plain/00000000000000d2";
     caller.submit(&cell.servers(), path, &job(1, "20")).await;
     caller.wait_state(&cell.servers(), path, "completed").await;
     cell.close().await;
 }
 
-/// Guards against a pool that no process can take: the ownership row was overwritten with an
-/// unreadable value, and each attempt required the version before that.
+/// Guards against a pool that no process can take. The ownership row was overwritten with a value
+/// that cannot be decoded, and each attempt to take the pool required the version that the row
+/// had before.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_unreadable_ownership_row_does_not_block_a_successor() {
     let (mut cell, caller) = open(2).await;
--- a/crates/cell/tests/full_link.rs
+++ b/crates/cell/tests/full_link.rs
@@ -1,13 +1,13 @@
 //! An owner whose link to its workers is full.
 //!
-//! Tasks were started again after they had ended successfully, and members of gangs waited for
-//! the others in vain. Starts filled the owner's link for a second, and the replies to renewals
-//! took longer than 0.25 s. The owner abandoned these calls and sent new ones, on new
-//! connections, which kept the link full. The replies that it discarded included ends, until
-//! the leases expired and the tasks started elsewhere. The cause was that calls were abandoned
-//! after a fixed timeout and repeated at a fixed interval. Log line 373 showed 32 answered and
-//! 342 abandoned calls in a second; the same owner has 248 answered and no abandoned calls
-//! while its link is free.
+//! The tests guard against tasks that are started again after they have ended successfully, and
+//! against members of gangs that wait in vain for the others. Start commands filled the owner's
+//! link for a second, and the replies to renewals took longer than their fixed timeout of 0.25 s.
+//! The owner abandoned these calls and repeated them at a fixed interval, on new connections,
+//! which kept the link full. The replies that it discarded reported ends; then the leases expired
+//! and the tasks started elsewhere. The owner's log lines with code 373 showed 32 answered and
+//! 342 lost calls in a second; the same owner has 248 answered and no lost calls while its link
+//! is free.
 
 use std::time::Duration;
 
@@ -15,9 +15,9 @@
 use site::TestCell;
 use site::job;
 
-/// Guards against losing ends that workers report in time, but whose replies arrive late.
+/// Guards against discarding ends whose reports arrive late: each reply of a worker takes 0.7 s.
 #[tokio::test(flavor = "multi_thread")]
-async fn late_replies_are_handled() {
+async fn ends_in_late_replies_are_not_discarded() {
     let cell = TestCell::open(2, 3).await;
     let caller = Caller::new();
     let path = "/plain/00000000000000e1";
@@ -35,7 +35,8 @@
     cell.close().await;
 }
 
-/// Guards against calls that time out due to a full link and keep it full by being repeated.
+/// Guards against calls that time out because the link is full, and whose repetitions keep it
+/// full.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_burst_of_starts_does_not_keep_the_link_full() {
     let cell = TestCell::open_limited(0.6, 2, 80).await;
@@ -61,7 +62,7 @@
         assert_eq!(
             cell.log.starts(id),
             4,
-            "{path}: starts in progress were stopped"
+            "{path}: tasks were started more than once"
         );
     }
     cell.close().await;
--- a/crates/cell/tests/log_reader.rs
+++ b/crates/cell/tests/log_reader.rs
@@ -1,4 +1,4 @@
-//! A stalled reader of the log does not delay decisions.
+//! A process whose log is not read: jobs are not delayed, and dropped lines are reported.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -13,16 +13,16 @@
 use site::TestCell;
 use site::job;
 
-/// Number of lines that exceeds the log's buffer.
+/// More lines than the log's buffer takes.
 const FLOOD_LINES: u32 = 20_000;
 
-/// Time limit of a job while the output is stalled; otherwise it takes 0.1 s.
+/// Time limit of a job while the output is stalled; while it is not, a job takes 0.1 s.
 const JOB_LIMIT: Duration = Duration::from_secs(10);
 
-/// Time within which dropped lines are reported.
+/// Time for which the reporting task runs; dropped lines are reported within it.
 const REPORT_LIMIT: Duration = Duration::from_secs(6);
 
-/// An output of the log that can stall.
+/// An output of the log whose writes block while it is stalled, as those to a full pipe do.
 #[derive(Clone, Debug, Default)]
 struct StallingOutput {
     state: Arc<(Mutex<State>, Condvar)>,
@@ -72,7 +72,7 @@
     guard
 }
 
-/// Logs more lines than the buffer holds, on a separate thread.
+/// Logs more lines than fit into the buffer, on a separate thread.
 async fn flood() {
     let (done, flooded) = tokio::sync::oneshot::channel();
     std::thread::spawn(move || {
@@ -84,10 +84,9 @@
     let _ = flooded.await;
 }
 
-// The reader of a process's log may stall, and a full pipe blocks the thread that writes to it.
-// Jobs must still be accepted, started and ended, and the log must report the number of dropped
-// lines once. It reported it twice when the reporting task was restarted, as happens when
-// settings are read again, and started counting from zero.
+/// Guards against jobs that wait because the reader of the log has stalled: a full pipe blocks the
+/// thread that writes to it. Also guards against reporting the number of dropped lines twice: the
+/// reporting task is restarted when the settings are read again, and counted from zero then.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stalled_log_reader_does_not_delay_jobs() {
     let output = StallingOutput::default();
@@ -106,12 +105,12 @@
     output.set_stalled(false);
     for _ in ["before", "after settings were read again"] {
         let report = tokio::time::timeout(REPORT_LIMIT, guard.report_dropped()).await;
-        assert!(report.is_err(), "the report never ends by itself");
+        assert!(report.is_err(), "the reporting task ended by itself");
     }
 
     assert!(flooded.is_ok(), "a log call waited for the output");
     assert!(worked.is_ok(), "the job waited for the output");
     let reports = output.text().matches("log lines dropped").count();
-    assert_eq!(reports, 1, "one report for the time with a stalled output");
+    assert_eq!(reports, 1, "reports of the lines dropped during the stall");
     cell.close().await;
 }
--- a/crates/cell/tests/log_volume.rs
+++ b/crates/cell/tests/log_volume.rs
@@ -73,8 +73,8 @@
     guard
 }
 
-/// The log lines of one job (accepted, ended) take 317 bytes, those of one start (sent, ended)
-/// 367 bytes. One more line for each exceeds the limits.
+/// The log lines of one job (codes 401 and 362: accepted, ended) take 317 bytes, those of one
+/// start (codes 350 and 354: sent, ended) 367 bytes. One more line for each exceeds the limits.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_log_bytes_of_jobs_and_starts_stay_within_limits() {
     let output = LogOutput::default();
@@ -100,6 +100,7 @@
     cell.close().await;
 }
 
+/// Submits a job for each number and waits until all are completed.
 async fn run_jobs(cell: &TestCell, caller: &Caller, numbers: Range<u32>) {
     let path = |number: u32| format!("/plain/{number:016x}");
     for number in numbers.clone() {
--- a/crates/cell/tests/metrics.rs
+++ b/crates/cell/tests/metrics.rs
@@ -49,8 +49,8 @@
     cell.close().await;
 }
 
-/// Guards against a former owner that still reports the pool's load: the owner set the gauges,
-/// and nothing cleared them when the process lost the pool.
+/// Guards against a former owner that still reports the pool's load: the gauges that it had set as
+/// the owner were not cleared when it lost the pool.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_former_owner_reports_no_load() {
     let cell = TestCell::open(2, 1).await;
@@ -62,11 +62,12 @@
     cell.store_proxies[former].set_cut(true);
     cell.wait_owner(|next| next != former).await;
     cell.store_proxies[former].set_cut(false);
-    let epoch = "clovermount_epoch 0";
+    // A process that does not own the pool reports epoch 0.
+    let no_epoch = "clovermount_epoch 0";
     while !caller
         .text(cell.metrics(former), "/metrics")
         .await
-        .contains(epoch)
+        .contains(no_epoch)
     {
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
     }
--- a/crates/cell/tests/overload.rs
+++ b/crates/cell/tests/overload.rs
@@ -1,12 +1,12 @@
-//! An owner whose host cannot keep up with the pool.
+//! An owner whose host has too few cores for the pool.
 //!
-//! For 18 s, members of gangs waited in vain and a fifth of the requests failed, while larger
-//! hosts were idle. All larger hosts had lost power for 2 s and a small one had taken the pool;
-//! when the larger ones were back, they did not take the pool since the small host renewed its
-//! ownership. The cause was that a pool was taken over only once it was released or its
-//! ownership had expired. Log line 330 showed a host
-//! with 0.12 of a core as the owner, and line 373 replies that took 1.2 s until the next line
-//! 330.
+//! The tests guard against a pool that stays with a small host while larger ones are idle. All
+//! larger hosts had lost power for 2 s, and a host with 0.12 of a core had taken the pool. It
+//! could not keep up: for 18 s, members of gangs waited in vain for the others and a fifth of the
+//! requests failed. The larger hosts did not take the pool, because the small one renewed its
+//! ownership, and a pool was taken only once it was released or its ownership had expired. The log
+//! showed `pool opened` (code 330) on the small host and, until the next `pool opened`, replies
+//! that took 1.2 s (`slowest_ms` in the lines with code 373).
 
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
 use site::TestCell;
 use site::job;
 
-/// Time within which a take-over would have happened.
+/// Longer than it takes until a larger host takes the pool from one that cannot keep up.
 const TAKEOVER_TIME: Duration = Duration::from_secs(4);
 
-/// A cell whose first host is small and owns the pool.
+/// Opens a cell whose first host is small and owns the pool; the second host is not running.
 async fn owned_by_a_small_host() -> TestCell {
     let mut cell = TestCell::open(2, 3).await;
     cell.kill(0).await;
@@ -28,7 +28,7 @@
     cell
 }
 
-/// Guards against a pool that stays with an owner that cannot keep up.
+/// Guards against a pool that stays with a small owner whose workers take 0.4 s for each reply.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_larger_host_takes_the_pool_from_one_that_cannot_keep_up() {
     let mut cell = owned_by_a_small_host().await;
@@ -48,7 +48,7 @@
     cell.close().await;
 }
 
-/// Guards against taking the pool from an owner that keeps up.
+/// Guards against a larger host that takes the pool from an owner which keeps up with it.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_that_keeps_up_keeps_the_pool() {
     let mut cell = owned_by_a_small_host().await;
--- a/crates/cell/tests/refusals.rs
+++ b/crates/cell/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! Jobs that a successor fails because no worker could ever run them.
+//! Jobs that a successor may or may not fail because no worker could ever run them.
 
 use std::time::Duration;
 
@@ -12,8 +12,8 @@
 const REGISTRATION_WAIT: Duration = Duration::from_millis(5_500);
 
 /// Guards against failing a gang that fits into the pool. One of two workers dies together with
-/// the owner. The successor knows the dead worker only from its row, which had no capacity, and
-/// judged the gang by the other worker alone.
+/// the owner, so the successor finds only the worker's row, which did not state its capacity, and
+/// it counted only the other worker, which is too small for the gang.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_gang_is_not_failed_because_a_worker_died_with_the_owner() {
     let mut cell = TestCell::open(2, 2).await;
--- a/crates/cell/tests/restarts.rs
+++ b/crates/cell/tests/restarts.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// Waits until the jobs have a status.
+/// Waits until the jobs with ids from `first` on have the status `state`.
 async fn wait_jobs(cell: &TestCell, caller: &Caller, first: u64, count: u64, state: &str) {
     for id in first..first + count {
         caller.wait_state(&cell.servers(), &path(id), state).await;
@@ -52,8 +52,9 @@
     cell
 }
 
-/// Guards against ends of a new incarnation that are taken for those of the former one, so
-/// that the worker removes them before the owner has received them.
+/// Guards against losing ends of a new incarnation. Workers number their ends, and a new
+/// incarnation starts again at 1: an acknowledgement of the many ends of the former incarnation
+/// would cover ends of the new one that the owner has not received.
 #[tokio::test(flavor = "multi_thread")]
 async fn tasks_done_on_restarted_workers_do_not_run_again() {
     let caller = Caller::new();
@@ -67,7 +68,8 @@
     cell.close().await;
 }
 
-/// Guards against failed runs of a new incarnation that are not counted as attempts.
+/// Guards against failed runs of a new incarnation that are not counted as attempts, so that the
+/// task is started more often than allowed.
 #[tokio::test(flavor = "multi_thread")]
 async fn failed_runs_on_restarted_workers_are_counted() {
     let caller = Caller::new();
@@ -87,12 +89,12 @@
     cell.close().await;
 }
 
-/// Largest number of starts of a task that crashes each worker: the platform allows two more
-/// after three crashes.
+/// Largest number of starts of a task that crashes each worker. After three crashes, the
+/// platform tolerates two more starts of the task.
 const MAX_STARTS: usize = 5;
 
-/// Guards against a worker's crash that is not counted because a worker with the same id is
-/// back.
+/// Guards against a crash that is not counted against the task because the worker has restarted
+/// under the same id before the owner notices the crash.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_task_that_crashes_restarting_workers_fails() {
     let cell = TestCell::open_stable_ids(2, 6).await;
@@ -148,10 +150,10 @@
     cell.close().await;
 }
 
-/// Guards against renewals for a former incarnation that acknowledge the ends of the next one,
-/// or give it a lease that the owner does not know of.
+/// Guards against renewals sent to a former incarnation that reach the next one and acknowledge
+/// its ends, or extend its lease although the owner has not recorded a lease for it.
 #[tokio::test(flavor = "multi_thread")]
-async fn renewals_delayed_across_a_restart_are_harmless() {
+async fn renewals_delayed_across_a_restart_cause_no_violations() {
     let caller = Caller::new();
     let cell = open_with_history(&caller).await;
     for supervisor in &cell.supervisors {
@@ -162,8 +164,8 @@
     assert_jobs_complete(cell, &caller, &restarts).await;
 }
 
-/// Guards against inferring the order of two incarnations from their start times: the clock of
-/// a worker may be set back.
+/// Guards against inferring the order of two incarnations from their start times: if the worker's
+/// clock was set back, the later incarnation has the earlier start time and would be ignored.
 #[tokio::test(flavor = "multi_thread")]
 async fn workers_whose_clock_was_set_back_are_used_again() {
     let caller = Caller::new();
@@ -176,9 +178,9 @@
     assert_jobs_complete(cell, &caller, &[restart; 2]).await;
 }
 
-/// Guards against restarts that no worker report and no registration shows because another
-/// restart follows, and against registrations that are written long after the worker has
-/// answered.
+/// Guards against a worker that is no longer used after two restarts in a row, the first of which
+/// no worker report and no registration shows, or after a restart whose registration is written
+/// long after the new incarnation has answered the owner's calls.
 #[tokio::test(flavor = "multi_thread")]
 async fn workers_that_restart_twice_in_a_row_are_used_again() {
     let caller = Caller::new();
@@ -192,8 +194,8 @@
     assert_jobs_complete(cell, &caller, &[quick, quick, late_registration, quick]).await;
 }
 
-/// Guards against a list of machines that was made while a worker was down, arrives after its
-/// restart and ends the next incarnation.
+/// Guards against counting a running incarnation as ended because of an older list of machines:
+/// the list was made while the worker was down and arrives after its restart.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_late_list_of_machines_does_not_end_the_next_incarnation() {
     let caller = Caller::new();
@@ -204,8 +206,9 @@
     assert_jobs_complete(cell, &caller, &restarts).await;
 }
 
-/// Guards against a successor that takes the runs of an incarnation unknown to it for those of
-/// the incarnation that its predecessor used.
+/// Guards against a successor that takes the runs of a new incarnation for those of the former
+/// incarnation, which the worker's row names. The workers restart between the death of the owner
+/// and the take-over, and once more after that.
 #[tokio::test(flavor = "multi_thread")]
 async fn owners_killed_while_workers_restart_cause_no_violations() {
     let caller = Caller::new();
@@ -252,9 +255,9 @@
     cell.close().await;
 }
 
-/// Guards against a worker report of another writer that ends a worker's incarnation because
-/// it names none. Such reports change nothing, and the worker counts as silent until it
-/// reports its incarnation again.
+/// Guards against counting an incarnation as ended because a worker report names no incarnation.
+/// The owner ignores such reports, and the worker counts as unresponsive until it reports its
+/// incarnation again.
 #[tokio::test(flavor = "multi_thread")]
 async fn worker_reports_without_an_incarnation_are_ignored() {
     let caller = Caller::new();
@@ -294,8 +297,9 @@
     cell.close().await;
 }
 
-/// Guards against an owner that has lost the pool, cannot write, and uses incarnations that
-/// started after its successor had claimed their workers.
+/// Guards against a former owner that uses incarnations which started after its successor had
+/// claimed their workers. It cannot write the row of a new incarnation, so as long as writes are
+/// refused, no task may start on one.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_incarnation_is_not_used_before_its_row_is_written() {
     let caller = Caller::new();
@@ -319,8 +323,9 @@
     cell.close().await;
 }
 
-/// Guards against an owner that releases the pool because a start command, delayed until the
-/// next incarnation, was refused, and the owner took the refusal as a sign of a successor.
+/// Guards against an owner that releases the pool although there is no successor. A start command
+/// is delayed until the worker has restarted; the next incarnation refuses it, and the owner took
+/// this refusal for that of a worker which a successor has claimed.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_start_refused_by_the_next_incarnation_does_not_depose_the_owner() {
     let caller = Caller::new();
@@ -341,8 +346,8 @@
     cell.close().await;
 }
 
-/// Guards against an acknowledgement for a former incarnation that reaches the next one after
-/// a start command, and removes the end of that run before any owner has received it.
+/// Guards against an acknowledgement sent to a former incarnation that reaches the next one after
+/// a start command, and removes the end of the started run before any owner has received it.
 #[tokio::test(flavor = "multi_thread")]
 async fn acknowledgements_that_reach_the_next_incarnation_remove_no_end() {
     let caller = Caller::new();
@@ -361,8 +366,9 @@
     cell.close().await;
 }
 
-/// Guards against an acknowledgement that is sent while a start command is in transit, which
-/// the next incarnation may carry out first.
+/// Guards against an acknowledgement that is sent while a start command is in transit: if the
+/// worker restarts, the next incarnation may carry out the start first, and the acknowledgement
+/// would then remove the end of its run.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_end_is_acknowledged_while_a_start_is_in_transit() {
     let caller = Caller::new();
@@ -376,8 +382,8 @@
     cell.close().await;
 }
 
-/// Guards against an acknowledgement that is sent while a start command that the owner has
-/// abandoned may still be carried out.
+/// Guards against an acknowledgement that is sent while a start command that got no reply may
+/// still be carried out; the acknowledgement could remove the end of its run.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_end_is_acknowledged_while_an_unanswered_start_may_arrive() {
     let caller = Caller::new();
@@ -411,8 +417,8 @@
     assert!(claimed.is_ok(), "the next incarnation is not claimed");
 }
 
-/// Guards against commands for a former incarnation that the next one carries out after it was
-/// claimed.
+/// Guards against commands sent to a former incarnation that the next one carries out after the
+/// owner has claimed it: the higher fencing token makes it refuse them.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_next_incarnation_is_claimed_with_a_higher_token() {
     let cell = TestCell::open_stable_ids(1, 1).await;
@@ -425,8 +431,9 @@
     cell.close().await;
 }
 
-/// Guards against an unanswered start command that reaches the next incarnation after that has
-/// carried out a renewal: the task may run elsewhere by then.
+/// Guards against an unanswered start command that the next incarnation carries out after a
+/// renewal: the task may run elsewhere by then. The renewal has a higher fencing token, so the
+/// start is refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn commands_after_an_unanswered_start_have_a_higher_token() {
     let caller = Caller::new();
@@ -448,8 +455,9 @@
     cell.close().await;
 }
 
-/// Guards against a row of the former incarnation, whose write was in progress, that allows
-/// the next one to be used before its own row is written.
+/// Guards against using an incarnation before its row is written. A write of the row of the former
+/// incarnation was in progress during the restart, and the owner took its completion for that of
+/// the next incarnation's row.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_row_of_a_former_incarnation_does_not_allow_the_next_one() {
     let cell = TestCell::open_stable_ids(1, 1).await;
--- a/crates/cell/tests/retention.rs
+++ b/crates/cell/tests/retention.rs
@@ -8,14 +8,14 @@
 use site::WAIT_LIMIT;
 use site::job;
 
-/// Time between two checks of the store.
+/// Time between two checks whether the rows of the jobs were removed.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Guards against a job that runs again half a minute or more after it was done. The store had
-/// dropped its history, so the owner read all rows of jobs. While this read was in progress,
-/// the job's row was removed since the job had ended long ago, and the owner dropped it from
-/// memory. The rows that arrived then still contained the job, and the owner took it for a new
-/// one.
+/// dropped its history of changes, so the owner read all rows of jobs. While this read was in
+/// progress, the owner removed the job's row, because the job had ended long ago, and dropped the
+/// job from memory. The reply to the read still contained the row, and the owner took the job for
+/// a new one.
 #[tokio::test(flavor = "multi_thread")]
 async fn rows_read_before_their_removal_start_no_job_again() {
     let cell = TestCell::open_retaining(1, 2, 0.0).await;
--- a/crates/cell/tests/rows.rs
+++ b/crates/cell/tests/rows.rs
@@ -74,7 +74,7 @@
     );
 }
 
-/// Both versions are in service while a cell is replaced process by process.
+/// While a cell is updated process by process, processes of both versions run at the same time.
 #[test]
 fn the_previous_version_reads_a_worker_row() {
     let row = used_worker(resources(), &["a", "r1-1"]);
@@ -112,7 +112,7 @@
     assert_eq!(decoded, Ok(expected));
 }
 
-/// While a cell is updated, processes of both versions own the pool in turn.
+/// While a cell is updated, the pool may pass between owners of both versions.
 #[test]
 fn the_earliest_version_reads_a_worker_row() {
     let row = encode_row(&used_worker(resources(), &["a", "r1-1"]));
@@ -157,8 +157,8 @@
     assert_eq!(decoded, Ok(with_crashes()));
 }
 
-/// While a cell is updated, processes of both versions own the pool in turn. If one could not
-/// read a row of the other, the row's job would never be continued.
+/// While a cell is updated, the pool may pass between owners of both versions. An owner that could
+/// not decode a row of progress written by the other version would never continue the row's job.
 #[test]
 fn both_versions_read_the_progress_of_both() {
     let previous = WithoutCrashes {
--- a/crates/cell/tests/scale.rs
+++ b/crates/cell/tests/scale.rs
@@ -5,11 +5,11 @@
 use cell::takeover_delay;
 use site::TestCell;
 
-/// Guards against a pool that is taken over every two seconds after its owner has died, so that
-/// no job is served, as seen with 299 hosts. All hosts saw that the pool was free; each waited
-/// for its take-over delay and then wrote without reading the row again. Up to a hundred writes, and
-/// behind them the renewals of the new owner, were queued in the owner's part of the store, and
-/// the ownership expired. The cause was that the row was read only before the wait.
+/// Guards against a pool whose owner changes every two seconds, so that no task starts, after the
+/// former owner of a cell with 299 hosts has died. Each host read that the pool was free, waited
+/// for its take-over delay and then wrote the ownership row without reading it again. Up to a
+/// hundred writes, and behind them the renewals of the new owner, were queued in the owner's part
+/// of the store, so the ownership expired.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_free_pool_is_taken_with_few_writes() {
     let mut cell = TestCell::open(12, 1).await;
@@ -18,18 +18,18 @@
 
     cell.kill(owner).await;
     cell.wait_owner(|next| next != owner).await;
-    // By then the take-over delay of each host has ended.
+    // After this time, the take-over delay of each host has ended.
     tokio::time::sleep(Duration::from_millis(600)).await;
     let writes = cell.store.transactions(cell::OWNERSHIP_TABLE) - before;
     assert!(writes <= 4, "{writes} hosts wrote");
     cell.close().await;
 }
 
-/// Guards against a small host that takes a free pool before larger hosts have restarted. In
-/// one of nine trials, nothing started for 5.7 s after the owner was killed together with a
-/// third of all hosts: a host with 0.12 of a core took the pool while the larger ones were
-/// restarting, read for 2.4 s and could not keep up with 350 workers. It had waited for 0.4 s,
-/// and a killed process is back after 0.6 s.
+/// Guards against a small host that takes a free pool before larger hosts have restarted. A killed
+/// process restarts within 0.6 s, but a host with 0.12 of a core waited for only 0.4 s: it took
+/// the pool of an owner that was killed together with a third of all hosts, needed 2.4 s to read
+/// the stored state and could not keep up with 350 workers. No task started for 5.7 s (in one of
+/// nine runs).
 #[test]
 fn a_small_host_takes_a_free_pool_only_after_larger_hosts_have_restarted() {
     const RESTART_TIME: Duration = Duration::from_millis(600);
--- a/crates/cell/tests/slow_links.rs
+++ b/crates/cell/tests/slow_links.rs
@@ -1,11 +1,11 @@
 //! Hosts with a slow link to the store: reads take seconds.
 //!
-//! The tests with a slow feed guard against tasks that were started for jobs cancelled 17 s
-//! before, and against tasks that ran again after they were done. A host on a slow link took
-//! the pool and read all jobs for 4 s. The changes made meanwhile took longer than 0.6 s to
-//! arrive; the owner abandoned that read and repeated it without end. The cause was a fixed
-//! timeout for the reply of the feed. Log line 339 ("jobs cannot be read") showed it, without a
-//! line 349 after it.
+//! The tests with a slow feed guard against tasks that start for jobs cancelled 17 s before, and
+//! against tasks that run again after they are done. A host on a slow link took the pool and
+//! needed 4 s to read all jobs. The feed's reply with the changes made meanwhile took longer than
+//! its fixed timeout of 0.6 s, so the owner abandoned each read of the feed and repeated it
+//! without end. The log showed `jobs cannot be read` (code 339) and no `jobs can be read again`
+//! (code 349) after it.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -23,11 +23,10 @@
 use site::TestCell;
 use site::job;
 
-/// Guards against a pool that no host keeps: after the owner was cut off nothing ran any more,
-/// and the log showed `pool opened` and `pool lost` in turn on one host after the other. The
-/// successor read the jobs for longer than an ownership lasts without renewal; the next host
-/// took the pool and read for as long. The cause was that an owner renewed only once it had
-/// read everything.
+/// Guards against a pool that no host keeps, in which no task starts. A new owner renewed its
+/// ownership only after it had read all jobs, which took longer than an ownership lasts without a
+/// renewal; then the next host took the pool and read for as long. The log showed `pool opened`
+/// and `pool lost` on one host after the other.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_whose_first_read_takes_long_keeps_the_pool() {
     let mut cell = TestCell::open(3, 2).await;
@@ -48,14 +47,14 @@
     cell.close().await;
 }
 
-/// Guards against an owner that keeps the pool while it reads, although it has to stop: nothing
-/// started for seconds while hosts were stopped in turn. A host took the pool and read the
-/// state of the former owner; when it was asked to stop, it went on reading and renewing, and
-/// released the pool only after that. The cause was that an owner did not check for a stop
-/// while it read.
+/// Guards against an owner that keeps the pool while it reads the state of the former owner,
+/// although it was asked to stop: it checked for this only after the read, and renewed its
+/// ownership until then. No task started for seconds while hosts were stopped one after the
+/// other.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_that_has_to_stop_while_it_reads_releases_the_pool() {
-    // A process that stops drains for 2.6 s; a free pool is taken within a second.
+    // A process that stops serves its callers for another 2.6 s; a free pool is taken within a
+    // second.
     const RELEASE_TIME: Duration = Duration::from_millis(3600);
     let mut cell = TestCell::open(3, 1).await;
     let first = cell.wait_owner(|_| true).await;
@@ -82,8 +81,8 @@
 /// Time within which the tasks of a cancelled job have to end.
 const END_TIME: Duration = Duration::from_secs(8);
 
-/// A cell that runs a job of two long tasks, and whose feed of job rows takes `delay` to
-/// answer.
+/// Opens a cell that runs a job of two long tasks, and whose feed of job rows takes `delay` for
+/// each reply.
 async fn with_slow_feed(id: JobId, delay: Duration) -> (TestCell, Caller) {
     let cell = TestCell::open(2, 1).await;
     let caller = Caller::new();
@@ -112,10 +111,10 @@
     ended()
 }
 
-/// Guards against an owner that never learns of cancellations, since its reads of the feed time
+/// Guards against an owner that never receives cancellations, because its reads of the feed time
 /// out.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_owner_with_a_slow_feed_learns_of_cancellations() {
+async fn an_owner_with_a_slow_feed_receives_cancellations() {
     const ID: JobId = 0xd2;
     let (cell, _) = with_slow_feed(ID, Duration::from_millis(1500)).await;
 
@@ -135,7 +134,7 @@
 }
 
 /// Guards against tasks that start, or keep running, until the feed delivers the cancellation of
-/// their job.
+/// their job, here after 30 s: the process that stores the cancellation has to notify the owner.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_that_cannot_read_the_feed_is_notified_of_cancellations() {
     const ID: JobId = 0xd3;
--- a/crates/cell/tests/stale.rs
+++ b/crates/cell/tests/stale.rs
@@ -1,4 +1,4 @@
-//! Replies of an owner whose information may be out of date.
+//! Replies of an owner whose information about jobs may be out of date.
 
 use std::time::Duration;
 
@@ -10,7 +10,8 @@
 use site::TestCell;
 use site::job;
 
-/// Longer than the age that information in replies to callers may have.
+/// Longer than the greatest age of the information that an owner may still use in replies to
+/// callers.
 const STALE_AFTER: Duration = Duration::from_millis(2_600);
 
 /// Opens a cell whose workers are fully booked for the whole test.
@@ -56,8 +57,8 @@
 }
 
 /// Guards against the reply that no job waits while six do. The owner's process is cut off from
-/// the store and from the workers; another process takes the pool and accepts jobs. The former
-/// owner is not notified, and went on answering with old information.
+/// the store and from the workers, so nothing notifies it that another process has taken the pool
+/// and accepts jobs; it went on answering with old information.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_that_was_cut_off_gives_no_count_or_status() {
     let (cell, caller) = open(2, 1).await;
@@ -75,8 +76,8 @@
     cell.close().await;
 }
 
-/// Guards against an old count from an owner whose process was frozen and is queried as soon as
-/// it continues.
+/// Guards against an outdated count of waiting jobs from an owner whose process was frozen and is
+/// queried as soon as it continues.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_that_was_frozen_gives_no_stale_count() {
     let (cell, caller) = open(2, 1).await;
@@ -107,9 +108,9 @@
     cell.close().await;
 }
 
-/// Guards against an old count from an owner whose store refuses reads but carries out
-/// transactions. The store counted as unreachable, so nothing was accepted, and the owner went
-/// on answering with old information for as long as that lasted.
+/// Guards against an outdated count of waiting jobs from an owner whose store refuses reads but
+/// carries out transactions. The owner's process counted the store as unreachable; it assumed that
+/// no process could accept a job and went on answering with old information.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_that_can_write_but_not_read_gives_no_count() {
     let (cell, caller) = open(1, 1).await;
@@ -127,9 +128,9 @@
     cell.close().await;
 }
 
-/// While the store is down for all processes, no job is accepted and no other process takes the
-/// pool, so the owner's information stays valid and it goes on answering. Replies of more than
-/// half of the workers confirm its ownership, so one late worker does not matter.
+/// While the store is down for all processes, no job is accepted and no other process can take the
+/// pool, so the owner's information stays valid and the owner goes on answering. Replies of more
+/// than half of the workers confirm its ownership, so it answers even if one of them is late.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_goes_on_answering_while_the_store_is_down() {
     let (cell, caller) = open(2, 3).await;
--- a/crates/cell/tests/states.rs
+++ b/crates/cell/tests/states.rs
@@ -1,4 +1,4 @@
-//! Job status and queue lookups while the owner changes or the store is unreachable.
+//! Replies about jobs and queues while the owner changes or the store is unreachable.
 
 use std::time::Duration;
 
@@ -37,8 +37,9 @@
 }
 
 /// Guards against a job that is shown as active and then as pending. The owner is killed before a
-/// task has ended, so the store holds only the job's row. Processes took this for a job of which
-/// nothing had started, and so did the successor until it had the reports of the workers.
+/// task has ended, so the store contains only the job's row. The other processes took this for a
+/// job of which no task had started, and so did the successor until it had received the reports
+/// of the workers.
 #[tokio::test(flavor = "multi_thread")]
 async fn job_status_does_not_go_back_when_the_owner_dies() {
     let mut cell = TestCell::open(2, 2).await;
@@ -60,7 +61,8 @@
 }
 
 /// Guards against a 404 for a queue that was added seconds before. The process cannot read the
-/// store, and answered from its old configuration.
+/// store and answered from the configuration that it had read before. While that is too old, an
+/// unlisted queue has to be answered with 503.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_old_configuration_does_not_rule_out_a_queue() {
     let cell = TestCell::open(2, 1).await;
--- a/crates/cell/tests/stops.rs
+++ b/crates/cell/tests/stops.rs
@@ -13,8 +13,9 @@
 /// Longer than the timeout of any call to the store.
 const HANG_TIME: Duration = Duration::from_secs(30);
 
-/// Guards against a process that tries to read the pool it has taken for as long as the store
-/// does not answer, and is then killed together with its callers' requests.
+/// Guards against a process that does not stop within its grace period, and is killed while it
+/// still serves requests of callers. It has taken the pool, and kept trying to read the former
+/// owner's state from a store that does not answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_process_that_cannot_read_the_pool_it_took_stops_in_time() {
     let mut cell = TestCell::open(2, 1).await;
--- a/crates/cell/tests/store_refusals.rs
+++ b/crates/cell/tests/store_refusals.rs
@@ -1,5 +1,5 @@
-//! A store that refuses some of its parts, or one of the hosts, and serves the others: jobs are
-//! still accepted, and only once.
+//! A store that refuses calls for one of its parts, or calls from one of the hosts, and serves the
+//! others: jobs are still accepted, and only once.
 
 use std::time::Duration;
 
@@ -20,7 +20,8 @@
     }
 }
 
-/// Opens a cell and completes one job; also returns the usual part of the next job.
+/// Opens a cell and completes one job; also returns the part of the store to which the row of the
+/// job [`ID`] is written first.
 async fn open(processes: usize) -> (TestCell, Caller, &'static str) {
     let cell = TestCell::open(processes, 1).await;
     let caller = Caller::new();
@@ -31,11 +32,11 @@
     (cell, caller, part)
 }
 
-/// Guards against refusing jobs because of one part of the store. While a fifth of the parts was
-/// unavailable, a job was written only to the part that its id selects, and
-/// refused if that part was unavailable.
+/// Guards against refusing a job because one part of the store is unavailable. A job was written
+/// only to the part that its id selects, so while a fifth of the parts was unavailable, a fifth of
+/// the jobs was refused.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_is_accepted_while_its_usual_part_is_unavailable() {
+async fn a_job_is_accepted_while_its_first_part_is_unavailable() {
     let (cell, caller, part) = open(1).await;
     cell.store.set_faults(faults(part));
 
@@ -48,8 +49,9 @@
     cell.close().await;
 }
 
-/// A repeated submission that finds the usual part available again writes a second row of the
-/// job. It must remain one job, and its outcome must not change.
+/// Guards against running a job again because of a second row. Its first part was unavailable, so
+/// its row is in another part; a repeated submission finds the first part available again and
+/// writes a second row there. Both rows must count as one job, and its outcome must not change.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_job_with_two_rows_runs_once() {
     let (cell, caller, part) = open(1).await;
@@ -76,9 +78,10 @@
     cell.close().await;
 }
 
-/// A cancel finds a job whose row is not in its usual part.
+/// Guards against a cancel that looks for the job's row only in its first part: that part was
+/// unavailable when the job was accepted, so the row is in another one.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_outside_its_usual_part_is_cancelled() {
+async fn a_job_outside_its_first_part_is_cancelled() {
     let (cell, caller, part) = open(1).await;
     cell.store.set_faults(faults(part));
     caller.submit(&cell.servers(), PATH, &job(1, "30000")).await;
@@ -93,8 +96,8 @@
     cell.close().await;
 }
 
-/// Guards against refusing callers at a host that the store refuses: they got replies to retry and
-/// missed their objective, while every other host could have accepted their jobs.
+/// Guards against refusing jobs at a host whose calls the store refuses: callers were asked to try
+/// again and missed their objective, while every other host could have accepted their jobs.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_host_that_the_store_refuses_forwards_jobs() {
     let (cell, caller, _) = open(3).await;
@@ -107,7 +110,7 @@
             .send(Method::POST, cell.server(other), PATH, &job(1, "20"))
             .await;
         assert_eq!(status, 200);
-        // By the second submission the host knows that the store does not answer it.
+        // Before the second submission, the host has counted the store as unreachable.
         tokio::time::sleep(Duration::from_millis(900)).await;
     }
 
--- a/crates/cell/tests/template/mod.rs
+++ b/crates/cell/tests/template/mod.rs
@@ -1,8 +1,9 @@
-//! The deployment's settings template with its placeholders filled in.
+//! Settings template of the deployment, with its placeholders filled in.
 
 const TEMPLATE: &str = include_str!("../../../../deploy/settings.yaml");
 
-/// Returns the template with a value for each placeholder.
+/// Returns the template with a value for each placeholder: the addresses that tests check, `x`
+/// for other quoted values and `1` for the rest.
 pub fn filled() -> String {
     let mut text = String::new();
     for line in TEMPLATE.lines() {
--- a/crates/cell/tests/unreachable_workers.rs
+++ b/crates/cell/tests/unreachable_workers.rs
@@ -1,5 +1,5 @@
-//! Workers that are alive, but that some process cannot reach, or that the store or the list of
-//! machines does not show.
+//! Workers that are running, but that some processes cannot reach, or that have no registration,
+//! no row, or no entry in the list of machines.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use site::WAIT_LIMIT;
 use site::job;
 
-/// Waits until a condition holds.
+/// Waits until a condition is met; panics with `failure` after [`WAIT_LIMIT`].
 async fn wait_for(failure: &str, condition: impl Fn() -> bool) {
     let polling = async {
         while !condition() {
@@ -21,7 +21,8 @@
     assert!(reached.is_ok(), "{failure}");
 }
 
-/// Waits until a figure of the pool has a value; figures are published once a second.
+/// Waits until the metric of the pool's figure `figure` has a value; the owner sets these metrics
+/// once a second.
 async fn wait_figure(cell: &TestCell, caller: &Caller, figure: &str, value: u64) {
     let line = format!("clovermount_pool{{figure=\"{figure}\"}} {value}");
     let polling = async {
@@ -38,10 +39,10 @@
 }
 
 /// Guards against a task that runs on two workers at a time after a take-over. The new owner
-/// could not reach the task's worker, waited for the worker's lease to expire and started the
-/// task elsewhere. But the lease never expired: the former owner, cut off from the store, had
-/// learnt from another worker that the pool was lost, and its links still renewed the leases of
-/// all workers that the new owner had not reached.
+/// could not reach the task's worker, waited until the worker's lease must have expired and
+/// started the task elsewhere. But the former owner, cut off from the store, still renewed the
+/// leases of all workers that the new owner had not reached, although a refusal of another worker
+/// had shown it that the pool was lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_deposed_owner_renews_no_lease() {
     const IDS: [&str; 2] = ["00000000000000f3", "00000000000000f4"];
@@ -66,10 +67,10 @@
     cell.close().await;
 }
 
-/// Guards against a worker in use without a row: a successor would not ask it for a report. The
-/// worker had been cut off until its lease expired, while the store accepted no writes; when it
-/// registered again, the removal of its row was still pending and went into the same
-/// transaction as the new row, after it.
+/// Guards against a worker in use without a row, which a successor would not ask for a report. The
+/// worker had been cut off until its lease expired, while the store accepted no writes. When it
+/// registered again, the removal of its row was still pending; the same transaction wrote the new
+/// row and then removed it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_worker_that_registers_again_keeps_its_row() {
     let cell = TestCell::open(1, 1).await;
@@ -103,10 +104,10 @@
     cell.close().await;
 }
 
-/// Guards against a new worker that gets no work for its whole incarnation. It had registered
-/// while the owner, which waited for a silent worker after a take-over, was receiving the list
-/// of machines. That list was older than the worker; since the worker had not answered yet when
-/// the list arrived, the owner counted its incarnation as ended.
+/// Guards against a new worker that gets no work until it restarts. The owner, which waited for an
+/// unresponsive worker after a take-over, requested the list of machines, and the new worker
+/// registered before the reply. The list was older than the worker and did not contain it; since
+/// the worker had not answered any call yet, the owner counted its incarnation as ended.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_list_of_machines_does_not_end_younger_workers() {
     let mut cell = TestCell::open(1, 0).await;
@@ -135,10 +136,10 @@
     cell.close().await;
 }
 
-/// Guards against a task that runs on two workers at a time. The owner is cut off from the
-/// store and from some workers, and continues with the others, which no successor reaches.
-/// Nothing shows this owner that it has lost the pool, so it renews their leases without end,
-/// while its successor counts them as expired.
+/// Guards against a task that runs on two workers at a time. The owner is cut off from the store
+/// and from some workers, and its successor reaches only these. No call shows the former owner
+/// that it has lost the pool, so it renewed the leases of the other workers without end, while the
+/// successor counted these leases as expired.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_that_shares_no_worker_with_its_successor_renews_no_lease() {
     const IDS: [&str; 2] = ["00000000000000f7", "00000000000000f8"];
--- a/crates/cell/tests/unreadable.rs
+++ b/crates/cell/tests/unreadable.rs
@@ -1,4 +1,4 @@
-//! Rows that cannot be decoded: their content is unknown, which differs from a missing row.
+//! Rows that cannot be decoded. They must not be treated as missing rows.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use site::TestCell;
 use site::job;
 
-/// Bytes that decode as none of the stored rows.
+/// Bytes that cannot be decoded as any kind of row.
 const GARBAGE: [u8; 3] = [0xff; 3];
 
 fn overwrite(cell: &TestCell, row: &RowName) {
@@ -22,8 +22,8 @@
     send.await.0
 }
 
-/// Guards against a reply that a job does not exist (410), to its status query and its cancel,
-/// while its row exists but cannot be decoded.
+/// Guards against the reply to a status query or a cancel that the job does not exist (410),
+/// although its row exists and cannot be decoded.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_unreadable_job_is_not_reported_as_missing() {
     let cell = TestCell::open(1, 1).await;
@@ -40,8 +40,8 @@
     cell.close().await;
 }
 
-/// Guards against running a completed job again and showing it as pending. At a take-over the row
-/// of its progress cannot be decoded, and the job was treated as one that had never begun.
+/// Guards against running a completed job again and showing it as pending. The successor cannot
+/// decode the row of the job's progress, and treated the job as one that had never started.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_job_with_unreadable_progress_does_not_run_again() {
     let mut cell = TestCell::open(1, 1).await;
@@ -52,7 +52,7 @@
     cell.kill(0).await;
     overwrite(&cell, &cell::progress_row(0xa3));
     cell.start(0).await;
-    // The successor starts and completes another job, so it would have started this one, too.
+    // The process that was restarted completes another job, so it could have started this one.
     let other = "/plain/00000000000000a4";
     caller.submit(&cell.servers(), other, &job(1, "20")).await;
     caller.wait_state(&cell.servers(), other, "completed").await;
--- a/crates/cell/tests/waiting.rs
+++ b/crates/cell/tests/waiting.rs
@@ -1,5 +1,5 @@
-//! Length of a queue as reported to callers while workers leave start commands unanswered; with
-//! whole processes.
+//! Number of waiting jobs that callers get for a queue while workers leave start commands
+//! unanswered, with whole processes.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
     format!("/plain/{:016x}", 0xf100 + nth)
 }
 
-/// Start commands are carried out so late that none takes effect within the test.
+/// Returns a plan that delays all start commands until after the end of the test.
 fn starts_after_the_test() -> DelayPlan {
     DelayPlan {
         starts: 1.0,
@@ -37,9 +37,10 @@
 }
 
 /// Guards against the reply that no job waits, although six were accepted more than five seconds
-/// before and no worker had begun one of their tasks. The owner had sent start commands that the
-/// workers left unanswered, and counted these tasks as begun. The owner's log showed waiting=1,
-/// ordered=41, unfinished=176.
+/// before and no worker had started one of their tasks. The owner had sent start commands that the
+/// workers left unanswered, and counted these jobs as started. With the same fault, the owner
+/// logged `waiting jobs of a queue counted` (code 372) with waiting=1, ordered=41 (jobs with
+/// unanswered starts) and unfinished=176.
 #[tokio::test(flavor = "multi_thread")]
 async fn jobs_whose_starts_are_unanswered_count_as_waiting() {
     let cell = TestCell::open(2, 2).await;
