--- a/crates/job/src/mechanism.rs
+++ b/crates/job/src/mechanism.rs
@@ -1,5 +1,5 @@
 //! Mechanisms of the scheduling policy that can be disabled to measure their benefit. The
-//! planner's invariants hold without any of them.
+//! planner's invariants are kept without any of them.
 
 use serde::Deserialize;
 use strum::EnumIter;
--- a/crates/job/src/planner/adopt.rs
+++ b/crates/job/src/planner/adopt.rs
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Books and stops a run of an unknown job. The resources that it needs are unknown, too, so
-    /// the worker gets no work until the run has stopped.
+    /// Books and stops a reported run whose job was not read yet. The resources that it needs are
+    /// unknown, so the worker gets no work until the run has stopped.
     fn book_unknown_run(&mut self, key: WorkerKey, running: &ActiveRun) {
         let placed = PlacedRun {
             run: running.run,
--- a/crates/job/src/planner/advice.rs
+++ b/crates/job/src/planner/advice.rs
@@ -46,9 +46,10 @@
     Few,
     /// Some helpers are free: each step may have one call at a time.
     Some,
-    /// Most helpers are free: a gang may have several calls at a time. When gangs could do so at
-    /// any time, their calls took four fifths of the service's time in a fully loaded pool, and
-    /// callers with single tasks got 0.55 instead of 0.97 of their results' value in time.
+    /// Most helpers are free: a gang may have several calls at a time. When gangs could have them
+    /// at any time, their calls took four fifths of the advice service's time in a fully loaded
+    /// pool, which delayed single tasks: the results of these that callers got in time made up 0.55
+    /// instead of 0.97 of the value of all results of single tasks to their callers.
     Most,
 }
 
--- a/crates/job/src/planner/advice_candidates.rs
+++ b/crates/job/src/planner/advice_candidates.rs
@@ -66,7 +66,7 @@
     slow: bool,
 }
 
-/// Workers with enough capacity for a step, by what is known about them from advice calls.
+/// Workers with enough capacity for a step, grouped by the answers of the advice service.
 #[derive(Default)]
 struct ClassifiedWorkers<'a> {
     /// Workers that may run the step.
--- a/crates/job/src/planner/gang.rs
+++ b/crates/job/src/planner/gang.rs
@@ -17,7 +17,7 @@
             return;
         };
         let long_running = spec.long_running;
-        // A checkpoint of any member is valid for all; task 0 holds it.
+        // A checkpoint of any member is valid for all; it is stored with task 0.
         if let Some(first) = step.tasks.first_mut()
             && !end.checkpoint.is_empty()
         {
@@ -41,7 +41,7 @@
     }
 
     /// Stops the remaining members of a run of which one member has ended, was lost or was
-    /// refused. They would wait for that member until the gang's start timeout, and hold their
+    /// refused. They would wait for that member until the gang's start timeout, and occupy their
     /// resources until then.
     pub(super) fn break_gang(&mut self, key: StepKey, run: RunId) {
         let job = self.jobs.get(&key.job);
--- a/crates/job/src/planner/impossible.rs
+++ b/crates/job/src/planner/impossible.rs
@@ -10,11 +10,12 @@
 use crate::StepKey;
 
 impl Planner {
-    /// Fails jobs that could not run even if all workers were empty, so that their callers are
-    /// told without delay and their tasks do not block others.
+    /// Fails jobs that could not run even if all workers were empty, so that their callers get the
+    /// result without delay and their tasks do not block others.
     ///
-    /// A failure is final, so a job is checked against the largest pool seen. When it was checked
-    /// against the current workers, jobs failed that only had to wait for absent workers.
+    /// A failure is final, so a job is checked against the largest pool seen by this owner. When
+    /// jobs were checked against the current workers, some failed that only had to wait for absent
+    /// workers.
     pub(super) fn fail_impossible_jobs(&mut self) {
         self.peak_pools.update(&self.workers);
         // The capacity of an incarnation is unknown until its registration is read.
--- a/crates/job/src/planner/incarnations.rs
+++ b/crates/job/src/planner/incarnations.rs
@@ -66,7 +66,7 @@
         ids.push(old);
     }
 
-    /// Returns whether an incarnation of a worker is known to have ended.
+    /// Returns whether an incarnation of a worker was recorded as ended.
     pub(super) fn has_ended(&self, id: &str, incarnation: Option<IncarnationId>) -> bool {
         let ids = self.0.get(id);
         incarnation.is_some_and(|incarnation| ids.is_some_and(|ids| ids.contains(&incarnation)))
--- a/crates/job/src/planner/mod.rs
+++ b/crates/job/src/planner/mod.rs
@@ -1,13 +1,13 @@
 //! The planner decides which task starts on which worker, and processes worker reports.
 //!
 //! It takes state and events, and returns commands. Times are those of the caller's
-//! monotonic clock. Three invariants hold for every order of events:
+//! monotonic clock. Three invariants are kept in every order of events:
 //!
 //! - a task has at most one run that may be active: another one starts only when the end of
 //!   the former is in a worker report, when a report does not list it any more, when its
 //!   worker's incarnation has ended, or when the worker's lease has expired by the slowest clock;
-//! - a worker is never booked beyond its capacity: resources are released only with the run
-//!   that holds them;
+//! - a worker is never booked beyond its capacity: the resources of a run are released only
+//!   when the run has ended;
 //! - the end of a run counts as recorded only after the progress that contains it was saved.
 
 mod adopt;
@@ -94,8 +94,8 @@
 }
 
 /// Run numbers of a task that are reserved for each epoch. Those of a later epoch are higher
-/// than all of an earlier one, so a successor that does not know the former owner's last start
-/// still assigns higher numbers.
+/// than all of an earlier one, so a successor assigns higher numbers even if the former owner
+/// died before it saved its last start.
 const RUNS_PER_EPOCH: RunId = 100_000;
 
 /// An action for the owner to carry out. Start and stop commands are sent to the worker.
@@ -155,7 +155,7 @@
     run_base: RunId,
     config: Config,
     workers: SlotMap<WorkerKey, WorkerState>,
-    /// Current incarnation of each known worker.
+    /// Current incarnation of each worker.
     by_id: HashMap<WorkerId, WorkerKey>,
     /// Incarnations of workers that have ended.
     ended_incarnations: EndedIncarnations,
@@ -205,8 +205,8 @@
     lost_runs: Vec<LostRun>,
     /// Reported ends of runs whose jobs have not been added yet.
     unmatched_ends: HashMap<JobId, Vec<(WorkerKey, EndedRun)>>,
-    /// After a take-over, the runs of the former owner are not all known, so tasks that it may
-    /// have started are not started again.
+    /// After a take-over, not all workers have reported the former owner's runs yet, so tasks that
+    /// it may have started are not started again.
     recovering: bool,
     /// State that determines until when the former owner may renew leases.
     predecessor: PredecessorAuthority,
@@ -223,8 +223,8 @@
 /// every 0.5 s.
 const LATE_SUBMIT_WINDOW: Duration = Duration::from_secs(2);
 
-/// Time after a take-over for which reported ends of unknown jobs are retained. If such a job
-/// exists, it is read within this time, which is longer than most outages of the store.
+/// Time after a take-over for which reported ends are retained if their job was not read yet. If
+/// the job exists, it is read within this time, which is longer than most outages of the store.
 const UNMATCHED_RETENTION: Duration = Duration::from_secs(30);
 
 impl Planner {
@@ -301,8 +301,8 @@
         }
     }
 
-    /// Adds an accepted job, or cancels a known one if its row is marked as cancelled. `old` is set
-    /// if a former owner may have started the job.
+    /// Adds an accepted job, or cancels one that was added before if its row is marked as
+    /// cancelled. `old` is set if a former owner may have started the job.
     pub fn add_job(&mut self, id: JobId, spec: JobSpec, progress: Option<&Progress>, old: bool) {
         if self.jobs.contains_key(&id) {
             if spec.canceled {
@@ -338,7 +338,7 @@
         }
     }
 
-    /// Cancels a job, unless it has ended or is unknown.
+    /// Cancels a job, unless it has ended or was not added.
     pub fn cancel(&mut self, id: JobId) {
         if self.jobs.get(&id).is_some_and(|job| job.outcome.is_none()) {
             self.finish_job(id, Outcome::Canceled);
@@ -357,9 +357,8 @@
         self.place();
     }
 
-    /// Processes everything that depends on time: leases, recovery, suspects, rounds and
-    /// jobs that can never run. An owner that may not renew leases, and so may start
-    /// nothing, calls this instead of [`Planner::plan`].
+    /// Processes timeouts: of leases, recovery, suspects, rounds and impossible jobs. An owner that
+    /// may not renew leases, and so may start nothing, calls this instead of [`Planner::plan`].
     pub fn process_timeouts(&mut self) {
         self.expire_workers();
         self.end_recovery();
@@ -377,7 +376,7 @@
         std::mem::take(&mut self.commands)
     }
 
-    /// Returns the status of a job to show to callers, or `None` if the job is unknown. An
+    /// Returns the status of a job to show to callers, or `None` if the job was not added. An
     /// outcome is shown only once it is saved: before that, a successor could run the job again
     /// after a caller has seen the outcome.
     #[must_use]
--- a/crates/job/src/planner/peak_pools.rs
+++ b/crates/job/src/planner/peak_pools.rs
@@ -2,9 +2,9 @@
 //!
 //! The current workers do not show which jobs can never run: some workers are absent, some have
 //! not registered yet. So a job is checked against the largest number of workers of each kind
-//! that were known at the same time, and each worker counts with the largest capacity that it
-//! has had. With current capacities, a job failed that only had to wait until its workers grew
-//! again, and a worker that had had two sizes counted as two.
+//! that this owner has had in its roster at the same time, and each worker counts with the largest
+//! capacity that it has registered. With current capacities, a job failed that only had to wait
+//! until its workers grew again, and a worker that had registered two sizes counted as two.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -31,15 +31,15 @@
 /// Largest pool seen of one service.
 #[derive(Debug, Default)]
 struct Pool {
-    /// Largest number of workers of each kind that were known at the same time.
+    /// Largest number of workers of each kind that were in the roster at the same time.
     peak_counts: HashMap<WorkerKind, u64>,
     /// The same numbers by label and capacity; all workers are under the empty label. Workers
     /// have few distinct sizes: checking all waiting steps against each worker took two thirds
     /// of a planning pass with 350 workers and 300 steps.
-    sizes_by_label: HashMap<String, Sizes>,
+    label_sizes: HashMap<String, Sizes>,
     /// When the pool last grew.
     grown_at: Duration,
-    /// The pool has workers of unknown capacity.
+    /// The pool has workers whose capacity was not read yet.
     incomplete: bool,
 }
 
@@ -56,11 +56,11 @@
             return;
         }
         self.grown_at = now;
-        self.sizes_by_label.clear();
+        self.label_sizes.clear();
         for ((capacity, labels), count) in &self.peak_counts {
             let labels: HashSet<&str> = labels.iter().map(String::as_str).collect();
             for label in labels.into_iter().chain([""]) {
-                let sizes = self.sizes_by_label.entry(label.to_owned()).or_default();
+                let sizes = self.label_sizes.entry(label.to_owned()).or_default();
                 *sizes.entry(*capacity).or_default() += count;
             }
         }
@@ -69,7 +69,7 @@
     /// Returns the number of tasks of a step that fit at the same time if all workers are empty.
     fn slots(&self, spec: &StepSpec) -> u64 {
         let booked = spec.booked();
-        let sizes = self.sizes_by_label.get(&spec.label).into_iter().flatten();
+        let sizes = self.label_sizes.get(&spec.label).into_iter().flatten();
         sizes.fold(0, |slots, (capacity, count)| {
             slots.saturating_add(capacity.fit_count(&booked).saturating_mul(*count))
         })
@@ -146,9 +146,9 @@
     workers.values().filter(counts)
 }
 
-/// Returns whether a worker is known only from a row that does not state its capacity. When such
-/// a worker counted as one without resources, a successor that could not read the registrations
-/// failed every job.
+/// Returns whether the owner has only a worker's row, which does not state its capacity, and not
+/// its registration. When such a worker counted as one without resources, a successor that could
+/// not read the registrations failed every job.
 fn capacity_unknown(worker: &WorkerState) -> bool {
     worker.unregistered && worker.largest == Resources::default()
 }
--- a/crates/job/src/planner/preempt.rs
+++ b/crates/job/src/planner/preempt.rs
@@ -62,9 +62,10 @@
     /// Preempts tasks for a gang that does not fit, and reserves their resources for it.
     /// Returns false, and preempts nothing, if that is not enough.
     ///
-    /// In a lightly loaded pool of 350 workers, this raised the share of the value of gangs'
-    /// results that callers got in time from 0.82 to 0.90, and the share of processors in use from
-    /// 0.77 to 0.81.
+    /// Without preemption, a gang waits until enough resources are free at the same time. In a
+    /// lightly loaded pool of 350 workers, the results of gangs that callers got in time made up
+    /// 0.82 of the value of all results of gangs to their callers without preemption, and 0.90 with
+    /// it; the share of processors in use rose from 0.77 to 0.81.
     pub(super) fn preempt_for_gang(
         &mut self,
         rank: Rank,
--- a/crates/job/src/planner/rank.rs
+++ b/crates/job/src/planner/rank.rs
@@ -34,9 +34,10 @@
 const WORK_SHARE: f64 = 0.5;
 
 /// The same share for a gang, which ends with its slowest member. With [`WORK_SHARE`], a backlog
-/// was served in order of due time and most gangs ended just too late: 141 of 269 in a fully
-/// loaded pool. In three such pools with two runs each, the share of the results' value that
-/// callers got in time was 0.610 on average, and 0.635 with this share.
+/// was served in order of due time and most gangs ended just after their objective: 141 of 269 in
+/// a fully loaded pool. In three fully loaded pools (two runs each), the results that callers got
+/// in time made up 0.610 of the value of all results to their callers on average with
+/// [`WORK_SHARE`] for gangs, and 0.635 with this share.
 const GANG_WORK_SHARE: f64 = 1.0;
 
 impl Planner {
@@ -82,9 +83,9 @@
     /// Returns the work of a job relative to the mean of its queue.
     ///
     /// Under a backlog, not all gangs can be in time, and the resources of one large gang are
-    /// enough for several small ones. In two fully loaded pools with two runs each, the
-    /// share of the results' value that callers got in time was 0.643 on average with gangs in
-    /// order of due times, and 0.672 with the relative size.
+    /// enough for several small ones. In two fully loaded pools (two runs each), the results that
+    /// callers got in time made up 0.643 of the value of all results to their callers on average
+    /// with gangs in order of due time, and 0.672 with the relative size.
     fn relative_size(&self, job: &JobState) -> f64 {
         let mean = self.mean_work.get(&job.spec.queue.name);
         let mean = mean.copied().unwrap_or_default();
--- a/crates/job/src/planner/report.rs
+++ b/crates/job/src/planner/report.rs
@@ -345,8 +345,8 @@
         self.clear_run(task, run);
     }
 
-    /// Processes the end of a run for its task and job. The end of a run of an unknown job is
-    /// retained until the job is read.
+    /// Processes the end of a run for its task and job. If the job was not read yet, the end is
+    /// retained until then.
     pub(super) fn run_ended(&mut self, key: WorkerKey, end: &EndedRun) {
         let task = end.task;
         let Some(job) = self.jobs.get_mut(&task.step.job) else {
--- a/crates/job/src/planner/reservations.rs
+++ b/crates/job/src/planner/reservations.rs
@@ -98,8 +98,8 @@
     /// resources as soon as they become free, and a large gang would never start.
     ///
     /// Only what the members need is reserved, on any worker that may run the gang. When the
-    /// smallest number of whole workers that could hold the gang was reserved, these had to
-    /// become empty first: under a backlog 200 of 508 workers were reserved, and a fifth of all
+    /// smallest number of whole workers with enough capacity for the gang was reserved, these had
+    /// to become empty first: under a backlog 200 of 508 workers were reserved, and a fifth of all
     /// processors were idle there.
     ///
     /// More urgent tasks are still placed first in each pass, but on workers without reservations
--- a/crates/job/src/planner/roster.rs
+++ b/crates/job/src/planner/roster.rs
@@ -34,13 +34,11 @@
     Sent,
     /// The worker has confirmed that the run started.
     Running,
-    /// The start command got no reply in time: the run may have started, or may start seconds
-    /// later.
+    /// The start command got no reply in time: the run may have started, or start seconds later.
     Unanswered,
     /// A stop command was issued and is not confirmed yet.
     Stopping,
-    /// The worker has confirmed the stop. The run is dropped with the next report that does not
-    /// list it.
+    /// The worker has confirmed the stop. The next report that does not list the run drops it.
     Stopped,
 }
 
@@ -51,7 +49,7 @@
     pub booked: Resources,
     /// Processors that a filler may use while others leave them free; they are not booked.
     pub filler_cpu: u64,
-    /// The job is unknown, and so are the resources that the run needs.
+    /// The worker reported the run before its job was read, so the resources it needs are unknown.
     pub unknown_size: bool,
     pub phase: RunPhase,
     /// When the current phase began.
@@ -82,8 +80,7 @@
     /// The worker gets no work until it has answered a call sent after that, since the next
     /// incarnation may have a smaller capacity.
     pub reregistration: Option<(WorkerInfo, Duration)>,
-    /// Largest amount of each resource that it has registered; a capacity that has shrunk may
-    /// grow again.
+    /// Largest amount of each resource that it has registered; a shrunk capacity may grow again.
     pub largest: Resources,
     /// Smallest amount of each resource that it has registered.
     pub smallest: Resources,
@@ -246,8 +243,7 @@
         Some(key)
     }
 
-    /// Marks a worker as unregistered, since its registration was removed. Its runs stay booked
-    /// until its lease has expired.
+    /// Records that a worker's registration was removed. Its runs stay booked until its lease ends.
     pub fn deregister_worker(&mut self, id: &str) {
         self.peak_pools.workers_changed(self.now);
         if let Some(key) = self.worker_key(id) {
@@ -474,8 +470,7 @@
         self.record_lost_runs(key, &past_expiry, LossCause::LeaseExpired, 0);
     }
 
-    /// Issues a stop command, unless the run is being stopped already. Its resources stay booked
-    /// until it has ended.
+    /// Issues a stop command, unless the run is being stopped. It stays booked until it has ended.
     pub(super) fn stop_run(
         &mut self,
         worker: WorkerKey,
--- a/crates/job/src/planner/speed.rs
+++ b/crates/job/src/planner/speed.rs
@@ -1,8 +1,9 @@
 //! Learns the speed of each worker from steps whose tasks ran on several workers.
 //!
-//! A gang runs at the speed of its slowest member, while all others hold their processors, and
-//! short tasks on slow workers are late. In the pools that were measured, tasks take 1.3 times
-//! as long on a third of the workers, and no label shows which these are.
+//! A gang runs at the speed of its slowest member, while all others occupy their processors, and
+//! short tasks on slow workers are late. The rule is made for pools in which tasks take 1.3 times
+//! as long on a third of the workers. No label shows which workers are slow, so this is derived
+//! from the durations of completed runs.
 
 use super::Planner;
 use super::WorkerKey;
--- a/crates/job/src/planner/suspicion.rs
+++ b/crates/job/src/planner/suspicion.rs
@@ -36,8 +36,8 @@
 
 /// Number of crashes of any kind after which the next start is a trial. If many tasks crash
 /// workers at the same time, hardly any crash is certain. The limit allows for one start that is
-/// not counted: an owner may die before it has saved the first crash, and its successor does not
-/// know of that one.
+/// not counted: an owner may die before it has saved the first crash, which its successor then
+/// does not count.
 const ANY_CRASH_LIMIT: usize = 3;
 
 /// Number of crashes after which a task's job fails, even if other workers crashed at the same
@@ -68,7 +68,7 @@
     /// Runs whose start got no reply, so that they may not have been on the crashed worker, or
     /// whose worker crashed together with others.
     pub(super) uncertain: BTreeSet<RunId>,
-    /// Intent of the next start, or of the newest one if the end of its run is not known yet.
+    /// Intent of the next start, or of the newest one while the end of its run is not reported yet.
     pub(super) intent: Option<StartIntent>,
     /// No trial starts before this time.
     pub(super) not_before: Duration,
--- a/crates/job/src/renewal.rs
+++ b/crates/job/src/renewal.rs
@@ -10,9 +10,9 @@
 //!   have accepted a command, but at most [`MAX_STORE_OUTAGE`] after the start of that write.
 //! - The owner's workers are those with a row in the store. The successor reads the same rows,
 //!   since only a write of the owner changes them. A worker accepts commands of one owner at a
-//!   time, so once the successor has claimed half of the workers, or knows that they have crashed,
-//!   its predecessor renews leases for at most `MAJORITY_WINDOW` more. A successor that reaches
-//!   fewer workers waits for `MAX_STORE_OUTAGE`.
+//!   time, so once the successor has claimed half of the workers, or found in the list of machines
+//!   that they have crashed, its predecessor renews leases for at most `MAJORITY_WINDOW` more. A
+//!   successor that reaches fewer workers waits for `MAX_STORE_OUTAGE`.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/crates/job/tests/backlog.rs
+++ b/crates/job/tests/backlog.rs
@@ -132,7 +132,7 @@
 
 /// Guards against reservations of whole workers: under a backlog, two fifths of the workers were
 /// reserved for gangs, a fifth of all processors were idle there, and the gangs did not start. The
-/// smallest number of workers that could hold a gang when empty was reserved, while longer tasks
+/// smallest number of workers with enough capacity when empty was reserved, while longer tasks
 /// still ran there, and slots that became free on other workers went to less urgent tasks.
 #[test]
 fn a_gang_reserves_slots_that_become_free_on_any_worker() {
--- a/crates/job/tests/crash_sim/mod.rs
+++ b/crates/job/tests/crash_sim/mod.rs
@@ -66,7 +66,7 @@
     ended: Vec<EndedRun>,
     /// Time of the crash, if there was one.
     pub crashed_at: Option<Duration>,
-    /// The owner has been told that the incarnation has ended.
+    /// The owner has been notified that the incarnation has ended.
     end_known: bool,
     /// The worker runs but answers no calls.
     pub cut_off: bool,
@@ -289,7 +289,7 @@
         }
     }
 
-    /// Runs the simulation until a condition holds; returns whether that happened within `time`.
+    /// Runs the simulation until a condition is met; returns whether that happened within `time`.
     pub fn run_until(&mut self, time: Duration, condition: impl Fn(&CrashSim) -> bool) -> bool {
         let end = self.now + time;
         while self.now < end {
@@ -415,7 +415,7 @@
         }
     }
 
-    /// Returns the newest incarnation on a machine if the planner knows it under this key.
+    /// Returns the newest incarnation on a machine if it has this key in the planner.
     fn incarnation_of(&mut self, key: WorkerKey) -> Option<(usize, &mut Incarnation)> {
         let mut incarnations = self.machines.iter_mut().enumerate();
         incarnations.find_map(|(machine, incarnations)| {
--- a/crates/job/tests/crashes.rs
+++ b/crates/job/tests/crashes.rs
@@ -161,7 +161,7 @@
 }
 
 /// Guards against a trial that no owner counts, since its owner died before it detected the
-/// crash. The start intent is saved before the start, so the successor knows of the trial.
+/// crash. The start intent is saved before the start, so the successor finds the trial there.
 #[test]
 fn the_intent_of_a_trial_is_counted_by_a_successor() {
     let mut sim = CrashSim::new(8);
--- a/crates/job/tests/event_sim/crashes.rs
+++ b/crates/job/tests/event_sim/crashes.rs
@@ -32,7 +32,7 @@
 pub struct Faults {
     /// Number of restarts of the worker on each machine.
     incarnations: [usize; WORKERS],
-    /// Ids of incarnations that have crashed, until the owner is told.
+    /// Ids of incarnations that have crashed, until the owner is notified.
     undetected: Vec<String>,
     /// Number of cores on each machine, and when it last changed.
     cores: BTreeMap<usize, (u64, Duration)>,
--- a/crates/job/tests/event_sim/delivery.rs
+++ b/crates/job/tests/event_sim/delivery.rs
@@ -11,7 +11,7 @@
 use super::SentCommand;
 
 impl EventSim {
-    /// Tells the planner that a command got no reply.
+    /// Reports to the planner that a command got no reply.
     pub(super) fn lose_reply(&mut self, sent: &SentCommand) {
         let key = self.keys[sent.worker];
         match sent.command {
@@ -65,7 +65,11 @@
             Command::Stop { task, run, .. } => {
                 let last_ended = worker.last_ended.entry(task).or_default();
                 *last_ended = run.max(*last_ended);
-                if worker.running.get(&task).is_some_and(|held| held.0 == run) {
+                if worker
+                    .running
+                    .get(&task)
+                    .is_some_and(|active| active.0 == run)
+                {
                     let run = worker.running.remove(&task);
                     worker
                         .stopping
--- a/crates/job/tests/event_sim/mod.rs
+++ b/crates/job/tests/event_sim/mod.rs
@@ -296,7 +296,7 @@
         }
         let token = self.token(machine);
         // A worker that reports its incarnation gets a lease only after it has replied, since the
-        // clock of a new incarnation is unknown.
+        // owner does not have the clock of a new incarnation before.
         if self.workers[machine].in_contact || self.workers[machine].incarnation.is_none() {
             self.planner.extend_lease(key);
             let worker = &mut self.workers[machine];
@@ -331,7 +331,8 @@
                 .collect(),
         };
         self.planner.apply_report(key, self.now, &worker_report);
-        // The planner requests another report if this one came from an unknown incarnation.
+        // The planner requests another report if this one came from an incarnation that it does
+        // not have yet.
         if self.workers[machine].in_contact {
             let worker = &mut self.workers[machine];
             let running = worker.running.iter();
--- a/crates/job/tests/event_sim/worker.rs
+++ b/crates/job/tests/event_sim/worker.rs
@@ -30,7 +30,7 @@
     pub end_count: u64,
     /// Number of the newest end that the owner has acknowledged.
     pub acked: u64,
-    /// The worker has replied to the newest renewal, and the owner knows its current incarnation.
+    /// The worker has replied to the newest renewal, so the owner has its current incarnation.
     pub in_contact: bool,
     /// Number of the newest end when a lease last expired. The planner need not count ends up to
     /// this number, since their tasks may have started elsewhere.
--- a/crates/job/tests/impossible.rs
+++ b/crates/job/tests/impossible.rs
@@ -38,7 +38,7 @@
     labelled_worker
 }
 
-/// Adds a worker that is known only from a row of the former owner.
+/// Adds a worker of which the planner has only the row that the former owner stored.
 fn add_former_worker(planner: &mut Planner, info: WorkerInfo) -> job::WorkerKey {
     let id = info.id.clone();
     let registration = WorkerInfo {
@@ -112,8 +112,8 @@
 }
 
 /// Guards against a take-over after which every job fails. The registrations could not be
-/// read, so the workers were known only from rows of the former owner that do not state
-/// their capacity, which was taken for zero.
+/// read, so the successor had only the rows of the workers, which do not state their capacity,
+/// and took it for zero.
 #[test]
 fn workers_of_unknown_capacity_fail_no_job() {
     let mut planner = planner(2);
--- a/crates/job/tests/incarnation_leases.rs
+++ b/crates/job/tests/incarnation_leases.rs
@@ -65,8 +65,8 @@
 }
 
 /// Guards against a run that is counted as lost when the lease has expired by the clock of the
-/// current incarnation, while an unknown incarnation still has it, with a lease by its own clock
-/// that a late renewal may extend.
+/// current incarnation, while another incarnation, which has not reported yet, still has it. Its
+/// lease is measured by its own clock, and a late renewal may extend it.
 #[test]
 fn an_unreported_start_is_kept_until_no_late_renewal_can_arrive() {
     let mut planner = planner(1);
@@ -81,8 +81,8 @@
     assert_eq!(late[0].0, task);
 }
 
-/// The same run is lost when the usual lease expires if a report of the current incarnation has
-/// listed it.
+/// Guards against waiting longer than needed: if a report of the current incarnation has listed
+/// the run, it is lost as soon as that incarnation's lease has expired.
 #[test]
 fn a_reported_start_is_lost_with_its_lease() {
     let mut planner = planner(1);
@@ -99,8 +99,8 @@
     assert_eq!(late.len(), 1);
 }
 
-/// Guards against a start that reaches an unknown incarnation seconds after it was sent, and
-/// runs there at the same time as the next start of its task.
+/// Guards against a start that reaches an incarnation which has not reported yet, seconds after it
+/// was sent, and runs there at the same time as the next start of its task.
 #[test]
 fn an_unanswered_start_is_kept_until_it_cannot_arrive_late() {
     let mut planner = planner(1);
@@ -152,8 +152,9 @@
     assert_eq!(late.len(), 1);
 }
 
-/// Guards against a successor that waits for an unresponsive worker by the usual lease, while a
-/// command of the former owner gave an unknown incarnation of it the longest one.
+/// Guards against a successor that waits for an unresponsive worker only as long as a normal lease
+/// lasts. A delayed renewal of the former owner may have given a lease of the maximum length to an
+/// incarnation of that worker which has not reported yet.
 #[test]
 fn a_successor_waits_for_an_unresponsive_worker_by_the_longest_lease() {
     let mut planner = planner(2);
--- a/crates/job/tests/incarnations.rs
+++ b/crates/job/tests/incarnations.rs
@@ -261,7 +261,7 @@
     assert_eq!(planner.unfinished(), 0);
 }
 
-/// Guards against starts on an incarnation whose capacity is unknown.
+/// Guards against starts on an incarnation whose capacity, in its registration, was not read yet.
 #[test]
 fn an_unregistered_incarnation_gets_no_work() {
     let mut planner = planner(1);
@@ -283,8 +283,8 @@
     assert_eq!(after.len(), 2);
 }
 
-/// Guards against failing a job as impossible while the capacity of an incarnation that could
-/// run it is not known yet.
+/// Guards against failing a job as impossible before the registration, with the capacity, of an
+/// incarnation that could run it is read.
 #[test]
 fn a_job_waits_for_unregistered_incarnations() {
     let mut planner = planner(2);
--- a/crates/job/tests/invariants.rs
+++ b/crates/job/tests/invariants.rs
@@ -14,8 +14,8 @@
     *state >> 33
 }
 
-/// Carries out `count` events. Most are drawn from `usual`; of 256, about `any` plus one are
-/// arbitrary.
+/// Carries out `count` events. Most are drawn from `usual`; of 256 events, `any` plus one on
+/// average have an arbitrary kind and pick.
 fn drive(state: &mut u64, count: usize, usual: &[(u8, u8)], any: u8, mut step: impl FnMut(Event)) {
     for _ in 0..count {
         let bytes = draw(state).to_le_bytes();
--- a/crates/job/tests/job_start.rs
+++ b/crates/job/tests/job_start.rs
@@ -200,9 +200,10 @@
     assert_eq!(planner.job_status(JOB), Some(JobStatus::Active));
 }
 
-/// A job has started if a worker reported a run of it before the job was known.
+/// Guards against showing a job as pending if a worker reported a run of it before the job was
+/// read.
 #[test]
-fn a_job_with_a_run_reported_before_it_was_known_has_started() {
+fn a_job_with_a_run_reported_before_it_was_read_has_started() {
     let mut planner = planner(2);
     let key = add(&mut planner, "w1");
     let report = worker_report(vec![running(task(JOB, 0, 0), 1)], vec![]);
--- a/crates/job/tests/late_starts.rs
+++ b/crates/job/tests/late_starts.rs
@@ -263,10 +263,10 @@
     assert_eq!(planner.load().placed, 1, "the booked run goes on");
 }
 
-/// Guards against a worker that never gets work again after it reported two runs of a task of
-/// an unknown job: the second booking replaced the first, whose resources were never freed.
+/// Guards against a worker that never gets work again after it reported two runs of a task whose
+/// job was not read yet: the second booking replaced the first, whose resources were never freed.
 #[test]
-fn two_runs_of_an_unknown_job_free_their_resources() {
+fn two_runs_of_a_job_that_was_not_read_free_their_resources() {
     let mut planner = planner(2);
     let key = add(&mut planner, "w1");
     let task = task(JOB, 0, 0);
--- a/crates/job/tests/learning.rs
+++ b/crates/job/tests/learning.rs
@@ -124,11 +124,11 @@
     assert_eq!(timing.objective, Duration::from_secs(5));
 }
 
-/// Guards against gangs that take 1.3 times as long as needed, with all members holding
+/// Guards against gangs that take 1.3 times as long as needed, with all members occupying
 /// their processors. One worker in three is slow, which no label shows, and a gang with a
 /// member there runs at its speed if workers are chosen by free resources alone.
 #[test]
-fn a_gang_avoids_workers_known_to_be_slow() {
+fn a_gang_avoids_workers_on_which_tasks_took_longer() {
     const GANG: JobId = 90;
     let mut planner = planner(1);
     let slow = add_claimed(&mut planner, "slow");
--- a/crates/job/tests/recovery.rs
+++ b/crates/job/tests/recovery.rs
@@ -36,10 +36,10 @@
 }
 
 /// Guards against a task that runs on two workers after a take-over. The row of a worker that
-/// the former owner had used could not be decoded, so the successor did not know the worker,
-/// and the former owner's tasks did not wait for its lease.
+/// the former owner had used could not be decoded, so the successor did not count the worker,
+/// and started the former owner's tasks without waiting for the worker's lease.
 #[test]
-fn tasks_wait_for_the_lease_of_an_unknown_worker() {
+fn tasks_wait_for_the_lease_of_a_worker_whose_row_is_unreadable() {
     let mut planner = planner(2);
     planner.add_unreadable_worker();
     let key = planner.restore_worker(worker("w1")).expect("a new worker");
--- a/crates/job/tests/takeover.rs
+++ b/crates/job/tests/takeover.rs
@@ -79,8 +79,8 @@
 /// Guards against a task that runs on two workers after a take-over. The owner cannot reach
 /// the store, and a successor takes over and reads the jobs. Then a job is accepted, and the
 /// accepting process sends it to the former owner, which starts it. The successor claims that
-/// worker and reads the job only after that. It stopped the run of the unknown job without
-/// counting it, and started the job immediately.
+/// worker and reads the job only after that. It stopped the run, since it had no such job, without
+/// counting it, and started the job as soon as it had read it.
 #[test]
 fn a_run_of_a_job_read_later_is_counted() {
     let mut planner = planner(2);
@@ -124,7 +124,7 @@
 }
 
 /// Guards against a done task that runs again after a take-over: as above, but the former
-/// owner's run is already done when its worker is claimed, before the job is known.
+/// owner's run is already done when its worker is claimed, before the successor reads the job.
 #[test]
 fn an_end_of_a_job_read_later_counts() {
     let mut planner = planner(2);
@@ -141,9 +141,9 @@
 }
 
 /// Guards against overbooking a worker by one start after a take-over. The successor has only
-/// the worker's row, which states no capacity, when the worker reports a run of an unknown
-/// job; the capacity is read later. The run was booked with the whole capacity of the worker,
-/// which was zero at that time.
+/// the worker's row, which states no capacity, when the worker reports a run of a job that was
+/// not read yet; the capacity is read later. The run was booked with the whole capacity of the
+/// worker, which was zero at that time.
 #[test]
 fn a_worker_with_a_run_of_unknown_size_gets_no_work() {
     let mut planner = planner(2);
