--- a/crates/cell/src/acceptor.rs
+++ b/crates/cell/src/acceptor.rs
@@ -32,9 +32,9 @@
         /// Whether this call created the row; false if the row already existed.
         first: bool,
     },
-    /// The job is certainly not accepted; holds the reason for the caller.
+    /// The job is certainly not accepted; the text is the reason for the caller.
     Refused(String),
-    /// The job may or may not have been accepted; holds the reason for the caller.
+    /// The job may or may not have been accepted; the text is the reason for the caller.
     Unknown(String),
 }
 
@@ -167,9 +167,9 @@
     }
 }
 
-/// Turns a refusal into an undecided result. It is used when the other of two attempts got no
-/// clear reply and may still be committed: without this, callers got the reply "not accepted" for
-/// jobs that then ran.
+/// Converts the refusal of one of two attempts of a write into an undecided result, for when the
+/// other attempt got no clear reply and may still be committed: without this, callers got the reply
+/// "not accepted" for jobs that then ran.
 fn into_ambiguous(error: StoreError) -> StoreError {
     match error {
         StoreError::Refused { status, .. } => StoreError::Undetermined { status },
--- a/crates/cell/src/callers.rs
+++ b/crates/cell/src/callers.rs
@@ -38,8 +38,8 @@
 /// Share of the caller's timeout after which no further attempt is started.
 pub(crate) const ATTEMPT_SHARE: f64 = 0.9;
 
-/// Age of the configuration above which an unknown queue is answered with 503 instead of 404: two
-/// reads in a row have failed by then.
+/// Age of the configuration above which a queue that it does not contain is answered with 503
+/// instead of 404: two reads in a row have failed by then.
 const CONFIG_MAX_AGE: Duration = Duration::from_secs(4);
 
 /// Value of the `Retry-After` header, in seconds, for a refused caller. It is short because
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Returns 404 for an unknown queue, or 503 if the configuration is too old to tell: the
-    /// queue may have been added since.
+    /// Returns 404 for a queue that the configuration does not contain, or 503 if the configuration
+    /// was read too long ago: the queue may have been added since.
     fn not_found(&self, response: HttpResponse) -> HttpResponse {
         if self.context.config_age() > CONFIG_MAX_AGE {
             return service_unavailable("the configuration cannot be read from this host");
@@ -150,7 +150,7 @@
             }
             Err(reason) => {
                 log::warn!(code = 418, queue = name, reason:? = reason; "queue length unknown: the owner did not answer");
-                service_unavailable("no owner of the pool knows how many jobs wait")
+                service_unavailable("the owner of the pool did not report how many jobs wait")
             }
         }
     }
--- a/crates/cell/src/context.rs
+++ b/crates/cell/src/context.rs
@@ -48,7 +48,7 @@
     pub ownership: watch::Receiver<OwnershipView>,
     /// Counters, gauges and latency histograms.
     pub metrics: Arc<CellMetrics>,
-    /// Turns true when the process has been asked to stop.
+    /// Becomes true when the process has been asked to stop.
     pub stop: watch::Receiver<bool>,
     /// Epoch of an owner whose process may have ended, because it closed a connection during a
     /// call; 0 for none.
--- a/crates/cell/src/owner/handlers.rs
+++ b/crates/cell/src/owner/handlers.rs
@@ -111,13 +111,13 @@
         }
         if after.largest != before.largest {
             // A successor that first reads the worker's registration while the worker is small
-            // must know that it can grow.
+            // needs its largest capacity from the row: the worker may grow again.
             self.queue_worker_row(key);
         }
     }
 
     /// Queues the row of a worker to be written, after which the worker may be used. The row
-    /// holds the largest capacity that the worker has had.
+    /// states the largest capacity that the worker has had.
     pub(super) fn queue_worker_row(&mut self, key: WorkerKey) {
         let Some(info) = self.planner.worker_info(key) else {
             return;
@@ -215,8 +215,8 @@
             .is_some_and(|info| info.incarnation.is_none());
         self.planner.apply_report(key, sent, report);
         if lacks_incarnation && report.incarnation.is_some() {
-            // The row is of an earlier version: a successor must know which incarnation it is
-            // for.
+            // The row was written by an earlier version, without the incarnation. A successor
+            // needs it, to compare it with the incarnation that reports to it.
             self.queue_worker_row(key);
         }
     }
--- a/crates/cell/src/owner/helpers.rs
+++ b/crates/cell/src/owner/helpers.rs
@@ -1,4 +1,4 @@
-//! Hands advice calls to helpers.
+//! Assigns advice calls to helpers: processes that make these calls for the owner.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
--- a/crates/cell/src/owner/link.rs
+++ b/crates/cell/src/owner/link.rs
@@ -30,7 +30,7 @@
     /// Time until which leases may be renewed.
     pub(crate) owned_until: watch::Receiver<Duration>,
     /// How long a worker may delay its reply to a call while it has no end to report.
-    pub(crate) wait: watch::Receiver<Duration>,
+    pub(crate) reply_delay: watch::Receiver<Duration>,
     /// Permits to claim a worker, [`MAX_CLAIMS`] of them.
     pub(crate) claim_permits: Arc<Semaphore>,
     /// Estimate of how long workers take to answer.
@@ -105,8 +105,8 @@
         self.last_accepted
     }
 
-    /// Expiry of a lease that begins at `now`, on the worker's clock; `None` if its clock is
-    /// unknown.
+    /// Expiry of a lease that begins at `now`, on the worker's clock; `None` if no reply with the
+    /// time of its clock has been received.
     pub(crate) fn lease_end(&self, now: Duration, lease: Duration) -> Option<Duration> {
         self.clock.map(|clock| clock.worker_time(now) + lease)
     }
--- a/crates/cell/src/owner/messages.rs
+++ b/crates/cell/src/owner/messages.rs
@@ -116,7 +116,7 @@
 }
 
 impl OwnerHandle {
-    /// Creates a handle. `sender` holds a sender to the owner while this process owns the
+    /// Creates a handle. `sender` contains a sender to the owner while this process owns the
     /// pool.
     #[must_use]
     pub fn new(sender: watch::Receiver<Option<mpsc::Sender<OwnerMessage>>>) -> OwnerHandle {
--- a/crates/cell/src/owner/mod.rs
+++ b/crates/cell/src/owner/mod.rs
@@ -1,5 +1,5 @@
-//! The owner of the pool: one task that runs the planner, and the tasks around it that talk to
-//! the workers, write progress to the store and hand advice calls to helpers.
+//! The owner of the pool: one task that runs the planner, and the tasks around it that call the
+//! workers, write progress to the store and assign advice calls to helpers.
 
 mod clock_estimate;
 mod commands;
@@ -29,7 +29,7 @@
 
 pub use messages::*;
 pub use renewal_interval::calls_per_second;
-pub use renewal_interval::renewal_wait;
+pub use renewal_interval::max_reply_delay;
 pub use reply_latency::ReplyLatency;
 pub use start_window::StartWindow;
 pub use supervise::*;
--- a/crates/cell/src/owner/pool.rs
+++ b/crates/cell/src/owner/pool.rs
@@ -32,8 +32,8 @@
 use super::fencing::FencingTable;
 use super::follow_workers;
 use super::freshness::Freshness;
+use super::max_reply_delay;
 use super::overload::Overload;
-use super::renewal_wait;
 use super::takeover::READ_RETRY_PAUSE;
 use super::takeover::follow_jobs;
 use super::takeover::take_over;
@@ -53,9 +53,10 @@
 /// renewals are checked at least this often.
 const IDLE_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Age of the registrations above which a worker may have shrunk without the owner knowing.
-/// Tasks may be started up to a worker's former capacity for 4.5 s after it has shrunk, and
-/// its new capacity is registered with its next heartbeat, up to 1.5 s after the change.
+/// Age of the registrations above which the owner does not rely on the capacities in them, since a
+/// worker may have shrunk. Tasks may be started up to a worker's former capacity for 4.5 s after it
+/// has shrunk, and its new capacity is registered with its next heartbeat, up to 1.5 s after the
+/// change.
 const STALE_AGE: Duration = Duration::from_secs(3);
 
 /// Queued results of the owner's writes: at most one transaction and one read of the guard row
@@ -96,7 +97,7 @@
     pub(super) queue_counts: QueueCounts,
     /// Publishes to the links how long a worker may delay its reply to a renewal while it has
     /// no end to report.
-    wait_sender: watch::Sender<Duration>,
+    delay_sender: watch::Sender<Duration>,
     /// Permits to claim a worker, [`MAX_CLAIMS`] of them.
     claim_permits: Arc<Semaphore>,
     /// Estimate of how long workers take to answer.
@@ -172,7 +173,7 @@
             freshness,
             overload: Overload::default(),
             queue_counts: QueueCounts::default(),
-            wait_sender: watch::Sender::new(renewal_wait(0, 1.0, 1.0)),
+            delay_sender: watch::Sender::new(max_reply_delay(0, 1.0, 1.0)),
             claim_permits: Arc::new(Semaphore::new(MAX_CLAIMS)),
             latency: Arc::default(),
             start_window: StartWindow::new(context.settings.link_mbps),
@@ -244,7 +245,7 @@
         let fencing = self.fencing_table.open(self.epoch, &info.id);
         let shared = LinkShared {
             owned_until: self.freshness.subscribe_owned_until(),
-            wait: self.wait_sender.subscribe(),
+            reply_delay: self.delay_sender.subscribe(),
             claim_permits: self.claim_permits.clone(),
             latency: self.latency.clone(),
         };
@@ -253,12 +254,13 @@
         self.links.insert(key, link);
     }
 
-    fn publish_renewal_wait(&self) {
+    /// Publishes how long workers may delay their replies, which depends on the number of links.
+    fn publish_reply_delay(&self) {
         let settings = &self.context.settings;
-        let wait = renewal_wait(self.links.len(), settings.cores, settings.link_mbps);
-        self.wait_sender.send_if_modified(|current| {
-            let changed = *current != wait;
-            *current = wait;
+        let delay = max_reply_delay(self.links.len(), settings.cores, settings.link_mbps);
+        self.delay_sender.send_if_modified(|current| {
+            let changed = *current != delay;
+            *current = delay;
             changed
         });
     }
@@ -348,7 +350,7 @@
         }
         self.check_freshness(now);
         self.publish_owned_until(now);
-        self.publish_renewal_wait();
+        self.publish_reply_delay();
         self.planner.advance(now);
         self.check_registration_age(now);
         let recovering = self.planner.recovering();
--- a/crates/cell/src/owner/renewal_interval.rs
+++ b/crates/cell/src/owner/renewal_interval.rs
@@ -9,15 +9,15 @@
 
 use std::time::Duration;
 
-/// How long a worker may delay its reply while the owner has resources to spare; this is also
-/// the time between renewals. A call that stays unanswered delays the worker's ends until it
-/// times out. With 1 s here and a timeout of 0.5 s, ends arrived up to 1.7 s late; with a
-/// third of all commands unanswered, 705 lookup jobs failed with those values and 346 with 0.4
-/// s.
-const MIN_WAIT: Duration = Duration::from_millis(400);
+/// Lower limit of the time for which a worker may delay its reply, used while the owner has
+/// resources to spare; this is also the time between renewals. A call that stays unanswered delays
+/// the worker's ends until it times out. With 1 s here and a timeout of 0.5 s, ends arrived up to
+/// 1.7 s late; with a third of all commands unanswered, 705 lookup jobs failed with those values
+/// and 346 with 0.4 s.
+const MIN_DELAY: Duration = Duration::from_millis(400);
 
 /// Upper limit of that delay: within a lease of 4.5 s, two calls may fail.
-const MAX_WAIT: Duration = Duration::from_millis(1600);
+const MAX_DELAY: Duration = Duration::from_millis(1600);
 
 /// Share of the owner's processor, and of its link, for these calls.
 const CALL_SHARE: f64 = 0.2;
@@ -40,13 +40,13 @@
     by_core.min(by_link)
 }
 
-/// How long each of `workers` workers may delay its reply while it has no end to report, for
-/// an owner with `cores` processor cores and a link of `link_mbps`.
+/// How long each of `workers` workers may delay its reply to a renewal call while it has no end to
+/// report, for an owner with `cores` processor cores and a link of `link_mbps`.
 #[must_use]
-pub fn renewal_wait(workers: usize, cores: f64, link_mbps: f64) -> Duration {
+pub fn max_reply_delay(workers: usize, cores: f64, link_mbps: f64) -> Duration {
     let calls = (calls_per_second(cores, link_mbps) * CALL_SHARE).max(1.0);
     #[allow(clippy::cast_precision_loss)]
-    let wait = workers as f64 / calls;
-    let wait = Duration::from_secs_f64(wait.min(MAX_WAIT.as_secs_f64()));
-    wait.max(MIN_WAIT)
+    let delay = workers as f64 / calls;
+    let delay = Duration::from_secs_f64(delay.min(MAX_DELAY.as_secs_f64()));
+    delay.max(MIN_DELAY)
 }
--- a/crates/cell/src/owner/renewal_task.rs
+++ b/crates/cell/src/owner/renewal_task.rs
@@ -121,7 +121,7 @@
 }
 
 impl RenewalTask {
-    /// Creates the task of a link to a worker. The last argument holds the state that all links
+    /// Creates the task of a link to a worker. The last argument is the state that all links
     /// share, and the number of the newest end that is saved.
     pub(super) fn new(
         context: &Context,
@@ -272,7 +272,7 @@
         let wait = if unacknowledged || acknowledges || clock.is_none() {
             Duration::ZERO
         } else {
-            *self.shared.wait.borrow()
+            *self.shared.reply_delay.borrow()
         };
         LeaseRenewal {
             token,
@@ -340,7 +340,7 @@
         }
     }
 
-    /// Records how long a reply took beyond the time for which the worker may hold the call.
+    /// Records how long a reply took beyond the time for which the worker may delay it.
     fn record_latency(&self, call: RenewalCall, took: Duration) {
         if let Some(time) = took.checked_sub(call.wait) {
             self.shared.latency.record(time);
--- a/crates/cell/src/owner/retention.rs
+++ b/crates/cell/src/owner/retention.rs
@@ -46,7 +46,7 @@
     next_removal: Duration,
     /// Version and time of the removal, by job.
     removed: HashMap<JobId, (Version, Duration)>,
-    /// Jobs that have a row other than their usual one.
+    /// Jobs that have a row other than the first one of [`crate::job_rows`].
     misplaced: HashSet<JobId>,
 }
 
@@ -58,9 +58,9 @@
         }
     }
 
-    /// Whether a job's row of this version was read before its removal. The planner holds no
-    /// state of the job any more; treated as a new job, it would run again after it was done,
-    /// and be counted as started twice.
+    /// Whether a job's row of this version was read before its removal. The planner has dropped
+    /// the job; treated as a new job, it would run again after it was done, and be counted as
+    /// started twice.
     pub(crate) fn predates_removal(&self, id: JobId, version: Version) -> bool {
         let removed = self.removed.get(&id);
         removed.is_some_and(|(removed, _)| version < *removed)
@@ -118,13 +118,13 @@
 /// take the job for one that never started. Returns the version of the removal of the job's
 /// row.
 async fn remove_job(store: &Store, id: JobId, misplaced: bool) -> Result<Version, StoreError> {
-    let [usual_row, other_rows @ ..] = crate::job_rows(id);
+    let [first_row, other_rows @ ..] = crate::job_rows(id);
     // Rows that only some jobs have are removed first: if a successor found one without the
     // job's progress, it would take the job for one that never started.
     for row in other_rows.into_iter().filter(|_| misplaced) {
         remove_row(store, row).await?;
     }
-    let removed = remove_row(store, usual_row).await?;
+    let removed = remove_row(store, first_row).await?;
     remove_row(store, progress_row(id)).await?;
     Ok(removed)
 }
--- a/crates/cell/src/owner/saver.rs
+++ b/crates/cell/src/owner/saver.rs
@@ -122,8 +122,8 @@
 
     /// Renews the ownership until `reading` is closed, for [`TAKE_OVER_LIMIT`] at most.
     /// Returns false if another process owns the pool, or if the pool was released since this
-    /// process has to stop. When the pool was held until all rows were read, no task started
-    /// for as long.
+    /// process has to stop. When a stopping owner released the pool only after it had read all
+    /// rows, no task started until then.
     pub(super) async fn renew_until(&mut self, mut reading: oneshot::Receiver<()>) -> bool {
         let start = self.context.now();
         let end = start + TAKE_OVER_LIMIT;
--- a/crates/cell/src/ownership.rs
+++ b/crates/cell/src/ownership.rs
@@ -62,11 +62,11 @@
 /// at 0.2 to 0.3 of a core.
 const MIN_OWNER_CORES: f64 = 0.2;
 
-/// Additional delay of such a small host. A larger process that was killed is back after 0.6 s and
-/// makes its attempt within another 0.2 s. With a delay of 0.4 s, a host with 0.12 of a core took
-/// over 350 workers while four larger ones were starting: no task started for 5.7 s, and the
-/// share of the results' value that callers got in time fell from 0.68 to 0.43 (in 2 of 18
-/// measurements).
+/// Additional delay of such a small host. The process of a larger host that was killed restarts
+/// within 0.6 s and makes its attempt within another 0.2 s. With a delay of 0.4 s, a host with 0.12
+/// of a core took over 350 workers while four larger ones were starting: no task started for 5.7 s,
+/// and the results that callers got in time made up 0.43 instead of 0.68 of the value of all
+/// results to their callers (in 2 of 18 runs).
 const SMALL_HOST_DELAY: Duration = Duration::from_secs(1);
 
 /// A host takes the pool from an owner that cannot keep up only if it can make this many times
--- a/crates/cell/src/peers.rs
+++ b/crates/cell/src/peers.rs
@@ -35,7 +35,7 @@
 /// that callers wait.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(2400);
 
-/// Longest time for which the owner holds a helper's poll open.
+/// Longest time for which the owner leaves a helper's poll open.
 pub const POLL_WAIT: Duration = Duration::from_secs(1);
 
 /// Time for the reply to a poll beyond [`POLL_WAIT`].
@@ -90,11 +90,11 @@
 pub enum JobView {
     /// Status of the job.
     Job(JobStatus),
-    /// The owner has no record of the job, so none of its tasks has started. The store may hold a
-    /// job that the owner has not read yet.
+    /// The owner has no record of the job, so none of its tasks has started. The store may contain
+    /// a job that the owner has not read yet.
     Unknown,
-    /// A former owner may have started the job, and not all workers that could tell have reported
-    /// yet.
+    /// A former owner may have started the job, and not all workers that may run its tasks have
+    /// sent a report yet.
     Undecided,
 }
 
--- a/crates/cell/src/rows.rs
+++ b/crates/cell/src/rows.rs
@@ -28,8 +28,8 @@
 /// Table of workers that the owner may have sent tasks to, by worker id.
 pub const USED_WORKER_TABLE: &str = "used";
 
-/// Part that holds all rows that the owner writes, so that one transaction can write them and
-/// check the ownership.
+/// Part of all rows that the owner writes, so that one transaction can write them and check the
+/// ownership.
 pub const OWNER_PART: &str = "owner";
 
 /// Number of parts over which accepted jobs are spread. Each part carries out one transaction at a
@@ -42,15 +42,16 @@
 /// refused when a job had one possible row; with four possible rows it is one job in five hundred.
 const JOB_ROWS: usize = 4;
 
-/// Returns the name of a job's usual row, the first of [`job_rows`].
+/// Returns the name of the row to which a job is written unless the store refuses its part: the
+/// first of [`job_rows`].
 #[must_use]
 pub fn job_row(id: JobId) -> RowName {
     job_row_at(id, 0)
 }
 
-/// Returns the names of all rows that a job may have, the usual one first. A job has more than one
-/// row if its first write got no reply and was carried out late. The rows are equal except for the
-/// cancellation, which counts if any of them contains it.
+/// Returns the names of all rows that a job may have, in the order in which they are tried. A job
+/// has more than one row if its first write got no reply and was carried out late. The rows are
+/// equal except for the cancellation, which counts if any of them contains it.
 #[must_use]
 pub fn job_rows(id: JobId) -> [RowName; JOB_ROWS] {
     std::array::from_fn(|index| job_row_at(id, index))
--- a/crates/cell/src/settings.rs
+++ b/crates/cell/src/settings.rs
@@ -61,7 +61,7 @@
     /// Number of cores of the host; below 1 if it has only a part of a core.
     pub cores: f64,
     /// Bandwidth of the host's link, in megabits per second.
-    #[serde(default = "usual_link")]
+    #[serde(default = "default_link")]
     pub link_mbps: f64,
     /// Address of the platform's store.
     pub store: SocketAddr,
@@ -88,7 +88,7 @@
 const LEASE_SHARE: f64 = 0.75;
 
 /// Default bandwidth of a host's link, in megabits per second.
-fn usual_link() -> f64 {
+fn default_link() -> f64 {
     1000.0
 }
 
--- a/crates/cell/src/stored.rs
+++ b/crates/cell/src/stored.rs
@@ -27,8 +27,8 @@
         /// Error of the read.
         source: StoreError,
     },
-    /// Only the job's acceptance is stored; only the owner can tell whether one of its tasks has
-    /// started.
+    /// Only the job's acceptance is stored; only the owner has a record of whether one of its tasks
+    /// has started.
     #[snafu(display("only the acceptance of the job is stored"))]
     Undecided,
     /// The row's value cannot be decoded by this version.
