--- a/crates/sched/src/budget.rs
+++ b/crates/sched/src/budget.rs
@@ -138,7 +138,7 @@
         key
     }
 
-    /// Key of a rack, which is added if it is not known.
+    /// Key of a rack, which is added if it has none yet.
     pub fn rack(&mut self, name: &str) -> RackKey {
         if let Some(key) = self.rack_names.get(name) {
             return *key;
--- a/crates/sched/src/offload.rs
+++ b/crates/sched/src/offload.rs
@@ -3,7 +3,7 @@
 //!
 //! The team's quota is charged in the shard where the job was submitted,
 //! workers and power in the shard where it runs. So no limit is exceeded, and
-//! neither shard needs to know the state of the other.
+//! neither shard needs the state of the other.
 
 use crate::Core;
 use crate::JobKey;
--- a/crates/shard/src/cell_reads.rs
+++ b/crates/shard/src/cell_reads.rs
@@ -155,7 +155,7 @@
         self.config = config.clone();
         // The set of drained workers may have changed: read the worker lists
         // again.
-        self.lists_due_at = None;
+        self.lists_due = None;
         for running in self.running.values() {
             let _ = running.task.send(ShardTaskMessage::Config(config.clone()));
         }
--- a/crates/shard/src/claiming.rs
+++ b/crates/shard/src/claiming.rs
@@ -324,7 +324,7 @@
             releasing: false,
         };
         self.running.insert(shard, running);
-        self.lists_due_at = None;
+        self.lists_due = None;
         self.publish();
         if let Err(error) = self.read_worker_lists().await {
             log::debug!("worker lists not read: {error}");
--- a/crates/shard/src/entry.rs
+++ b/crates/shard/src/entry.rs
@@ -14,7 +14,8 @@
 
 use crate::WaiterKey;
 
-/// State of one member of an attempt, as far as the shard knows it.
+/// State of one member of an attempt, from the journal and the replies of its
+/// worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberState {
     /// A former owner recorded the intent, and the worker has not been
@@ -55,7 +56,7 @@
     pub worker: WorkerId,
     /// Incarnation of the worker at the time of the placement.
     pub incarnation: Incarnation,
-    /// State of the member, as far as the shard knows it.
+    /// State of the member, from the journal and the replies of its worker.
     pub state: MemberState,
 }
 
@@ -78,7 +79,7 @@
     Done(Answer),
 }
 
-/// How the shard learnt of a request.
+/// Source from which the shard has a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
     /// From its caller, or from a former owner's journal.
@@ -88,12 +89,13 @@
     Report,
 }
 
-/// Whether earlier attempts of a request ran, as far as the shard knows.
+/// Whether earlier attempts of a request ran, from the journal and the replies
+/// of workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RunHistory {
     /// No attempt has started.
     NeverStarted,
-    /// An attempt has started, and the results of all started tasks are known.
+    /// An attempt has started, and the results of all started tasks are reported.
     EndKnown,
     /// An attempt may have started whose result is unknown.
     EndUnknown,
@@ -182,7 +184,7 @@
         }
     }
 
-    /// Creates the entry of a request that is known only from a worker's
+    /// Creates the entry of a request that is not in the journal, from a worker's
     /// report.
     #[must_use]
     pub fn from_report(key: &str, needs: Resources, now: Timestamp) -> Entry {
@@ -239,7 +241,7 @@
         self.history != RunHistory::NeverStarted
     }
 
-    /// Adds what is known of an attempt to the run history.
+    /// Adds the result of an attempt to the run history.
     pub(crate) fn add_history(&mut self, history: RunHistory) {
         self.history = self.history.max(history);
     }
@@ -278,9 +280,9 @@
     }
 }
 
-/// Attempt id of one member. It contains the epoch because an owner that does
-/// not know of a former owner's attempts would use the same numbers again, and
-/// the worker would take its start for a duplicate of the earlier one.
+/// Attempt id of one member. It contains the epoch because an owner that has no
+/// record of a former owner's attempts would use the same numbers again, and the
+/// worker would take its start for a duplicate of the earlier one.
 #[must_use]
 pub fn attempt_id(key: &str, epoch: Epoch, attempt: u32, member: usize) -> AttemptId {
     format!("{key}#{epoch}.{attempt}.{member}")
--- a/crates/shard/src/fleet.rs
+++ b/crates/shard/src/fleet.rs
@@ -59,9 +59,9 @@
         self.update_all_known();
     }
 
-    /// Updates whether all workers are known to the core. A request can be
-    /// refused as too large only when they are, so waiting requests are checked
-    /// again at that moment.
+    /// Updates whether the core has the capacities of all workers, which it gets
+    /// when they are claimed. A request can be refused as too large only from
+    /// then on, so waiting requests are checked again at that moment.
     fn update_all_known(&mut self) {
         let core = &self.core;
         let all_known = self.workers.keys().all(|id| core.worker(id).is_some());
@@ -105,6 +105,8 @@
         self.ledger.iter().any(|(_, entry)| has_open(entry))
     }
 
+    /// Applies a new state of a worker's host, unless the worker is lost. If the
+    /// host is leaving, batch tasks there are stopped with a checkpoint.
     fn on_host_state(&mut self, host: &WorkerHost) {
         let Some(worker) = self.core.worker(&host.host.id) else {
             return;
@@ -214,7 +216,7 @@
     }
 
     /// Whether requests with this key belong to this shard under the current
-    /// configuration. True if the team is not known.
+    /// configuration. True if the configuration does not contain the team.
     pub(crate) fn belongs_here(&self, key: &str) -> bool {
         if let Some(shard) = model::offload_target(key) {
             return shard == self.params.shard;
@@ -346,6 +348,8 @@
         self.event(Event::new(Kind::WorkerLost).worker(id));
     }
 
+    /// Places no more tasks on a worker that has refused a poll; `detail` says
+    /// why.
     pub(crate) fn on_worker_refused(&mut self, id: &str, detail: &str) {
         let Some(worker) = self.core.worker(id) else {
             return;
@@ -358,14 +362,17 @@
     /// their ends will be reported to that shard only, so they are settled as
     /// unreachable and not run again.
     pub(crate) fn on_worker_reassigned(&mut self, id: &str) {
-        self.on_worker_refused(id, "another shard holds it");
+        self.on_worker_refused(id, "another shard has claimed it");
         self.settle_members_on(id, &MemberState::Unreachable);
     }
 
+    /// Settles the members on a worker whose lease has expired as interrupted:
+    /// the worker has stopped its tasks.
     pub(crate) fn on_lease_expired(&mut self, id: &str) {
         self.settle_members_on(id, &MemberState::Interrupted);
     }
 
+    /// Settles all members of open requests that were placed on a worker.
     fn settle_members_on(&mut self, id: &str, state: &MemberState) {
         let mut settled = Vec::new();
         for (key, entry) in self.ledger.iter().filter(|(_, entry)| !entry.is_closed()) {
--- a/crates/shard/src/handover.rs
+++ b/crates/shard/src/handover.rs
@@ -23,8 +23,8 @@
 use crate::encode_row;
 use crate::shard_key;
 
-/// Shortest time between two voluntary hand-overs of a process, so that
-/// processes whose views differ for a moment cannot pass a shard back and
+/// Shortest time between two hand-overs of a process that is not leaving, so
+/// that processes whose views differ for a moment cannot pass a shard back and
 /// forth.
 const HANDOVER_INTERVAL: Duration = Duration::from_secs(3);
 
@@ -37,7 +37,7 @@
     /// all at once when leaving, otherwise one at a time.
     pub(crate) fn start_handovers(&mut self) {
         let leaving = self.lease.is_leaving();
-        if !leaving && self.last_handover_at.elapsed() < HANDOVER_INTERVAL {
+        if !leaving && self.last_handover.elapsed() < HANDOVER_INTERVAL {
             return;
         }
         let desired = self.desired_owners();
@@ -53,7 +53,7 @@
                 continue;
             }
             running.releasing = true;
-            self.last_handover_at = Instant::now();
+            self.last_handover = Instant::now();
             let (sender, done) = oneshot::channel();
             let _ = running.task.send(ShardTaskMessage::Release(sender));
             self.released_shards.spawn(async move {
--- a/crates/shard/src/intake.rs
+++ b/crates/shard/src/intake.rs
@@ -29,6 +29,8 @@
 const RETRY_MILLIS: u64 = 1000;
 
 impl Machine {
+    /// Processes a call to the shard. Once the shard is released for a hand-over,
+    /// the caller is redirected to the next owner.
     pub(crate) fn on_ask(&mut self, ask: ShardAsk, waiter: WaiterKey) {
         if self.released {
             self.reply(waiter, ShardReply::Moved);
@@ -46,6 +48,8 @@
         }
     }
 
+    /// Accepts a new request or refuses it; a repeated submission gets the answer
+    /// of the first one.
     fn on_submit(&mut self, submission: Submission, waiter: WaiterKey) {
         let key = request_key(&submission.request.team, &submission.request.id);
         if self.ledger.get(&key).is_some() {
@@ -68,7 +72,8 @@
         self.accept(&key, submission, waiter);
     }
 
-    /// Answers a repeated submission of a known id like the first one.
+    /// Answers the submission of an id that is already in the ledger like the
+    /// first one.
     pub(crate) fn answer_repeated(
         &mut self,
         key: &str,
@@ -94,7 +99,8 @@
             && let Acceptance::Recording(waiters) = &mut entry.acceptance
         {
             // The acceptance record may never reach the table. If the caller
-            // got "accepted" now, the next owner might not know the request.
+            // got "accepted" now, the next owner might have no record of the
+            // request.
             waiters.push(waiter);
         } else {
             let answer = pending_answer(id, "accepted");
--- a/crates/shard/src/journal.rs
+++ b/crates/shard/src/journal.rs
@@ -310,8 +310,8 @@
             return Ok(WriteOutcome::Fenced);
         };
         // The same process at another epoch is a different writer: the shard
-        // was handed to another process and came back while this writer was
-        // still retrying. Its remaining commits would overwrite rows of its
+        // was released to another process and claimed again while this writer
+        // was still retrying. Its remaining commits would overwrite rows of its
         // successor.
         if shard.owner != self.position.process || shard.epoch != self.position.epoch {
             return Ok(WriteOutcome::Fenced);
--- a/crates/shard/src/launch.rs
+++ b/crates/shard/src/launch.rs
@@ -102,6 +102,8 @@
         }
     }
 
+    /// Carries out an action that waited for its record, which is now in the
+    /// table.
     fn on_record(&mut self, pending: PendingRecord) {
         match pending {
             PendingRecord::Intent(key, attempt) => self.on_intent(&key, attempt),
@@ -140,6 +142,7 @@
         self.send_starts(key);
     }
 
+    /// The acceptance is in the table: answers the callers that waited for it.
     fn on_accepted(&mut self, key: &str) {
         let Some(entry) = self.ledger.get_mut(key) else {
             return;
--- a/crates/shard/src/lease.rs
+++ b/crates/shard/src/lease.rs
@@ -25,10 +25,10 @@
 /// Result of a successful renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Renewal {
-    /// Renewed; no other process has written the row since the last renewal.
-    Held,
-    /// Another process had expired the lease or removed its row. The lease is
-    /// held again, but other processes may have taken shards in between.
+    /// No other process has expired the lease since the last renewal.
+    Extended,
+    /// Another process had expired the lease or removed its row. This process
+    /// has the lease again, but others may have taken shards in between.
     Regained,
 }
 
@@ -81,7 +81,7 @@
         let sent_at = Instant::now();
         self.counter += 1;
         if self.try_write(config).await? {
-            return Ok((Renewal::Held, sent_at));
+            return Ok((Renewal::Extended, sent_at));
         }
         let key = lease_key(&self.context.process);
         let row = self.context.table.get(&key).await?;
@@ -102,7 +102,7 @@
             return Err(StoreError::Unavailable { reason });
         }
         let renewal = if still_held {
-            Renewal::Held
+            Renewal::Extended
         } else {
             Renewal::Regained
         };
--- a/crates/shard/src/link.rs
+++ b/crates/shard/src/link.rs
@@ -88,8 +88,8 @@
     /// Arrival of the newest poll reply. The next poll acknowledges it and so
     /// renews the lease. `None` before the first reply and after lease expiry.
     last_reply: Option<Instant>,
-    /// Turn of the newest reply, which the next poll acknowledges.
-    turn: ReplyNumber,
+    /// Number of the newest reply, which the next poll acknowledges.
+    newest_reply: ReplyNumber,
     /// Ended tasks that the next poll lets the worker forget.
     forget: Vec<AttemptId>,
     /// Whether the loss of the worker, or its refusal of a poll, was reported to
@@ -122,7 +122,7 @@
             commands,
             inputs,
             last_reply: None,
-            turn: 0,
+            newest_reply: 0,
             forget: Vec::new(),
             lost: false,
             unconfirmed: HashSet::new(),
@@ -196,7 +196,7 @@
         };
         let address = self.params.host.host.address;
         let claimed = self.params.client.claim(address, &claim).await?;
-        self.turn = claimed.turn;
+        self.newest_reply = claimed.turn;
         let poll = self.poll_message(Duration::ZERO);
         let polled = self.params.client.poll(address, &poll).await?;
         Ok((claimed, self.process_reply(polled)))
@@ -301,6 +301,8 @@
         }
     }
 
+    /// Reports the result of a start or stop call to the shard; `Err` if the
+    /// shard's task has ended.
     fn on_call(&mut self, result: Option<Input>) -> Result<(), ()> {
         let Some(input) = result else {
             return Ok(());
@@ -311,6 +313,9 @@
         self.report(input)
     }
 
+    /// Processes a failed poll: reports a refusal to the shard, and an expired
+    /// lease, then pauses before the next poll. `Err` if the shard's task has
+    /// ended.
     async fn on_poll_error(&mut self, error: &WorkerError) -> Result<(), ()> {
         log::debug!("poll of worker {} failed: {error}", self.id());
         if let WorkerError::Refused { refusal } = error {
@@ -331,7 +336,7 @@
     fn poll_message(&self, wait: Duration) -> Poll {
         Poll {
             fence: self.fence,
-            turn: self.turn,
+            turn: self.newest_reply,
             ended: self.forget.clone(),
             wait_millis: crate::intake::millis(wait),
         }
@@ -343,7 +348,7 @@
     /// worker is claimed again.
     #[must_use]
     fn process_reply(&mut self, polled: PollReply) -> Vec<Task> {
-        self.turn = polled.turn;
+        self.newest_reply = polled.turn;
         self.last_reply = Some(Instant::now());
         self.lost = false;
         polled.ended
@@ -355,7 +360,7 @@
         match command {
             LinkCommand::Start(unfenced) => {
                 let gate = self.params.gate.clone();
-                let start = unfenced.fenced(self.fence, self.turn);
+                let start = unfenced.fenced(self.fence, self.newest_reply);
                 self.unconfirmed.insert(start.attempt.clone());
                 calls.spawn(async move { send_start(&client, address, &gate, start).await });
             }
@@ -375,12 +380,12 @@
     }
 }
 
-/// Repeats one start until its outcome is known; returns `None` if only the
+/// Repeats one start until a reply shows its outcome; returns `None` if only the
 /// next claim can show it. The worker starts an attempt at most once, so
 /// repeating is safe. After a lost reply, only a refusal by the same
 /// incarnation under the same fence proves that the task was not started: a
-/// worker that has restarted refuses the second message without knowing of the
-/// first.
+/// worker that has restarted refuses the second message, although its earlier
+/// incarnation may have carried out the first.
 async fn send_start(
     client: &WorkerClient,
     address: std::net::SocketAddr,
--- a/crates/shard/src/machine.rs
+++ b/crates/shard/src/machine.rs
@@ -211,6 +211,7 @@
         self.core.queues().next_deadline()
     }
 
+    /// Applies a configuration, unless it is older than the current one.
     fn on_config(&mut self, config: Arc<VersionedConfig>) {
         if config.version < self.config.version {
             return;
@@ -228,6 +229,9 @@
         });
     }
 
+    /// Checks what depends on time: answers whose retention has ended, probes of
+    /// quarantined workers, intents past their deadline, retired workers, retries
+    /// of offloads, and workers that could not be claimed in time.
     fn on_tick(&mut self) {
         self.ledger
             .remove_expired(self.times.now, self.params.retention);
@@ -282,7 +286,7 @@
     /// run", the caller would repeat work that had partly run.
     pub(crate) fn finish_past_deadline(&mut self, key: &str) {
         if self.ledger.get(key).is_some_and(Entry::may_have_run) {
-            let reason = "interrupted, and no room before its deadline";
+            let reason = "interrupted, and not placed again before its deadline";
             self.finish_without_output(key, Code::HostLost, reason);
         } else {
             self.finish_without_output(key, Code::DeadlinePassed, "its latest start has passed");
--- a/crates/shard/src/message.rs
+++ b/crates/shard/src/message.rs
@@ -25,7 +25,7 @@
     pub struct WaiterKey;
 }
 
-/// Sequence number of a set of records that was handed to the journal.
+/// Sequence number of a set of records that was sent to the journal.
 pub type Ticket = u64;
 
 /// Selects the requests of a cancel call.
@@ -71,7 +71,7 @@
 pub enum ShardReply {
     /// Answer to the request, which may be pending.
     Answer(Answer),
-    /// The shard does not know the request.
+    /// The shard has no record of the request.
     Unknown,
     /// No worker is free for a request offloaded by another shard.
     Busy,
@@ -214,10 +214,11 @@
     Checkpoint,
 }
 
-/// A start message without fence and turn, which the link adds. The
-/// incarnation is the one that the shard knew when it placed the task. If the worker has restarted
-/// since, it refuses the start, so that a task never starts in an incarnation
-/// other than the one that the shard has noted.
+/// A start message without the fence and the number of the newest poll reply,
+/// which the link adds. The incarnation is the one that the worker had reported
+/// when the task was placed. If the worker has restarted since, it refuses the
+/// start, so that a task never starts in another incarnation than the recorded
+/// one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnfencedStart {
     /// Attempt id of the member.
@@ -237,7 +238,8 @@
 }
 
 impl UnfencedStart {
-    /// Completes the start message with fence and turn.
+    /// Completes the start message with the fence and, as `turn`, the number of
+    /// the newest poll reply.
     #[must_use]
     pub fn fenced(self, fence: worker::Fence, turn: worker::ReplyNumber) -> Start {
         Start {
--- a/crates/shard/src/outcome.rs
+++ b/crates/shard/src/outcome.rs
@@ -32,6 +32,8 @@
 const CLOCK_SKEW_MILLIS: u64 = 2000;
 
 impl Machine {
+    /// A worker has confirmed that it runs a task. If the request was cancelled
+    /// meanwhile, the task is stopped.
     pub(crate) fn on_started(&mut self, attempt: &str) {
         let key = attempt_key(attempt).to_owned();
         let member = self
@@ -59,6 +61,8 @@
         }
     }
 
+    /// The link reports that a task was not started and never will be. Settles
+    /// the member, and places no tasks on the worker for a short time.
     pub(crate) fn on_not_started(&mut self, attempt: &str, reason: NotStarted) {
         let key = attempt_key(attempt).to_owned();
         log::debug!("attempt {attempt} was not started: {reason:?}");
@@ -70,12 +74,15 @@
         self.settle(&key, attempt, MemberState::NotStarted);
     }
 
+    /// Processes the ended tasks in a worker's poll reply.
     pub(crate) fn on_ended(&mut self, worker: &str, tasks: Vec<Task>) {
         for task in tasks {
             self.on_task_end(worker, task);
         }
     }
 
+    /// Settles the member that ran a task with the task's end. If the request is
+    /// not in the ledger, records it from the worker's report.
     fn on_task_end(&mut self, worker: &str, task: Task) {
         let Some(end) = task.end else {
             return;
@@ -93,8 +100,8 @@
             .is_some_and(|m| !m.state.is_settled());
         if !is_open {
             // While the request is open, the workers keep the results of its
-            // earlier attempts. A later owner finds only the intent in the
-            // journal and learns only from them that the attempt ran.
+            // earlier attempts: a later owner finds only the intent in the
+            // journal, and only these results show it that the attempt ran.
             let answered = entry.answer().is_some();
             if answered || !entry.recorded {
                 self.forget_task(worker, task.attempt);
@@ -263,7 +270,7 @@
             self.finish_without_output(
                 key,
                 Code::HostLost,
-                "interrupted, and there is no room to run it again",
+                "interrupted, and its shard cannot queue it again",
             );
         } else {
             let (code, reason) = refusal_code(refused);
@@ -404,11 +411,11 @@
     }
 }
 
-/// Whether an answer may be given before its record is in the table. This does
-/// not hold for answers that say that the request will not run: if this owner
-/// ends first, the next one finds the request open and starts it although its
-/// caller got the answer "not run". A missed deadline is an exception, since
-/// it holds for the next owner too.
+/// Whether an answer may be given before its record is in the table. Answers
+/// that say that the request will not run may not: if this owner ends first, the
+/// next one finds the request open and starts it although its caller got the
+/// answer "not run". A missed deadline is an exception, since the next owner
+/// applies it too.
 pub(crate) fn is_valid_without_record(code: Code) -> bool {
     !is_cancelled(code) && !matches!(code, Code::QueueFull | Code::NeverFits)
 }
--- a/crates/shard/src/record.rs
+++ b/crates/shard/src/record.rs
@@ -13,8 +13,9 @@
 /// Number of a batch within one shard; grows across all epochs.
 pub type Seq = u64;
 
-/// Number of journal rows of a shard. Batches reuse them in turn, so that
-/// nothing has to be deleted and recovery reads a bounded number of rows.
+/// Number of journal rows of a shard. Batches overwrite them one after the
+/// other, from the first again after the last, so that nothing has to be deleted
+/// and recovery reads a bounded number of rows.
 pub const JOURNAL_ROWS: u64 = 64;
 
 /// Where one member of an attempt was placed.
@@ -22,8 +23,7 @@
 pub struct Placement {
     /// Id of the worker.
     pub worker: WorkerId,
-    /// Incarnation of the worker; a later incarnation knows nothing of the
-    /// task.
+    /// Incarnation of the worker; a later incarnation has no record of the task.
     pub run: Incarnation,
 }
 
--- a/crates/shard/src/router.rs
+++ b/crates/shard/src/router.rs
@@ -46,7 +46,7 @@
 pub enum RequestStatus {
     /// The final answer, or a pending answer with the current state.
     Answer(Answer),
-    /// The shard does not know the request.
+    /// The shard has no record of the request.
     Unknown,
     /// No owner of the shard has answered.
     Unreached,
@@ -73,8 +73,9 @@
         }
     }
 
-    /// Shard of a request. If this process does not know the team, the key is
-    /// hashed over all shards: any shard can answer that the team has no quota.
+    /// Shard of a request. If this process's configuration does not contain the
+    /// team, the key is hashed over all shards: any shard can answer that the
+    /// team has no quota.
     #[must_use]
     pub fn shard(&self, key: &str) -> ShardId {
         let team = key.split_once('/').map_or(key, |(team, _)| team);
@@ -102,8 +103,8 @@
     /// until `stopping` becomes true because the process stops; the caller can
     /// then ask another process.
     ///
-    /// A retry reaches either the same owner, which knows the id, or a later
-    /// one, which has the journal and the workers' reports. So all tries
+    /// A retry reaches either the same owner, which has recorded the id, or a
+    /// later one, which has the journal and the workers' reports. So all tries
     /// together count as one submission. The router itself answers "not run"
     /// only if no try can have reached an owner.
     pub async fn submit(
@@ -139,9 +140,9 @@
                 AskResult::Lost => reached = true,
                 AskResult::Reply(_) | AskResult::NotReached => {}
             }
-            // The next owner has to know that this is a retry. Without the time
-            // of the first try it could answer "not run" to a request that the
-            // former owner has run.
+            // Marks further tries as retries. Without the time of the first try,
+            // the next owner could answer "not run" to a request that the former
+            // owner has run.
             if reached && submission.request.sent_millis == 0 {
                 submission.request.sent_millis = first_millis;
             }
--- a/crates/shard/src/rows.rs
+++ b/crates/shard/src/rows.rs
@@ -78,7 +78,7 @@
 pub enum LeaseState {
     /// The process takes shards.
     Live,
-    /// The process hands its shards over and stops.
+    /// The process releases its shards to their next owners and stops.
     Leaving,
     /// Another process found the lease unchanged for the whole TTL and marked
     /// it. The owner of the lease may renew it again; it keeps the shards that
--- a/crates/shard/src/segment.rs
+++ b/crates/shard/src/segment.rs
@@ -1,6 +1,6 @@
 //! Segments: objects that replace journal rows before these are reused.
 //!
-//! A segment holds every open request, and the answers given since the previous
+//! A segment contains every open request, and the answers given since the previous
 //! segment. Recovery therefore reads the newest segment and the journal rows
 //! after it, and for the answers also the older segments within the retention
 //! period. Writing a segment costs no more than the open requests and what has
--- a/crates/shard/src/shard_manager.rs
+++ b/crates/shard/src/shard_manager.rs
@@ -61,8 +61,8 @@
     Adopt(Arc<VersionedConfig>),
 }
 
-/// Result of a leaving process's hand-overs. Counts only what the table has
-/// confirmed, not what was sent to it.
+/// Result of the hand-overs of a leaving process. Counts only what the table
+/// has confirmed, not what was sent to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HandoverReport {
     /// Shards whose rows name their next owner.
@@ -116,11 +116,12 @@
     pub(crate) hints: Arc<Notify>,
     pub(crate) commands: mpsc::Receiver<ShardManagerCommand>,
     pub(crate) outage: OutageTracker,
-    /// When the worker lists are read next.
-    pub(crate) lists_due_at: Option<Instant>,
+    /// When the worker lists are read next; `None` for the next tick.
+    pub(crate) lists_due: Option<Instant>,
     /// Host list at the last read of the worker lists.
     pub(crate) last_hosts: Hosts,
-    pub(crate) last_handover_at: Instant,
+    /// When the last hand-over of a shard started.
+    pub(crate) last_handover: Instant,
     /// Set while the process leaves; receives the report at the end.
     pub(crate) leaving: Option<oneshot::Sender<HandoverReport>>,
     pub(crate) handover: HandoverReport,
@@ -162,9 +163,9 @@
             hints: channels.hints,
             commands: channels.commands,
             outage: OutageTracker::new(),
-            lists_due_at: None,
+            lists_due: None,
             last_hosts: None,
-            last_handover_at: Instant::now(),
+            last_handover: Instant::now(),
             leaving: None,
             handover: HandoverReport::default(),
         }
@@ -230,6 +231,8 @@
         wait.max(renew / 10)
     }
 
+    /// Carries out a command of another task of this process: starts leaving the
+    /// cell, or applies a configuration and notifies the other processes of it.
     fn on_command(&mut self, command: ShardManagerCommand) {
         match command {
             ShardManagerCommand::Leave(done) => {
@@ -273,21 +276,23 @@
         self.read_worker_lists().await
     }
 
-    /// Renews the lease and extends the gate.
+    /// Renews the lease and extends the gate. If the gate had closed, this
+    /// process had renewed too late to act meanwhile, although no other process
+    /// had expired its lease; unless it may reclaim its shards, it drops them.
     pub(crate) async fn renew(&mut self) -> Result<(), ShardError> {
-        let lapsed = !self.context.gate.is_open();
+        let gate_closed = !self.context.gate.is_open();
         let is_first = self.lease.version() == 0;
         let (renewal, sent_at) = self.lease.renew(self.config.version).await?;
         self.outage.record_answer();
         match renewal {
             _ if is_first => self.record_event(Event::new(Kind::LeaseAcquired)),
-            Renewal::Held if lapsed => {
+            Renewal::Extended if gate_closed => {
                 self.record_event(Event::new(Kind::LeaseLapsed));
                 if !self.context.reclaim {
                     self.drop_all_shards();
                 }
             }
-            Renewal::Held => {}
+            Renewal::Extended => {}
             Renewal::Regained => {
                 self.context.gate.revoke();
                 self.record_event(Event::new(Kind::LeaseExpired));
@@ -360,7 +365,7 @@
                 .collect(),
             config: Some(self.config.clone()),
             last_answer: self.outage.last_answer(),
-            last_read_at: self.members.read_at(),
+            read_at: self.members.read_at(),
         };
         self.view.send_replace(Arc::new(view));
     }
--- a/crates/shard/src/shard_task.rs
+++ b/crates/shard/src/shard_task.rs
@@ -55,7 +55,7 @@
 /// Interval of ticks.
 const TICK: Duration = Duration::from_millis(100);
 
-/// Limit on further inputs handled in a row before other events get their turn.
+/// Maximum number of further inputs handled in a row before other events.
 const INPUTS_AT_ONCE: usize = 64;
 
 /// Messages to the task of a shard.
@@ -68,7 +68,7 @@
     /// The shard's current workers.
     Workers(Vec<WorkerHost>),
     /// Another process owns the shard: redirect all callers, then end. This
-    /// needs a message: callers that wait for a reply hold senders of the
+    /// needs a message: callers that wait for a reply own senders of the
     /// inbox, so the inbox does not close when the shard manager drops its
     /// sender.
     Drop,
@@ -211,6 +211,7 @@
         }
     }
 
+    /// Handles an input and up to [`INPUTS_AT_ONCE`] queued ones.
     fn on_input(&mut self, input: Input) {
         self.handle_input(input);
         for _ in 0..INPUTS_AT_ONCE {
@@ -235,6 +236,9 @@
         }
     }
 
+    /// Processes a message from another task of the process. While the gate is
+    /// closed, calls are answered as timed out, since the shard may have another
+    /// owner.
     fn on_message(&mut self, message: ShardTaskMessage) {
         match message {
             ShardTaskMessage::Ask(ask, reply) => {
@@ -252,6 +256,9 @@
         }
     }
 
+    /// Starts the release of the shard: redirects the waiting callers, closes the
+    /// links and closes the journal. `done` is notified when the journal has
+    /// written its records.
     fn on_release(&mut self, done: oneshot::Sender<()>) {
         self.handle_input(Input::Release);
         self.links.clear();
@@ -281,6 +288,8 @@
         end
     }
 
+    /// Passes an event of the journal's writer to the machine, and stores a
+    /// segment if enough batches were written.
     fn on_journal_event(&mut self, event: &JournalEvent) {
         match event {
             JournalEvent::Written(ticket, seq) => {
@@ -323,6 +332,8 @@
         });
     }
 
+    /// A segment was stored or could not be stored: adds it to the segment list,
+    /// or builds and stores a new one.
     fn on_stored(&mut self, stored: StoredSegment) {
         self.storing_segment = false;
         match stored {
--- a/crates/shard/src/status.rs
+++ b/crates/shard/src/status.rs
@@ -10,6 +10,8 @@
 use crate::intake::pending_answer;
 
 impl Machine {
+    /// Answers a status call: with the final answer of the request, or with a
+    /// pending answer that describes its current state.
     pub(crate) fn on_status(&mut self, key: &str, waiter: WaiterKey) {
         let Some(entry) = self.ledger.get(key) else {
             self.reply(waiter, ShardReply::Unknown);
@@ -36,7 +38,7 @@
                 Some(limit) => format!("waiting for {limit}"),
                 None => "waiting".to_owned(),
             },
-            Stage::Offloaded => "no room in its shard; another was asked".to_owned(),
+            Stage::Offloaded => "no free capacity in its shard; offered to other shards".to_owned(),
             Stage::Recording(_) => "placed; its intent is being recorded".to_owned(),
             Stage::Running(_) => members_text(entry),
             Stage::Closing(_) | Stage::Done(_) => "its answer is being recorded".to_owned(),
@@ -72,7 +74,7 @@
     }
     if !unknown.is_empty() {
         parts.push(format!(
-            "placed by an earlier owner on {unknown}, which was not asked yet"
+            "placed by an earlier owner on {unknown}, not claimed by this owner yet"
         ));
     }
     if ended > 0 {
--- a/crates/shard/src/view.rs
+++ b/crates/shard/src/view.rs
@@ -45,7 +45,8 @@
     Local(mpsc::UnboundedSender<ShardTaskMessage>),
     /// To another process, at this address.
     Remote(SocketAddr),
-    /// The shard has no known owner at the moment.
+    /// In the rows that were last read, the shard has no owner, or an owner that is
+    /// not a member of the cell.
     Unroutable,
 }
 
@@ -63,7 +64,7 @@
     /// Time of the table's last answer.
     pub last_answer: Arc<LastAnswer>,
     /// When members and owners were last read from the table.
-    pub last_read_at: Option<Instant>,
+    pub read_at: Option<Instant>,
 }
 
 /// Owner of a shard.
@@ -103,7 +104,7 @@
     /// Age of the members and owners in this view; none before the first read.
     #[must_use]
     pub fn age(&self) -> Option<Duration> {
-        self.last_read_at.map(|at| at.elapsed())
+        self.read_at.map(|at| at.elapsed())
     }
 
     /// Lowest configuration version in force in any process whose lease is not
--- a/crates/shard/src/worker_lists.rs
+++ b/crates/shard/src/worker_lists.rs
@@ -34,12 +34,12 @@
         let now = Instant::now();
         let hosts = self.hosts.borrow().clone();
         let changed = hosts != self.last_hosts;
-        let due = self.lists_due_at.is_none_or(|at| now >= at);
+        let due = self.lists_due.is_none_or(|at| now >= at);
         let Some(hosts) = hosts.filter(|_| due || changed) else {
             return Ok(());
         };
         let delay = if changed { LIST_RETRY } else { LIST_INTERVAL };
-        self.lists_due_at = Some(now + delay);
+        self.lists_due = Some(now + delay);
         self.last_hosts = Some(hosts.clone());
         if let Some(fence) = self.running.get(&0).map(|running| running.fence) {
             self.assign_workers(fence, &hosts).await?;
@@ -51,7 +51,7 @@
             let Some(list) = row.and_then(|row| self.decode_or_record::<AssignRow>(&row)) else {
                 // The owner of shard 0 has not yet assigned workers to this
                 // shard.
-                self.lists_due_at = Some(now + LIST_RETRY / 4);
+                self.lists_due = Some(now + LIST_RETRY / 4);
                 continue;
             };
             let mut workers = join_hosts(&list, &hosts);
--- a/crates/shard/tests/journal.rs
+++ b/crates/shard/tests/journal.rs
@@ -151,9 +151,9 @@
 }
 
 // Guards against journal rows being overwritten by an earlier writer of the
-// same process: the shard is handed to another process and comes back while the
-// earlier writer is still retrying. The fence must compare the epoch, not only
-// the owner.
+// same process: the shard is released to another process and claimed again while
+// the earlier writer is still retrying. The fence must compare the epoch, not
+// only the owner.
 #[tokio::test]
 async fn a_writer_of_an_earlier_epoch_is_fenced_even_by_its_own_process() {
     let table = MemoryTable::default();
--- a/crates/shard/tests/machine.rs
+++ b/crates/shard/tests/machine.rs
@@ -8,7 +8,8 @@
 use crate::simulation::Simulation;
 use crate::simulation::Step;
 
-// Guards against rules of the machine that hold only if events arrive in order.
+// Guards against rules of the machine that are kept only if events arrive in
+// order.
 // With arbitrary steps, no worker exceeds its slots, no request that is not
 // idempotent runs twice, no request that ran is answered "not run", and no call
 // gets two answers.
--- a/crates/shard/tests/shown/refusals.rs
+++ b/crates/shard/tests/shown/refusals.rs
@@ -62,10 +62,9 @@
 
 // Guards against refusing a request as too large for every worker (301)
 // although it fits on one. After a take-over, the new owner had claimed only
-// the smaller of two workers and compared the request with the capacities known
-// so far.
+// the smaller of two workers and compared the request with its capacity alone.
 #[test]
-fn no_request_is_too_large_before_all_workers_are_known() {
+fn no_request_is_too_large_before_all_workers_are_claimed() {
     let mut fixture = Fixture::with_unclaimed(&["w0", "w1"]);
     fixture.claim("w0", "run-1", 2, Vec::new());
     let mut large = idempotent_request("r1");
--- a/crates/shard/tests/shown/states.rs
+++ b/crates/shard/tests/shown/states.rs
@@ -49,7 +49,7 @@
 
 // Guards against the status "waiting for workers" (500), which implies
 // acceptance, before the acceptance record is in the table. If the owner ends
-// at that point, its successor does not know the request.
+// at that point, its successor has no record of the request.
 #[test]
 fn request_is_not_shown_as_accepted_before_it_is_recorded() {
     let mut fixture = Fixture::with_unclaimed(&["w0"]);
--- a/crates/shard/tests/simulation/workers.rs
+++ b/crates/shard/tests/simulation/workers.rs
@@ -145,13 +145,13 @@
     }
 
     /// Expires the lease of a worker's tasks: the worker ends them first, and
-    /// the owner learns of it later.
+    /// the owner detects it later.
     pub(super) fn expire_lease(&mut self, worker: usize) {
         for task in self.workers[worker].tasks.values_mut() {
             task.end.get_or_insert_with(|| ended(EndResult::LeaseOver));
         }
-        // Starts still in flight name a poll turn that is too old, so the
-        // worker refuses them.
+        // Starts still in flight contain the number of a poll reply from before
+        // the expiry (`turn`), so the worker refuses them.
         for start in &self.in_flight {
             if start.worker == worker {
                 self.workers[worker]
