--- a/crates/shard/src/gate.rs
+++ b/crates/shard/src/gate.rs
@@ -7,8 +7,8 @@
 
 /// Permission to act for the shards, valid until a deadline.
 ///
-/// A process that was paused past the end of its lease still believes that it
-/// holds it. So every send that carries out an earlier decision first checks
+/// A process that was paused past the end of its lease has no message that shows
+/// the expiry. So every send that carries out an earlier decision first checks
 /// the gate, which compares the monotonic clock (it keeps running during a
 /// pause) with the deadline set by the last successful renewal. A pause between
 /// the check and the send is still possible; what is sent then is refused by
--- a/crates/shard/src/launch.rs
+++ b/crates/shard/src/launch.rs
@@ -162,7 +162,7 @@
 
     /// The table currently accepts no records. Answers that are valid without
     /// their record are given at once: if this process dies before the record
-    /// is written, the workers still hold the unacknowledged results.
+    /// is written, the workers still have the unacknowledged results.
     pub(crate) fn on_journal_stalled(&mut self) {
         self.journal_stalled = true;
         let is_closing = |entry: &Entry| match &entry.stage {
--- a/crates/shard/src/ledger.rs
+++ b/crates/shard/src/ledger.rs
@@ -147,7 +147,7 @@
     }
 
     /// Applies the record of an intent. The states of its members are unknown
-    /// until their workers are asked.
+    /// until their workers are claimed and list their tasks.
     fn replay_intent(&mut self, key: &str, epoch: Epoch, attempt: u32, placed: &[Placement]) {
         let Some(entry) = self.entries.get_mut(key) else {
             return;
--- a/crates/shard/src/offloader.rs
+++ b/crates/shard/src/offloader.rs
@@ -11,7 +11,8 @@
 use crate::ShardReply;
 use crate::Submission;
 
-/// Number of shards that are asked before the request returns to its queue.
+/// Maximum number of other shards to which a request is offered before it returns
+/// to its queue.
 const MAX_OFFERS: u32 = 3;
 
 /// Time for the reply of the other shard, in addition to the declared run time.
--- a/crates/shard/src/outage.rs
+++ b/crates/shard/src/outage.rs
@@ -146,7 +146,7 @@
         self.since_answer() < period
     }
 
-    /// Whether the table has been silent for longer than `OUTAGE_LIMIT`.
+    /// Whether the table has not answered for longer than `OUTAGE_LIMIT`.
     #[must_use]
     pub fn is_over_limit(&self) -> bool {
         self.since_answer() > OUTAGE_LIMIT
