--- a/crates/entry/src/api.rs
+++ b/crates/entry/src/api.rs
@@ -141,9 +141,10 @@
             (&Method::GET, "/v1/hosts") => self.list_hosts(http_request),
             (&Method::GET, "/v1/events") => self.events(http_request),
             (&Method::GET, "/v1/timeline") => self.stored_events(http_request).await,
+            // Also for a known path with another method.
             _ => Err(ApiError::new(
                 StatusCode::NOT_FOUND,
-                "no such path, or no such method on it; see docs/API.md",
+                "no such path; see docs/API.md",
             )),
         }
     }
@@ -153,10 +154,7 @@
             return web::error(StatusCode::SERVICE_UNAVAILABLE, "stopping");
         }
         if !self.gate.is_open() {
-            return web::error(
-                StatusCode::SERVICE_UNAVAILABLE,
-                "this process has no valid lease",
-            );
+            return web::error(StatusCode::SERVICE_UNAVAILABLE, "no lease");
         }
         web::text(StatusCode::OK, "ok\n")
     }
@@ -168,16 +166,12 @@
         web::text(StatusCode::OK, text)
     }
 
-    /// Returns the holder of the request's bearer token, or status 401.
+    /// Returns the holder of the request's bearer token, or status 401 if the token
+    /// is missing or not in the settings of the process.
     fn authenticate(&self, http_request: &HttpRequest) -> Result<Caller, ApiError> {
         let token = http_request.token.as_deref().unwrap_or_default();
         let caller = self.tokens.caller(token);
-        caller.ok_or_else(|| {
-            ApiError::new(
-                StatusCode::UNAUTHORIZED,
-                "bearer token missing or not in the settings",
-            )
-        })
+        caller.ok_or_else(|| ApiError::new(StatusCode::UNAUTHORIZED, "no valid bearer token"))
     }
 
     /// Like [`Self::authenticate`], but returns status 403 unless the caller is an
@@ -187,10 +181,7 @@
         if caller.role == Role::Operator {
             return Ok(caller);
         }
-        Err(ApiError::new(
-            StatusCode::FORBIDDEN,
-            "allowed only with the token of an operator",
-        ))
+        Err(ApiError::new(StatusCode::FORBIDDEN, "only for operators"))
     }
 
     async fn submit(&self, http_request: &HttpRequest) -> ApiResult {
@@ -203,7 +194,7 @@
             return Ok(self.reply(StatusCode::BAD_REQUEST, answer, class));
         }
         let Some(_permit) = self.in_flight.try_acquire(&caller.team) else {
-            let reason = "the team has reached its limit of requests in flight at this process";
+            let reason = "too many requests of the team in flight at this process";
             let answer = Answer::without_output(&request.id, Code::QueueFull, reason);
             let answer = answer.retry_in(RETRY_MILLIS);
             return Ok(self.reply(StatusCode::TOO_MANY_REQUESTS, answer, class));
@@ -241,10 +232,11 @@
                 StatusCode::NOT_FOUND,
                 "no such request of this team",
             )),
+            // Only the owner of the request's shard knows the status; the caller may
+            // ask again.
             RequestStatus::Unreached => Err(ApiError::new(
                 StatusCode::SERVICE_UNAVAILABLE,
-                "the owner of the request's shard does not answer, so its status is unknown; \
-                 ask again",
+                "the owner of its shard does not answer; nothing is known of it here",
             )),
         }
     }
@@ -259,15 +251,15 @@
                 label,
             },
             _ => {
-                let reason = "body: allowed: either id or a non-empty label";
+                let reason = "allowed: either id or a non-empty label";
                 return Err(ApiError::new(StatusCode::BAD_REQUEST, reason));
             }
         };
         if let Some(cancelled) = self.router.cancel(filter).await {
             Ok(web::json(StatusCode::OK, &CancelledBody { cancelled }))
         } else {
-            let reason = "the owner of at least one shard did not answer, so some requests may \
-                          not be cancelled; send the same call again";
+            // At least one owner did not answer, so some requests may not be cancelled.
+            let reason = "not every owner could be asked; send the same call again";
             Err(ApiError::new(StatusCode::SERVICE_UNAVAILABLE, reason))
         }
     }
@@ -349,7 +341,7 @@
         if let Some(hosts) = hosts {
             Ok(web::json(StatusCode::OK, &*hosts))
         } else {
-            let reason = "the platform's host list has not been read yet; try again";
+            let reason = "the platform's host list was not read yet";
             Err(ApiError::new(StatusCode::SERVICE_UNAVAILABLE, reason))
         }
     }
@@ -403,7 +395,8 @@
 }
 
 /// Maximum time that a submission waits for its reply: the query parameter
-/// `patience_millis`, or a default that depends on `wait`.
+/// `patience_millis`, or a default that depends on `wait`. A value above
+/// [`MAX_WAIT`] is no error, but counts as [`MAX_WAIT`].
 fn wait_limit(http_request: &HttpRequest, wait: bool) -> Result<Duration, ApiError> {
     let Some(text) = http_request.parameter("patience_millis") else {
         return Ok(if wait { MAX_WAIT } else { DETACHED_WAIT });
@@ -412,9 +405,7 @@
     if let Some(millis) = millis {
         Ok(Duration::from_millis(millis).min(MAX_WAIT))
     } else {
-        let reason = format!(
-            "patience_millis: found {text:?}, allowed: 1 to 300000 (more counts as 300000)"
-        );
+        let reason = format!("patience_millis: found {text:?}, allowed: 1 to 300000");
         Err(ApiError::new(StatusCode::BAD_REQUEST, reason))
     }
 }
--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -83,7 +83,7 @@
 #[derive(Debug, PartialEq, Eq, Snafu)]
 pub enum ConfigError {
     /// The patched document cannot be parsed.
-    #[snafu(display("cannot parse the patched configuration document: {reason}"))]
+    #[snafu(display("the patched document is invalid: {reason}"))]
     Malformed {
         /// Error message of the parser.
         reason: String,
@@ -141,7 +141,7 @@
                 continue;
             };
             let field = format!("teams.{name}.span");
-            let allowed = format!("{previous}, fixed when the team was created");
+            let allowed = format!("{previous}, as the team was made");
             check(&field, &team.span, team.span == previous, &allowed)?;
         }
         Ok(())
@@ -180,7 +180,7 @@
                 "teams",
                 name,
                 valid_name,
-                "names of 1 to 64 ASCII letters, digits and hyphens",
+                "names of 1 to 64 letters, digits and hyphens",
             )?;
             let field = format!("teams.{name}.queue");
             check(
--- a/crates/model/src/request.rs
+++ b/crates/model/src/request.rs
@@ -101,7 +101,7 @@
             "needs.slots",
             &self.needs.slots,
             self.needs.slots <= 1,
-            || "0 or 1, because each task takes one slot".to_owned(),
+            || "0 or 1; a task takes one slot".to_owned(),
         )?;
         let gang = self.class == Class::Gang;
         let members = if gang { 2..=MAX_GANG_MEMBERS } else { 1..=1 };
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -7,16 +7,14 @@
 pub enum StoreError {
     /// The call was not sent, or the service replied with an error status. The
     /// call had no effect.
-    #[snafu(display("call to the platform failed without effect: {reason}"))]
+    #[snafu(display("the platform's service is unavailable: {reason}"))]
     Unavailable {
         /// Description of the cause.
         reason: String,
     },
     /// No complete, well-formed reply was received; the call may have taken
     /// effect.
-    #[snafu(display(
-        "no usable reply from the platform; the call may have taken effect: {reason}"
-    ))]
+    #[snafu(display("the answer of the platform's service was lost: {reason}"))]
     Unknown {
         /// Description of the cause.
         reason: String,
--- a/crates/store/src/http_table.rs
+++ b/crates/store/src/http_table.rs
@@ -48,7 +48,7 @@
     if reply.status == StatusCode::OK {
         return Ok(());
     }
-    let reason = format!("table: status {}: {}", reply.status, reply.text());
+    let reason = format!("status {}: {}", reply.status, reply.text());
     Err(StoreError::Unavailable { reason })
 }
 
--- a/crates/web/src/client.rs
+++ b/crates/web/src/client.rs
@@ -51,7 +51,7 @@
     },
     /// The reply is not the expected JSON, or no valid request could be built from
     /// the call's path and headers.
-    #[snafu(display("malformed call to {server}, or malformed reply: {reason}"))]
+    #[snafu(display("bad reply from {server}: {reason}"))]
     Garbled {
         /// Address of the server.
         server: SocketAddr,
--- a/crates/web/src/server.rs
+++ b/crates/web/src/server.rs
@@ -153,8 +153,9 @@
     let body = if let Ok(body) = Limited::new(body, limits.body_bytes).collect().await {
         body.to_bytes()
     } else {
+        // The body is longer than allowed, or the connection ended before its end.
         let reason = format!(
-            "request body: too large or incomplete, allowed: at most {} bytes",
+            "body: allowed: at most {} bytes, sent whole",
             limits.body_bytes
         );
         return error(StatusCode::PAYLOAD_TOO_LARGE, &reason);
