--- a/crates/entry/src/body.rs
+++ b/crates/entry/src/body.rs
@@ -71,7 +71,7 @@
     pub members: Vec<MemberView>,
     /// Shards and their owners.
     pub shards: Vec<ShardBody>,
-    /// Whether the table has answered this process recently.
+    /// Whether the table has answered a call of this process within the last 1.2 s.
     pub reachable: bool,
     /// Milliseconds since members and owners were last read from the table; `None`
     /// before the first read.
--- a/crates/event/src/event.rs
+++ b/crates/event/src/event.rs
@@ -19,7 +19,7 @@
     pub process: Incarnation,
     /// Kind of the event.
     pub kind: Kind,
-    /// Key of the request concerned, if any.
+    /// Key of the request concerned, `TEAM/ID`, if any.
     pub request: Option<RequestId>,
     /// Shard concerned, if any.
     pub shard: Option<ShardId>,
@@ -45,10 +45,10 @@
         }
     }
 
-    /// Sets the key of the request concerned.
+    /// Sets the key of the request concerned, `TEAM/ID`.
     #[must_use]
-    pub fn request(mut self, id: &str) -> Event {
-        self.request = Some(id.to_owned());
+    pub fn request(mut self, key: &str) -> Event {
+        self.request = Some(key.to_owned());
         self
     }
 
--- a/crates/event/src/kind.rs
+++ b/crates/event/src/kind.rs
@@ -56,8 +56,8 @@
     /// The platform's table is available again.
     OutageLeft = 205,
     /// The platform's table is unavailable, but no peer confirms the outage any
-    /// more, or the outage has lasted too long. The process makes no more decisions for its
-    /// shards until it has renewed its lease.
+    /// more, or the outage has lasted too long. The process makes no more decisions
+    /// for its shards until it has renewed its lease.
     OutageUnconfirmed = 206,
     /// This process claimed a shard and raised its epoch.
     ShardClaimed = 210,
@@ -73,8 +73,9 @@
     ShardReclaimed = 214,
     /// A worker accepted the claim of a shard's owner.
     WorkerClaimed = 300,
-    /// A worker refused a poll of the shard's owner: the worker was claimed with a
-    /// newer fence, or it has restarted and will be claimed again.
+    /// A worker refused a poll of the shard's owner: another owner has claimed the
+    /// worker with a newer fence (fencing token), or the worker has restarted and will
+    /// be claimed again.
     WorkerRefused = 301,
     /// A worker no longer answers polls. It receives no new tasks; its tasks count
     /// as running until their lease expires.
--- a/crates/model/src/answer.rs
+++ b/crates/model/src/answer.rs
@@ -27,7 +27,8 @@
     /// Worker that ran the first task of the request; empty if the answer does not
     /// report the end of a task.
     pub worker: WorkerId,
-    /// Time from the submission to the start of the tasks, in milliseconds.
+    /// Time from the arrival of the submission at a process of the cell to the start
+    /// of the tasks, in milliseconds; 0 if they did not start.
     pub waited_millis: u64,
     /// Delay after which the caller may send the request again, in milliseconds;
     /// 0 if the answer suggests none.
--- a/crates/model/src/id.rs
+++ b/crates/model/src/id.rs
@@ -8,10 +8,12 @@
 /// Name of a team, as given in the configuration document.
 pub type TeamId = String;
 
-/// Name of a worker, as given in the platform's host list.
+/// Name of a worker, as given in the list of workers that the platform maintains
+/// (the host list, see the crate `store`).
 pub type WorkerId = String;
 
-/// Index of a shard, from 0 to the cell's shard count minus one.
+/// Index of a shard, from 0 to the number of shards of the cell minus one. The
+/// processes of a cell divide its shards among them.
 pub type ShardId = u16;
 
 /// Number of an ownership period of a shard; increases whenever a process claims
@@ -24,7 +26,9 @@
 /// Version number of an accepted configuration document.
 pub type Version = u64;
 
-/// Key under which a shard stores a request: team and request id.
+/// Key under which a shard stores a request: team and request id. Neither contains
+/// a slash or a tilde; [`Config::check`](crate::Config::check) and
+/// [`Request::check`](crate::Request::check) reject them.
 #[must_use]
 pub fn request_key(team: &str, id: &str) -> String {
     format!("{team}/{id}")
@@ -46,45 +50,49 @@
         .and_then(|(_, shard)| shard.parse().ok())
 }
 
-/// Contiguous range of shards, wrapping at the last one, over which the
-/// requests and the quota of a team are spread. A team does not use all shards,
+/// Contiguous range of the cell's shards, wrapping at the last one, over which
+/// the requests and the quota of a team are spread. A team does not use all shards,
 /// because each shard would then get a part of a small quota in which not even
 /// a single task fits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TeamShards {
+    /// Index of the first shard of the team.
     first: u16,
+    /// Number of shards of the team.
     span: u16,
-    shards: u16,
+    /// Number of all shards of the cell.
+    cell_shards: u16,
 }
 
 impl TeamShards {
-    /// Selects the shards of a team in a cell of `shards` shards: `span` of them,
-    /// but at least one and at most all.
+    /// Selects the shards of a team in a cell of `cell_shards` shards: `span` of
+    /// them, but at least one and at most all.
     #[must_use]
-    pub fn new(team: &str, span: u16, shards: u16) -> TeamShards {
-        let shards = shards.max(1);
+    pub fn new(team: &str, span: u16, cell_shards: u16) -> TeamShards {
+        let cell_shards = cell_shards.max(1);
         TeamShards {
-            first: bucket(team, shards),
-            span: span.clamp(1, shards),
-            shards,
+            first: bucket(team, cell_shards),
+            span: span.clamp(1, cell_shards),
+            cell_shards,
         }
     }
 
     /// Returns the shard that a request belongs to, from its [`request_key`]. The
-    /// result is the same in every process, and does not change as long as the
-    /// span of the team and the number of shards stay the same.
+    /// owner of this shard accepts, schedules and answers the request. The result is
+    /// the same in every process, and does not change as long as the span of the
+    /// team and the number of shards of the cell stay the same.
     #[must_use]
     pub fn home(&self, key: &str) -> ShardId {
         let offset = u32::from(bucket(key, self.span));
-        let shard = (u32::from(self.first) + offset) % u32::from(self.shards);
+        let shard = (u32::from(self.first) + offset) % u32::from(self.cell_shards);
         u16::try_from(shard).unwrap_or_default()
     }
 
     /// Index of a shard in the team's range; none if the shard is not in it.
     #[must_use]
     pub fn index_of(&self, shard: ShardId) -> Option<u16> {
-        let shards = u32::from(self.shards);
-        let index = (u32::from(shard) + shards - u32::from(self.first)) % shards;
+        let cell_shards = u32::from(self.cell_shards);
+        let index = (u32::from(shard) + cell_shards - u32::from(self.first)) % cell_shards;
         u16::try_from(index).ok().filter(|index| *index < self.span)
     }
 
--- a/crates/model/src/request.rs
+++ b/crates/model/src/request.rs
@@ -21,7 +21,7 @@
 /// Maximum number of members in a gang.
 pub const MAX_GANG_MEMBERS: u32 = 128;
 
-/// Maximum deadline, in milliseconds from the submission: one day.
+/// Maximum of [`Request::deadline_millis`]: one day.
 pub const MAX_DEADLINE_MILLIS: u64 = 86_400_000;
 
 /// A request to run one task, or the tasks of one gang.
@@ -39,9 +39,11 @@
     pub class: Class,
     /// Resources that each task needs.
     pub needs: Resources,
-    /// Run time declared by the caller, in milliseconds.
+    /// Run time that the caller expects, in milliseconds. Tasks that run longer are
+    /// not stopped.
     pub run_millis: u64,
-    /// Maximum time from the submission to the start, in milliseconds.
+    /// Maximum time from the arrival of the submission at a process of the cell to
+    /// the start of the tasks, in milliseconds.
     pub deadline_millis: u64,
     /// Whether the request may safely run more than once.
     #[serde(default)]
@@ -54,7 +56,14 @@
     #[serde(default)]
     pub label: String,
     /// Time at which the caller first sent the request, in milliseconds since
-    /// 1970; unchanged in retries. 0 stands for the time of arrival.
+    /// 1970; unchanged in retries. The owner of the shard recognises an old request
+    /// by it: one whose answer may no longer be stored ([`Code::Forgotten`]), or one
+    /// that a former owner of the shard may have run ([`Code::OwnerLost`]). 0 stands
+    /// for the time of arrival; a retry with 0 counts as new, so it may be answered
+    /// "not run" although an earlier attempt has run.
+    ///
+    /// [`Code::Forgotten`]: crate::Code::Forgotten
+    /// [`Code::OwnerLost`]: crate::Code::OwnerLost
     #[serde(default)]
     pub sent_millis: u64,
     /// Payload, passed to the task unchanged.
@@ -72,18 +81,22 @@
 pub struct RequestError {
     /// Name of the invalid field.
     pub field: &'static str,
-    /// Value of the field.
+    /// Value of the field; for the payload, its length in bytes.
     pub found: String,
     /// Description of the allowed values.
     pub allowed: String,
 }
 
 impl Request {
-    /// Validates every field.
+    /// Validates `id`, `needs.slots`, `members`, `deadline_millis` and `payload`.
+    /// The other fields may have any value; whether `needs` fits a worker, the quota
+    /// of the team and the power limits is checked when the request is accepted.
     ///
     /// # Errors
     /// The first field with a value that is not allowed.
     pub fn check(&self) -> Result<(), RequestError> {
+        // A slash ends the team in a request key, and a tilde ends the request key in
+        // the key of an offloaded request.
         let is_allowed = |b: u8| b.is_ascii_graphic() && b != b'/' && b != b'~';
         let valid_chars = self.id.bytes().all(is_allowed);
         let length = self.id.len();
@@ -127,8 +140,9 @@
     }
 
     /// Whether the intent to start must be recorded in the platform's table before
-    /// the start message is sent: for durable classes, and for all requests that
-    /// must not run twice.
+    /// the start message is sent to a worker, so that the next owner of the shard
+    /// knows of the start: for durable classes, and for all requests that must not
+    /// run twice.
     #[must_use]
     pub fn is_durable(&self) -> bool {
         self.class.is_durable() || !self.idempotent
@@ -143,7 +157,7 @@
         }
     }
 
-    /// Maximum time from the submission to the start.
+    /// The time in [`Request::deadline_millis`].
     #[must_use]
     pub fn deadline(&self) -> Duration {
         Duration::from_millis(self.deadline_millis)
--- a/crates/peer/src/keys.rs
+++ b/crates/peer/src/keys.rs
@@ -1,5 +1,6 @@
-//! Generates the certificate authority of a cell and the key files of its
-//! processes.
+//! Generates the three key files of a cell: the certificate of its certificate
+//! authority, and one certificate with its private key. All processes of the cell
+//! use copies of the same three files.
 
 use std::fs;
 use std::io::Write;
@@ -18,27 +19,32 @@
 use crate::OpenError;
 use crate::error::FileSnafu;
 
-/// Subject name in every certificate of a cell. A certificate proves membership
-/// in the cell, not an address, because the IP addresses of processes change
-/// when hosts are replaced.
+/// DNS name (subject alternative name) in the certificate of the processes; the
+/// same in all cells, which differ by their authorities. A process that opens a
+/// connection expects this name of the server instead of its address: the
+/// certificate proves membership in the cell, not an address, because the IP
+/// addresses of processes change when hosts are replaced.
 pub const CELL_NAME: &str = "clovermount.cell";
 
 /// File name of the certificate of the cell's authority.
 pub const AUTHORITY_FILE: &str = "ca.pem";
 
-/// File name of the process certificate.
+/// File name of the certificate that all processes of the cell share.
 pub const CERTIFICATE_FILE: &str = "cert.pem";
 
-/// File name of the private key of the process.
+/// File name of the private key for [`CERTIFICATE_FILE`].
 pub const KEY_FILE: &str = "key.pem";
 
-/// Generates an authority and a process certificate signed by it, and writes both
-/// certificates and the private key of the process as three files to `folder`.
-/// The private key of the authority is not saved, so keys can only be replaced by
-/// a complete new set.
+/// Generates an authority and the certificate of the processes signed by it, and
+/// writes both certificates and the private key of the latter as three files to
+/// `folder`, from where they are copied to all processes of the cell. The private key
+/// of the authority is not saved, so no further certificate can be signed, and keys
+/// can only be replaced by a complete new set. The validity period is the default
+/// of `rcgen`.
 ///
 /// # Errors
-/// A file already exists or cannot be written, or a key cannot be generated.
+/// A file already exists or cannot be written, or a key cannot be generated. Files
+/// that were written before the error remain.
 pub fn generate_keys(folder: &Path) -> Result<(), OpenError> {
     let key_error = |error: rcgen::Error| OpenError::Key {
         path: folder.to_owned(),
@@ -76,7 +82,7 @@
     file.write_all(text.as_bytes()).context(FileSnafu { path })
 }
 
-/// Location of the key files of a process.
+/// Location of a process's copy of the key files.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyFiles {
     /// Folder that contains the three key files.
@@ -84,7 +90,8 @@
 }
 
 impl KeyFiles {
-    /// Path of the key file with the given name.
+    /// Path of a key file; `name` is [`AUTHORITY_FILE`], [`CERTIFICATE_FILE`] or
+    /// [`KEY_FILE`].
     #[must_use]
     pub fn path(&self, name: &str) -> PathBuf {
         self.folder.join(name)
--- a/crates/store/src/http_table.rs
+++ b/crates/store/src/http_table.rs
@@ -24,8 +24,9 @@
 }
 
 impl HttpTable {
-    /// Creates a client of the table at `server`. `timeout` limits each call, and
-    /// the opening of a connection.
+    /// Creates a client of the table at `server`. `timeout` limits each HTTP call,
+    /// and the opening of a connection. A range read makes one HTTP call per page,
+    /// so that it may take longer as a whole.
     #[must_use]
     pub fn new(server: SocketAddr, timeout: Duration) -> HttpTable {
         HttpTable {
@@ -42,8 +43,9 @@
     }
 }
 
-/// Maps an error status to [`StoreError::Unavailable`]: the table replies with an
-/// error status only if the call had no effect.
+/// Maps an error status to [`StoreError::Unavailable`], which states that the call
+/// had no effect: the table replies with an error status only in this case. A call
+/// that got no complete reply in time is [`StoreError::Unknown`] instead.
 fn check_status(reply: &Reply) -> Result<(), StoreError> {
     if reply.status == StatusCode::OK {
         return Ok(());
--- a/crates/store/src/table.rs
+++ b/crates/store/src/table.rs
@@ -15,7 +15,9 @@
     /// Reads one row; `None` if it does not exist.
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<Row>, StoreError>> + Send;
 
-    /// Reads all rows whose keys begin with `prefix`, in key order.
+    /// Reads all rows whose keys begin with `prefix`, in key order. Pages of
+    /// [`PAGE_ROWS`] rows are read one after another, so rows of different pages may
+    /// stem from before and after the same commit.
     fn range(&self, prefix: &str) -> impl Future<Output = Result<Vec<Row>, StoreError>> + Send;
 
     /// Runs a transaction. After [`StoreError::Unknown`] it may have been applied.
--- a/crates/worker/src/message.rs
+++ b/crates/worker/src/message.rs
@@ -129,7 +129,7 @@
     pub needs: Resources,
     /// Payload, passed to the task unchanged.
     pub payload: String,
-    /// Run time declared by the caller, in milliseconds.
+    /// Run time that the caller of the request expects, in milliseconds.
     pub run_millis: u64,
     /// Name of the checkpoint to resume from; empty to start from the beginning.
     pub checkpoint: String,
