--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,6 +1,8 @@
 //! `clovermount demo`: runs an embedded cell under load and injects a few
-//! faults. The platform and the workers are simulated inside this process; the
-//! entry processes run the production code, as tasks of the async runtime.
+//! faults. The platform and the workers are simulated inside this process by the
+//! crate `fake`; the entry processes run the production code, as tasks of the async
+//! runtime. `cell.members` are the entry processes, and `cell.platform.log` records
+//! each run of a task on a simulated worker.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -129,7 +131,9 @@
     spawn_load(&cell.caller, plan)
 }
 
-/// Creates a request for the load, which mixes all classes of work.
+/// Creates a request for the load, which mixes all classes of work: restocks (batch
+/// requests), confirmations (interactive, not idempotent), lookups (interactive,
+/// idempotent), urgent lookups and gangs.
 fn mixed_request(number: u32) -> Request {
     match number % 20 {
         0 | 1 => restock_request(&format!("restock-{number}"), Duration::from_millis(800)),
--- a/crates/cli/src/drain.rs
+++ b/crates/cli/src/drain.rs
@@ -16,7 +16,8 @@
 /// HTTP status of a patch that does not apply to the current version.
 const CONFLICT_STATUS: u16 = 409;
 
-/// start no new tasks on a worker and move its long-running tasks to other workers
+/// start no new tasks on a worker, and move its batch tasks to other workers, where
+/// they continue from a checkpoint
 #[derive(FromArgs)]
 #[argh(subcommand, name = "drain")]
 pub(crate) struct Drain {
@@ -44,6 +45,8 @@
             } else {
                 drained.insert(self.worker.clone())
             };
+            // The id must be new, because a patch whose id was already applied is not
+            // applied again. The patch is refused unless `version` is current.
             let patch = Patch {
                 id: format!("drain-{:x}", wall_millis()),
                 version: current.version,
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -1,5 +1,7 @@
 //! `clovermount explain`: prints the log lines of all processes about one job,
-//! sorted by time.
+//! sorted by time. It reads the JSON log lines of processes that were started with
+//! `clovermountd --cell`; only these run jobs. A job consists of steps with tasks,
+//! whose names begin with the id of the job.
 
 use std::io::BufRead;
 use std::io::BufReader;
--- a/crates/cli/src/keys.rs
+++ b/crates/cli/src/keys.rs
@@ -7,7 +7,8 @@
 use crate::error::CliError;
 use crate::exit::SUCCESS;
 
-/// create a certificate authority for a cell and the key files of its processes
+/// create a certificate authority for a cell, and the certificate and private key
+/// that all its processes use
 #[derive(FromArgs)]
 #[argh(subcommand, name = "keys")]
 pub(crate) struct Keys {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -36,6 +36,7 @@
     command: Command,
 }
 
+/// The subcommands; the doc comment of each struct is its help text.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 enum Command {
@@ -88,6 +89,7 @@
         Command::Trace(command) => command.run(),
         Command::Replay(command) => command.run().await,
         Command::Keys(command) => command.run(),
+        // `token` has no options.
         Command::Token(_) => Ok(token::TokenCommand::run()),
         Command::Check(command) => Ok(command.run()),
         Command::Explain(command) => command.run(),
--- a/crates/cli/src/replay.rs
+++ b/crates/cli/src/replay.rs
@@ -1,7 +1,9 @@
 //! `clovermount replay`: runs the steps of a trace on a running cell and compares
 //! the outcomes with the expectations of the trace. Each step runs at its time,
 //! without waiting for the answers of earlier submissions; only a cancel or patch
-//! delays the steps after it until its reply.
+//! delays the steps after it until its reply. The cell is real; only the type
+//! [`Outcome`], the result of one request, comes from the crate `fake`, which
+//! simulates callers and the platform for tests and the command `demo`.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -79,17 +81,18 @@
         print_report(&classes);
         let mut code = SUCCESS;
         for expect in &trace.header.expect {
+            // An expectation of a class without requests is not checked.
             let Some(report) = classes.get(&expect.class) else {
                 continue;
             };
             let percent = report.succeeded * 100 / report.total.max(1);
-            let wait = report.waits.value_at_quantile(0.99);
-            let slow = expect.wait_millis > 0 && wait > expect.wait_millis;
+            let wait_millis = report.waits.value_at_quantile(0.99);
+            let slow = expect.wait_millis > 0 && wait_millis > expect.wait_millis;
             let met = percent >= expect.succeeded_percent && !slow;
             let verdict = if met { "holds" } else { "BROKEN" };
             println!(
-                "{verdict}: {} succeeded {percent} % (expected at least {} %), wait p99 {wait} ms \
-                 (expected at most {} ms, 0: no limit)",
+                "{verdict}: {} succeeded {percent} % (expected at least {} %), wait from \
+                 submission to start p99 {wait_millis} ms (expected at most {} ms, 0: no limit)",
                 expect.class, expect.succeeded_percent, expect.wait_millis
             );
             if !met {
@@ -124,6 +127,10 @@
         Ok(Trace { header, steps })
     }
 
+    /// Runs the steps, distributed over `servers`, and returns the outcomes of the
+    /// submissions that the expectations are checked on. The messages of cancels and
+    /// patches begin with the time of the step in the trace, progress messages with
+    /// the time since the start of the replay.
     async fn run_steps(
         &self,
         api: &Api,
@@ -165,14 +172,15 @@
             }
             if number % PROGRESS_STEPS == PROGRESS_STEPS - 1 {
                 println!(
-                    "{} ms: {} steps done",
+                    "{} ms: {} steps sent",
                     replay_start.elapsed().as_millis(),
                     number + 1
                 );
             }
         }
         let mut outcomes = calls.join_all().await;
-        // A request with a cancelled label counts only if it succeeded nevertheless.
+        // A request with a cancelled label is expected to fail. It counts in the
+        // expectations only if it succeeded nevertheless.
         outcomes.retain(|outcome| {
             outcome.family() == Family::Succeeded
                 || !cancelled_labels.contains(&outcome.request.label)
@@ -181,7 +189,9 @@
     }
 }
 
-/// Submits a request once; without a final answer, the outcome is pending.
+/// Submits a request once. The outcome has no answer, and counts as pending, if the
+/// call failed or was refused, or if the answer is not final. `sent_at` is the time
+/// of the call since the start of the replay.
 async fn submit(api: Api, request: Request, sent_at: Duration) -> Outcome {
     let start = Instant::now();
     let api = Arc::new(api);
@@ -200,6 +210,8 @@
 /// Patches the current version of the configuration and returns the new version.
 async fn apply_patch(api: &Api, patch: &Value) -> Result<u64, CliError> {
     let current: ConfigBody = api.get("/v1/config").await?;
+    // The id must be new, because a patch whose id was already applied is not
+    // applied again.
     let patch = Patch {
         id: format!("replay-{:x}", wall_millis()),
         version: current.version,
--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -14,7 +14,8 @@
 /// Statistics of the requests of one class.
 #[derive(Debug)]
 pub(crate) struct ClassReport {
-    /// Waits from submission to start, in milliseconds, of requests that started.
+    /// Waits from the submission to the start of the tasks, in milliseconds, as the
+    /// answers state them. Requests whose answer names no worker are left out.
     pub(crate) waits: Histogram<u64>,
     /// Number of requests.
     pub(crate) total: u64,
--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -49,7 +49,8 @@
     /// Minimum share of the requests that succeed, in percent.
     #[serde(default)]
     pub(crate) succeeded_percent: u64,
-    /// Maximum 99th percentile of the waits, in milliseconds; 0 for no limit.
+    /// Maximum 99th percentile of the waits from submission to start, in
+    /// milliseconds; 0 for no limit.
     #[serde(default)]
     pub(crate) wait_millis: u64,
 }
@@ -173,8 +174,10 @@
     }
 
     fn request(&self, number: u64, random: &mut StdRng) -> Request {
+        // A uniform sample in percent selects the kind of the request. A name stands
+        // for a kind of work in the scenario; the range of run times is in milliseconds.
         let sample = random.random_range(0..100);
-        let (name, class, run) = match (self.scene, sample) {
+        let (name, class, run_millis) = match (self.scene, sample) {
             (Scene::CounterRush, 0..50) => ("bin-check", Class::Interactive, 5..20),
             (Scene::CounterRush, 50..85) => ("bearing", Class::Interactive, 20..60),
             (Scene::CounterRush, 85..90) => ("counter", Class::Urgent, 5..20),
@@ -195,7 +198,7 @@
                 power_watts: random.random_range(5..40),
                 ..Resources::default()
             },
-            run_millis: random.random_range(run),
+            run_millis: random.random_range(run_millis),
             deadline_millis: if interactive { 8_300 } else { 120_000 },
             idempotent: name != "confirm",
             members: if class == Class::Gang { 4 } else { 1 },
