--- a/crates/bench/benches/days/ablate.rs
+++ b/crates/bench/benches/days/ablate.rs
@@ -1,5 +1,6 @@
 //! `ablate`: plays the days once for each mechanism of the scheduling policy, with
-//! that mechanism switched off, to show what each of them contributes.
+//! that mechanism switched off, to show what each of them contributes to the worth of
+//! the days, their score in the users' bench.
 
 use std::path::Path;
 
--- a/crates/bench/benches/days/account.rs
+++ b/crates/bench/benches/days/account.rs
@@ -1,6 +1,7 @@
-//! `account`: explains which part of a day's worth was lost. Each job that did
-//! not earn its full worth is counted under the cause that took the largest part
-//! of its time.
+//! `account`: explains which part of a day's worth was lost. The worth of a job is
+//! the score that it earns if it ends within its objective, the time that its queue
+//! allows it. Each job that did not earn its full worth is counted under the cause
+//! that took the largest part of its time.
 
 use std::collections::BTreeMap;
 
--- a/crates/bench/benches/days/bound.rs
+++ b/crates/bench/benches/days/bound.rs
@@ -1,5 +1,6 @@
 //! Upper bound of the worth that a scheduler with perfect knowledge could have
-//! earned, computed on a relaxed problem.
+//! earned, computed on a relaxed problem. The worth of a job is the score that it
+//! earns if it ends within its objective, the time that its queue allows it.
 //!
 //! The relaxation assumes that work is divisible and may run on any worker, at
 //! any parallelism and with any interruption, between the first log line of the
--- a/crates/bench/benches/main/cell.rs
+++ b/crates/bench/benches/main/cell.rs
@@ -1,4 +1,7 @@
-//! Starts a cell for a benchmark: real processes on a simulated platform.
+//! Starts a cell for a benchmark: real scheduler processes (`cell.members`), on a
+//! platform that the crate `fake` simulates in this program. `cell.platform` has the
+//! table, the object store, the host list and the workers, and in `log` each run of a
+//! task on a worker (the run log).
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,7 +19,7 @@
 /// Maximum time from the configuration of a cell until it is ready.
 const READY_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Starts and configures a cell of 8 processes and 48 workers.
+/// Starts and configures a cell of 8 processes, 16 shards and 48 workers of 8 slots.
 pub(crate) async fn open_cell() -> Cell {
     let plan = CellPlan {
         processes: PROCESSES,
--- a/crates/bench/benches/main/control.rs
+++ b/crates/bench/benches/main/control.rs
@@ -36,6 +36,8 @@
         .split_whitespace()
         .collect();
     let ticks = |index: usize| fields.get(index).and_then(|f| f.parse::<f64>().ok());
+    // Counted after the name of the program, field 11 is the processor time in user
+    // mode and field 12 that in kernel mode.
     let seconds =
         (ticks(11).unwrap_or_default() + ticks(12).unwrap_or_default()) / TICKS_PER_SECOND;
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
@@ -70,8 +72,8 @@
     print(&format!("{name}.table_reads"), usage.reads, "reads/s");
 }
 
-/// Resource usage of one process of a cell; writes and reads are those of the whole
-/// cell.
+/// Resource usage of one process of a cell; writes and reads of the table are those
+/// of the whole cell.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Usage {
     /// Processor time in percent of a core, the mean of all processes.
--- a/crates/bench/benches/main/decide.rs
+++ b/crates/bench/benches/main/decide.rs
@@ -1,5 +1,8 @@
 //! `decide`: decisions per second of the scheduling core on one thread. The core
-//! does no I/O.
+//! does no I/O. It places jobs on workers in the way that its policy says: on the
+//! first worker that fits (`FirstFit`), on the one with the fewest tasks
+//! (`LeastLoaded`), or by load and the configuration setting `pack_percent`
+//! (`Weighted`; 0 prefers the least loaded worker).
 
 use std::time::Duration;
 use std::time::Instant;
@@ -24,8 +27,8 @@
 /// Number of decisions in each measurement.
 const DECISIONS: usize = 200_000;
 
-/// Returns a scheduling core with workers of 8 slots and one team; quota and power
-/// are unlimited.
+/// Returns a scheduling core with workers of 8 slots, in racks of 8, and one team;
+/// quota and power are unlimited.
 pub(crate) fn core<P: Policy>(policy: P, workers: usize) -> Core<P> {
     let mut core = power_capped_core(policy, u32::MAX, u32::MAX);
     let capacity = Resources {
--- a/crates/bench/benches/main/faults.rs
+++ b/crates/bench/benches/main/faults.rs
@@ -43,8 +43,9 @@
     }
 }
 
-/// Verifies the outcomes of the requests against the log of all runs, and prints
-/// each violation and the number of violations.
+/// Verifies the outcomes of the requests against the log of all runs on the simulated
+/// workers, and prints each violated guarantee of the scheduler, for example a
+/// non-idempotent request that ran twice, and the number of violations.
 fn print_violations(name: &str, cell: &Cell, outcomes: &[Outcome]) {
     let violations = verify(outcomes, &cell.platform.log.runs(), cell.platform.capacity);
     for line in &violations {
@@ -97,6 +98,7 @@
     let stop = Instant::now();
     let ended = cell.members[3].wait_exit(Duration::from_mins(1)).await;
     print("handover.stopped", millis(stop.elapsed()), "ms");
+    // 1 if the process exited with success, 0 if with an error or not at all.
     print(
         "handover.clean",
         count(usize::from(ended == Some(true))),
@@ -186,8 +188,8 @@
     cell.close();
 }
 
-/// Measures the time from sending a configuration patch until all live processes
-/// apply it, with all processes running and with one paused.
+/// Measures the time from sending a configuration patch until all processes whose
+/// lease has not expired apply it, with all processes running and with one paused.
 pub(crate) async fn run_config() {
     let cell = open_cell().await;
     let mut version = 1;
@@ -218,6 +220,7 @@
         *version += 1;
         loop {
             let config = cell.operator.config(cell.http(1)).await;
+            // `everywhere` is the oldest version still in force in a process.
             if config.is_ok_and(|config| config.everywhere >= *version) {
                 break;
             }
--- a/crates/bench/benches/main/figures.rs
+++ b/crates/bench/benches/main/figures.rs
@@ -11,8 +11,9 @@
 use model::Family;
 use model::request_key;
 
-/// Largest value of a histogram of nanoseconds: one hour.
-const MAX_NANOS: u64 = 3_600_000_000_000;
+/// Largest value of a histogram: one hour in nanoseconds. Histograms of microseconds
+/// have the same bound, which they do not reach.
+const MAX_VALUE: u64 = 3_600_000_000_000;
 
 /// Prints one result as `name value unit`.
 pub(crate) fn print(name: &str, value: f64, unit: &str) {
@@ -31,13 +32,18 @@
 
 /// Returns a histogram per class of the waiting times in microseconds, each from
 /// the time at which the caller sent the request until a worker first started it.
-/// `load_start` is the time of the run log at which the load began. Requests that
-/// never started are left out.
+///
+/// `runs` are the entries of the run log, in which the simulated workers record each
+/// run of a task, in the order of their starts. Their times count from the creation
+/// of the log, those of `outcomes` from the start of the load; `load_start` is the
+/// start of the load on the clock of the log (`RunLog::now`). Requests that never
+/// started are left out.
 pub(crate) fn start_waits(
     outcomes: &[Outcome],
     runs: &[Run],
     load_start: Duration,
 ) -> HashMap<Class, Histogram<u64>> {
+    // First start by request key, `TEAM/ID`.
     let mut starts: HashMap<&str, Duration> = HashMap::new();
     for run in runs {
         starts.entry(&run.request).or_insert(run.started_at);
@@ -60,7 +66,7 @@
 /// Returns an empty histogram for times up to an hour, in microseconds or
 /// nanoseconds.
 pub(crate) fn new_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MAX_NANOS, 3).expect("histogram bounds are valid")
+    Histogram::new_with_bounds(1, MAX_VALUE, 3).expect("histogram bounds are valid")
 }
 
 /// Prints the median, the 99th percentile and the maximum, in milliseconds, of a
@@ -80,7 +86,8 @@
 const MAX_PRINTED: usize = 6;
 
 /// Prints the answers to the first unsuccessful requests, and the number of all
-/// requests and of those with an answer of each family.
+/// requests and of those whose result code is of each family: whether and how the
+/// request ran.
 pub(crate) fn print_families(name: &str, outcomes: &[Outcome]) {
     let unsuccessful = outcomes.iter().filter(|o| o.family() != Family::Succeeded);
     for outcome in unsuccessful.take(MAX_PRINTED) {
--- a/crates/bench/benches/main/plan.rs
+++ b/crates/bench/benches/main/plan.rs
@@ -1,5 +1,6 @@
 //! `plan`: time of one round of the planner of a worker pool in which all workers
-//! are full and steps of jobs wait for free capacity.
+//! are full and steps of jobs wait for free capacity. The planner decides without
+//! I/O. A round is one call of [`Planner::plan`].
 
 use std::time::Duration;
 use std::time::Instant;
@@ -21,11 +22,12 @@
 /// Number of rounds in each measurement.
 const ROUNDS: u32 = 200;
 
-/// Time between two rounds.
+/// Time between two rounds; the shortest interval at which the owner of a pool plans.
 const ROUND_INTERVAL: Duration = Duration::from_millis(4);
 
-/// Returns a queue whose steps need advice: a call that names the workers on which
-/// a step may run and returns a ticket for each of them.
+/// Returns a queue whose steps need advice: a call to an external service that names
+/// the workers on which a step may run and returns a ticket for each of them. Priority
+/// 0 is the most urgent.
 fn queue(name: &str, priority: u32) -> Queue {
     Queue {
         name: name.to_owned(),
@@ -34,9 +36,13 @@
         service: "desk".to_owned(),
         priority,
         attempts: 4,
+        // A job should end within 4 times the run time of its longest chain of
+        // dependent steps, plus 3 s.
         stretch: 4.0,
         slack: Duration::from_secs(3),
         timeout: Duration::from_secs(3),
+        // A call takes 82 ms, and 1 ms for each worker in it; tickets are valid for
+        // 1.5 s.
         advice: Some(Advice {
             fixed: Duration::from_millis(82),
             each: Duration::from_millis(1),
@@ -49,6 +55,8 @@
 /// step has tickets for a quarter of the workers, none of which has free capacity;
 /// a fifth of the steps are gangs.
 fn full_pool(workers: usize, waiting: u64) -> Planner {
+    // The owner of epoch 1 takes the pool over at time 0, which is 1970 on the wall
+    // clock.
     let mut planner = Planner::new(Policy::default(), 1, Duration::ZERO, Duration::ZERO);
     for index in 0..workers {
         let info = WorkerInfo {
@@ -66,9 +74,12 @@
             .expect("worker is registered twice");
         planner.apply_report(key, Duration::ZERO, &WorkerReport::default());
     }
+    // Five tasks of 3 cores on each worker leave 1 of its 16 cores free, which is
+    // less than the 1.5 cores of a waiting task.
     let filler_tasks = u32::try_from(workers).unwrap_or(u32::MAX) * 5;
     let mut filler_queue = queue("filling", 0);
     filler_queue.advice = None;
+    // New jobs have no saved progress, and no former owner may have started them.
     planner.add_job(
         0,
         spec(filler_queue, filler_tasks, 3_000, false),
@@ -80,6 +91,7 @@
         let gang = id.is_multiple_of(5);
         let queue = queue("waiting", if gang { 1 } else { 2 });
         planner.add_job(id, spec(queue, 10, 1_500, gang), None, false);
+        // `round` is the repetition of the job, not a round of the planner.
         let step = job::StepKey {
             job: id,
             round: 0,
@@ -97,9 +109,11 @@
                 text: "ticket".to_owned(),
             })
             .collect();
+        // The tickets must not expire during the measurement.
         let valid_until = Duration::from_mins(10);
         planner.handle_advice(step, &candidate_ids, &tickets, valid_until);
     }
+    // The start commands of the filler tasks are dropped: no worker runs them.
     planner.take_commands();
     planner
 }
@@ -149,6 +163,8 @@
         let round = start.elapsed() / ROUNDS;
         let start = Instant::now();
         for _ in 0..ROUNDS {
+            // Helpers are processes that make the advice calls for the owner. With
+            // `Some` of them free, each step may have one call at a time.
             planner.next_advice_request(FreeHelpers::Some);
         }
         let search = start.elapsed() / ROUNDS;
--- a/crates/bench/benches/main/sched_core.rs
+++ b/crates/bench/benches/main/sched_core.rs
@@ -11,7 +11,8 @@
 pub(crate) const TEAM: &str = "stores";
 
 /// Returns a scheduling core without workers. The quota of its one team is
-/// unlimited; the power of the site and of each rack is limited, in watts.
+/// unlimited; the power of the site and of each rack is limited, in watts. The core
+/// gets its limits as grants: in a cell, the part of each limit that its shard gets.
 pub(crate) fn power_capped_core<P: Policy>(policy: P, site_watts: u32, rack_watts: u32) -> Core<P> {
     let quota = Resources {
         cpu_milli: u32::MAX,
--- a/crates/bench/benches/main/slopes.rs
+++ b/crates/bench/benches/main/slopes.rs
@@ -75,6 +75,8 @@
     let points: Vec<Point> = sizes
         .iter()
         .map(|workers| {
+            // 3.5 running tasks per worker. `pack_percent` 0 places tasks on the least
+            // loaded workers.
             let weighted = Weighted { pack_percent: 0 };
             let (rate, _) = decide::measure(weighted, *workers, workers * 7 / 2, 20_000);
             (count(*workers), 1e6 / rate)
@@ -87,7 +89,9 @@
     measure_placement();
 }
 
-/// Returns the journal records of as many accepted requests as given.
+/// Returns the journal records of as many accepted requests as given. The journal is
+/// the log in the platform's table in which the owner of a shard records its
+/// decisions.
 fn records(requests: u32) -> Vec<Record> {
     let request = |number: u32| Request {
         team: "stores".to_owned(),
@@ -103,7 +107,8 @@
 }
 
 /// Measures how long a new owner takes to rebuild the state of a shard from the
-/// journal records that it has read, by number of requests.
+/// journal records that it has read, by number of requests. The `Ledger` holds the
+/// requests of a shard, and the `Machine` is the state machine that decides on them.
 fn measure_recovery() {
     let points: Vec<Point> = [500, 2000, 8000, 32_000]
         .iter()
@@ -170,7 +175,7 @@
 }
 
 /// Measures the encoded size of a configuration in bytes, and the time to compute
-/// the grants of one shard from it, by number of teams.
+/// the grants of one shard (its part of each limit) from it, by number of teams.
 fn measure_config() {
     let teams = [10, 20, 40, 81, 160];
     let bytes: Vec<Point> = teams
