--- a/crates/bench/benches/days/history.rs
+++ b/crates/bench/benches/days/history.rs
@@ -1,5 +1,7 @@
 //! Reconstructs the history of each job of a day from the log lines of all
-//! processes.
+//! processes. One process at a time, the owner, plans all jobs of the worker pool; a
+//! take-over makes another process (the successor) the owner. The owner makes advice
+//! calls to an external service, which says on which workers a step of a job may run.
 
 use std::collections::BTreeMap;
 
--- a/crates/bench/benches/main/pack.rs
+++ b/crates/bench/benches/main/pack.rs
@@ -100,6 +100,7 @@
         memory_mib: site.memory_mib,
         accelerators: 0,
         slots: 8,
+        // Only the limit of the site restricts the power.
         power_watts: site.power_limit,
     };
     for worker in (0..WORKERS).filter(|worker| worker % u32::from(shards) == u32::from(shard)) {
--- a/crates/bench/benches/main/scale.rs
+++ b/crates/bench/benches/main/scale.rs
@@ -39,6 +39,7 @@
 async fn measure_idle_cell(processes: usize, workers: usize) -> Usage {
     let platform = PlatformPlan {
         workers,
+        // Row writes and reads per second that the table accepts.
         rates: TableRates {
             writes: 1000,
             reads: 10_000,
--- a/crates/bench/benches/main/slopes.rs
+++ b/crates/bench/benches/main/slopes.rs
@@ -107,8 +107,9 @@
 }
 
 /// Measures how long a new owner takes to rebuild the state of a shard from the
-/// journal records that it has read, by number of requests. The `Ledger` holds the
-/// requests of a shard, and the `Machine` is the state machine that decides on them.
+/// journal records that it has read, by number of requests. The `Ledger`
+/// contains the requests of a shard, and the `Machine` is the state machine that
+/// decides on them.
 fn measure_recovery() {
     let points: Vec<Point> = [500, 2000, 8000, 32_000]
         .iter()
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -115,8 +115,9 @@
             .set(i64::try_from(events).unwrap_or(i64::MAX));
     }
 
-    /// Updates the gauges from `view` and returns all metrics in the Prometheus text
-    /// format. `lease_seconds` is the time for which the process may still act.
+    /// Updates the gauges from `view`, the state of the cell as this process last read
+    /// it from the table, and returns all metrics in the Prometheus text format.
+    /// `lease_seconds` is the time for which the process may still act on its lease.
     #[must_use]
     pub fn render(&self, view: &View, lease_seconds: f64) -> String {
         let live = view.members.iter().filter(|member| member.live).count();
--- a/crates/event/src/kind.rs
+++ b/crates/event/src/kind.rs
@@ -51,7 +51,8 @@
     /// This process marked the lease of another process as expired.
     PeerExpired = 203,
     /// The process continues to serve its shards after the expiry of its lease,
-    /// because a peer confirms that the platform's table is unavailable to it too.
+    /// because another process of the cell (a peer) confirms that the platform's
+    /// table is unavailable to it too.
     OutageEntered = 204,
     /// The platform's table is available again.
     OutageLeft = 205,
--- a/crates/model/src/request.rs
+++ b/crates/model/src/request.rs
@@ -141,7 +141,7 @@
 
     /// Whether the intent to start must be recorded in the platform's table before
     /// the start message is sent to a worker, so that the next owner of the shard
-    /// knows of the start: for durable classes, and for all requests that must not
+    /// reads it there: for durable classes, and for all requests that must not
     /// run twice.
     #[must_use]
     pub fn is_durable(&self) -> bool {
--- a/crates/worker/src/message.rs
+++ b/crates/worker/src/message.rs
@@ -30,7 +30,8 @@
     pub epoch: Epoch,
 }
 
-/// Claims a worker for the owner of a shard. A claim does not renew the lease of
+/// Claims a worker for the owner of a shard: from then on, the worker refuses
+/// messages with an older fence. A claim does not renew the lease of
 /// the running tasks; only the poll that acknowledges the reply to the claim does.
 /// Otherwise a claim delayed in the network could keep a task running that its
 /// owner already treats as lost, because the lease has expired for the owner.
