--- a/crates/bench/benches/main/plan.rs
+++ b/crates/bench/benches/main/plan.rs
@@ -164,7 +164,10 @@
         let start = Instant::now();
         for _ in 0..ROUNDS {
             // Helpers are processes that make the advice calls for the owner. With
-            // `Some` of them free, each step may have one call at a time.
+            // `Some` of them free, each step may have one call at a time. The planner
+            // ranks the waiting steps in the first search only, because its time does
+            // not advance here; each search takes steps from the ranked list, and finds
+            // none once the list is empty.
             planner.next_advice_request(FreeHelpers::Some);
         }
         let search = start.elapsed() / ROUNDS;
