--- a/crates/event/src/kind.rs
+++ b/crates/event/src/kind.rs
@@ -51,13 +51,14 @@
     /// This process marked the lease of another process as expired.
     PeerExpired = 203,
     /// The process continues to serve its shards after the expiry of its lease,
-    /// because a peer confirms that the platform's table is unavailable to it too.
+    /// because another process of the cell (a peer) confirms that the platform's
+    /// table is unavailable to it too.
     OutageEntered = 204,
     /// The platform's table is available again.
     OutageLeft = 205,
     /// The platform's table is unavailable, but no peer confirms the outage any
-    /// more, or the outage has lasted too long. The process makes no more decisions for its
-    /// shards until it has renewed its lease.
+    /// more, or the outage has lasted too long. The process makes no more decisions
+    /// for its shards until it has renewed its lease.
     OutageUnconfirmed = 206,
     /// This process claimed a shard and raised its epoch.
     ShardClaimed = 210,
@@ -73,8 +74,9 @@
     ShardReclaimed = 214,
     /// A worker accepted the claim of a shard's owner.
     WorkerClaimed = 300,
-    /// A worker refused a poll of the shard's owner: the worker was claimed with a
-    /// newer fence, or it has restarted and will be claimed again.
+    /// A worker refused a poll of the shard's owner: another owner has claimed the
+    /// worker with a newer fence (fencing token), or the worker has restarted and will
+    /// be claimed again.
     WorkerRefused = 301,
     /// A worker no longer answers polls. It receives no new tasks; its tasks count
     /// as running until their lease expires.
--- a/crates/worker/src/message.rs
+++ b/crates/worker/src/message.rs
@@ -30,7 +30,8 @@
     pub epoch: Epoch,
 }
 
-/// Claims a worker for the owner of a shard. A claim does not renew the lease of
+/// Claims a worker for the owner of a shard: from then on, the worker refuses
+/// messages with an older fence. A claim does not renew the lease of
 /// the running tasks; only the poll that acknowledges the reply to the claim does.
 /// Otherwise a claim delayed in the network could keep a task running that its
 /// owner already treats as lost, because the lease has expired for the owner.
@@ -129,7 +130,7 @@
     pub needs: Resources,
     /// Payload, passed to the task unchanged.
     pub payload: String,
-    /// Run time declared by the caller, in milliseconds.
+    /// Run time that the caller of the request expects, in milliseconds.
     pub run_millis: u64,
     /// Name of the checkpoint to resume from; empty to start from the beginning.
     pub checkpoint: String,
