--- a/crates/cell/src/acceptor.rs
+++ b/crates/cell/src/acceptor.rs
@@ -72,7 +72,10 @@
         let started = self.context.now();
         let mut ambiguous = false;
         if self.context.store_unreachable() {
-            log::warn!(code = 402, job = id.as_str(), reason = "store unreachable"; "job refused");
+            log::warn!(
+                code = 402, job = id.as_str(), reason = "store unreachable";
+                "job not stored; the caller gets 503 unless the pool's owner accepts the job"
+            );
             return Acceptance::Refused("the store cannot be reached from this host".to_owned());
         }
         let mut rows = job_rows(job.id).to_vec();
@@ -86,7 +89,10 @@
             let result = tokio::select! {
                 result = self.commit(&transaction, remaining) => result,
                 () = self.context.wait_unreachable() => {
-                    log::warn!(code = 403, job = id.as_str(), reason = "store unreachable"; "acceptance unknown");
+                    log::warn!(
+                        code = 403, job = id.as_str(), reason = "store unreachable";
+                        "unknown whether the job was stored; the caller gets 504"
+                    );
                     return Acceptance::Unknown("the store cannot be reached from this host".to_owned());
                 }
             };
@@ -99,17 +105,26 @@
                 }
                 // Only this part of the store refuses the write; another part may accept it.
                 Err(error) if error.certainly_not_done() && index + 1 < rows.len() => {
-                    log::info!(code = 405, job = id.as_str(), place = index, error:% = error; "part of the store refused the job; trying another part");
+                    log::info!(
+                        code = 405, job = id.as_str(), place = index, error:% = error;
+                        "part of the store refused the job; trying another part"
+                    );
                     index += 1;
                     continue;
                 }
                 Err(error) if error.certainly_not_done() && !ambiguous => {
-                    log::warn!(code = 402, job = id.as_str(), error:% = error, ms = millis(elapsed); "job refused");
+                    log::warn!(
+                        code = 402, job = id.as_str(), error:% = error, ms = millis(elapsed);
+                        "job not stored; the caller gets 503 unless the pool's owner accepts the job"
+                    );
                     return Acceptance::Refused("the store does not take the job".to_owned());
                 }
                 Err(error) => {
                     ambiguous |= !error.certainly_not_done();
-                    log::warn!(code = 403, job = id.as_str(), error:% = error, ms = millis(elapsed); "acceptance unknown");
+                    log::warn!(
+                        code = 403, job = id.as_str(), error:% = error, ms = millis(elapsed);
+                        "unknown whether the job was stored; tried again until the caller's time is over"
+                    );
                 }
             }
             if self.context.now() + RETRY_PAUSE >= deadline {
--- a/crates/cell/src/callers.rs
+++ b/crates/cell/src/callers.rs
@@ -130,12 +130,18 @@
             }
             Ok(None) => {
                 count(&self.context.metrics.states, "none");
-                log::info!(code = 412, job:% = hex(id); "job does not exist");
+                log::info!(
+                    code = 412, job:% = hex(id);
+                    "status of a job that does not exist; the caller gets 410"
+                );
                 web::error(StatusCode::GONE, "no such job")
             }
             Err(error) => {
                 count(&self.context.metrics.states, "unreadable");
-                log::warn!(code = 413, job:% = hex(id), error:% = error; "job status cannot be read");
+                log::warn!(
+                    code = 413, job:% = hex(id), error:% = error;
+                    "job status cannot be read; the caller gets 503"
+                );
                 service_unavailable("the job's state cannot be read")
             }
         }
@@ -145,11 +151,17 @@
         let name = queue.name.as_str();
         match self.owner.query_length(name).await {
             Ok(waiting) => {
-                log::info!(code = 417, queue = name, waiting = waiting; "queue length returned");
+                log::info!(
+                    code = 417, queue = name, waiting = waiting;
+                    "queue length returned to the caller"
+                );
                 web::json(StatusCode::OK, &encode_waiting(waiting))
             }
             Err(reason) => {
-                log::warn!(code = 418, queue = name, reason:? = reason; "queue length unknown: the owner did not answer");
+                log::warn!(
+                    code = 418, queue = name, reason:? = reason;
+                    "queue length unknown: the owner did not answer; the caller gets 503"
+                );
                 service_unavailable("no owner of the pool knows how many jobs wait")
             }
         }
@@ -166,7 +178,8 @@
     let Some(queue) = config.route(&request.host, &request.path) else {
         log::info!(
             code = 411, host = request.host.as_str(), path = request.path.as_str(),
-            version = config.version; "request matches no queue"
+            version = config.version;
+            "request matches no queue; the caller gets 404, or 503 if the configuration is outdated"
         );
         let response = web::error(StatusCode::NOT_FOUND, "no such queue");
         return Err(Box::new(response));
@@ -185,7 +198,10 @@
 }
 
 fn status_reply(id: JobId, job_status: JobStatus, source: &'static str) -> HttpResponse {
-    log::debug!(code = 415, job:% = hex(id), state:% = job_status, source = source; "job status returned");
+    log::debug!(
+        code = 415, job:% = hex(id), state:% = job_status, source = source;
+        "job status returned"
+    );
     web::json(StatusCode::OK, &encode_status(job_status))
 }
 
--- a/crates/cell/src/peers.rs
+++ b/crates/cell/src/peers.rs
@@ -211,7 +211,10 @@
             }
             Ok(_) | Err(CallError::Connect { .. }) => None,
             Err(error) => {
-                log::warn!(code = 403, job = crate::hex(job.id), error:% = error; "acceptance unknown");
+                log::warn!(
+                    code = 403, job = crate::hex(job.id), error:% = error;
+                    "unknown whether the owner accepted the job; the caller gets 504"
+                );
                 Some(Acceptance::Unknown("the owner does not answer".to_owned()))
             }
         }
@@ -258,7 +261,10 @@
         let reply = match self.context.client.send(call).await {
             Ok(reply) => reply,
             Err(error) => {
-                log::warn!(code = 416, owner = owner.node.as_str(), epoch = owner.epoch, error:% = error; "owner does not answer");
+                log::warn!(
+                    code = 416, owner = owner.node.as_str(), epoch = owner.epoch, error:% = error;
+                    "owner does not answer; this process does not call it again for a short time"
+                );
                 if error.closed_by_server() {
                     self.context.suspect_owner(owner.epoch);
                 }
--- a/crates/cell/src/submit.rs
+++ b/crates/cell/src/submit.rs
@@ -65,7 +65,10 @@
         tokio::spawn(async move {
             let id = job.id;
             if owner.notify_accepted(job).await.is_err() {
-                log::debug!(code = 404, job:% = hex(id); "owner not notified of an accepted job");
+                log::debug!(
+                    code = 404, job:% = hex(id);
+                    "owner not notified of an accepted job; it reads the job from the change feed"
+                );
             }
         });
     }
