--- a/crates/cell/src/cancel.rs
+++ b/crates/cell/src/cancel.rs
@@ -34,10 +34,10 @@
         source: StoredError,
     },
     /// The row was changed between the read and the write, so nothing was written.
-    #[snafu(display("the row was changed by another write"))]
+    #[snafu(display("row of the job was changed by another write"))]
     Changed,
     /// The store did not confirm the write.
-    #[snafu(display("not written: {source}"))]
+    #[snafu(display("cancellation not confirmed by the store: {source}"))]
     Write {
         /// Error of the write.
         source: StoreError,
@@ -63,7 +63,10 @@
         let response = loop {
             match self.try_cancel(id).await {
                 Ok(status) => {
-                    log::info!(code = 421, job:% = hex(id), status = status.as_u16(); "cancel");
+                    log::info!(
+                        code = 421, job:% = hex(id), status = status.as_u16();
+                        "cancel request answered"
+                    );
                     if status == StatusCode::OK {
                         // The caller does not wait for this message. If it is lost, the owner
                         // reads the cancellation from the change feed of the store.
@@ -76,7 +79,7 @@
                     ambiguous |= !error.certainly_not_done();
                     log::warn!(
                         code = 422, job:% = hex(id), error:% = error, unsure = ambiguous;
-                        "attempt to cancel failed"
+                        "attempt to cancel a job failed; tried again until the caller's time is over"
                     );
                 }
             }
--- a/crates/cell/src/stored.rs
+++ b/crates/cell/src/stored.rs
@@ -22,17 +22,19 @@
 #[derive(Debug, Snafu)]
 pub(crate) enum StoredError {
     /// The store did not return the row.
-    #[snafu(display("row not read: {source}"))]
+    #[snafu(display("row of the job not read: {source}"))]
     Read {
         /// Error of the read.
         source: StoreError,
     },
     /// Only the job's acceptance is stored; only the owner can tell whether one of its tasks has
     /// started.
-    #[snafu(display("only the acceptance of the job is stored"))]
+    #[snafu(display(
+        "only the acceptance of the job is stored; whether it has started is unknown"
+    ))]
     Undecided,
     /// The row's value cannot be decoded by this version.
-    #[snafu(display("row not decoded: {source}"))]
+    #[snafu(display("row of the job not decoded: {source}"))]
     Decode {
         /// Error of the decoder.
         source: postcard::Error,
@@ -135,7 +137,7 @@
     if let Err(error) = &decoded {
         log::error!(
             code = 414, job:% = hex(id), table = row.name.table.as_str(), error:% = error;
-            "row of a job cannot be decoded"
+            "row of a job cannot be decoded; status and cancel of the job fail"
         );
     }
     decoded.context(DecodeSnafu)
