--- a/crates/cell/src/advice_helper.rs
+++ b/crates/cell/src/advice_helper.rs
@@ -56,11 +56,17 @@
             result(delegated.step, delegated.workers, Some(good), valid)
         }
         Ok(AdviceReply::Refused(status)) => {
-            log::warn!(code = 322, step:% = delegated.step, status = status; "advice call refused");
+            log::warn!(
+                code = 322, step:% = delegated.step, status = status;
+                "advice call about a step refused; the owner schedules another after a pause"
+            );
             result(delegated.step, delegated.workers, None, None)
         }
         Err(error) => {
-            log::warn!(code = 323, step:% = delegated.step, error:% = error; "advice service did not answer");
+            log::warn!(
+                code = 323, step:% = delegated.step, error:% = error;
+                "advice service did not answer about a step; the owner schedules another call"
+            );
             result(delegated.step, delegated.workers, None, None)
         }
     }
--- a/crates/cell/src/owner/commands.rs
+++ b/crates/cell/src/owner/commands.rs
@@ -83,7 +83,10 @@
         let lease_end = link.and_then(|link| link.lease_end(now, lease));
         let (Some(link), Some(lease_end)) = (link, lease_end) else {
             let (task, run) = (start.task, start.run);
-            log::error!(code = 353, task:% = task, run = run; "start not sent: worker not claimed, or ownership not confirmed");
+            log::error!(
+                code = 353, task:% = task, run = run;
+                "start not sent: worker not claimed, or ownership not confirmed; the task waits again"
+            );
             let reply = StartReply::Refused;
             self.planner.start_reply(worker, task, run, reply);
             return;
@@ -92,7 +95,8 @@
         start.token = link.fencing.begin_start();
         log::info!(
             code = 350, task:% = start.task, run = start.run, worker = link.id.as_str(),
-            epoch = self.epoch, resumes = !start.checkpoint.is_empty(); "start"
+            epoch = self.epoch, resumes = !start.checkpoint.is_empty();
+            "start of a run sent to its worker"
         );
         self.start_window.record_sent();
         let call = StartCall {
@@ -119,7 +123,7 @@
         let gang = reason.gang().map(|gang| gang.to_string());
         log::info!(
             code = 352, task:% = task, run = run, worker = link.id.as_str(), reason:% = reason, gang = gang.as_deref();
-            "stop"
+            "stop of a run sent to its worker; repeated until the worker confirms it"
         );
         let (address, id) = (link.address, link.id.clone());
         let client = self.context.commands.clone();
--- a/crates/cell/src/owner/dispatch.rs
+++ b/crates/cell/src/owner/dispatch.rs
@@ -55,7 +55,8 @@
         let count = self.queue_counts.lookup(queue, now, &self.planner);
         log::info!(
             code = 372, queue = queue, waiting = count.waiting, ordered = count.unconfirmed,
-            unfinished = count.unfinished, epoch = self.epoch; "waiting jobs of a queue counted"
+            unfinished = count.unfinished, epoch = self.epoch;
+            "waiting jobs of a queue counted; ordered ones have a run that no worker has confirmed"
         );
         count.waiting
     }
--- a/crates/cell/src/owner/freshness.rs
+++ b/crates/cell/src/owner/freshness.rs
@@ -106,7 +106,7 @@
         );
         log::warn!(
             code = 371, epoch = self.epoch, mute = stale, written_ms = written, read_ms = read;
-            "whether queue lengths can be answered has changed"
+            "ability to answer queue lengths changed; while mute, callers who ask get 503"
         );
     }
 }
--- a/crates/cell/src/owner/handlers.rs
+++ b/crates/cell/src/owner/handlers.rs
@@ -53,11 +53,17 @@
             }
             (_, Err(error)) => {
                 count(&self.context.metrics.unreadable, JOB_TABLE);
-                log::error!(code = 334, key = row.name.key.as_str(), error:% = error; "job row cannot be decoded");
+                log::error!(
+                    code = 334, key = row.name.key.as_str(), error:% = error;
+                    "job row cannot be decoded; the row is ignored"
+                );
             }
             (Err(error), _) => {
                 count(&self.context.metrics.unreadable, JOB_TABLE);
-                log::error!(code = 334, key = row.name.key.as_str(), error:% = error; "job row cannot be decoded");
+                log::error!(
+                    code = 334, key = row.name.key.as_str(), error:% = error;
+                    "key of a job row is not the id of a job; the row is ignored"
+                );
             }
         }
     }
@@ -68,7 +74,10 @@
         }
         self.registrations_read = self.registrations_read.max(change.read_started);
         for id in change.deleted {
-            log::info!(code = 341, worker = id.as_str(); "worker's registration was removed");
+            log::info!(
+                code = 341, worker = id.as_str();
+                "worker's registration was removed; the worker gets no new tasks"
+            );
             self.planner.deregister_worker(&id);
         }
     }
@@ -76,12 +85,18 @@
     fn handle_registration(&mut self, info: WorkerInfo) {
         let (id, incarnation, address) = (info.id.clone(), info.incarnation, info.address);
         if info.draining {
-            log::info!(code = 342, worker = id.as_str(); "worker has registered as draining");
+            log::info!(
+                code = 342, worker = id.as_str();
+                "worker has registered as draining; it gets no new tasks"
+            );
         }
         let before = self.planner.capacity(&id);
         let new = self.planner.register_worker(info);
         if let Some(key) = new {
-            log::info!(code = 340, worker = id.as_str(), life = incarnation, address:% = address; "worker registered");
+            log::info!(
+                code = 340, worker = id.as_str(), life = incarnation, address:% = address;
+                "worker registered; it is claimed once its row is stored"
+            );
             self.queue_worker_row(key);
             return;
         }
@@ -95,7 +110,7 @@
         if recorded != incarnation {
             log::info!(
                 code = 387, worker = id.as_str(), life = incarnation, known = recorded, address:% = address;
-                "worker registered as another incarnation"
+                "worker registered as another incarnation; not used until the current one has ended"
             );
             return;
         }
@@ -106,7 +121,8 @@
         if before.current != after.current {
             log::info!(
                 code = 382, worker = id.as_str(), cpu = after.current.cpu, memory = after.current.memory,
-                cpu_before = before.current.cpu, memory_before = before.current.memory; "worker's capacity has changed"
+                cpu_before = before.current.cpu, memory_before = before.current.memory;
+                "worker registered with another capacity; new starts use it"
             );
         }
         if after.largest != before.largest {
@@ -172,11 +188,17 @@
                 self.planner.stop_reply(key, task, run, reply);
             }
             WorkerEvent::Fenced => {
-                log::warn!(code = 335, worker = self.worker_id(key), epoch = self.epoch; "worker obeys a newer owner");
+                log::warn!(
+                    code = 335, worker = self.worker_id(key), epoch = self.epoch;
+                    "worker refused a command: it obeys a newer owner; this process stops serving the pool"
+                );
                 self.has_successor = true;
             }
             WorkerEvent::Ended => {
-                log::info!(code = 344, worker = self.worker_id(key); "another worker uses this worker's address: its incarnation has ended");
+                log::info!(
+                    code = 344, worker = self.worker_id(key);
+                    "another worker uses this worker's address: its incarnation has ended, its runs are lost"
+                );
                 self.planner.worker_ended(key);
             }
         }
@@ -197,7 +219,7 @@
             log::info!(
                 code = 343, worker = self.worker_id(key), life = report.incarnation, epoch = self.epoch,
                 running = report.running.len(), ended = report.ended.len();
-                "worker claimed"
+                "worker claimed: its first report to this owner has arrived"
             );
         }
         let handled_end = self.planner.newest_end(key);
@@ -206,7 +228,8 @@
             count(&self.context.metrics.ends, &end.how.to_string());
             log::info!(
                 code = 354, task:% = end.task, run = end.run, how:% = end.how,
-                number = end.number, worker = self.worker_id(key); "run ended"
+                number = end.number, worker = self.worker_id(key);
+                "worker reported the end of a run"
             );
         }
         let lacks_incarnation = self
@@ -233,7 +256,7 @@
             code = 384, worker = self.worker_id(key), life = report.incarnation, known = recorded, seen:% = origin,
             taken = self.planner.newest_end(key), acknowledged = acknowledged,
             running = report.running.len(), ended = report.ended.len();
-            "worker report of another incarnation"
+            "worker report of another incarnation; replaces the current one if newer, else ignored"
         );
     }
 
@@ -245,7 +268,8 @@
         for end in ignored.filter(|end| self.planner.has_booked(key, end.task, end.run)) {
             log::warn!(
                 code = 385, task:% = end.task, run = end.run, how:% = end.how, number = end.number,
-                taken = handled_end, worker = self.worker_id(key), life = report.incarnation; "reported end ignored: its number was handled before, but its run is still booked"
+                taken = handled_end, worker = self.worker_id(key), life = report.incarnation;
+                "reported end ignored: its number was handled before, but its run is still booked"
             );
         }
     }
--- a/crates/cell/src/owner/helpers.rs
+++ b/crates/cell/src/owner/helpers.rs
@@ -119,7 +119,8 @@
         let until = (now + valid).saturating_sub(result.age + MAX_TRANSIT);
         log::info!(
             code = 320, step:% = step, asked = result.workers.len(), good = good.len(),
-            valid = valid.as_millis(); "advice received"
+            valid = valid.as_millis();
+            "advice received: tickets to start the step's tasks on the good workers, valid in ms"
         );
         let tickets = good.into_iter();
         let tickets: Vec<Ticket> = tickets
--- a/crates/cell/src/owner/liveness.rs
+++ b/crates/cell/src/owner/liveness.rs
@@ -63,7 +63,10 @@
         tokio::spawn(async move {
             let listed = client.running_workers(CHECK_TIMEOUT).await;
             if let Err(error) = &listed {
-                log::warn!(code = 380, error:% = error; "list of machines cannot be read");
+                log::warn!(
+                    code = 380, error:% = error;
+                    "list of machines cannot be read; whether unresponsive workers have ended stays unknown"
+                );
             }
             let ended =
                 listed.map_or_else(|_| Vec::new(), |listed| unlisted(unresponsive, &listed));
@@ -80,7 +83,10 @@
             if !ended.contains(&key) {
                 continue;
             }
-            log::info!(code = 381, worker = id.as_str(), epoch = self.epoch; "unresponsive worker is not in the list of machines: its incarnation has ended");
+            log::info!(
+                code = 381, worker = id.as_str(), epoch = self.epoch;
+                "unresponsive worker is not in the list of machines: it has ended, its runs are lost"
+            );
             self.planner.worker_ended(key);
         }
     }
--- a/crates/cell/src/owner/load.rs
+++ b/crates/cell/src/owner/load.rs
@@ -26,7 +26,8 @@
             code = 370, epoch = self.epoch, usable = load.usable, cpu = load.capacity.cpu,
             cpu_used = load.booked.cpu, kept = load.reserved_workers, kept_idle = load.reserved_cpu, memory = load.capacity.memory, memory_used = load.booked.memory,
             placed = load.placed, running = load.running, waiting = load.waiting, steps = load.pending_steps,
-            unfinished = load.unfinished; "load of the pool"
+            unfinished = load.unfinished;
+            "load of the pool; cpu in 1/1000 cores, memory in MB, kept: reserved for gangs"
         );
         self.log_traffic();
     }
@@ -40,7 +41,8 @@
             code = 373, epoch = self.epoch, answered = workers.answered, lost = workers.lost,
             slowest_ms = millis(workers.slowest), sent = workers.sent, received = workers.received,
             store_answered = store.answered, store_lost = store.lost, store_slowest_ms = millis(store.slowest),
-            store_sent = store.sent, store_received = store.received; "the owner's calls to workers and the store since the last line"
+            store_sent = store.sent, store_received = store.received;
+            "the owner's calls to workers and the store since the last such line; sizes in bytes"
         );
     }
 
@@ -51,7 +53,7 @@
             log::info!(
                 code = 355, task:% = lost.task, run = lost.run, worker = lost.worker.as_str(),
                 cause:% = lost.cause, confirmed = lost.confirmed, age_ms = millis(lost.age), beside = lost.other_runs;
-                "run lost"
+                "run lost: it ended without a report; its task waits again unless its job has ended"
             );
         }
     }
@@ -65,16 +67,28 @@
             count(&self.context.metrics.suspects, &suspect.finding.to_string());
             match suspect.finding {
                 Finding::Suspected => {
-                    log::warn!(code = 356, task:% = task, run = run, crashes = crashes; "task is suspected of crashing workers: it will be tried alone on a worker");
+                    log::warn!(
+                        code = 356, task:% = task, run = run, crashes = crashes;
+                        "task is suspected of crashing workers: it will be tried alone on a worker"
+                    );
                 }
                 Finding::Tried => {
-                    log::info!(code = 357, task:% = task, run = run, crashes = crashes; "trial of a suspected task starts, alone on a worker");
+                    log::info!(
+                        code = 357, task:% = task, run = run, crashes = crashes;
+                        "trial of a suspected task starts, alone on a worker"
+                    );
                 }
                 Finding::Cleared => {
-                    log::info!(code = 358, task:% = task, run = run, crashes = crashes; "run of a suspected task ended without a worker crash");
+                    log::info!(
+                        code = 358, task:% = task, run = run, crashes = crashes;
+                        "run of a suspected task ended without a worker crash; any next start is a trial"
+                    );
                 }
                 Finding::GivenUp => {
-                    log::warn!(code = 359, task:% = task, run = run, crashes = crashes; "task crashes its workers: its job fails");
+                    log::warn!(
+                        code = 359, task:% = task, run = run, crashes = crashes;
+                        "task crashes its workers: its job fails"
+                    );
                 }
             }
         }
--- a/crates/cell/src/owner/overload.rs
+++ b/crates/cell/src/owner/overload.rs
@@ -35,7 +35,8 @@
             self.overload.logged = overloaded;
             log::warn!(
                 code = 374, epoch = self.epoch, strained = overloaded, answer_ms = mean_latency.as_millis(),
-                calls = self.context.settings.owner_calls(); "owner overload changed"
+                calls = self.context.settings.owner_calls();
+                "owner's overload changed; while strained, a much larger host may take the pool"
             );
         }
     }
--- a/crates/cell/src/owner/pool.rs
+++ b/crates/cell/src/owner/pool.rs
@@ -141,7 +141,10 @@
                 }
                 Ok(None) => return None,
                 Err(error) => {
-                    log::warn!(code = 331, epoch = epoch, error:% = error; "state of the former owner cannot be read from the store");
+                    log::warn!(
+                        code = 331, epoch = epoch, error:% = error;
+                        "state of the former owner cannot be read from the store; retrying"
+                    );
                     // The process is stopping: the ownership is left to expire.
                     if context.stopping() {
                         return None;
@@ -199,7 +202,8 @@
         log::info!(
             code = 330, epoch = epoch, workers = pool.used_workers.len(), jobs = inherited.jobs.len(),
             unfinished = pool.planner.unfinished(), suspects = pool.planner.suspect_count(),
-            ms = took.as_millis(); "pool opened"
+            ms = took.as_millis();
+            "pool opened: state of the former owner read from the store; claiming its workers"
         );
         Some(pool)
     }
@@ -307,7 +311,10 @@
                 () = self.context.stopped() => return true,
             }
             if self.has_successor || ownership_lost(&self.context, self.epoch) {
-                log::warn!(code = 332, epoch = self.epoch; "pool lost");
+                log::warn!(
+                    code = 332, epoch = self.epoch;
+                    "pool lost: another process owns it; this process stops serving it"
+                );
                 return false;
             }
             let now = self.context.now();
@@ -362,7 +369,7 @@
             let unclaimed = self.planner.unclaimed_workers();
             log::info!(
                 code = 333, epoch = self.epoch, silent = unclaimed, ms = millis(self.planner.uptime());
-                "take-over finished: no task of the former owner can still run without being reported"
+                "take-over finished: no unreported run is active; tasks of the former owner may start again"
             );
         }
         self.check_overload(now);
@@ -386,7 +393,8 @@
         if self.planner.set_registrations_stale(stale) {
             log::warn!(
                 code = 383, epoch = self.epoch, stale = stale, read_ms = millis(age),
-                share = self.planner.smallest_share(); "staleness of the registrations changed"
+                share = self.planner.smallest_share();
+                "worker registrations became stale or current; while stale, starts use a reduced capacity"
             );
         }
     }
@@ -421,7 +429,10 @@
             let gap = next.saturating_sub(self.context.now());
             tokio::time::sleep(gap).await;
         }
-        log::info!(code = 336, epoch = self.epoch, released = self.saver.released(); "release of the pool finished");
+        log::info!(
+            code = 336, epoch = self.epoch, released = self.saver.released();
+            "release of the pool ended; unless it is released, a successor waits for its expiry"
+        );
     }
 }
 
--- a/crates/cell/src/owner/registrations.rs
+++ b/crates/cell/src/owner/registrations.rs
@@ -97,7 +97,10 @@
         if self.unreadable_keys.len() < MAX_UNREADABLE
             && self.unreadable_keys.insert(key.to_owned())
         {
-            log::error!(code = 345, worker = key; "worker's registration cannot be decoded");
+            log::error!(
+                code = 345, worker = key;
+                "worker's registration cannot be decoded; the last readable one stays in use"
+            );
             count(&metrics.unreadable, WORKER_TABLE);
         }
     }
@@ -143,7 +146,10 @@
             }
             Err(error) => {
                 if !unavailable {
-                    log::warn!(code = 346, error:% = error; "registrations of workers cannot be read from the store");
+                    log::warn!(
+                        code = 346, error:% = error;
+                        "registrations of workers cannot be read from the store; retrying"
+                    );
                 }
                 unavailable = true;
             }
--- a/crates/cell/src/owner/renewal_task.rs
+++ b/crates/cell/src/owner/renewal_task.rs
@@ -35,7 +35,7 @@
 const MAX_CALLS: usize = 3;
 
 /// Reason given for a call whose reply is late.
-const LATE_REPLY: &str = "reply is late";
+const LATE_REPLY: &str = "no reply in the time that workers usually take";
 
 /// Pause before the next call if a start was in progress during the last one.
 const START_PAUSE: Duration = Duration::from_millis(20);
@@ -185,7 +185,10 @@
                 | RenewalOutcome::TimedOut => {}
                 RenewalOutcome::Report => {
                     if !reached {
-                        log::info!(code = 348, worker = self.id.as_str(); "worker answers again");
+                        log::info!(
+                            code = 348, worker = self.id.as_str();
+                            "worker answers again; it may get new tasks"
+                        );
                     }
                     reached = true;
                     failures = 0;
@@ -204,7 +207,10 @@
         self.acked_end = 0;
         self.notify_owner(WorkerEvent::Unresponsive).await;
         if reached {
-            log::warn!(code = 347, worker = self.id.as_str(), reason = reason; "worker does not answer");
+            log::warn!(
+                code = 347, worker = self.id.as_str(), reason = reason;
+                "worker does not answer; calling it again, it gets no new tasks until it answers"
+            );
         }
     }
 
@@ -387,7 +393,7 @@
         if report.incarnation.is_none() {
             log::error!(
                 code = 386, worker = self.id.as_str(), known = self.incarnation;
-                "worker report does not name its incarnation"
+                "worker report does not name its incarnation; it is ignored and the worker called again"
             );
             return NO_INCARNATION;
         }
--- a/crates/cell/src/owner/retention.rs
+++ b/crates/cell/src/owner/retention.rs
@@ -89,7 +89,10 @@
                 match remove_job(&store, id, misplaced.contains(&id)).await {
                     Ok(version) => removed.push((id, version)),
                     Err(error) => {
-                        log::warn!(code = 364, job:% = crate::hex(id), error:% = error; "expired job not removed");
+                        log::warn!(
+                            code = 364, job:% = crate::hex(id), error:% = error;
+                            "rows of an expired job not removed from the store; tried again later"
+                        );
                         break;
                     }
                 }
--- a/crates/cell/src/owner/saver.rs
+++ b/crates/cell/src/owner/saver.rs
@@ -162,7 +162,10 @@
             // successor.
             Ok(Committed::Conflict) => self.refresh_guard().await.unwrap_or(true),
             Err(error) => {
-                log::warn!(code = 308, epoch = self.epoch, error:% = error; "renewal of the ownership failed during take-over");
+                log::warn!(
+                    code = 308, epoch = self.epoch, error:% = error;
+                    "renewal of the ownership failed during take-over; the take-over goes on"
+                );
                 true
             }
         }
@@ -253,7 +256,10 @@
     Ok(row.and_then(|row| {
         let guard = decode_row::<Guard>(&row.value);
         if let Err(error) = &guard {
-            log::error!(code = 360, error:% = error; "guard row cannot be decoded");
+            log::error!(
+                code = 360, error:% = error;
+                "guard row cannot be decoded; the pool counts as lost to another process"
+            );
         }
         let guard = guard.ok()?;
         let ours = guard.epoch == epoch && guard.incarnation == context.incarnation;
@@ -312,7 +318,10 @@
                 self.reread_guard();
             }
             Err(error) => {
-                log::warn!(code = 361, epoch = self.epoch, error:% = error; "write of the owner's state failed");
+                log::warn!(
+                    code = 361, epoch = self.epoch, error:% = error;
+                    "write of the owner's state to the store failed; its changes are written again"
+                );
                 count(&metrics.saves, "failed");
                 self.saver.in_progress = false;
                 self.saver.not_before = now + RETRY_PAUSE;
@@ -364,7 +373,7 @@
             code = 362, job:% = crate::hex(id), outcome:% = outcome, queue = timing.queue.as_str(),
             priority = timing.priority, ms = millis(timing.age), objective_ms = millis(timing.objective),
             chain_ms = millis(timing.critical_path), work_ms = timing.work;
-            "job ended"
+            "job ended, outcome stored; chain_ms and work_ms are its expected times, not measured"
         );
     }
 
@@ -396,7 +405,10 @@
             }
             Ok(None) => self.has_successor = true,
             Err(error) => {
-                log::warn!(code = 363, epoch = self.epoch, error:% = error; "guard row cannot be read");
+                log::warn!(
+                    code = 363, epoch = self.epoch, error:% = error;
+                    "guard row cannot be read after a write conflict; reading it again"
+                );
                 self.reread_guard();
             }
         }
--- a/crates/cell/src/owner/start_call.rs
+++ b/crates/cell/src/owner/start_call.rs
@@ -93,7 +93,10 @@
 
     fn log_unconfirmed(&self, answer: &str) {
         let (task, run) = (self.start.task, self.start.run);
-        log::warn!(code = 351, task:% = task, run = run, worker = self.id.as_str(), answer = answer; "start not confirmed");
+        log::warn!(
+            code = 351, task:% = task, run = run, worker = self.id.as_str(), answer = answer;
+            "start not confirmed; the task waits again once the run is refused or counts as lost"
+        );
     }
 
     fn event_for<T>(&self, answer: &CommandReply<T>) -> WorkerEvent {
--- a/crates/cell/src/owner/takeover.rs
+++ b/crates/cell/src/owner/takeover.rs
@@ -117,7 +117,10 @@
             Ok(id) => id,
             Err(error) => {
                 count(metrics, PROGRESS_TABLE);
-                log::error!(code = 337, key = row.name.key.as_str(), error:% = error; "progress row of a job cannot be decoded");
+                log::error!(
+                    code = 337, key = row.name.key.as_str(), error:% = error;
+                    "key of a progress row is not the id of a job; the row is ignored"
+                );
                 return;
             }
         };
@@ -127,7 +130,10 @@
             }
             Err(error) => {
                 count(metrics, PROGRESS_TABLE);
-                log::error!(code = 337, key = row.name.key.as_str(), error:% = error; "progress row of a job cannot be decoded");
+                log::error!(
+                    code = 337, key = row.name.key.as_str(), error:% = error;
+                    "progress row of a job cannot be decoded; this owner does not schedule the job"
+                );
                 self.unreadable_jobs.insert(id);
             }
         }
@@ -138,7 +144,10 @@
             Ok(worker) => self.used_workers.push((row.name.key.clone(), worker)),
             Err(error) => {
                 count(metrics, USED_WORKER_TABLE);
-                log::error!(code = 338, key = row.name.key.as_str(), error:% = error; "row of a used worker cannot be decoded");
+                log::error!(
+                    code = 338, key = row.name.key.as_str(), error:% = error;
+                    "row of a used worker cannot be decoded; the take-over waits for its lease to expire"
+                );
                 self.undecodable_workers += 1;
             }
         }
@@ -157,7 +166,7 @@
         match jobs.next(Duration::ZERO).await {
             Ok(change) => {
                 if std::mem::take(&mut unavailable) {
-                    log::info!(code = 349; "jobs can be read again");
+                    log::info!(code = 349; "job rows can be read from the store again");
                 }
                 // Also sent without changes: it confirms that the owner has all job rows up to
                 // this time.
@@ -169,7 +178,10 @@
             }
             Err(error) => {
                 if !std::mem::replace(&mut unavailable, true) {
-                    log::warn!(code = 339, error:% = error; "jobs cannot be read");
+                    log::warn!(
+                        code = 339, error:% = error;
+                        "job rows cannot be read from the store; retrying, new jobs come only by notification"
+                    );
                 }
                 tokio::time::sleep(READ_RETRY_PAUSE).await;
             }
--- a/crates/cell/tests/slow_links.rs
+++ b/crates/cell/tests/slow_links.rs
@@ -4,7 +4,7 @@
 //! before, and against tasks that ran again after they were done. A host on a slow link took
 //! the pool and read all jobs for 4 s. The changes made meanwhile took longer than 0.6 s to
 //! arrive; the owner abandoned that read and repeated it without end. The cause was a fixed
-//! timeout for the reply of the feed. Log line 339 ("jobs cannot be read") showed it, without a
+//! timeout for the reply of the feed. Log line 339 ("job rows cannot be read") showed it, without a
 //! line 349 after it.
 
 use std::time::Duration;
