--- a/crates/cell/tests/slow_links.rs
+++ b/crates/cell/tests/slow_links.rs
@@ -4,8 +4,8 @@
 //! against tasks that run again after they are done. A host on a slow link took the pool and
 //! needed 4 s to read all jobs. The feed's reply with the changes made meanwhile took longer than
 //! its fixed timeout of 0.6 s, so the owner abandoned each read of the feed and repeated it
-//! without end. The log showed `jobs cannot be read` (code 339) and no `jobs can be read again`
-//! (code 349) after it.
+//! without end. The log showed `job rows cannot be read from the store` (code 339) and no
+//! `job rows can be read from the store again` (code 349) after it.
 
 use std::time::Duration;
 use std::time::Instant;
