--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -27,7 +27,7 @@
 const BALANCER_GRACE: Duration = Duration::from_millis(1500);
 
 /// Timeout for the answers to requests in progress. Equals the default wait of a submission
-/// with `wait=false`, which needs to know only whether the request was accepted.
+/// with `wait=false`, whose caller waits only until the request is accepted.
 const ANSWERS_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Timeout of two steps: of answering the callers that still wait after [`ANSWERS_TIMEOUT`],
@@ -37,7 +37,8 @@
 impl Process {
     /// Stops the process as planned: hands its shards over to other processes and lets the
     /// requests in progress finish, without refusing any. Callers of requests that run for longer
-    /// are answered that these are still pending, and can ask another process.
+    /// than the stop waits (10 s) are answered that these are still pending, and can ask another
+    /// process.
     pub async fn close(mut self) {
         self.context.timeline.record(Event::new(Kind::StopBegan));
         self.stopping.send_replace(true);
@@ -66,7 +67,9 @@
         };
         let outcome = match timeout(HANDOVER_TIMEOUT, reply).await {
             Ok(Some(report)) => describe(report),
-            Ok(None) => "hand-over: failed, the shard manager (task keeper) has ended".to_owned(),
+            Ok(None) => {
+                "hand-over: failed, the shard manager (async task keeper) has ended".to_owned()
+            }
             Err(_) => "hand-over: timed out, no result from the shard manager".to_owned(),
         };
         self.record_step(began, &outcome);
@@ -108,7 +111,7 @@
         lease_deleted,
     } = report;
     let lease = if lease_deleted {
-        "deleted"
+        "gone"
     } else {
         "may remain until it expires"
     };
