--- a/crates/site/src/advice.rs
+++ b/crates/site/src/advice.rs
@@ -17,8 +17,8 @@
 
 use crate::FakeWorker;
 
-/// Gives a ticket for each worker that a call for advice names, and lists the machines of live
-/// workers.
+/// Gives a ticket for each worker that a call for advice names, and lists the machines of the
+/// workers that have not gone down.
 #[derive(Debug)]
 pub struct FakeAdvice {
     /// Number of calls for advice so far.
@@ -42,7 +42,8 @@
         })
     }
 
-    /// Adds a worker, or a new incarnation of one, whose machine is listed while it is alive.
+    /// Adds a worker, or a new incarnation of one, whose machine is listed until this incarnation
+    /// ends.
     pub fn add(&self, worker: Arc<FakeWorker>) {
         let mut workers = self.workers.lock().unwrap_or_else(PoisonError::into_inner);
         workers.push(worker);
@@ -68,6 +69,7 @@
         let workers = self.workers.lock().unwrap_or_else(PoisonError::into_inner);
         let live = workers.iter().filter(|worker| !worker.dead());
         let machines: Vec<Value> = live
+            // Each worker is a machine of its own with the same id.
             .map(|worker| json!({"machine": worker.id, "state": "up", "id": worker.id}))
             .collect();
         json!({"machines": machines, "next_token": null})
@@ -92,10 +94,11 @@
             tokio::time::sleep(delay).await;
             return web::json(StatusCode::OK, &body);
         }
+        // Any other path is a call for advice.
         self.calls.fetch_add(1, Ordering::Relaxed);
         let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
         let named = body["workers"].as_array().cloned().unwrap_or_default();
-        // The second value is the text of the ticket.
+        // Worker and ticket for each worker; the tickets are valid for `valid_ms` milliseconds.
         let good: Vec<Value> = named.into_iter().map(|id| json!([id, "t"])).collect();
         web::json(StatusCode::OK, &json!({"good": good, "valid_ms": 1500}))
     }
--- a/crates/site/src/caller.rs
+++ b/crates/site/src/caller.rs
@@ -28,12 +28,13 @@
     #[must_use]
     pub fn new() -> Caller {
         Caller {
+            // The timeout of opening a connection.
             client: Client::new(Duration::from_secs(1)),
         }
     }
 
     /// Sends one request; returns the HTTP status and the body, or status 0 if there was no
-    /// reply.
+    /// reply. The body is sent as JSON, also if it is null.
     pub async fn send(
         &self,
         method: Method,
@@ -41,6 +42,8 @@
         path: &str,
         body: &Value,
     ) -> (u16, Value) {
+        // The queue of a request is selected by its path and by this host, which all queues of
+        // `crate::config` name.
         let call = Call::new(method, server, path, REPLY_TIMEOUT)
             .header("host", "desk.example".to_owned())
             .json(body);
@@ -82,7 +85,8 @@
         );
     }
 
-    /// Submits a job to each of `servers`, again and again, until one accepts it.
+    /// Submits a job to each of `servers`, again and again, until one accepts it. The path contains
+    /// the job's id, so a repeated submission creates no second job.
     ///
     /// # Panics
     /// Panics if none accepts it within a minute.
@@ -103,7 +107,7 @@
         );
     }
 
-    /// Waits until any of `servers` reports the job status `state`.
+    /// Waits until any of `servers` reports that the job has the state `state`.
     ///
     /// # Panics
     /// Panics if none does within a minute.
@@ -122,7 +126,7 @@
         let reported = tokio::time::timeout(WAIT_LIMIT, polling).await;
         assert!(
             reported.is_ok(),
-            "{path}: job status was last {last}, expected {state}"
+            "{path}: job state was last {last}, expected {state}"
         );
     }
 }
--- a/crates/site/src/cell.rs
+++ b/crates/site/src/cell.rs
@@ -46,7 +46,7 @@
 /// A running process of the cell.
 struct Member {
     runtime: Runtime,
-    /// Makes the process stop.
+    /// Starts the planned stop of the process.
     stop: Option<oneshot::Sender<()>>,
     /// Receives a message when the process has stopped.
     stopped: Option<oneshot::Receiver<()>>,
@@ -83,6 +83,7 @@
     link: Option<(Arc<LimitedLink>, f64)>,
     /// Number of cores of hosts that differ from the default.
     cores: HashMap<usize, f64>,
+    /// Processes of the cell; none for a process that is not running.
     members: Vec<Option<Member>>,
     /// Stops the fakes when it is dropped.
     serving: watch::Sender<bool>,
@@ -238,7 +239,8 @@
         );
     }
 
-    /// Returns the epoch of the pool's ownership in the store; none if there is none.
+    /// Returns the epoch in the pool's ownership row in the store; none if there is no such row or
+    /// it cannot be decoded.
     #[must_use]
     pub fn epoch(&self) -> Option<u64> {
         let row = self
@@ -345,14 +347,14 @@
         });
     }
 
-    /// Kills a process: all its tasks end and its connections are reset.
+    /// Kills a process without a planned stop: all its async tasks end and its connections close.
     pub async fn kill(&mut self, index: usize) {
         if let Some(member) = self.members[index].take() {
             shut_down(member.runtime).await;
         }
     }
 
-    /// Freezes a process: none of its tasks runs for `time`, while its connections stay open.
+    /// Freezes a process: none of its async tasks runs for `time`, while its connections stay open.
     pub fn freeze(&self, index: usize, time: Duration) {
         if let Some(member) = &self.members[index] {
             // Blocks the only thread of the runtime.
@@ -362,7 +364,7 @@
         }
     }
 
-    /// Stops a process and waits until it has ended.
+    /// Stops a process as planned and waits until it has ended.
     pub async fn stop(&mut self, index: usize) {
         self.stop_within(index, WAIT_LIMIT).await;
     }
@@ -382,8 +384,8 @@
         in_time
     }
 
-    /// Returns the index of the process that owns the pool according to the store; none if no
-    /// process of the cell does.
+    /// Returns the index of the process that owns the pool according to the ownership row in the
+    /// store; none if no process of the cell does, or if the owner has released the pool.
     #[must_use]
     pub fn owner(&self) -> Option<usize> {
         let row = self
@@ -483,7 +485,8 @@
 
 /// Returns a job of one step with `count` tasks. `payload` determines how they end: it is
 /// `fail`, a run time in milliseconds, or `crash INDEX RUN_TIME CRASH_TIME`, with which the task
-/// with this index crashes its worker after the crash time and the others succeed.
+/// with this index crashes its worker after the crash time and the others succeed after the run
+/// time, both in milliseconds.
 #[must_use]
 pub fn job(count: u32, payload: &str) -> Value {
     json!({
--- a/crates/site/src/delayed.rs
+++ b/crates/site/src/delayed.rs
@@ -78,7 +78,7 @@
             .count()
     }
 
-    /// Returns the number of deferred lease renewals.
+    /// Returns the number of deferred lease renewals, which have the path `/-/hold`.
     pub(crate) fn renewals(&self) -> usize {
         let renewals = self.pending.iter();
         renewals.filter(|command| command.path == "/-/hold").count()
@@ -88,8 +88,8 @@
         self.pending.clear();
     }
 
-    /// Returns a pseudo-random number from 0 to below 1. The sequence is the same for each worker
-    /// and in each test run.
+    /// Returns a pseudo-random number from 0 to below 1, drawn by a linear congruential generator.
+    /// The sequence is the same for each worker and in each test run.
     fn next_random(&mut self) -> f64 {
         self.random_state = self
             .random_state
--- a/crates/site/src/finish.rs
+++ b/crates/site/src/finish.rs
@@ -21,11 +21,16 @@
 }
 
 impl Finish {
-    /// Parses a payload; returns how the task ends and its run time. The payload is `fail`, a
-    /// run time in milliseconds, or `crash INDEX RUN_TIME CRASH_TIME`: the task with this index
-    /// crashes its worker after the crash time, the others succeed after the run time. Both
-    /// times are in milliseconds and optional. `task` is the task's name, which ends in its
-    /// index.
+    /// Parses the payload of a task; returns how the task ends and the time from its start until
+    /// then. All tasks of a job share one payload. `task` is the task's name, which ends in its
+    /// index within its step.
+    ///
+    /// - `fail`: the task fails after [`DEFAULT_RUN_TIME`];
+    /// - `crash INDEX RUN_TIME CRASH_TIME`: the task with this index crashes its worker after the
+    ///   crash time, the others succeed after the run time. Both times are in milliseconds; a
+    ///   time that is missing or not a number has its default;
+    /// - a number: the task succeeds after this run time in milliseconds;
+    /// - any other text: the task succeeds after [`DEFAULT_RUN_TIME`].
     pub(crate) fn parse(payload: &str, task: &str) -> (Finish, Duration) {
         let mut words = payload.split(' ');
         let first = words.next().unwrap_or_default();
--- a/crates/site/src/limited_link.rs
+++ b/crates/site/src/limited_link.rs
@@ -19,7 +19,8 @@
 /// direction to the workers.
 const CONNECTION_BYTES: usize = 240;
 
-/// Size of the headers of each packet in bytes.
+/// Size of the IP and TCP headers of each packet in bytes. Each read from a connection counts as
+/// one packet.
 const HEADER_BYTES: usize = 52;
 
 /// Largest payload of a packet in bytes.
@@ -72,6 +73,7 @@
     /// Creates a link of `mbps` megabits per second in each direction.
     #[must_use]
     pub fn new(mbps: f64) -> Arc<LimitedLink> {
+        // One megabit is 125,000 bytes.
         let rate = mbps * 125_000.0;
         Arc::new(LimitedLink {
             outbound: Direction::new(rate),
@@ -106,6 +108,7 @@
         address
     }
 
+    /// Forwards one connection of a process to the worker at `server`.
     async fn relay(self: Arc<LimitedLink>, caller: TcpStream, server: SocketAddr) {
         self.outbound.transmit(CONNECTION_BYTES).await;
         let Ok(worker) = TcpStream::connect(server).await else {
--- a/crates/site/src/registration.rs
+++ b/crates/site/src/registration.rs
@@ -7,8 +7,8 @@
 
 use crate::FakeWorker;
 
-/// Returns the registration of a worker with four cores at `address`, whose incarnation
-/// started at `incarnation` in Unix milliseconds.
+/// Returns the registration of a worker with four cores (`cpu` is in thousandths of a core) at
+/// `address`, whose incarnation started at `incarnation` in Unix milliseconds.
 #[must_use]
 pub fn registration(address: SocketAddr, incarnation: u64) -> Value {
     json!({
--- a/crates/site/src/run_log.rs
+++ b/crates/site/src/run_log.rs
@@ -8,23 +8,26 @@
 use std::sync::PoisonError;
 use std::time::Instant;
 
-/// Maximum number of attempts of a task in the test configuration.
+/// Maximum number of attempts of a task in the test configuration. Only attempts whose failure the
+/// owner has acknowledged count.
 pub const ATTEMPTS: usize = 2;
 
 /// An event on a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WorkerEvent {
-    /// A run started: worker, task, run.
+    /// A run started: worker, task, run. The owner numbers the runs of a task; a later run has a
+    /// higher number.
     Started(String, String, u64),
     /// A run ended: worker, task, run, kind of end (`done`, `failed` or `stopped`; `lapsed` if
     /// the worker's lease expired, `gone` if the worker went down).
     Ended(String, String, u64, String),
-    /// The worker's lease expired, or the worker went down, before this end was acknowledged. The
-    /// end is void, and the task may run again: task, run.
+    /// The worker's lease expired, or the worker went down, before the owner acknowledged the end
+    /// of this run. The end is void, and the task may run again: task, run.
     Discarded(String, u64),
     /// The owner acknowledged an end: task, run, kind of end.
     Acknowledged(String, u64, String),
-    /// A task was started although all cores of the worker were in use: worker, task.
+    /// A task was started although all cores of the worker were in use: worker, task. Follows the
+    /// `Started` of this run.
     Overbooked(String, String),
 }
 
@@ -35,7 +38,7 @@
     pub worker: String,
     /// Name of the task.
     pub task: String,
-    /// Number of the run.
+    /// Number of the run, as in [`WorkerEvent::Started`].
     pub run: u64,
     /// Time of the start.
     pub begin: Instant,
@@ -114,7 +117,8 @@
         spans
     }
 
-    /// Returns the number of runs of a job's tasks that ended because their worker went down.
+    /// Returns the number of runs that ended because their worker went down, of the tasks whose
+    /// names begin with `job`.
     #[must_use]
     pub fn lost_runs(&self, job: &str) -> usize {
         let spans = self.spans(job);
--- a/crates/site/src/scripted.rs
+++ b/crates/site/src/scripted.rs
@@ -22,7 +22,7 @@
 pub enum Reply {
     /// An error with this status.
     Status(u16),
-    /// A body that does not follow the protocol.
+    /// An empty JSON object, which lacks the version that a reply to a transaction contains.
     Malformed,
     /// No reply.
     Lost,
--- a/crates/site/src/store.rs
+++ b/crates/site/src/store.rs
@@ -27,7 +27,8 @@
 /// Maximum number of rows in one reply of the feed.
 const FEED_ROWS: usize = 500;
 
-/// Table, part and key of a row.
+/// Table, part and key of a row. A part is a named subset of the rows of a table; the rows that the
+/// operator and the workers write are in the unnamed part, whose name is empty.
 type RowName = (String, String, String);
 
 /// Kinds of calls that the store refuses.
@@ -51,7 +52,7 @@
     pub refused_calls: RefusedCalls,
     /// Number of the next transactions that are carried out but get no reply.
     pub lost_replies: usize,
-    /// Time from the request of each transaction until it is carried out.
+    /// Time from the arrival of each transaction until it is carried out.
     pub delay: Duration,
     /// Table, and delay of the replies with its rows, which may then be outdated.
     pub slow_rows: Option<(&'static str, Duration)>,
@@ -67,15 +68,16 @@
 struct Rows {
     /// Base64-encoded value and version of each row.
     live: BTreeMap<RowName, (String, u64)>,
-    /// History of changes, which the feed returns: version, row and new value, none if the row
-    /// was removed.
+    /// History of changes, which the feed returns: version, row and new Base64-encoded value, none
+    /// if the row was removed.
     changes: Vec<(u64, RowName, Option<String>)>,
     /// Version of the store, which increases with each write or transaction.
     version: u64,
     /// Version up to which changes were dropped from the history.
     dropped_upto: u64,
     faults: StoreFaults,
-    /// Number of requested transactions for each table that their preconditions name.
+    /// Number of transactions received so far, whether carried out or not, for each table that
+    /// their preconditions name.
     transactions: BTreeMap<String, usize>,
     /// Table, and handling of the next transactions that write to it.
     script: (String, VecDeque<ScriptedReply>),
@@ -134,7 +136,8 @@
         self.version.send_replace(version);
     }
 
-    /// Returns the number of requested transactions with preconditions on rows of a table.
+    /// Returns the number of transactions received so far, whether carried out or not, that have
+    /// preconditions on rows of a table.
     pub fn transactions(&self, table: &str) -> usize {
         self.lock().transactions.get(table).copied().unwrap_or(0)
     }
@@ -213,6 +216,8 @@
         self.lock().version
     }
 
+    /// Carries out a transaction if each row in its preconditions has the expected version (0 if
+    /// there must be no such row).
     fn transact(&self, body: &Value) -> HttpResponse {
         let mut rows = self.lock();
         for expect in list(body, "precondition") {
@@ -235,6 +240,7 @@
         web::json(StatusCode::OK, &json!({"ver": version, "now_ms": 0}))
     }
 
+    /// Returns the rows of a part in the order of their keys, from the key `from` on.
     fn read(&self, request: &HttpRequest) -> HttpResponse {
         let text = |name: &str| request.parameter(name).unwrap_or_default();
         let (table, part, from) = (text("table"), text("part"), text("from"));
@@ -261,6 +267,8 @@
         web::json(StatusCode::OK, &json!({"parts": parts, "has_more": false}))
     }
 
+    /// Returns the changes of a table after a version; waits for one, for `wait_ms` milliseconds at
+    /// most, if there are none yet.
     async fn feed(&self, request: &HttpRequest) -> HttpResponse {
         let number = |name: &str| request.parameter(name).and_then(|text| text.parse().ok());
         let table = request.parameter("table").unwrap_or_default();
--- a/crates/site/src/supervisor.rs
+++ b/crates/site/src/supervisor.rs
@@ -66,7 +66,9 @@
     pub downtime: Duration,
     /// Time from the start of the new incarnation until its registration is written.
     pub registration_delay: Duration,
-    /// Milliseconds by which the worker's clock is set back during the restart.
+    /// Milliseconds by which the wall clock of the worker is set back during the restart: the start
+    /// time of the new incarnation is that much earlier than the former one's; 0 if it is not set
+    /// back.
     pub clock_back: u64,
 }
 
@@ -141,6 +143,7 @@
     }
 
     /// Restarts the worker after a crash, unless the test has restarted it during the delay.
+    /// `incarnations` is the number of incarnations including the one to be started.
     async fn restart_crashed(&self, crashed: &Arc<FakeWorker>, incarnations: usize) {
         let same = match self.restart_id {
             RestartId::Changed | RestartId::Unreported => false,
@@ -178,7 +181,7 @@
         self.register();
     }
 
-    /// Starts the next incarnation under the same id.
+    /// Starts the next incarnation under the same id; `clock_back` as in [`Restart`].
     fn start_incarnation(&self, clock_back: u64) {
         let former = self.current();
         // The start time identifies the incarnation, so it must differ from the former one.
@@ -203,7 +206,8 @@
         }
     }
 
-    /// Starts the next incarnation under a new id, and registers it in place of the former one.
+    /// Starts the next incarnation under a new id, which contains its number `incarnations`, and
+    /// registers it in place of the former one.
     fn restart_renamed(&self, former: &FakeWorker, incarnations: usize) {
         let id = format!("{}-{incarnations}", self.name);
         let next = FakeWorker::new(&id, self.context.log.clone());
@@ -220,6 +224,7 @@
         let current = self.current();
         let target = request.headers.get(TARGET_INSTANCE);
         let target = target.and_then(|value| value.to_str().ok());
+        // A worker that is down answers no call, whichever worker the call is meant for.
         if !current.dead() && target.is_some_and(|id| id != current.id) {
             return web::json(StatusCode::MISDIRECTED_REQUEST, &json!({}));
         }
--- a/crates/site/src/worker.rs
+++ b/crates/site/src/worker.rs
@@ -27,10 +27,9 @@
 /// Time between two checks for ended runs while a lease renewal waits for one.
 pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Time after which a listed end counts as received by the owner, in tests without disruptions.
+/// Time until the owner has received a reported end, in tests in which no report is lost.
 const REPORT_TIME: Duration = Duration::from_millis(100);
 
-/// A run in progress.
 #[derive(Debug)]
 struct Run {
     number: u64,
@@ -48,7 +47,7 @@
     }
 }
 
-/// A run that has ended.
+/// A run that has ended; `how` is the kind of end, as in [`WorkerEvent::Ended`].
 #[derive(Debug)]
 struct Ended {
     /// Number of the end; the owner acknowledges all ends up to a number.
@@ -61,7 +60,7 @@
 }
 
 impl Ended {
-    /// Whether the end counts as received by the owner, in tests without disruptions.
+    /// Whether the owner must have received the end, in tests in which no report is lost.
     fn reported(&self) -> bool {
         self.listed
             .is_some_and(|listed| listed.elapsed() > REPORT_TIME)
@@ -71,7 +70,6 @@
 #[derive(Debug, Default)]
 #[allow(clippy::struct_excessive_bools)] // independent flags
 struct State {
-    /// Highest fencing token received.
     highest_token: u64,
     /// Expiry of the lease, in milliseconds of the worker's clock.
     lease_expiry: u64,
@@ -85,23 +83,19 @@
     latest_ended: HashMap<String, u64>,
     /// Calls get no reply.
     silent: bool,
-    /// The incarnation has ended.
     dead: bool,
-    /// A task has crashed the worker.
     crashed: bool,
     capacity: Cores,
     /// Number of the next start commands that are carried out but get no reply.
     unanswered_starts: usize,
-    /// Commands from owners of this epoch and later ones are dropped.
+    /// Commands with this fencing token or a higher one are dropped.
     cut_from: Option<u64>,
-    /// Commands from owners of this epoch and earlier ones are dropped.
+    /// Commands with this fencing token or a lower one are dropped.
     cut_upto: u64,
     delayed: DelayedCommands,
-    /// Delay of each reply.
     reply_delay: Duration,
-    /// Worker reports and registrations omit the incarnation.
     omits_incarnation: bool,
-    /// The test has no disruptions: an end that was listed counts without an acknowledgement.
+    /// No worker report is lost in the test; see [`FakeWorker::set_undisturbed`].
     undisturbed: bool,
 }
 
@@ -153,6 +147,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Returns the worker's clock in milliseconds; it starts at 0 with each incarnation.
     fn clock(&self) -> u64 {
         u64::try_from(self.origin.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
@@ -208,12 +203,12 @@
         self.lock().unanswered_starts = count;
     }
 
-    /// Drops commands from owners of `epoch` and later ones; other owners reach the worker.
+    /// Drops commands with the fencing token `epoch` or a higher one, as later owners send.
     pub fn cut_from_epoch(&self, epoch: Option<u64>) {
         self.lock().cut_from = epoch;
     }
 
-    /// Drops commands from owners of `epoch` and earlier ones; other owners reach the worker.
+    /// Drops commands with the fencing token `epoch` or a lower one, as earlier owners send.
     pub fn cut_upto_epoch(&self, epoch: u64) {
         self.lock().cut_upto = epoch;
     }
@@ -223,8 +218,8 @@
         self.lock().reply_delay = delay;
     }
 
-    /// Declares that the test has no disruptions. Then an end that the worker has listed counts,
-    /// even if the lease expires before the owner has acknowledged it.
+    /// Declares that no worker report is lost in the test. Then an end counts 100 ms after a report
+    /// first listed it, even if the lease expires before the owner has acknowledged it.
     pub fn set_undisturbed(&self, undisturbed: bool) {
         self.lock().undisturbed = undisturbed;
     }
@@ -337,19 +332,22 @@
             .push(WorkerEvent::Ended(self.id.clone(), task, run.number, how));
     }
 
+    /// Refuses a command: `late` if its lease has already expired, `old` if this run of the task or
+    /// a later one has ended, `fence` if its fencing token is outdated.
     fn refuse(&self, reason: &str) -> HttpResponse {
         let body = json!({"clock_ms": self.clock(), "reason": reason});
         web::json(StatusCode::CONFLICT, &body)
     }
 
+    /// Starts a run unless its task runs already, and extends the lease.
     fn start(&self, state: &mut State, body: &Value) -> HttpResponse {
         let task = body["task"].as_str().unwrap_or_default().to_owned();
         let run = body["run"].as_u64().unwrap_or(0);
-        let lease = body["deadline_ms"].as_u64().unwrap_or(0);
-        if lease <= self.clock() {
+        let lease_expiry = body["deadline_ms"].as_u64().unwrap_or(0);
+        if lease_expiry <= self.clock() {
             return self.refuse("late");
         }
-        state.lease_expiry = state.lease_expiry.max(lease);
+        state.lease_expiry = state.lease_expiry.max(lease_expiry);
         if state
             .latest_ended
             .get(&task)
@@ -394,14 +392,15 @@
 
     /// Extends the lease and removes acknowledged ends; returns a report and whether it has ends.
     fn renew(&self, state: &mut State, body: &Value) -> (Value, bool) {
-        if let Some(lease) = body["deadline_ms"].as_u64() {
-            state.lease_expiry = state.lease_expiry.max(lease);
+        if let Some(lease_expiry) = body["deadline_ms"].as_u64() {
+            state.lease_expiry = state.lease_expiry.max(lease_expiry);
         }
-        let seen = body["seen_upto"].as_u64().unwrap_or(0);
-        for end in state.ended.extract_if(.., |end| end.number <= seen) {
+        let acknowledged = body["seen_upto"].as_u64().unwrap_or(0);
+        for end in state.ended.extract_if(.., |end| end.number <= acknowledged) {
             self.log
                 .push(WorkerEvent::Acknowledged(end.task, end.run, end.how));
         }
+        // The empty text is the checkpoint of the run, here and in the list of ends.
         let running: Vec<Value> = state
             .running
             .iter()
@@ -472,21 +471,22 @@
 impl Handler for FakeWorker {
     async fn handle(&self, request: HttpRequest) -> HttpResponse {
         let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
-        let (response, lost) = {
+        let (response, unanswered) = {
             let mut state = self.lock();
             self.process_due(&mut state);
-            let epoch = body["fencing_token"].as_u64().unwrap_or(0);
-            let later = state.cut_from.is_some_and(|from| epoch >= from);
-            let cut = later || epoch <= state.cut_upto;
+            // A fencing token is its owner's epoch plus the number of times that it was raised.
+            let token = body["fencing_token"].as_u64().unwrap_or(0);
+            let later = state.cut_from.is_some_and(|from| token >= from);
+            let cut = later || token <= state.cut_upto;
             if state.silent || cut || state.delayed.defer(&request.path, &body) {
                 (None, true)
             } else {
-                let lost = request.path == "/-/run-start" && state.unanswered_starts > 0;
-                state.unanswered_starts -= usize::from(lost);
-                (self.execute(&mut state, &request.path, &body), lost)
+                let unanswered = request.path == "/-/run-start" && state.unanswered_starts > 0;
+                state.unanswered_starts -= usize::from(unanswered);
+                (self.execute(&mut state, &request.path, &body), unanswered)
             }
         };
-        if lost {
+        if unanswered {
             std::future::pending::<()>().await;
         }
         let response = match response {
--- a/crates/site/src/worker_proxy.rs
+++ b/crates/site/src/worker_proxy.rs
@@ -82,6 +82,8 @@
         self.restarts.subscribe()
     }
 
+    /// If a restart is armed and the command acknowledges ended runs, restarts the worker and
+    /// returns once a run of the new incarnation has ended, or after [`MAX_ACK_DELAY`].
     async fn restart_if_armed(&self, request: &HttpRequest) {
         if !acknowledges(request) || !self.restart_armed.swap(false, Ordering::Relaxed) {
             return;
@@ -101,6 +103,7 @@
         let _ = tokio::time::timeout(MAX_ACK_DELAY, ended).await;
     }
 
+    /// Closes the proxy permanently: all further calls get no reply.
     pub(crate) fn close(&self) {
         self.closed.store(true, Ordering::Relaxed);
     }
