--- a/crates/fake/src/cell.rs
+++ b/crates/fake/src/cell.rs
@@ -76,7 +76,8 @@
     }
 }
 
-/// One entry process of a cell.
+/// One entry process of a cell: a process of the scheduler that serves callers and
+/// owns shards.
 #[derive(Debug)]
 pub struct Member {
     /// Settings of the process.
@@ -367,7 +368,7 @@
                 .caller
                 .submit(http, &crate::lookup_request(&id), Duration::from_secs(3))
                 .await;
-            // 100 is the number of `model::Code::Ok`.
+            // 100 is the number of `model::Code::Ok`, the code of a succeeded request.
             if matches!(&answer, Ok(body) if body.number == 100) {
                 return Ok(());
             }
@@ -396,6 +397,7 @@
     let ids = (0u32..).map(|number| format!("{prefix}-{number}"));
     let mut matching = ids.filter(|id| {
         let key = model::request_key(TEAM, id);
+        // The requests of the team are spread over all shards.
         TeamShards::new(TEAM, shards, shards).home(&key) == shard
     });
     matching.next().unwrap_or_default()
--- a/crates/fake/src/checker.rs
+++ b/crates/fake/src/checker.rs
@@ -53,7 +53,8 @@
     }
     let mut violations = Vec::new();
     for (worker, mut changes) in by_worker {
-        // Ends sort before starts of the same instant.
+        // Ends sort before starts of the same instant, since a task may start on the
+        // resources of one that has just ended.
         changes.sort_by_key(|(at, is_start, _)| (*at, *is_start));
         let mut booked = Resources::default();
         for (at, is_start, run) in changes {
--- a/crates/fake/src/client.rs
+++ b/crates/fake/src/client.rs
@@ -40,6 +40,7 @@
     #[must_use]
     pub fn new(token: &str) -> CellClient {
         CellClient {
+            // The timeout of opening a connection.
             client: Client::new(Duration::from_secs(2)),
             token: token.to_owned(),
         }
@@ -74,6 +75,8 @@
         request: &Request,
         timeout: Duration,
     ) -> Result<AnswerBody, CallError> {
+        // The cell answers after `patience_millis` at the latest, with a pending answer if
+        // there is no final one; 2 s more allow for the reply.
         let path = format!("/v1/requests?patience_millis={}", timeout.as_millis());
         self.send_request(server, &path, request, timeout + Duration::from_secs(2))
             .await
@@ -88,6 +91,7 @@
         server: SocketAddr,
         request: &Request,
     ) -> Result<AnswerBody, CallError> {
+        // With `wait=false`, the cell replies within 10 s; 2 s more allow for the reply.
         let timeout = Duration::from_secs(12);
         self.send_request(server, "/v1/requests?wait=false", request, timeout)
             .await
--- a/crates/fake/src/faults.rs
+++ b/crates/fake/src/faults.rs
@@ -46,8 +46,9 @@
         plan.down.then(refusal)
     }
 
-    /// Delays the reply to a commit that took effect if the reply is to be lost.
-    pub(crate) async fn after_call(&self) {
+    /// Delays the reply to a commit until its client has timed out, if the plan still has a
+    /// reply to lose, and counts it. Called after the commit has taken effect.
+    pub(crate) async fn delay_lost_reply(&self) {
         let lost = {
             let mut plan = self.plan.lock().unwrap_or_else(PoisonError::into_inner);
             let lost = plan.lost_replies > 0;
--- a/crates/fake/src/load.rs
+++ b/crates/fake/src/load.rs
@@ -26,7 +26,8 @@
     pub count: u32,
     /// Creates the request with the given sequence number.
     pub request: fn(u32) -> Request,
-    /// Addresses of the entry processes, used round-robin.
+    /// Addresses of the entry processes. The first call of request N goes to server N,
+    /// modulo their number, and each retry to the next one.
     pub servers: Vec<SocketAddr>,
     /// Time during which a caller retries until it has a final answer.
     pub answer_timeout: Duration,
--- a/crates/fake/src/platform.rs
+++ b/crates/fake/src/platform.rs
@@ -34,15 +34,15 @@
     pub domains: Vec<String>,
     /// Rate limits of the table.
     pub rates: TableRates,
-    /// Latency of each call to the table.
+    /// Delay before each call to the table takes effect.
     pub table_latency: Duration,
     /// Delay until a change of the host list becomes visible.
     pub host_lag: Duration,
 }
 
 impl Default for PlatformPlan {
-    /// Platform of the example site, an order desk of stores: 48 workers in 3
-    /// failure domains.
+    /// Platform of the example site, which handles the orders of stores: 48 workers in
+    /// 3 failure domains.
     fn default() -> Self {
         PlatformPlan {
             workers: 48,
--- a/crates/fake/src/table.rs
+++ b/crates/fake/src/table.rs
@@ -24,9 +24,10 @@
 /// Rate limits of the table for the whole cell.
 #[derive(Clone, Copy, Debug)]
 pub struct TableRates {
-    /// Row writes per second.
+    /// Row writes per second, deletions included. A transaction counts one write for each row.
     pub writes: u32,
-    /// Reads per second; a range query counts one read for every 10 rows.
+    /// Reads per second; a range query counts one read for every 10 rows that it returns, and at
+    /// least one.
     pub reads: u32,
 }
 
@@ -42,7 +43,7 @@
 /// Counters of the calls to the table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TableCounts {
-    /// Number of rows written.
+    /// Number of rows written or deleted.
     pub writes: u64,
     /// Number of transactions that took effect.
     pub commits: u64,
@@ -130,6 +131,8 @@
         web::json(StatusCode::OK, &state.rows.get(&key))
     }
 
+    /// Returns the rows whose keys start with `prefix` and sort after the key `after`, at most
+    /// `limit`.
     fn range(&self, request: &HttpRequest) -> HttpResponse {
         let prefix = request.parameter("prefix").unwrap_or_default();
         let after = request.parameter("after").unwrap_or_default();
@@ -191,8 +194,10 @@
         self.version
     }
 
-    /// Applies a transaction if all its version checks succeed; returns `None` if
-    /// the rate limit refuses it.
+    /// Applies a transaction if all its version checks succeed, and returns the new
+    /// versions of its rows; returns the conflict if a check fails, and `None` if the
+    /// rate limit refuses the transaction. A check of version 0 succeeds if there is
+    /// no such row.
     fn commit(&mut self, commit: Commit) -> Option<CommitOutcome> {
         for check in &commit.checks {
             let found = self.rows.get(&check.key).map_or(0, |row| row.version);
@@ -236,7 +241,8 @@
             "/v1/range" => self.range(&request),
             "/v1/commit" => {
                 let reply = self.commit(&request);
-                self.faults.after_call().await;
+                // The commit has taken effect; only its reply may arrive too late.
+                self.faults.delay_lost_reply().await;
                 reply
             }
             _ => web::error(StatusCode::NOT_FOUND, "no such path"),
--- a/crates/fake/src/udp_relay.rs
+++ b/crates/fake/src/udp_relay.rs
@@ -93,7 +93,7 @@
     }
 }
 
-/// Forwards datagrams from the server back to one client.
+/// Forwards datagrams from the server, received on the socket `from`, back to one client.
 struct ReturnPath {
     from: Arc<UdpSocket>,
     to: Arc<UdpSocket>,
--- a/crates/fake/src/verify.rs
+++ b/crates/fake/src/verify.rs
@@ -24,8 +24,9 @@
             .iter()
             .map(|v| format!("{v:?}")),
     );
-    // An idempotent interactive or service request may run twice at the same time,
-    // since no intent is recorded before its start.
+    // Only durable requests (batch, gang, or not idempotent) are checked for overlaps. An
+    // idempotent interactive or service request may run twice at the same time, since no
+    // intent is recorded before its start.
     let durable = request_keys(outcomes, |outcome| outcome.request.is_durable());
     let durable_runs: Vec<Run> = runs
         .iter()
--- a/crates/fake/src/worker/fake_worker.rs
+++ b/crates/fake/src/worker/fake_worker.rs
@@ -39,6 +39,7 @@
     capacity: Resources,
     pub(super) log: RunLog,
     state: Arc<Mutex<State>>,
+    /// Wakes the polls that wait for the end of a task.
     pub(super) end_notify: Arc<Notify>,
 }
 
@@ -79,6 +80,8 @@
         self.lock().running_tasks().count()
     }
 
+    /// Accepts a claim unless its fence is older than that of an earlier claim. The reply
+    /// lists the running tasks and the ends that no poll has acknowledged.
     pub(super) fn claim(&self, claim: &Claim) -> Result<ClaimReply, Refusal> {
         let mut state = self.lock();
         if claim.fence < state.fence && !state.behaviour.ignore_fence {
@@ -100,6 +103,7 @@
         })
     }
 
+    /// Starts a task, or refuses the start; confirms it if the attempt has already started.
     pub(super) fn start(&self, start: &Start) -> Result<(), Refusal> {
         let mut state = self.lock();
         if state.has_started(&start.attempt) {
@@ -131,6 +135,7 @@
         Ok(())
     }
 
+    /// Runs a task for its run time, or ends it as failed at once.
     async fn run_task(&self, start: Start, fails: bool) {
         let duration = if fails { 0 } else { start.run_millis };
         tokio::time::sleep(Duration::from_millis(duration)).await;
@@ -167,6 +172,8 @@
         self.end_notify.notify_waiters();
     }
 
+    /// Stops a task, with a checkpoint if the call asks for one. An attempt that has not
+    /// started must not start later.
     pub(super) fn stop(&self, stop: &Stop) -> Result<(), Refusal> {
         let mut state = self.lock();
         if stop.fence < state.fence {
@@ -189,6 +196,8 @@
         Ok(())
     }
 
+    /// Replies to a poll when the end of a task is to be reported, or after the wait that
+    /// the poll asks for.
     pub(super) async fn poll(&self, poll: &Poll) -> Result<PollReply, Refusal> {
         let deadline = Instant::now() + Duration::from_millis(poll.wait_millis);
         self.lock().accept_poll(poll)?;
--- a/crates/fake/src/worker/state.rs
+++ b/crates/fake/src/worker/state.rs
@@ -33,6 +33,7 @@
 /// to recognise delayed copies of the start.
 #[derive(Clone, Copy, Debug)]
 struct ClosedAttempt {
+    /// Time at which the attempt was closed.
     at: Instant,
     /// Whether the task has run; if so, a copy of its start is answered with
     /// success, otherwise it is refused.
@@ -46,7 +47,10 @@
     pub(super) fence: Fence,
     /// Whether the current incarnation has accepted a claim.
     pub(super) claimed: bool,
+    /// Duration of the lease of the tasks, from the last claim.
     pub(super) lease_duration: Duration,
+    /// Time at which the lease of the tasks expires; `None` until a poll has
+    /// acknowledged a reply.
     pub(super) lease_expiry: Option<Instant>,
     /// Number of the newest reply to a claim or poll.
     last_reply: ReplyNumber,
@@ -145,6 +149,7 @@
         if !self.claimed || start.incarnation != self.incarnation {
             return Some(RefusalReason::Unclaimed);
         }
+        // `Full` also refuses an attempt that must not start any more.
         if self.closed.contains_key(&start.attempt) {
             return Some(RefusalReason::Full);
         }
