--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -84,8 +84,11 @@
     pub(crate) context: Arc<HttpContext>,
     /// Transport to the other processes.
     pub(crate) endpoint: PeerEndpoint,
+    /// Address on which the process serves callers.
     address: SocketAddr,
+    /// Commands to the shard manager.
     pub(crate) shard_manager: mpsc::Sender<ShardManagerCommand>,
+    /// Counts and limits the requests of callers in progress.
     pub(crate) in_flight: InFlightLimit,
     /// Set when a planned stop begins; the health check fails from then on.
     pub(crate) stopping: watch::Sender<bool>,
@@ -144,6 +147,7 @@
             source,
         })?;
         let address = listener.local_addr().unwrap_or(listen);
+        // `None` until the host list has been read for the first time.
         let (host_sender, hosts) = watch::channel(None);
         let (view_sender, view) = watch::channel(Arc::new(View::default()));
         let (shard_manager, commands) = mpsc::channel(64);
@@ -151,6 +155,7 @@
         let (stop_http, http_stopped) = watch::channel(false);
         let (redirect_callers, redirect_callers_view) = watch::channel(false);
         let in_flight = InFlightLimit::new(settings.http.in_flight);
+        // Makes the shard manager read the table at once, because another process has changed it.
         let hints = Arc::new(Notify::new());
         let channels = ShardManagerChannels {
             hosts: hosts.clone(),
@@ -240,6 +245,7 @@
 }
 
 fn make_context(settings: &Settings) -> Result<HttpContext, DaemonError> {
+    // The incarnation of the process: its name, and its start time in hexadecimal milliseconds.
     let process = format!("{}-{:x}", settings.name, wall_millis());
     let timeline = Arc::new(Timeline::new(&process));
     let keys = KeyFiles {
@@ -266,7 +272,8 @@
         endpoint,
         timeline,
         gate: Arc::new(LeaseGate::new()),
-        // Applies until the shard manager has counted the live processes and sets the rate.
+        // An eighth of the cell's write rate, until the shard manager has counted the live
+        // processes and sets the rate.
         pacer: Pacer::new(f64::from(settings.cell.write_rate) / 8.0),
     })
 }
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -117,7 +117,8 @@
     pub task_millis: u64,
     /// Retention time of answers to requests, in milliseconds.
     pub retention_millis: u64,
-    /// Whether a process whose lease has expired may claim it again and keep its state.
+    /// Whether a process that renews its lease after it has expired keeps the state of its shards,
+    /// except for those that another process has claimed in the meantime.
     pub reclaim: bool,
 }
 
--- a/crates/daemon/src/uploader.rs
+++ b/crates/daemon/src/uploader.rs
@@ -25,8 +25,8 @@
     }
 }
 
-/// Uploads events newer than `after` as one object, and returns the stamp of the last one
-/// stored: `after` if there are none or the upload fails.
+/// Uploads events newer than the timestamp `after`, at most 4000, as one object. Returns the
+/// timestamp of the last one stored: `after` if there are none or the upload fails.
 pub async fn upload_since<O: ObjectStore>(objects: &O, timeline: &Timeline, after: Stamp) -> Stamp {
     let events = timeline.events_after(after, MAX_EVENTS);
     let Some(last) = events.last().map(|event| event.stamp) else {
@@ -49,7 +49,7 @@
     }
 }
 
-/// Name of the object for these events. It begins with the stamp of the last one, so that the
+/// Name of the object for these events. It begins with the timestamp of the last one, so that the
 /// objects of all processes sort by time.
 fn object_name(events: &[Event], last: Stamp) -> String {
     let process = events.first().map_or("", |event| &event.process);
