--- a/crates/daemon/tests/soak/checker.rs
+++ b/crates/daemon/tests/soak/checker.rs
@@ -23,13 +23,15 @@
 /// Interval at which the state of a job is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Maximum number of starts of a task that crashes each worker that runs it. One more is allowed
-/// for each time that a process was killed or stopped, since a crash is not counted if the owner
-/// ends before it has recorded it.
+/// Maximum number of starts of a task that crashes each worker that runs it: the scheduler fails
+/// its job after five crashes at the latest. One more start is allowed for each time that a
+/// process was killed or stopped, since a crash is not counted if the owner ends before it has
+/// recorded it.
 const MAX_STARTS: usize = 5;
 
-/// Maximum number of cores of a worker, and so of tasks that it may run, as each needs one core.
-const WORKER_CORES: usize = 4;
+/// Largest number of cores that a worker ever has, and so of tasks that it may run, as each needs
+/// one core.
+const MAX_CORES: usize = 4;
 
 /// Waits until the jobs have ended, checks all jobs and runs, and returns a description of each
 /// violation.
@@ -51,11 +53,12 @@
             Err(_) => state(&caller, servers[0], &job.path).await,
         };
         let as_expected = expected.iter().any(|state| shown == *state);
+        // A worker that went down for another reason also counts as a crash for its tasks.
         let failed_after_crashes =
             || shown == "failed" && may_fail_after_crashes(&testbed.log, &job.id);
         if !as_expected && !failed_after_crashes() {
             violations.push(format!(
-                "job {}: {:?} by its caller's calls, but its state is {shown}",
+                "job {}: outcome {:?} for its caller, but its state is {shown}, expected one of {expected:?}",
                 job.id, job.outcome
             ));
         }
@@ -69,6 +72,7 @@
         }
     }
     for job in jobs.iter().filter(|job| job.crashes) {
+        // Task 0 of step 0 in round 0, the one that crashes its workers.
         let starts = testbed.log.starts(&format!("{}.0.0.0", job.id));
         if starts > MAX_STARTS + testbed.process_ends {
             violations.push(format!(
@@ -77,6 +81,7 @@
             ));
         }
     }
+    // Includes starts that exceed the capacity of a worker that now has fewer cores.
     violations.extend(testbed.log.violations());
     violations.extend(over_capacity(&testbed.log.events()));
     violations
@@ -101,7 +106,9 @@
     body["state"].clone()
 }
 
-/// Reports each start on a worker that was already running as many tasks as it has cores.
+/// Reports each start on a worker that was already running [`MAX_CORES`] tasks. A worker that now
+/// has fewer cores is not checked here: it logs [`WorkerEvent::Overbooked`] itself, which
+/// [`site::RunLog::violations`] reports.
 fn over_capacity(events: &[WorkerEvent]) -> Vec<String> {
     let mut running: HashMap<&str, usize> = HashMap::new();
     let mut violations = Vec::new();
@@ -110,14 +117,15 @@
             WorkerEvent::Started(worker, task, _) => {
                 let count = running.entry(worker).or_default();
                 *count += 1;
-                if *count > WORKER_CORES {
+                if *count > MAX_CORES {
                     violations.push(format!(
-                        "worker {worker}: {task} started while {WORKER_CORES} tasks ran"
+                        "worker {worker}: {task} started while {MAX_CORES} tasks ran"
                     ));
                 }
             }
             WorkerEvent::Ended(worker, ..) => {
                 let count = running.entry(worker).or_default();
+                // Each end follows its start in the log, so the count is 1 or more.
                 *count = count.saturating_sub(1);
             }
             WorkerEvent::Discarded(..)
--- a/crates/daemon/tests/soak/plan.rs
+++ b/crates/daemon/tests/soak/plan.rs
@@ -16,7 +16,8 @@
 /// Number of workers, with four cores each.
 pub const WORKERS: usize = 4;
 
-/// Cores of a worker, except between the two resizes of a change of its capacity.
+/// Cores of a worker, except while its capacity is reduced: each reduction is a pair of
+/// [`Event::Resize`], to fewer cores and back to this number.
 const FULL_CORES: usize = 4;
 
 /// Time from the start of the callers until all faults are ended.
@@ -33,15 +34,16 @@
 /// Number of temporary capacity changes, each of one worker, in a seed with crashes.
 const RESIZES: std::ops::Range<usize> = 3..7;
 
-/// Whether workers change their capacity and tasks may crash them.
+/// Whether workers change their capacity and tasks may crash them: a seed has both or neither.
 pub fn has_crashes(seed: u64) -> bool {
     seed >= FIRST_CRASH_SEED
 }
 
-/// First seed with a link of little bandwidth to the workers and a small first host.
+/// First seed with a link of little bandwidth to the workers and with a fraction of a core on
+/// host 0.
 const FIRST_THIN_SEED: u64 = 300;
 
-/// Whether the link to the workers has little bandwidth and the first host is small.
+/// Whether the link to the workers has little bandwidth and host 0 only a fraction of a core.
 pub fn has_thin_link(seed: u64) -> bool {
     seed >= FIRST_THIN_SEED && (!has_restarts(seed) || seed.is_multiple_of(THIN_LINK_RATIO))
 }
@@ -85,10 +87,11 @@
     /// Makes the store drop its history of changes, so that a process that follows the changes
     /// must read all rows again.
     DropHistory,
-    /// Makes a worker carry out the next starts, as many as the second number says, without
-    /// answering them.
+    /// Makes a worker carry out the next start commands without answering them; the second number
+    /// says how many.
     LoseStarts(usize, usize),
-    /// Writes this version of the configuration.
+    /// Writes this version of the configuration to the store. A drawn event contains 0 until
+    /// [`Plan::new`] numbers these events in the order of their times, from version 2.
     Configure(u64),
     /// Changes the capacity of a worker to this number of cores.
     Resize(usize, usize),
@@ -121,6 +124,7 @@
             }
         }
         events.sort_by_key(|(at, _)| *at);
+        // The testbed starts with version 1.
         let mut version = 1;
         for (_, event) in &mut events {
             if let Event::Configure(number) = event {
@@ -136,6 +140,8 @@
     let at = Duration::from_millis(rng.random_range(0..9_000));
     let worker = rng.random_range(0..WORKERS);
     let all = rng.random_range(0..3) == 0;
+    // The values are drawn for all workers, so the number of draws does not depend on how many
+    // of them restart.
     for other in 0..WORKERS {
         let downtime = Duration::from_millis(rng.random_range(20..1_200));
         let registers_late = rng.random_range(0..3) == 0;
@@ -143,6 +149,7 @@
         let restart = Restart {
             downtime,
             registration_delay: Duration::from_millis(if registers_late { 700 } else { 0 }),
+            // In milliseconds.
             clock_back: if clock_steps_back { 2_000 } else { 0 },
         };
         if all || other == worker {
@@ -213,6 +220,9 @@
             add(end, Event::Store(StoreFaults::default()));
         }
         12 => {
+            // A process that must read all rows again then finds a new version of the
+            // configuration among them; `Plan::new` replaces the 0 by the version. Later, one
+            // process reloads its settings.
             add(begin, Event::DropHistory);
             add(begin, Event::Configure(0));
             add(end, Event::Reload(host));
@@ -221,6 +231,8 @@
     }
 }
 
+/// Draws a fault of a relay: closed connections, a delay, or data that is discarded in one
+/// direction or both.
 fn draw_link_fault(rng: &mut StdRng) -> RelayPlan {
     let discard = |discard: Discard| RelayPlan {
         discard,
@@ -241,6 +253,8 @@
     }
 }
 
+/// Draws a fault of the store: all calls refused, slow transactions, replies of transactions that
+/// are lost, or a change feed that does not answer.
 fn draw_store_faults(rng: &mut StdRng) -> StoreFaults {
     let mut faults = StoreFaults::default();
     match rng.random_range(0..4) {
--- a/crates/daemon/tests/soak/testbed.rs
+++ b/crates/daemon/tests/soak/testbed.rs
@@ -54,7 +54,8 @@
 /// occupy it for half a second.
 const THIN_LINK_MBPS: f64 = 0.15;
 
-/// Cores of the first host in a seed with a thin link.
+/// Number of cores in the settings of host 0 in a seed with a thin link. A process derives from its
+/// cores and its bandwidth how many calls per second it can make as the owner.
 const SMALL_HOST_CORES: f64 = 0.1;
 
 /// Adapts the settings (JSON) of the process on host `index` to a seed with a thin link.
@@ -96,11 +97,12 @@
         self.stopping = false;
     }
 
-    /// Whether the process has written its first log line since its last start, or has ended.
+    /// Whether the process has written its first log line (code 105) since its last start, or has
+    /// ended.
     fn started(&mut self, log: &Path) -> bool {
-        // Only lines since the last start count. A process that is killed soon after its start
-        // (36 ms in one run) has written none, so the number of first lines in the log is not
-        // the number of starts.
+        // Only lines since the last start count. A process that is killed soon after its start,
+        // for example after 36 ms, has written none, so the number of first lines in the log is
+        // not the number of starts.
         let text = std::fs::read(log).unwrap_or_default();
         let new_text = text.get(self.log_offset..).unwrap_or_default();
         String::from_utf8_lossy(new_text).contains("\"code\":105") || self.ended()
@@ -114,6 +116,7 @@
 
 /// A cell with the stubs of its platform.
 pub struct Testbed {
+    /// Log of the runs on all workers.
     pub log: RunLog,
     /// Descriptions of processes that ended unexpectedly or did not end after SIGTERM.
     pub faults: Vec<String>,
@@ -166,6 +169,7 @@
         let services_address = serve(advice, &stop).await;
         store.write("op", "config", &config(1));
         let folder = TempDir::new().expect("folder");
+        // Part of the loopback addresses: must differ between seeds that run in parallel.
         let cell_number = u8::try_from(seed % 100).expect("below 100") + 100;
         let mut hosts = Vec::new();
         for index in 0..HOSTS {
--- a/crates/daemon/tests/soak/traffic.rs
+++ b/crates/daemon/tests/soak/traffic.rs
@@ -86,7 +86,7 @@
     servers: Vec<SocketAddr>,
     stopped: watch::Receiver<bool>,
 ) -> Vec<Job> {
-    // Not the random numbers of the plan, which is drawn from `seed`.
+    // Differs from the random numbers of the plan, which is drawn from `seed`.
     let mut rng = StdRng::seed_from_u64(!seed);
     let caller = Caller::new();
     let mut callers = JoinSet::new();
@@ -118,10 +118,12 @@
         let spec = if fails {
             "fail".to_owned()
         } else if crashes {
-            // The worker crashes 10 ms or 400 ms after the start of the job's first task.
+            // Task 0 crashes its worker 10 ms or 400 ms after its start; the others run for
+            // 300 ms.
             let after = [10, 400][rng.random_range(0..2)];
             format!("crash 0 300 {after}")
         } else {
+            // The run time of each task in milliseconds.
             rng.random_range(20..900).to_string()
         };
         let step =
@@ -146,6 +148,7 @@
         }
     }
 
+    /// Submits the job, and cancels it if the plan says so. `number` becomes the id of the job.
     async fn submit(self, caller: Caller, number: u64) -> Job {
         let id = format!("{number:016x}");
         let path = format!("/plain/{id}");
@@ -175,6 +178,7 @@
         }
     }
 
+    /// Cancels the job through one server after the other until one confirms it.
     async fn cancel(&self, caller: &Caller, path: &str) -> Outcome {
         for server in self.servers.iter().cycle().take(MAX_TRIES) {
             let send = caller.send(Method::DELETE, *server, path, &Value::Null);
