--- a/crates/daemon/tests/damaged_rows.rs
+++ b/crates/daemon/tests/damaged_rows.rs
@@ -12,6 +12,7 @@
 use crate::support::open_cell;
 use crate::support::start;
 
+/// Shard whose journal is damaged; the keys of its rows begin with `journal/0005/`.
 const TEST_SHARD: u16 = 5;
 
 /// Waits until the log of the process with this index contains a text; returns false if it does
--- a/crates/daemon/tests/fencing.rs
+++ b/crates/daemon/tests/fencing.rs
@@ -1,4 +1,5 @@
-//! Starts of a killed owner that reach the worker after the successor has claimed it. In one
+//! Starts of a killed owner that reach the worker after the successor has claimed it. The requests
+//! are confirmations: requests that are not idempotent, so they must run at most once. In one
 //! test the worker refuses calls with an older fence (the fencing token of an owner); in the
 //! other it accepts any fence, which shows that the checker detects the failure.
 
@@ -15,26 +16,30 @@
 use crate::support::load_plan;
 use crate::support::open_cell;
 
-/// Delay of starts on their way to the workers; longer than a take-over takes.
+/// Delay of starts on their way to the workers. Longer than a take-over takes (the lease of a
+/// killed process expires after 2 s), and shorter than the lease of the tasks (10 s), after which a
+/// worker refuses a start whatever its fence.
 const START_DELAY: Duration = Duration::from_secs(7);
 
 fn nth_confirmation(number: u32) -> Request {
     confirmation_request(&format!("confirm-{number}"))
 }
 
-/// Kills a process while its starts are on their way to the workers. They arrive after another
-/// process has taken its shards over and claimed the workers. Returns the violations that
+/// Kills a process while its starts are on their way to the workers. They arrive after other
+/// processes have taken its shards over and claimed the workers. Returns the violations that
 /// [`verify`] finds.
 async fn kill_owner_with_delayed_starts(cell: &mut Cell) -> Vec<String> {
+    // 60 requests, all sent within one second. Each process owns some of their shards.
     let plan = load_plan(cell, 60, 60, nth_confirmation);
     for worker in &cell.platform.workers {
-        worker.update(|manner| manner.start_delay = START_DELAY);
+        worker.update(|behaviour| behaviour.start_delay = START_DELAY);
     }
     let load = spawn_load(&cell.caller, plan);
     tokio::time::sleep(Duration::from_secs(1)).await;
     cell.members[0].kill();
+    // Starts that are already under way keep their delay; those of the successors have none.
     for worker in &cell.platform.workers {
-        worker.update(|manner| manner.start_delay = Duration::ZERO);
+        worker.update(|behaviour| behaviour.start_delay = Duration::ZERO);
     }
     let outcomes = load.await.expect("load");
     tokio::time::sleep(START_DELAY).await;
@@ -58,7 +63,7 @@
 async fn without_the_fence_the_checker_reports_confirmations_run_twice() {
     let mut cell = open_cell(3).await;
     for worker in &cell.platform.workers {
-        worker.update(|manner| manner.ignore_fence = true);
+        worker.update(|behaviour| behaviour.ignore_fence = true);
     }
 
     let violations = kill_owner_with_delayed_starts(&mut cell).await;
--- a/crates/daemon/tests/foreign_table.rs
+++ b/crates/daemon/tests/foreign_table.rs
@@ -44,6 +44,7 @@
     let other = open_cell(1).await;
     let mut cell = open_cell(3).await;
     redirect_table(&cell, &other).await;
+    // `load_plan` takes the number of requests per second and their total number.
     let plan = load_plan(&cell, 60, 600, mixed_request);
 
     let load = spawn_load(&cell.caller, plan);
--- a/crates/daemon/tests/link.rs
+++ b/crates/daemon/tests/link.rs
@@ -75,6 +75,8 @@
     (address, stop)
 }
 
+/// Fence of the shard's owner of this epoch. The worker's assignment to the shard (number 1) stays
+/// the same.
 fn fence(epoch: u64) -> Fence {
     Fence { assigned: 1, epoch }
 }
--- a/crates/daemon/tests/partitions.rs
+++ b/crates/daemon/tests/partitions.rs
@@ -22,6 +22,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_one_way_partition_moves_no_shards() {
     let cell = open_cell(3).await;
+    // `load_plan` takes the number of requests per second and their total number.
     let mut plan = load_plan(&cell, 80, 640, mixed_request);
     plan.answer_timeout = Duration::from_secs(25);
     wait_balanced(&cell).await;
--- a/crates/daemon/tests/patches.rs
+++ b/crates/daemon/tests/patches.rs
@@ -24,6 +24,7 @@
 use crate::support::open_cell;
 use crate::support::start;
 
+/// A patch of this version of the configuration that sets `pack_percent`.
 fn patch(id: &str, version: u64, percent: u32) -> Patch {
     Patch {
         id: id.to_owned(),
@@ -87,6 +88,7 @@
     let cell = open_cell(2).await;
     let lost_patch = patch("mine", 1, 7);
 
+    // Loses the replies to the next three commits, among them the commit of the patch.
     cell.platform
         .table
         .faults
@@ -180,6 +182,7 @@
         assert_eq!(reply.status, StatusCode::OK, "{}", reply.text());
     }
     assert!(wait_everywhere(&cell, 1, 3).await);
+    // `load_plan` takes the number of requests per second and their total number.
     let plan = load_plan(&cell, 200, 100, |number| Request {
         run_millis: 100,
         ..lookup_request(&format!("small-{number}"))
--- a/crates/daemon/tests/reporting/answers.rs
+++ b/crates/daemon/tests/reporting/answers.rs
@@ -62,10 +62,12 @@
     let fixture = Fixture::new();
     let (owner, mut inbox) = mpsc::unbounded_channel();
     let mut view = View::default();
+    // The cell has one shard, 0, which this process owns.
     view.local.insert(0, owner);
     let (_publish, view) = watch::channel(Arc::new(view));
     let (endpoint, _) = fixture.other_endpoint();
     let router = Router::new(endpoint, 1, view);
+    // The caller sends the request for the first time, so its `sent_millis` is 0.
     let submission = Submission {
         request: lookup(),
         waited_millis: 0,
--- a/crates/daemon/tests/reporting/cell.rs
+++ b/crates/daemon/tests/reporting/cell.rs
@@ -24,7 +24,8 @@
 use crate::fixture::unused_address;
 use crate::stubs::Fault;
 
-/// Service of another process, which is asked whether that process reaches the table.
+/// Service of another process, `b-1`, which answers each call with whether that process reaches
+/// the table.
 #[derive(Clone, Debug, Default)]
 struct OtherProcess {
     table_reachable: Arc<AtomicBool>,
@@ -52,7 +53,8 @@
     fixture
 }
 
-/// Waits until the view of the process matches; returns false if it does not within 5 s.
+/// Waits until the process's view of the cell meets `expected`; returns false if it does not within
+/// 5 s.
 async fn wait_for_view(fixture: &Fixture, expected: impl Fn(&View) -> bool) -> bool {
     for _ in 0..250 {
         if expected(&fixture.current_view()) {
--- a/crates/daemon/tests/reporting/fixture.rs
+++ b/crates/daemon/tests/reporting/fixture.rs
@@ -46,7 +46,7 @@
 pub(crate) const OPERATOR_TOKEN: &str = "the-operator";
 
 /// The shard manager and the HTTP API of the process `a-1`, the only one of its cell unless
-/// [`Fixture::add_member`] adds another one.
+/// [`Fixture::add_member`] adds another one. The cell has one shard.
 pub(crate) struct Fixture {
     pub(crate) table: StubTable,
     pub(crate) timeline: Arc<Timeline>,
@@ -124,7 +124,8 @@
         (open_endpoint(&self.keys, address, timeline), address)
     }
 
-    /// Writes the member and lease rows of another process, `b-1`.
+    /// Writes the member and lease rows of another process, `b-1`, which uses version 0 of the
+    /// configuration.
     pub(crate) fn add_member(&self, peer: SocketAddr, state: LeaseState) {
         let lease = LeaseRow {
             format: FORMAT,
--- a/crates/daemon/tests/reporting/links.rs
+++ b/crates/daemon/tests/reporting/links.rs
@@ -98,6 +98,8 @@
         web::json(StatusCode::OK, &())
     }
 
+    /// Answers a poll after 400 ms; refuses it if the worker has restarted in the meantime or has
+    /// not been claimed.
     async fn poll(&self) -> HttpResponse {
         let incarnation_number = self.lock().incarnation_number;
         tokio::time::sleep(Duration::from_millis(400)).await;
@@ -116,6 +118,7 @@
     }
 }
 
+/// Refusal of a call to an incarnation that has not been claimed.
 fn refused() -> HttpResponse {
     let refusal = Refusal {
         reason: RefusalReason::Unclaimed,
@@ -144,6 +147,7 @@
 }
 
 impl TestLink {
+    /// Serves the worker and opens a link to it, which claims it.
     async fn open(worker: FaultyWorker) -> TestLink {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -173,6 +177,7 @@
     }
 }
 
+/// Parameters of a link of an owner whose own lease lasts for the whole test.
 fn link_params(address: SocketAddr) -> LinkParams {
     let gate = LeaseGate::new();
     gate.extend(Instant::now() + Duration::from_mins(1));
@@ -192,6 +197,7 @@
     }
 }
 
+/// Start of a task on the first incarnation of the worker, `run-0`.
 fn start() -> LinkCommand {
     LinkCommand::Start(UnfencedStart {
         attempt: "stores/r1#1.1.0".to_owned(),
--- a/crates/daemon/tests/reporting/stubs.rs
+++ b/crates/daemon/tests/reporting/stubs.rs
@@ -23,7 +23,8 @@
     /// The table works.
     #[default]
     None,
-    /// Reads of keys with this prefix are refused.
+    /// Reads of keys with this prefix, and of ranges whose own prefix begins with it, are refused.
+    /// An empty prefix refuses all calls, transactions too.
     RefuseReads(String),
     /// No transaction takes effect, and its outcome is reported as unknown.
     LoseCommits,
@@ -38,7 +39,7 @@
     last_version: u64,
 }
 
-/// A table in memory; clones share the rows.
+/// A table in memory; clones share the rows and the fault.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StubTable {
     state: Arc<Mutex<State>>,
@@ -54,12 +55,13 @@
         self.lock().fault = fault;
     }
 
-    /// Writes a row without a transaction and without regard to the fault, in place of another
-    /// process.
+    /// Writes a row without a transaction and without regard to the fault, as if another process
+    /// had written it.
     pub(crate) fn put(&self, key: &str, value: &str) {
         self.lock().put(key, value);
     }
 
+    /// Refuses a call that reads `key`, or never returns, if the fault says so.
     async fn check_fault(&self, key: &str) -> Result<(), StoreError> {
         let fault = self.lock().fault.clone();
         match fault {
@@ -100,6 +102,8 @@
     }
 
     async fn commit(&self, commit: &Commit) -> Result<CommitOutcome, StoreError> {
+        // A transaction is checked as a read of the key "commit", which only the empty prefix of
+        // `RefuseReads` matches in these tests.
         self.check_fault("commit").await?;
         let mut state = self.lock();
         if state.fault == Fault::LoseCommits {
@@ -107,6 +111,7 @@
             return Err(StoreError::Unknown { reason });
         }
         for check in &commit.checks {
+            // Version 0 means that there is no such row.
             let found = state.rows.get(&check.key).map_or(0, |row| row.version);
             if found != check.version {
                 let key = check.key.clone();
@@ -117,6 +122,7 @@
         for write in &commit.writes {
             versions.push(match &write.value {
                 Some(value) => state.put(&write.key, value),
+                // The version of a deleted row is that of its last value.
                 None => state.rows.remove(&write.key).map_or(0, |row| row.version),
             });
         }
--- a/crates/daemon/tests/request_path.rs
+++ b/crates/daemon/tests/request_path.rs
@@ -8,6 +8,7 @@
 
 use crate::support::open_cell;
 
+/// Timeout for the final answer to a submission.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
 // Guards against a retry that runs the request again or gets another answer than the first try.
--- a/crates/daemon/tests/store_faults.rs
+++ b/crates/daemon/tests/store_faults.rs
@@ -44,6 +44,7 @@
     let cell = open_cell(3).await;
     wait_balanced(&cell).await;
     let before = shard_rows(&cell);
+    // `load_plan` takes the number of requests per second and their total number.
     let plan = load_plan(&cell, 100, 1000, nth_lookup);
 
     let load = spawn_load(&cell.caller, plan);
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -40,6 +40,7 @@
     for index in 0..cell.members.len() {
         start(&mut cell, index);
     }
+    // Tries for at least 20 s, since a process accepts no patch until it has started.
     let mut last_error = String::new();
     for _ in 0..200 {
         match cell.configure().await {
@@ -96,7 +97,8 @@
         .expect("daemon starts");
 }
 
-/// A load of `count` requests, `rate` per second, spread over all processes of a cell.
+/// A load of `count` requests, `rate` per second, spread over all processes of a cell. `request`
+/// creates the request with a sequence number.
 pub fn load_plan(cell: &Cell, rate: u32, count: u32, request: fn(u32) -> Request) -> LoadPlan {
     LoadPlan {
         rate,
--- a/crates/daemon/tests/takeover.rs
+++ b/crates/daemon/tests/takeover.rs
@@ -33,6 +33,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn no_request_is_lost_or_run_twice_after_a_kill() {
     let mut cell = open_cell(3).await;
+    // `load_plan` takes the number of requests per second and their total number.
     let plan = load_plan(&cell, 100, 600, mixed_request);
 
     let load = spawn_load(&cell.caller, plan);
@@ -147,9 +148,10 @@
 async fn tasks_that_end_while_their_shard_is_handed_over_are_answered() {
     let cell = open_cell(3).await;
     for worker in &cell.platform.workers {
-        worker.update(|manner| manner.latency = Duration::from_millis(250));
+        worker.update(|behaviour| behaviour.latency = Duration::from_millis(250));
     }
     let mut plan = load_plan(&cell, 80, 480, nth_restock);
+    // The process that is stopped gets no calls.
     plan.servers.remove(0);
     plan.answer_timeout = Duration::from_secs(20);
     let client = cell.caller.clone();
--- a/crates/daemon/tests/workers.rs
+++ b/crates/daemon/tests/workers.rs
@@ -42,6 +42,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_worker_gets_no_new_task_after_two_seconds() {
     let cell = open_cell(2).await;
+    // `load_plan` takes the number of requests per second and their total number.
     let plan = load_plan(&cell, 150, 900, nth_lookup);
     let leaving = cell.platform.workers[5].id.clone();
 
@@ -102,6 +103,7 @@
     let load = spawn_load(&cell.caller, plan);
     for round in 0..5 {
         tokio::time::sleep(Duration::from_millis(800)).await;
+        // The 3 to 7 workers with the most running tasks.
         for worker in workers_by_load(&cell).iter().take(3 + round) {
             worker.restart();
         }
@@ -126,11 +128,11 @@
     let paused_workers: Vec<fake::FakeWorker> =
         workers_by_load(&cell).into_iter().take(4).collect();
     for worker in &paused_workers {
-        worker.update(|manner| manner.paused = true);
+        worker.update(|behaviour| behaviour.paused = true);
     }
     tokio::time::sleep(Duration::from_secs(14)).await;
     for worker in &paused_workers {
-        worker.update(|manner| manner.paused = false);
+        worker.update(|behaviour| behaviour.paused = false);
     }
     let outcomes = load.await.expect("load");
 
@@ -146,8 +148,9 @@
     let cell = open_cell(2).await;
     let plan = load_plan(&cell, 200, 1200, nth_lookup);
     let client = cell.caller.clone();
+    // Any three of the 48 workers.
     for index in [3, 20, 40] {
-        cell.platform.workers[index].update(|manner| manner.fails = true);
+        cell.platform.workers[index].update(|behaviour| behaviour.fails = true);
     }
 
     let outcomes = run_load(&client, plan).await;
@@ -175,7 +178,7 @@
             client
                 .submit_detached(server, &request)
                 .await
-                // Code of the answer that a request is accepted and pending.
+                // Code of the answer that a request is accepted, but has no final answer yet.
                 .is_ok_and(|answer| answer.number == 500)
         });
     }
@@ -265,7 +268,7 @@
 async fn a_request_is_shown_as_running_only_after_its_worker_confirmed_the_start() {
     let cell = open_cell(1).await;
     for worker in &cell.platform.workers {
-        worker.update(|manner| manner.start_delay = Duration::from_secs(3));
+        worker.update(|behaviour| behaviour.start_delay = Duration::from_secs(3));
     }
     let request = restock_request("late", Duration::from_secs(1));
 
