--- a/crates/cell/src/acceptor.rs
+++ b/crates/cell/src/acceptor.rs
@@ -76,7 +76,7 @@
             return Acceptance::Refused("the store cannot be reached from this host".to_owned());
         }
         let mut rows = job_rows(job.id).to_vec();
-        if !self.context.settings.has(Mechanism::JobPlaces) {
+        if !self.context.settings.has(Mechanism::AlternateRows) {
             rows.truncate(1);
         }
         let mut index = 0;
--- a/crates/cell/src/owner/liveness.rs
+++ b/crates/cell/src/owner/liveness.rs
@@ -44,7 +44,7 @@
         let Some(server) = self.context.settings.machines_address() else {
             return;
         };
-        if !self.context.settings.has(Mechanism::LifeCheck) {
+        if !self.context.settings.has(Mechanism::MachineLookup) {
             return;
         }
         let unresponsive = self.planner.unresponsive_workers();
--- a/crates/cell/src/submit.rs
+++ b/crates/cell/src/submit.rs
@@ -40,7 +40,7 @@
         let job = AcceptedJob { id, spec };
         let deadline = self.context.now() + caller_timeout(queue).mul_f64(ATTEMPT_SHARE);
         let mut acceptance = self.acceptor.accept(&job, deadline).await;
-        let forwards = self.context.settings.has(Mechanism::PassOn);
+        let forwards = self.context.settings.has(Mechanism::ForwardToOwner);
         if forwards && matches!(acceptance, Acceptance::Refused(_)) {
             // The store may refuse only this host.
             let remaining = deadline.saturating_sub(self.context.now());
--- a/crates/job/src/mechanism.rs
+++ b/crates/job/src/mechanism.rs
@@ -7,6 +7,10 @@
 
 /// A mechanism of the scheduling policy. Without any, tasks are served in order of priority and
 /// due time.
+///
+/// The objective of a job is the time from its acceptance within which its caller wants it
+/// completed, as the operator defines it for the job's queue; the due time is the end of that
+/// time. A step or gang is in time while its job can still be completed by its due time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, EnumIter, Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
@@ -14,19 +18,29 @@
     /// Gangs preempt less urgent tasks that save checkpoints.
     Preemption,
     /// Free resources are reserved for a gang that does not fit.
-    KeptRoom,
-    /// Of the gangs that can no longer meet their objective, the one whose job was accepted first
-    /// is ranked like one that can.
-    Elder,
-    /// Steps whose jobs can still meet their objective go before others.
-    Stages,
-    /// A gang counts as in time only if all remaining steps of its job fit before the
-    /// end of the objective.
+    #[serde(rename = "kept_room")]
+    #[strum(serialize = "kept_room")]
+    GangReservations,
+    /// One late gang is ranked as if it were in time: the one whose job was accepted first.
+    /// Otherwise tasks that are in time would take each processor that becomes free, and a gang
+    /// that few workers may run would never start.
+    #[serde(rename = "elder")]
+    #[strum(serialize = "elder")]
+    OldestLateGang,
+    /// Steps that are in time go before late ones, whatever their priority.
+    #[serde(rename = "stages")]
+    #[strum(serialize = "stages")]
+    InTimeFirst,
+    /// A gang counts as in time only if the estimated run time of all remaining steps of its job
+    /// fits before the due time; otherwise half of that time has to fit, as for single tasks.
     WholeChain,
-    /// Of the gangs of a queue that can be in time, small ones go first.
+    /// Small gangs are ranked as if they were due earlier, and large ones as if due later.
     SmallFirst,
-    /// Advice calls are made only for gangs that could start next.
-    AdviceByRoom,
+    /// Advice calls are made only for gangs that could start next, with the processors that are
+    /// free or expected to become free during a call.
+    #[serde(rename = "advice_by_room")]
+    #[strum(serialize = "advice_by_room")]
+    AdviceByCapacity,
     /// A gang may have several advice calls at the same time.
     ParallelAdvice,
     /// Run times of tasks are learnt from completed runs.
@@ -39,15 +53,26 @@
     /// Runs that make no progress are moved to other workers.
     StallMoves,
     /// A worker on which several consecutive jobs failed gets no new work for some seconds.
-    Rest,
-    /// Some helpers are reserved for quick advice calls.
+    #[serde(rename = "rest")]
+    #[strum(serialize = "rest")]
+    FailurePause,
+    /// While few helpers are free, they are reserved for advice calls with a short fixed duration.
     QuickHelpers,
-    /// Workers that do not answer are looked up in the list of machines, which shows crashes.
-    LifeCheck,
-    /// A job that one part of the store refuses is stored in another.
-    JobPlaces,
-    /// A job that the store does not accept from this host is passed to the owner.
-    PassOn,
+    /// Workers that do not answer are looked up in the platform's list of machines; one that is
+    /// not listed has crashed or left.
+    #[serde(rename = "life_check")]
+    #[strum(serialize = "life_check")]
+    MachineLookup,
+    /// A job whose row the store refuses is stored in another row. The rows of a job are in
+    /// different parts of the table of jobs, some of which the store may refuse while it serves
+    /// the others.
+    #[serde(rename = "job_places")]
+    #[strum(serialize = "job_places")]
+    AlternateRows,
+    /// A job that the store does not accept from this host is passed to the owner's host.
+    #[serde(rename = "pass_on")]
+    #[strum(serialize = "pass_on")]
+    ForwardToOwner,
 }
 
 impl Mechanism {
@@ -60,6 +85,7 @@
 /// Set of disabled mechanisms.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Switches {
+    /// One bit for each disabled mechanism, at the position of its variant.
     off: u32,
 }
 
--- a/crates/job/src/planner/advice.rs
+++ b/crates/job/src/planner/advice.rs
@@ -145,7 +145,7 @@
     /// start soon: 559 of 1,430 s of the service's time led to no start, and single tasks got no
     /// answers.
     fn may_start_next(&mut self, key: StepKey) -> bool {
-        let by_resources = self.policy.switches.enabled(Mechanism::AdviceByRoom);
+        let by_resources = self.policy.switches.enabled(Mechanism::AdviceByCapacity);
         let job = self.jobs.get(&key.job);
         let step = job.and_then(|job| job.step(key));
         let Some((spec, step)) = step.filter(|(spec, _)| spec.gang && by_resources) else {
--- a/crates/job/src/planner/rank.rs
+++ b/crates/job/src/planner/rank.rs
@@ -60,7 +60,7 @@
         };
         let tail = job.expected.tail_times.get(key.step as usize).copied();
         let ready = self.now + tail.unwrap_or(spec.estimate).mul_f64(work_share);
-        let in_time = ready <= due || !switches.enabled(Mechanism::Stages);
+        let in_time = ready <= due || !switches.enabled(Mechanism::InTimeFirst);
         let stage = if in_time || self.overdue_gang == Some(key) {
             0
         } else if ready <= job.accepted_at + objective * LATE_FACTOR {
@@ -114,7 +114,7 @@
     /// starts. Only one gang is preferred in this way; under overload, more of them would make all
     /// others late.
     pub(super) fn find_overdue_gang(&self) -> Option<StepKey> {
-        if !self.policy.switches.enabled(Mechanism::Elder) {
+        if !self.policy.switches.enabled(Mechanism::OldestLateGang) {
             return None;
         }
         let late = self.pending_steps.iter().filter(|key| {
--- a/crates/job/src/planner/report.rs
+++ b/crates/job/src/planner/report.rs
@@ -212,7 +212,7 @@
             RunEnd::Failed if worker.failed_job != Some(job) => {
                 worker.failure_streak += 1;
                 worker.failed_job = Some(job);
-                let pauses = self.policy.switches.enabled(Mechanism::Rest);
+                let pauses = self.policy.switches.enabled(Mechanism::FailurePause);
                 if pauses && worker.failure_streak >= self.policy.failure_limit {
                     worker.paused_until = self.now + self.policy.failure_pause;
                 }
--- a/crates/job/src/planner/reservations.rs
+++ b/crates/job/src/planner/reservations.rs
@@ -112,7 +112,7 @@
         spec: &StepSpec,
         reservations: &mut Reservations,
     ) {
-        if !self.policy.switches.enabled(Mechanism::KeptRoom) {
+        if !self.policy.switches.enabled(Mechanism::GangReservations) {
             return;
         }
         #[allow(clippy::cast_precision_loss)]
