--- a/crates/cell/src/owner/fencing.rs
+++ b/crates/cell/src/owner/fencing.rs
@@ -31,8 +31,9 @@
     epoch: Epoch,
     /// Number of times that the token was raised in this epoch.
     raises: u64,
+    /// Number of starts that were sent.
     starts_sent: u64,
-    /// Starts whose reply is awaited, or that may still be carried out.
+    /// Number of starts in progress: their reply is awaited, or they may still be carried out.
     starts_open: u64,
 }
 
@@ -48,7 +49,8 @@
     state: Mutex<FencingState>,
 }
 
-/// Number of starts that had been sent when none was in progress.
+/// Mark of a moment in which no start to the worker was in progress: the number of starts that had
+/// been sent to it until then. As long as this number is the same, no start has been sent since.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct IdleMark(u64);
 
@@ -87,14 +89,14 @@
         state.starts_open = state.starts_open.saturating_sub(1);
     }
 
-    /// The number of starts sent so far, if none is in progress.
+    /// Mark of the current moment; `None` if a start is in progress.
     pub(super) fn idle_mark(&self) -> Option<IdleMark> {
         let state = self.lock();
         (state.starts_open == 0).then_some(IdleMark(state.starts_sent))
     }
 
-    /// The token for an acknowledgement, if no start has been sent since `mark`. Later starts
-    /// carry a higher one.
+    /// The token for an acknowledgement; `None` if a start has been sent since `mark`. Later
+    /// commands carry a higher token.
     pub(super) fn ack_token(&self, mark: IdleMark) -> Option<FencingToken> {
         let mut state = self.lock();
         let unchanged = state.starts_open == 0 && state.starts_sent == mark.0;
@@ -106,7 +108,8 @@
     }
 }
 
-/// Fencing state of all workers of an owner.
+/// Fencing state of all workers to which an owner has opened a link, by worker id. It is kept when
+/// a link is closed, since its commands may still arrive.
 #[derive(Debug, Default)]
 pub(super) struct FencingTable(HashMap<WorkerId, Arc<WorkerFencing>>);
 
--- a/crates/cell/src/owner/mod.rs
+++ b/crates/cell/src/owner/mod.rs
@@ -1,5 +1,6 @@
 //! The owner of the pool: one task that runs the planner, and the tasks around it that call the
-//! workers, write progress to the store and assign advice calls to helpers.
+//! workers, write progress to the store and assign advice calls to helpers, which are processes on
+//! other hosts that make these calls for the owner.
 
 mod clock_estimate;
 mod commands;
--- a/crates/cell/src/owner/renewal_task.rs
+++ b/crates/cell/src/owner/renewal_task.rs
@@ -1,5 +1,10 @@
-//! The task of a link: keeps a renewal call open to one worker, which renews the worker's
-//! lease and returns its reports.
+//! The task of a link, which is the owner's connection to one worker: keeps a renewal call open to
+//! the worker, which renews the worker's lease and returns its reports.
+//!
+//! A report repeats the ends of runs until the owner acknowledges them with a later call. The
+//! module `fencing` explains when that is safe: an acknowledgement that reaches another incarnation
+//! of the worker than the one that reported the ends would delete ends that the owner has not
+//! received.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,8 +32,8 @@
 /// Pause after the first failed call; it doubles with each further failure in a row.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// Longest pause after a failed call: half of the time that remains of a lease after two
-/// calls.
+/// Longest pause after a failed call: about half of the time that remains of a worker's lease of
+/// 4.5 s when the two calls after its last renewal have got no reply in time.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(600);
 
 /// Maximum number of open calls to one worker, including those whose reply is late.
@@ -37,7 +42,8 @@
 /// Reason given for a call whose reply is late.
 const LATE_REPLY: &str = "reply is late";
 
-/// Pause before the next call if a start was in progress during the last one.
+/// Shortest pause before the next call if the worker has ends that cannot be acknowledged yet,
+/// since a start was in progress when the last answered call was sent.
 const START_PAUSE: Duration = Duration::from_millis(20);
 
 /// Reason given for a call that another incarnation of the worker has answered.
@@ -46,8 +52,8 @@
 /// Reason given for a reply that does not name the worker's incarnation.
 const NO_INCARNATION: &str = "worker report without an incarnation";
 
-/// Longest wait until reported ends are saved, before the next call: the worker answers at once
-/// while it has ends that were not acknowledged.
+/// Longest wait until reported ends are saved, before the next call. A call sent before that could
+/// not acknowledge them, and the worker would answer it at once with the same ends.
 const SAVE_WAIT: Duration = Duration::from_millis(250);
 
 /// Sends renewal calls to one worker and passes its reports on to the owner.
@@ -76,8 +82,9 @@
     reported_end: u64,
     /// Number of the newest end that was acknowledged to the worker.
     acked_end: u64,
-    /// State of the starts when the newest answered call was sent; `None` if a start was in
-    /// progress.
+    /// Mark taken when the call of the newest report was sent, which proves that the report covers
+    /// all starts sent until then; ends may be acknowledged while no start has been sent since.
+    /// `None` if a start was in progress when that call was sent.
     idle_mark: Option<IdleMark>,
     /// Calls without a reply yet, including those whose reply is late.
     calls: JoinSet<RenewalReply>,
@@ -87,12 +94,13 @@
     report_sent: Duration,
 }
 
-/// A renewal call that was sent.
+/// A renewal call, as needed to handle its reply.
 #[derive(Clone, Copy, Debug)]
 struct RenewalCall {
+    /// When the call was sent, or would have been sent if there were not [`MAX_CALLS`] open calls.
     sent: Duration,
     token: FencingToken,
-    /// State of the starts when the call was sent; `None` if a start was in progress.
+    /// Mark of the moment at which the call was sent; `None` if a start was in progress.
     idle_mark: Option<IdleMark>,
     /// How long the worker may delay its reply while it has no end to report.
     wait: Duration,
@@ -109,14 +117,17 @@
 enum RenewalOutcome {
     /// The worker has sent a report.
     Report,
-    /// The worker cannot be reached, or refused the call.
+    /// The newest call did not reach the worker or got no usable reply, the worker refused it, or
+    /// a call was answered by another incarnation of the worker or without an incarnation. The
+    /// text is the reason for the log.
     Failure(String),
     /// The worker refused the call since a later command of this owner, with a higher token,
     /// reached it first.
     Superseded,
     /// No reply arrived in time.
     TimedOut,
-    /// The link is closed: the incarnation has ended, or the worker obeys a newer owner.
+    /// The link is to be closed: a reply shows that the incarnation has ended, or that the worker
+    /// obeys a newer owner.
     Closed,
 }
 
@@ -153,9 +164,13 @@
         }
     }
 
-    /// Claims the worker and then renews its lease, until the link is closed.
+    /// Claims the worker, with a first call that carries this owner's epoch, and then renews its
+    /// lease until the link is closed. The first call waits for one of the permits that limit the
+    /// number of workers claimed at the same time.
     pub(super) async fn run(mut self) {
+        // Whether the worker answered the last call.
         let mut reached = true;
+        // Number of failed calls in a row.
         let mut failures = 0;
         // Acquiring fails only if the semaphore is closed, which never happens.
         let mut permit = self.shared.claim_permits.clone().acquire_owned().await.ok();
@@ -194,8 +209,12 @@
         }
     }
 
+    /// Notifies the owner that the newest call failed or its reply is late. `reached` says whether
+    /// the worker answered the call before.
     async fn mark_unresponsive(&mut self, reached: bool, reason: &str) {
         if let Some(open) = self.open_call.take() {
+            // After this time, a reply that the worker sent before its lease expired is not
+            // expected to arrive any more.
             let until = open.sent + open.wait + self.shared.latency.lost_after();
             self.notify_owner(WorkerEvent::Late(open.sent, until)).await;
         }
@@ -208,8 +227,9 @@
         }
     }
 
-    /// Sends a call to the worker, and returns it. Sends none if the newest call is open and
-    /// its reply is not late, or if [`MAX_CALLS`] are open.
+    /// Sends a call to the worker, and returns it. If the newest call is open and its reply is not
+    /// late, sends none and returns that call. If [`MAX_CALLS`] are open, sends none either; the
+    /// returned call then only says until when a reply to the open ones is awaited.
     async fn send_call(&mut self) -> RenewalCall {
         if let Some(open) = self.open_call {
             return open;
@@ -242,9 +262,11 @@
         call
     }
 
-    /// Number of the end up to which the next call acknowledges, and the call's token. A worker
-    /// that names its incarnation gets an acknowledgement only of ends that were not
-    /// acknowledged before, in a call that it answers at once.
+    /// Number of the end up to which the next call acknowledges ends (0 for none), and the call's
+    /// token. `saved` is the number of the newest saved end. A worker that names its incarnation
+    /// gets an acknowledgement only of ends that were not acknowledged before, and only if no start
+    /// was sent since the call of its last report: that report and the acknowledgement then
+    /// belong to the same incarnation, or the token makes a later one refuse the call.
     fn acknowledgement(&mut self, saved: u64) -> (u64, FencingToken) {
         let token = self.fencing.token();
         if !self.renews {
@@ -261,6 +283,9 @@
         (saved, token)
     }
 
+    /// Builds the content of the next call. It renews the lease only if the worker answered the
+    /// last call and the ownership of the pool is confirmed; it asks for a reply at once if the
+    /// worker has ends to report or to be acknowledged.
     fn build_renewal(&mut self, sent: Duration) -> LeaseRenewal {
         let saved = *self.saved_end.borrow_and_update();
         let (acked_end, token) = self.acknowledgement(saved);
@@ -284,8 +309,9 @@
         }
     }
 
-    /// Waits until one of the open calls is answered. Late replies count too: they may report
-    /// the end of a task.
+    /// Waits until one of the open calls is answered, or until the time `until`. Late replies
+    /// count too: they may report the end of a run. An error of a call that is not the newest one
+    /// is ignored.
     async fn await_reply(&mut self, until: Duration) -> RenewalOutcome {
         loop {
             let remaining = until.saturating_sub(self.context.now());
--- a/crates/cell/src/owner/saver.rs
+++ b/crates/cell/src/owner/saver.rs
@@ -1,5 +1,6 @@
 //! Writes the owner's durable state: progress, the used workers and the renewal of the
-//! ownership.
+//! ownership. The methods of [`Pool`], the state of the owner's task, start these writes and
+//! handle their results.
 //!
 //! Every transaction is conditional on the guard row and writes it, so the transactions form a
 //! chain: one that is carried out late, after its reply was lost, finds the guard row changed
@@ -39,23 +40,25 @@
 const RENEW_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Shortest time between two transactions: changes that come up meanwhile share the next one.
-/// Ends of runs wait 15 ms longer on average, and a tenth of the calls to the store are saved.
+/// This saves a tenth of the calls to the store, while ends of runs wait only 15 ms longer on
+/// average.
 const MIN_SAVE_GAP: Duration = Duration::from_millis(30);
 
-/// Maximum number of jobs in one transaction; the store takes 100 entries, a few of which are
-/// the guard row, the renewal and workers.
+/// Maximum number of jobs in one transaction. The store takes 100 rows in a transaction; besides
+/// these jobs they are up to [`MAX_WORKERS`] workers, the guard row and the ownership row.
 const MAX_JOBS: usize = 60;
 
 /// Maximum number of workers whose rows are written or removed in one transaction.
 const MAX_WORKERS: usize = 35;
 
 /// Longest time for which a new owner renews the ownership while it still reads the state of
-/// the former owner. A megabyte takes 4 s on a link of 2 Mbit/s; a host that has not read
-/// everything by then leaves the pool to another.
+/// the former owner; a megabyte takes 4 s on a link of 2 Mbit/s. A host that needs longer lets the
+/// ownership expire, so that another host takes the pool; the guard row then makes the writes of
+/// the slow host fail.
 const TAKE_OVER_LIMIT: Duration = Duration::from_secs(20);
 
-/// Reading time at take-over after which a larger host may take the pool; a host with half a
-/// core reads 4,000 jobs in 0.4 s.
+/// Reading time at take-over after which the owner counts as overloaded, so that a larger host may
+/// take the pool. Even a host with half a core reads 4,000 jobs in 0.4 s.
 const LONG_TAKE_OVER: Duration = Duration::from_secs(1);
 
 /// Timeout of one transaction; a slow store takes up to 1.2 s.
@@ -86,13 +89,18 @@
     in_progress: bool,
     /// No transaction starts before this time.
     not_before: Duration,
-    /// When the newest confirmed renewal was sent during the take-over, or confirmed after it.
+    /// When the current [`RENEW_INTERVAL`] began: at the creation of this state, at the sending of
+    /// the newest confirmed renewal during the take-over, or after the take-over at the arrival of
+    /// its confirmation.
     last_renewal: Duration,
-    /// When the newest confirmed renewal during the take-over started.
+    /// When the newest confirmed renewal during the take-over was sent; zero if there was none.
+    /// The time for which the new owner may renew the leases of workers counts from then.
     confirmed_renewal: Duration,
+    /// Rows of used workers that are still to be written or removed.
     row_changes: WorkerRows,
     release: Release,
-    /// The owner cannot keep up with the pool; its renewals say so.
+    /// The owner cannot keep up with the pool, or took longer than [`LONG_TAKE_OVER`] to read the
+    /// state of the former owner. Its renewals say so, and a larger host may take the pool.
     overloaded: bool,
 }
 
@@ -113,17 +121,18 @@
         }
     }
 
-    /// Reads the guard row; returns whether this process still owns the pool.
+    /// Reads the guard row, and makes the next transaction conditional on the version found;
+    /// returns whether this process still owns the pool.
     pub(crate) async fn refresh_guard(&mut self) -> Result<bool, StoreError> {
         let version = read_guard_version(&self.context, self.epoch).await?;
         self.guard_version = version.unwrap_or(self.guard_version);
         Ok(version.is_some())
     }
 
-    /// Renews the ownership until `reading` is closed, for [`TAKE_OVER_LIMIT`] at most.
-    /// Returns false if another process owns the pool, or if the pool was released since this
-    /// process has to stop. When a stopping owner released the pool only after it had read all
-    /// rows, no task started until then.
+    /// Renews the ownership until `reading` is closed, for [`TAKE_OVER_LIMIT`] at most, and then
+    /// returns true. Returns false at once if another process owns the pool, or if this process
+    /// has to stop and has therefore tried to release the pool. If it released the pool only after
+    /// it has read all rows, no task would start until then.
     pub(super) async fn renew_until(&mut self, mut reading: oneshot::Receiver<()>) -> bool {
         let start = self.context.now();
         let end = start + TAKE_OVER_LIMIT;
@@ -145,7 +154,8 @@
         }
     }
 
-    /// Renews the ownership; returns false if another process owns the pool.
+    /// Renews the ownership; returns false if another process owns the pool, and true if it
+    /// does not or if the store does not show it.
     async fn renew(&mut self, now: Duration) -> bool {
         let mut save = Save::default();
         // No worker report has been handled yet, so there is no unsaved end.
@@ -168,7 +178,7 @@
         }
     }
 
-    /// When the newest confirmed renewal during the take-over started.
+    /// When the newest confirmed renewal during the take-over was sent; zero if there was none.
     pub(super) fn confirmed_renewal(&self) -> Duration {
         self.confirmed_renewal
     }
@@ -189,7 +199,7 @@
         self.overloaded = overloaded;
     }
 
-    /// Makes the next transaction release the pool.
+    /// Makes the next transaction that leaves no unsaved end behind release the pool.
     pub(crate) fn request_release(&mut self) {
         self.release = Release::Requested;
     }
@@ -198,6 +208,8 @@
         self.release == Release::Confirmed
     }
 
+    /// Whether a transaction is to be started; `unsaved` says whether the planner has unsaved
+    /// progress.
     fn due(&self, now: Duration, unsaved: bool) -> bool {
         let renewal = now.saturating_sub(self.last_renewal) >= RENEW_INTERVAL;
         let row_changes = !self.row_changes.is_empty();
@@ -205,6 +217,8 @@
         wanted && !self.in_progress && !self.released() && now >= self.not_before
     }
 
+    /// Builds the transaction for the batch in `save`, and adds to `save` what else it writes: rows
+    /// of workers, a renewal if one is due, and the release.
     fn build_transaction(&mut self, save: &mut Save, now: Duration) -> Transaction {
         let guard = Guard {
             epoch: self.epoch,
@@ -244,7 +258,8 @@
     }
 }
 
-/// Version of the guard row, if this ownership wrote it.
+/// Version of the guard row; `None` if it was not written by this process in `epoch`, or cannot be
+/// decoded.
 async fn read_guard_version(
     context: &Context,
     epoch: Epoch,
@@ -275,6 +290,8 @@
         let transaction = self.saver.build_transaction(&mut save, now);
         let used_workers = save.used_workers.iter().map(|(id, _)| id);
         for id in used_workers.chain(&save.unused_workers) {
+            // A successor may find this row or not. So the worker counts among those of which the
+            // owner needs a majority to renew leases without the store, but not towards it.
             self.freshness.authority.row_pending(id);
         }
         self.saver.in_progress = true;
@@ -282,6 +299,8 @@
         let context = self.context.clone();
         let sender = self.result_sender.clone();
         tokio::spawn(async move {
+            // When the store answers again after an outage, the changes are put back and sent
+            // again: a request from before may never be answered.
             let commit = context.store.commit(&transaction, SAVE_TIMEOUT);
             let result = context.abandon_on_recovery(commit).await;
             let _ = sender.send(OwnerMessage::SaveFinished(save, result)).await;
@@ -297,6 +316,7 @@
                 observe(&metrics.save, now.saturating_sub(save.started));
                 self.saver.in_progress = false;
                 self.saver.guard_version = version;
+                // The time until which leases may be renewed counts from the start of the write.
                 self.freshness.authority.record_write(save.started);
                 if save.releases {
                     self.saver.release = Release::Confirmed;
@@ -321,6 +341,8 @@
         }
     }
 
+    /// Publishes what a transaction has saved: outcomes to callers, numbers of ends to the links,
+    /// which then acknowledge them, and workers whose rows are written, to which links are opened.
     fn apply_saved(&mut self, save: Save) {
         for (id, progress) in &save.batch.jobs {
             if let Some(outcome) = progress.outcome {
@@ -388,6 +410,8 @@
         });
     }
 
+    /// Handles the guard row that was read after a conflict: allows the next transaction, or ends
+    /// the ownership if a successor wrote the row. A failed read is repeated.
     pub(super) fn handle_guard(&mut self, result: Result<Option<Version>, StoreError>) {
         match result {
             Ok(Some(version)) => {
--- a/crates/job/src/planner/batch.rs
+++ b/crates/job/src/planner/batch.rs
@@ -1,5 +1,8 @@
-//! Batches of progress to save. Callers may see an outcome, and workers may drop a reported end,
-//! only after it is saved.
+//! Batches of progress to save. Callers may see the outcome of a job only after it is saved.
+//!
+//! An end is the end of a run. Each worker numbers its ends from 1 and repeats them in its reports
+//! until they are acknowledged, which may happen only after the progress that contains them is
+//! saved.
 
 use super::Planner;
 use super::WorkerKey;
@@ -11,10 +14,10 @@
 pub struct Batch {
     /// Progress of each job.
     pub jobs: Vec<(JobId, Progress)>,
-    /// Per worker, the number of the newest end that counts as recorded once the batch is saved.
-    /// Empty if a job with an unsaved end is left out.
+    /// For each worker, the number of the newest end that may be acknowledged once the batch is
+    /// saved. Empty if the batch leaves out a job with unsaved ends or an unsaved outcome.
     pub ends: Vec<(WorkerKey, u64)>,
-    /// No job with an unsaved end is left out.
+    /// The batch leaves out no job with unsaved ends or an unsaved outcome.
     pub ends_complete: bool,
 }
 
@@ -25,11 +28,11 @@
         !self.dirty_jobs.is_empty() || !self.started_jobs.is_empty()
     }
 
-    /// Takes up to `limit` jobs whose progress must be saved. Numbers of ends are included
-    /// only when no job with an end is left out, because an end may not count as recorded
-    /// before the progress that contains it. Jobs of which only the start is unsaved
-    /// fill the rest of the batch: when they were taken in order of id together with the ends,
-    /// an end waited for 17 transactions after a thousand jobs had started at the same time.
+    /// Takes up to `limit` jobs whose progress must be saved: first those in `dirty_jobs`, which
+    /// have unsaved ends, outcomes or crash records, then those of which only the start is unsaved
+    /// (`started_jobs`). If all were taken in order of id, an end would wait for 17 transactions
+    /// after a thousand jobs have started at the same time. Numbers of ends are included only if no
+    /// dirty job is left out, because the numbers do not show to which job an end belongs.
     pub fn take_batch(&mut self, limit: usize) -> Batch {
         let ids = self
             .dirty_jobs
@@ -46,13 +49,16 @@
         }
         if self.dirty_jobs.is_empty() {
             batch.ends_complete = true;
-            let taken = self.workers.iter();
-            batch.ends = taken.map(|(key, worker)| (key, worker.last_end)).collect();
+            let workers = self.workers.iter();
+            batch.ends = workers
+                .map(|(key, worker)| (key, worker.last_end))
+                .collect();
         }
         batch
     }
 
-    /// Marks a batch as saved; its outcomes may be shown to callers.
+    /// Marks a batch as saved: its outcomes may be shown to callers, and the starts of suspected
+    /// tasks whose intents it contains may be sent.
     pub fn batch_saved(&mut self, batch: &Batch) {
         for (id, progress) in &batch.jobs {
             if let Some(job) = self.jobs.get_mut(id) {
@@ -62,7 +68,8 @@
         }
     }
 
-    /// Marks the jobs of a failed batch as unsaved again.
+    /// Marks the jobs of a failed batch as unsaved again. They all become dirty jobs, since the
+    /// batch does not show of which only the start was unsaved.
     pub fn batch_failed(&mut self, batch: &Batch) {
         self.dirty_jobs.extend(batch.jobs.iter().map(|(id, _)| *id));
     }
--- a/crates/job/src/planner/mod.rs
+++ b/crates/job/src/planner/mod.rs
@@ -163,9 +163,9 @@
     jobs: HashMap<JobId, JobState>,
     /// Steps with tasks that wait to be started.
     pending_steps: BTreeSet<StepKey>,
-    /// Jobs with task ends or outcomes that are not saved yet.
+    /// Jobs with unsaved ends, outcomes or crash records, and all jobs of a batch that failed.
     dirty_jobs: BTreeSet<JobId>,
-    /// Jobs whose start is not saved yet.
+    /// Jobs that have started since they were last saved.
     started_jobs: BTreeSet<JobId>,
     /// Resources that the last planning pass reserved for gangs.
     reservations: Reservations,
--- a/crates/job/src/planner/peak_pools.rs
+++ b/crates/job/src/planner/peak_pools.rs
@@ -1,10 +1,11 @@
-//! Largest pool of each service seen by this owner.
+//! Largest pool of each service seen by this owner. A service is a named group of workers, which
+//! run the tasks of the queues that are configured for it; its workers are called a pool here.
 //!
 //! The current workers do not show which jobs can never run: some workers are absent, some have
 //! not registered yet. So a job is checked against the largest number of workers of each kind
 //! that this owner has had in its roster at the same time, and each worker counts with the largest
-//! capacity that it has registered. With current capacities, a job failed that only had to wait
-//! until its workers grew again, and a worker that had registered two sizes counted as two.
+//! capacity that it has registered. With current capacities, a job would fail that only has to wait
+//! until its workers grow again, and a worker that has registered two sizes would count as two.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -19,7 +20,7 @@
 use crate::StepSpec;
 
 /// A job that the pool cannot run fails only when the pool has not grown for this time: while
-/// it grows, more workers may appear.
+/// workers of a starting cluster are being added, more of them may follow.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
 /// Capacity and labels of a worker; jobs cannot distinguish workers that agree in both.
@@ -34,12 +35,12 @@
     /// Largest number of workers of each kind that were in the roster at the same time.
     peak_counts: HashMap<WorkerKind, u64>,
     /// The same numbers by label and capacity; all workers are under the empty label. Workers
-    /// have few distinct sizes: checking all waiting steps against each worker took two thirds
-    /// of a planning pass with 350 workers and 300 steps.
+    /// have few distinct sizes, so this is fast. Checking 300 waiting steps against each of 350
+    /// workers would take two thirds of a planning pass.
     label_sizes: HashMap<String, Sizes>,
-    /// When the pool last grew.
+    /// When the pool last grew, by the owner's monotonic clock.
     grown_at: Duration,
-    /// The pool has workers whose capacity was not read yet.
+    /// The pool has workers whose capacity is unknown (see [`capacity_unknown`]).
     incomplete: bool,
 }
 
@@ -80,7 +81,8 @@
 #[derive(Debug, Default)]
 pub(super) struct PeakPools {
     pools: HashMap<String, Pool>,
-    /// When the workers last changed; `None` if they were counted since.
+    /// When the workers last changed, by the owner's monotonic clock; `None` if they have been
+    /// counted since.
     changed_at: Option<Duration>,
 }
 
@@ -117,7 +119,8 @@
     }
 
     /// Returns whether the largest pool seen could not run `members` tasks of a step at the same
-    /// time, and has stopped growing.
+    /// time, and has stopped growing for [`SETTLE_TIME`]. Returns false if this owner has seen no
+    /// worker of the service, or does not know the capacity of one.
     pub(super) fn cannot_fit(
         &self,
         service: &str,
@@ -133,8 +136,9 @@
     }
 }
 
-/// Returns the workers without unregistered ones at whose address another one is registered:
-/// these are earlier incarnations of the same worker.
+/// Returns all workers except those without a registration (it was removed, or was not read yet)
+/// at whose address another worker is registered: the two are the same worker before and after a
+/// restart, and must not count twice.
 fn distinct_workers(
     workers: &SlotMap<WorkerKey, WorkerState>,
 ) -> impl Iterator<Item = &WorkerState> {
@@ -146,9 +150,11 @@
     workers.values().filter(counts)
 }
 
-/// Returns whether the owner has only a worker's row, which does not state its capacity, and not
-/// its registration. When such a worker counted as one without resources, a successor that could
-/// not read the registrations failed every job.
+/// Returns whether the owner has not seen any capacity of a worker: it has not read the
+/// registration of the worker's incarnation, and if a former owner stored a row for the worker (in
+/// the table of used workers), that row was written by an earlier version and states no capacity.
+/// If such a worker counted as one without resources, a successor that cannot read the
+/// registrations would fail every job.
 fn capacity_unknown(worker: &WorkerState) -> bool {
     worker.unregistered && worker.largest == Resources::default()
 }
--- a/crates/job/src/worker.rs
+++ b/crates/job/src/worker.rs
@@ -17,19 +17,22 @@
 pub struct WorkerInfo {
     /// Identifier of the worker.
     pub id: WorkerId,
-    /// Incarnation of the worker; `None` if it is unknown.
+    /// Incarnation of the worker; `None` if its registration, or the row that a former owner
+    /// stored for it, does not name one.
     pub incarnation: Option<IncarnationId>,
-    /// Pool to which the worker belongs.
+    /// Name of the service to which the worker belongs, which is a pool of workers. The worker runs
+    /// only tasks of queues with this service.
     pub service: String,
     /// Address at which the worker accepts commands.
     pub address: SocketAddr,
     /// Total resources of the worker.
     pub capacity: Resources,
-    /// Labels of the worker: its kind and its rack.
+    /// Labels of the worker: its kind and its rack. A step may require one of them.
     pub labels: Vec<String>,
     /// The worker will shut down and accepts no new runs.
     pub draining: bool,
-    /// Minimum time until a draining worker shuts down.
+    /// Minimum time until a draining worker shuts down; `None` if its registration does not state
+    /// it.
     pub remaining: Option<Duration>,
 }
 
@@ -43,13 +46,13 @@
     Failed,
     /// By a stop command.
     Stopped,
-    /// The worker's lease expired.
+    /// Since the worker's lease expired.
     #[strum(serialize = "lapsed")]
     Expired,
-    /// Another member of the gang ended.
+    /// Since another member of the gang ended.
     #[strum(serialize = "broken")]
     GangBroken,
-    /// The other members of the gang did not start in time.
+    /// Since the other members of the gang did not start in time.
     #[strum(serialize = "alone")]
     GangIncomplete,
 }
@@ -61,7 +64,7 @@
     pub task: TaskKey,
     /// Number of the run.
     pub run: RunId,
-    /// Newest checkpoint; empty if there is none.
+    /// Newest checkpoint, as the text with which a later run can resume; empty if there is none.
     pub checkpoint: String,
     /// Progress in percent, 0 to 100.
     pub percent: u32,
@@ -78,7 +81,7 @@
     pub run: RunId,
     /// How the run ended.
     pub how: RunEnd,
-    /// Newest checkpoint; empty if there is none.
+    /// Newest checkpoint, as the text with which a later run can resume; empty if there is none.
     pub checkpoint: String,
 }
 
@@ -87,7 +90,8 @@
 pub struct WorkerReport {
     /// Incarnation of the worker that replied; `None` if the worker does not report it.
     pub incarnation: Option<IncarnationId>,
-    /// Time of the worker's monotonic clock.
+    /// Time of the worker's monotonic clock when it replied, for which the owner computes the
+    /// expiry of leases.
     pub clock: Duration,
     /// Active runs.
     pub running: Vec<ActiveRun>,
--- a/crates/sched/src/worker.rs
+++ b/crates/sched/src/worker.rs
@@ -20,9 +20,11 @@
 pub enum WorkerState {
     /// Accepts new tasks.
     Ready,
-    /// Not claimed by this shard, or not answering; treated as full.
+    /// Out of this shard's reach: it does not answer, refuses this shard's
+    /// polls, was claimed by another shard, or was removed while it had tasks.
+    /// It gets no new tasks, and its tasks stay booked.
     Lost,
-    /// Has just refused a start; gets no new tasks for a short time.
+    /// Has refused a start; gets no new tasks until the shard sets another state.
     Paused,
     /// Being removed: running tasks may finish, no new ones start.
     Leaving,
@@ -33,7 +35,8 @@
 pub struct WorkerEntry {
     /// Id of the worker in the host list.
     pub id: WorkerId,
-    /// Number of workers that were added before this one.
+    /// Number of workers in the core when this one was added, by which
+    /// [`FirstFit`](crate::FirstFit) ranks it.
     pub index: u32,
     /// Rack in which the worker is mounted.
     pub rack: RackKey,
@@ -43,8 +46,9 @@
     pub free: Resources,
     /// Number of tasks placed on the worker.
     pub tasks: u32,
-    /// Sequence number of the newest placement on the worker. Among workers of
-    /// equal rank the least recently used one is chosen.
+    /// Sequence number of the newest placement on the worker, over all workers
+    /// of the core. Among workers to which the policy gives the same rank, the
+    /// least recently used one is chosen.
     pub last_placement: u64,
     /// Whether new tasks may be placed on the worker.
     pub state: WorkerState,
@@ -53,7 +57,8 @@
 }
 
 impl WorkerEntry {
-    /// Whether a task with these `needs` may be placed on the worker now.
+    /// Whether a task with these `needs` may be placed on the worker now. A
+    /// quarantined worker takes a probe task only while it has no other task.
     #[must_use]
     pub fn accepts(&self, needs: &Resources) -> bool {
         self.state == WorkerState::Ready && needs.fits(&self.free) && self.health.admits(self.tasks)
--- a/crates/shard/src/lease.rs
+++ b/crates/shard/src/lease.rs
@@ -25,10 +25,12 @@
 /// Result of a successful renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Renewal {
-    /// No other process has expired the lease since the last renewal.
+    /// No other process has expired the lease since the last renewal, or this
+    /// is the first one.
     Extended,
-    /// Another process had expired the lease or removed its row. This process
-    /// has the lease again, but others may have taken shards in between.
+    /// Another process had expired the lease, its row was gone, or the row could
+    /// not be decoded. This process has the lease again, but others may have
+    /// taken shards in between.
     Regained,
 }
 
@@ -36,8 +38,12 @@
 #[derive(Debug)]
 pub struct Lease<T, O, H> {
     context: Arc<Context<T, O, H>>,
+    /// Version of the row as last written or read; 0 if there was no row. The
+    /// next write requires that the row still has this version.
     version: RowVersion,
+    /// Number of attempted writes, which is stored in the row.
     counter: u64,
+    /// State to store in the row: live or leaving.
     state: LeaseState,
 }
 
@@ -53,7 +59,7 @@
         }
     }
 
-    /// Version of the row as last written; 0 before the first renewal.
+    /// Version of the row as last written or read; 0 before the first renewal.
     #[must_use]
     pub fn version(&self) -> RowVersion {
         self.version
@@ -73,10 +79,15 @@
 
     /// Renews the lease. Also returns the moment before the successful renewal
     /// was sent: this process counts the lease from that moment, while the
-    /// other processes count from a later one.
+    /// other processes count from a later one. `config` is the version of the
+    /// configuration in force in this process, which the row shows to the others.
     ///
     /// # Errors
-    /// The table fails; the renewal may have taken effect.
+    /// - The table does not answer or refuses a call; the renewal may have taken
+    ///   effect.
+    /// - The row was changed twice during this call; the next call may succeed.
+    /// - The lease row is missing, and the table is not that of this cell (see
+    ///   [`Lease::check_cell`]); further calls fail as well.
     pub async fn renew(&mut self, config: Version) -> Result<(Renewal, Instant), StoreError> {
         let sent_at = Instant::now();
         self.counter += 1;
@@ -109,8 +120,9 @@
         Ok((renewal, sent_at))
     }
 
-    /// Refuses a table that another cell has created at the same address. With
-    /// its lease row there, this process would claim shards of that cell, whose
+    /// Fails if the table has no readable row with the id of this process's cell:
+    /// another cell has been created in it, or its content is lost. With a lease
+    /// row there, this process would claim shards of the other cell, whose
     /// processes cannot reach it.
     async fn check_cell(&self) -> Result<(), StoreError> {
         let row = self.context.table.get(CELL_PARAMS).await?;
@@ -127,8 +139,9 @@
         Err(StoreError::Unavailable { reason })
     }
 
-    /// Writes the lease row; the first write also adds the row of the process's
-    /// constant properties. Returns false if the row has another version.
+    /// Writes the lease row. If there was none, also writes the row of the
+    /// process's constant properties. Returns false, and writes nothing, if the
+    /// lease row does not have the expected version.
     async fn try_write(&mut self, config: Version) -> Result<bool, StoreError> {
         let key = lease_key(&self.context.process);
         let mut commit = Commit::default()
@@ -168,8 +181,10 @@
         }
     }
 
-    /// Deletes the lease row, so that the other processes need not wait for the
-    /// TTL. Returns whether the table has confirmed the deletion.
+    /// Deletes the lease row and the row of the process's constant properties, so
+    /// that the other processes need not wait for the TTL of the lease. Returns
+    /// whether the table has confirmed the deletion; it refuses if another
+    /// process has changed the lease row.
     pub async fn remove(&self) -> bool {
         let key = lease_key(&self.context.process);
         let commit = Commit::default()
