--- a/crates/cell/src/owner/helpers.rs
+++ b/crates/cell/src/owner/helpers.rs
@@ -16,20 +16,20 @@
 use crate::POLL_WAIT;
 use crate::metrics::count;
 
-/// One in this many helpers is kept for quick calls: slow calls take most of a second, and a
-/// quick one that waits for them misses its objective. At 110 quick calls of 15 ms per second,
-/// two of 32 helpers were too few.
+/// One in this many helpers is reserved for quick calls: slow calls take most of a second, and a
+/// quick one that waits for them makes its job miss its objective. At 110 quick calls of 15 ms per
+/// second, two of 32 helpers are too few.
 const QUICK_DIVISOR: usize = 4;
 
-/// Fewest helpers that are kept for quick calls, if there are that many.
+/// Fewest helpers that are reserved for quick calls, if there are that many.
 const MIN_QUICK: usize = 2;
 
 /// A gang may have several calls at a time if more than one in this many helpers is idle.
 const IDLE_DIVISOR: usize = 2;
 
 /// Longest time spent on assigning calls in one planning cycle: for each call, all workers are
-/// examined. With 300 idle helpers after a take-over of 3,000 workers, one cycle took longer
-/// than the expiry of the ownership; with 4 ms, too few calls were made.
+/// examined. Without a limit, one cycle with 300 idle helpers after a take-over of 3,000 workers
+/// takes longer than the expiry of the ownership; with 4 ms, too few calls are made.
 const ASSIGN_TIME: Duration = Duration::from_millis(20);
 
 /// A call that takes longer than this is slow.
--- a/crates/cell/src/owner/load.rs
+++ b/crates/cell/src/owner/load.rs
@@ -73,7 +73,7 @@
                 Finding::Cleared => {
                     log::info!(code = 358, task:% = task, run = run, crashes = crashes; "run of a suspected task ended without a worker crash");
                 }
-                Finding::GivenUp => {
+                Finding::JobFailed => {
                     log::warn!(code = 359, task:% = task, run = run, crashes = crashes; "task crashes its workers: its job fails");
                 }
             }
--- a/crates/cell/src/owner/renewal_task.rs
+++ b/crates/cell/src/owner/renewal_task.rs
@@ -265,8 +265,9 @@
     /// Number of the end up to which the next call acknowledges ends (0 for none), and the call's
     /// token. `saved` is the number of the newest saved end. A worker that names its incarnation
     /// gets an acknowledgement only of ends that were not acknowledged before, and only if no start
-    /// was sent since the call of its last report: that report and the acknowledgement then
-    /// belong to the same incarnation, or the token makes a later one refuse the call.
+    /// was sent since the call of its last report. If the call then reaches a later incarnation,
+    /// that one has no ends to discard, or has carried out a later start, whose higher token makes
+    /// it refuse the call.
     fn acknowledgement(&mut self, saved: u64) -> (u64, FencingToken) {
         let token = self.fencing.token();
         if !self.renews {
--- a/crates/cell/src/owner/saver.rs
+++ b/crates/cell/src/owner/saver.rs
@@ -99,8 +99,9 @@
     /// Rows of used workers that are still to be written or removed.
     row_changes: WorkerRows,
     release: Release,
-    /// The owner cannot keep up with the pool, or took longer than [`LONG_TAKE_OVER`] to read the
-    /// state of the former owner. Its renewals say so, and a larger host may take the pool.
+    /// The owner cannot keep up with the pool, or has been reading the state of the former owner
+    /// for longer than [`LONG_TAKE_OVER`]. Its renewals say so, and a larger host may take the
+    /// pool.
     overloaded: bool,
 }
 
@@ -129,10 +130,10 @@
         Ok(version.is_some())
     }
 
-    /// Renews the ownership until `reading` is closed, for [`TAKE_OVER_LIMIT`] at most, and then
-    /// returns true. Returns false at once if another process owns the pool, or if this process
-    /// has to stop and has therefore tried to release the pool. If it released the pool only after
-    /// it has read all rows, no task would start until then.
+    /// Waits until `reading` is closed and returns true; until then, but for [`TAKE_OVER_LIMIT`]
+    /// at most, renews the ownership. Returns false at once if another process owns the pool, or
+    /// if this process has to stop and has therefore tried to release the pool. If it released the
+    /// pool only after it has read all rows, no task would start until then.
     pub(super) async fn renew_until(&mut self, mut reading: oneshot::Receiver<()>) -> bool {
         let start = self.context.now();
         let end = start + TAKE_OVER_LIMIT;
--- a/crates/job/src/planner/crash_count.rs
+++ b/crates/job/src/planner/crash_count.rs
@@ -176,7 +176,7 @@
 
     /// Fails the job of a suspect.
     pub(super) fn fail_suspect(&mut self, task: TaskKey, run: RunId) {
-        self.record_finding(task, run, Finding::GivenUp);
+        self.record_finding(task, run, Finding::JobFailed);
         self.finish_job(task.step.job, Outcome::Failed);
     }
 }
--- a/crates/job/src/planner/headroom.rs
+++ b/crates/job/src/planner/headroom.rs
@@ -41,7 +41,7 @@
 /// Resources available to gangs on one worker.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Headroom {
-    /// Resources that are free or about to be: a run that is being stopped holds its
+    /// Resources that are free or about to be: a run that is being stopped occupies its
     /// resources for up to 0.3 s.
     pub free: Resources,
     /// Runs that may be preempted, the largest last.
--- a/crates/job/src/planner/suspicion.rs
+++ b/crates/job/src/planner/suspicion.rs
@@ -156,7 +156,8 @@
     Cleared,
     /// The task caused a worker crash during a trial, or too many crashes count against it; its job
     /// fails.
-    GivenUp,
+    #[strum(serialize = "given_up")]
+    JobFailed,
 }
 
 /// A finding on a task, for logs and metrics.
--- a/crates/shard/src/claiming.rs
+++ b/crates/shard/src/claiming.rs
@@ -233,7 +233,7 @@
         Ok(())
     }
 
-    /// Claims one shard, unless its owner still holds a lease. The commit checks
+    /// Claims one shard, unless its owner still has a lease. The commit checks
     /// the shard's row and the leases of this process and of the former owner.
     pub(crate) async fn claim_shard(&mut self, shard: ShardId) -> Result<(), ShardError> {
         let (version, row) = match self.shard_rows.get(&shard) {
--- a/crates/shard/src/context.rs
+++ b/crates/shard/src/context.rs
@@ -44,7 +44,8 @@
     }
 }
 
-/// Immutable settings and shared handles of one process.
+/// Immutable settings and shared handles of one process. The type parameters
+/// are the table, the object store and the host list of the platform.
 #[derive(Debug)]
 pub struct Context<T, O, H> {
     /// Name of the process in its settings; stays the same across restarts.
--- a/crates/shard/src/lease.rs
+++ b/crates/shard/src/lease.rs
@@ -34,7 +34,7 @@
     Regained,
 }
 
-/// This process's lease row.
+/// This process's lease row. The type parameters are those of [`Context`].
 #[derive(Debug)]
 pub struct Lease<T, O, H> {
     context: Arc<Context<T, O, H>>,
--- a/crates/shard/src/ledger.rs
+++ b/crates/shard/src/ledger.rs
@@ -55,7 +55,7 @@
         self.entries.insert(key.to_owned(), entry);
     }
 
-    /// Whether it holds no requests.
+    /// Whether it contains no requests.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
