--- a/crates/cell/src/cancel.rs
+++ b/crates/cell/src/cancel.rs
@@ -93,6 +93,8 @@
         response
     }
 
+    /// Makes one attempt to write the cancellation. Returns the status for the caller: 200, or 410
+    /// if there is no such job.
     async fn try_cancel(&self, id: JobId) -> Result<StatusCode, CancelError> {
         let Some(stored) = self.stored_job(id).await.context(RowSnafu)? else {
             return Ok(StatusCode::GONE);
--- a/crates/cell/src/follower.rs
+++ b/crates/cell/src/follower.rs
@@ -147,6 +147,7 @@
         full
     }
 
+    /// Reads the whole table, or its unnamed part; the feed continues from the version read.
     async fn read_all(&mut self) -> Result<Change, StoreError> {
         let rows = if self.all_parts {
             self.store
--- a/crates/cell/src/owner/commands.rs
+++ b/crates/cell/src/owner/commands.rs
@@ -71,6 +71,8 @@
         }
     }
 
+    /// Sends a start. If the worker has no link or no clock reading yet, or the ownership is not
+    /// confirmed, nothing is sent and the planner handles the start as refused.
     fn send_start(&mut self, worker: WorkerKey, mut start: StartCommand) {
         let lease = self.context.settings.policy().lease;
         let info = self.planner.worker_info(worker);
@@ -110,6 +112,7 @@
         tokio::spawn(call.run());
     }
 
+    /// Sends a stop. The planner issues the stop again if it gets no usable reply.
     fn send_stop(&self, worker: WorkerKey, task: TaskKey, run: RunId, reason: StopReason) {
         let Some(link) = self.links.get(&worker) else {
             self.defer_stop(worker, task, run);
--- a/crates/cell/src/owner/handlers.rs
+++ b/crates/cell/src/owner/handlers.rs
@@ -73,6 +73,7 @@
         }
     }
 
+    /// Handles a new or changed registration. A new worker is used only after its row is written.
     fn handle_registration(&mut self, info: WorkerInfo) {
         let (id, incarnation, address) = (info.id.clone(), info.incarnation, info.address);
         if info.draining {
@@ -182,6 +183,8 @@
         }
     }
 
+    /// Logs a worker report and passes it to the planner. If it is of the worker's current
+    /// incarnation, it also confirms that the worker accepts commands of this owner.
     fn handle_report(&mut self, key: WorkerKey, sent: Duration, report: &WorkerReport) {
         let origin = self.planner.match_incarnation(key, sent, report);
         if origin != ReportOrigin::Current {
--- a/crates/cell/src/owner/helpers.rs
+++ b/crates/cell/src/owner/helpers.rs
@@ -110,6 +110,8 @@
         });
     }
 
+    /// Passes the result of an advice call to the planner. The validity of the tickets counts from
+    /// the reply of the advice service, so the result's age is subtracted.
     fn handle_advice(&mut self, result: AdviceResult, now: Duration) {
         let step = result.step;
         let Some(good) = result.good else {
--- a/crates/cell/src/owner/registrations.rs
+++ b/crates/cell/src/owner/registrations.rs
@@ -47,6 +47,9 @@
 }
 
 impl Registrations {
+    /// Applies a read of the registrations. A worker that is not in a full read counts as missing;
+    /// [`Registrations::drain_missing`] decides that it was removed. The update that is returned is
+    /// still empty.
     fn apply_change(&mut self, change: Change, metrics: &CellMetrics) -> RegistrationChange {
         let update = RegistrationChange::default();
         if let Change::Snapshot(rows) = &change {
@@ -102,6 +105,7 @@
         }
     }
 
+    /// Takes the missing workers, which then count as removed.
     fn drain_missing(&mut self) -> Vec<String> {
         let gone: Vec<String> = self.missing.drain().collect();
         for id in &gone {
--- a/crates/cell/src/owner/renewal_task.rs
+++ b/crates/cell/src/owner/renewal_task.rs
@@ -374,6 +374,8 @@
         }
     }
 
+    /// Passes a report on to the owner, and waits for [`SAVE_WAIT`] at most until the ends in it
+    /// are saved.
     async fn handle_report(&mut self, sent: Duration, report: WorkerReport) {
         self.renews = true;
         self.incarnation = report.incarnation;
--- a/crates/cell/src/owner/saver.rs
+++ b/crates/cell/src/owner/saver.rs
@@ -308,6 +308,8 @@
         });
     }
 
+    /// Handles the result of a transaction. After a conflict or an error, its changes are put back
+    /// for the next one, which after a conflict has to wait until the guard row is read.
     pub(super) fn handle_saved(&mut self, save: Save, result: Result<Committed, StoreError>) {
         let now = self.context.now();
         let metrics = self.context.metrics.clone();
--- a/crates/cell/src/owner/start_call.rs
+++ b/crates/cell/src/owner/start_call.rs
@@ -96,6 +96,8 @@
         log::warn!(code = 351, task:% = task, run = run, worker = self.id.as_str(), answer = answer; "start not confirmed");
     }
 
+    /// Returns the event for the owner that a reply stands for. `Fenced` proves that there is a
+    /// newer owner only if this owner has sent no command with a higher token since.
     fn event_for<T>(&self, answer: &CommandReply<T>) -> WorkerEvent {
         let reply = match answer {
             CommandReply::Done(_) => StartReply::Started,
--- a/crates/cell/src/ownership.rs
+++ b/crates/cell/src/ownership.rs
@@ -149,6 +149,8 @@
         }
     }
 
+    /// Applies rows of the ownership table that were read; their arrival also shows that the store
+    /// answers.
     fn apply_rows(&mut self, rows: &[Row]) {
         let now = self.context.now();
         self.view.send_if_modified(|view| {
@@ -172,6 +174,7 @@
         }
     }
 
+    /// Publishes an ownership row, unless the one already published is as new.
     fn publish(&mut self, ownership: Ownership, version: Version) {
         let now = self.context.now();
         let renewed_at = &mut self.renewed_at;
@@ -253,6 +256,7 @@
         }
     }
 
+    /// Publishes that the store does not answer this process.
     fn mark_unreachable(&mut self, error: &StoreError) {
         let now = self.context.now();
         // While the store is unreachable, renewals cannot be read, so their absence proves
--- a/crates/cell/src/process.rs
+++ b/crates/cell/src/process.rs
@@ -163,6 +163,8 @@
     }
 }
 
+/// Follows the operator's table and publishes each newer configuration. A read in which a
+/// configuration cannot be decoded does not confirm that the one in force is the newest.
 async fn follow_config(context: Context, config: watch::Sender<Option<Arc<Config>>>) {
     let mut follower = Follower::new(&context.store, OPERATOR_TABLE, false);
     loop {
--- a/crates/job/src/planner/job_start.rs
+++ b/crates/job/src/planner/job_start.rs
@@ -90,6 +90,7 @@
         placed.is_some_and(|placed| placed.run == run && placed.phase == RunPhase::Running)
     }
 
+    /// Marks a job as started, which is saved with the next batch.
     fn mark_started(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
--- a/crates/job/src/planner/place.rs
+++ b/crates/job/src/planner/place.rs
@@ -99,6 +99,7 @@
         self.reservations = reservations;
     }
 
+    /// Returns the specification of a step; `None` if its job or the step does not exist.
     pub(super) fn step_spec(&self, key: StepKey) -> Option<StepSpec> {
         let job = self.jobs.get(&key.job)?;
         job.spec.steps.get(key.step as usize).cloned()
@@ -264,6 +265,7 @@
         true
     }
 
+    /// Returns the waiting tasks of a step; none if its round is not open.
     pub(super) fn waiting_tasks(&self, key: StepKey) -> Vec<TaskKey> {
         let job = self.jobs.get(&key.job);
         let Some((_, step)) = job.and_then(|job| job.step(key)) else {
--- a/crates/sched/src/core.rs
+++ b/crates/sched/src/core.rs
@@ -327,6 +327,7 @@
         }
     }
 
+    /// Moves a job from the queue to its workers, and adds the decision.
     fn start_job(&mut self, job: JobKey, workers: Vec<WorkerKey>, decisions: &mut Vec<Decision>) {
         self.dequeue(job);
         for worker in &workers {
@@ -335,6 +336,8 @@
         decisions.push(Decision::Start { job, workers });
     }
 
+    /// Starts jobs of a class until none can be placed, then blocks the class
+    /// until that may have changed.
     fn decide_class(&mut self, class: Class, decisions: &mut Vec<Decision>) {
         while let Some((job, workers)) = self.next_start(class) {
             self.start_job(job, workers, decisions);
--- a/crates/shard/src/fleet.rs
+++ b/crates/shard/src/fleet.rs
@@ -195,6 +195,8 @@
         }
     }
 
+    /// Processes a task that a worker lists when it is claimed: adopts it, or
+    /// stops it if it is not needed, or settles its member if it has ended.
     fn process_listed_task(&mut self, id: &str, task: Task) {
         if !self.belongs_here(&task.request) {
             self.drop_foreign_task(id, task);
@@ -275,6 +277,8 @@
         }
     }
 
+    /// Books an adopted member in the core, where its request gets a job if it
+    /// has none yet.
     fn adopt_job(&mut self, key: &str, job: Option<JobKey>, worker: sched::WorkerKey) {
         if let Some(job) = job {
             self.core.adopt_member(job, worker);
@@ -292,6 +296,7 @@
         }
     }
 
+    /// Adds the request of a running task that is not in the ledger.
     fn insert_reported(&mut self, id: &str, task: &Task) {
         let mut entry = Entry::from_report(&task.request, task.needs, self.times.now);
         entry.attempt = 1;
--- a/crates/shard/src/intake.rs
+++ b/crates/shard/src/intake.rs
@@ -188,6 +188,7 @@
         self.reply(waiter, ShardReply::Answer(answer));
     }
 
+    /// Requirements of a request, for the scheduling core.
     pub(crate) fn job_spec(entry: &Entry) -> JobSpec {
         let request = &entry.request;
         JobSpec {
--- a/crates/shard/src/machine.rs
+++ b/crates/shard/src/machine.rs
@@ -221,6 +221,8 @@
         self.apply_config();
     }
 
+    /// Passes the shard's grants and the policy of the current configuration to
+    /// the core.
     fn apply_config(&mut self) {
         let grants =
             crate::shard_grants(&self.config.config, self.params.shard, self.params.shards);
@@ -263,6 +265,7 @@
         }
     }
 
+    /// Carries out the core's decisions, unless the shard is being handed over.
     fn decide(&mut self) {
         if self.released {
             return;
@@ -275,6 +278,7 @@
         }
     }
 
+    /// Answers the request of a job whose latest start has passed.
     fn expire(&mut self, job: JobKey) {
         let Some(key) = self.request_keys.remove(&job) else {
             return;
--- a/crates/shard/src/offload.rs
+++ b/crates/shard/src/offload.rs
@@ -62,6 +62,8 @@
         entry.is_some_and(|entry| matches!(entry.stage, Stage::Waiting(_)))
     }
 
+    /// Offers a request to other shards if it waits for workers of this one;
+    /// returns whether it does.
     fn offload(&mut self, key: &str) -> bool {
         let now = self.times.now;
         let Some(entry) = self.ledger.get_mut(key) else {
--- a/crates/shard/src/patch.rs
+++ b/crates/shard/src/patch.rs
@@ -141,6 +141,8 @@
     Err(PatchError::Unknown { source })
 }
 
+/// Tries once to apply a patch. If a patch with this id was applied before,
+/// returns the version that it has created.
 async fn try_patch<T: Table>(table: &T, patch: &Patch) -> Result<Arc<VersionedConfig>, PatchError> {
     let unavailable = |source| PatchError::Unavailable { source };
     if let Some(row) = table
@@ -190,6 +192,8 @@
     }
 }
 
+/// Transaction that creates a configuration version. It fails if the current
+/// document has another version than `current`, or the patch id was used.
 fn patch_commit(next: &VersionedConfig, current: store::RowVersion) -> Commit {
     let text = encode_row(next);
     let version = next.version.to_string();
--- a/crates/shard/src/router.rs
+++ b/crates/shard/src/router.rs
@@ -183,6 +183,8 @@
         counts.into_iter().sum()
     }
 
+    /// Repeats a call until the owner of the shard replies; `None` if it has not
+    /// within [`CALL_TIMEOUT`]. The owner may receive the call more than once.
     async fn ask_until_reply(&self, shard: ShardId, ask: ShardAsk) -> Option<ShardReply> {
         let started = Instant::now();
         let mut pause = FIRST_PAUSE;
@@ -218,6 +220,7 @@
         }
     }
 
+    /// Makes one call to the owner of a shard according to the current view.
     async fn ask(&self, shard: ShardId, ask: ShardAsk, remaining: Duration) -> AskResult {
         let route = self.view.borrow().route(shard);
         match route {
@@ -263,6 +266,8 @@
     }
 }
 
+/// Answer to a submission to which no owner has replied in time. `reached` says
+/// whether an owner may have received it.
 fn unanswered(id: &str, submission: &Submission, reached: bool) -> Answer {
     if !reached {
         let reason = "no owner of its shard could be reached; nothing was sent";
