--- a/crates/cell/src/acceptor.rs
+++ b/crates/cell/src/acceptor.rs
@@ -67,6 +67,9 @@
         acceptance
     }
 
+    /// Commits one of the job's rows, which are in different parts of the store: the first one, or
+    /// the next one each time the store certainly refuses a part. An unclear result is retried with
+    /// the same row until `deadline`. Fails at once while the store is unreachable.
     async fn commit_any_row(&self, job: &AcceptedJob, deadline: Duration) -> Acceptance {
         let id = hex(job.id);
         let started = self.context.now();
@@ -79,7 +82,7 @@
             return Acceptance::Refused("the store cannot be reached from this host".to_owned());
         }
         let mut rows = job_rows(job.id).to_vec();
-        if !self.context.settings.has(Mechanism::JobPlaces) {
+        if !self.context.settings.has(Mechanism::AlternateRows) {
             rows.truncate(1);
         }
         let mut index = 0;
@@ -174,6 +177,7 @@
     }
 }
 
+/// Builds the transaction that creates a job's row; it fails if the row exists.
 fn transaction(row: &RowName, job: &AcceptedJob) -> Transaction {
     Transaction {
         expect: vec![(row.clone(), 0)],
--- a/crates/cell/src/follower.rs
+++ b/crates/cell/src/follower.rs
@@ -38,7 +38,7 @@
 pub enum Change {
     /// All rows of the table; no others exist.
     Snapshot(Vec<Row>),
-    /// Rows that have changed since the last read, in order.
+    /// Rows that have changed since the last read, in order; empty if none has.
     Delta(Vec<Row>),
 }
 
@@ -150,6 +150,7 @@
         full
     }
 
+    /// Reads the whole table, or its unnamed part; the feed continues from the version read.
     async fn read_all(&mut self) -> Result<Change, StoreError> {
         let rows = if self.all_parts {
             self.store
--- a/crates/cell/src/owner/helpers.rs
+++ b/crates/cell/src/owner/helpers.rs
@@ -16,20 +16,20 @@
 use crate::POLL_WAIT;
 use crate::metrics::count;
 
-/// One in this many helpers is kept for quick calls: slow calls take most of a second, and a
-/// quick one that waits for them misses its objective. At 110 quick calls of 15 ms per second,
-/// two of 32 helpers were too few.
+/// One in this many helpers is reserved for quick calls: slow calls take most of a second, and a
+/// quick one that waits for them makes its job miss its objective. At 110 quick calls of 15 ms per
+/// second, two of 32 helpers are too few.
 const QUICK_DIVISOR: usize = 4;
 
-/// Fewest helpers that are kept for quick calls, if there are that many.
+/// Fewest helpers that are reserved for quick calls, if there are that many.
 const MIN_QUICK: usize = 2;
 
 /// A gang may have several calls at a time if more than one in this many helpers is idle.
 const IDLE_DIVISOR: usize = 2;
 
 /// Longest time spent on assigning calls in one planning cycle: for each call, all workers are
-/// examined. With 300 idle helpers after a take-over of 3,000 workers, one cycle took longer
-/// than the expiry of the ownership; with 4 ms, too few calls were made.
+/// examined. Without a limit, one cycle with 300 idle helpers after a take-over of 3,000 workers
+/// takes longer than the expiry of the ownership; with 4 ms, too few calls are made.
 const ASSIGN_TIME: Duration = Duration::from_millis(20);
 
 /// A call that takes longer than this is slow.
@@ -70,6 +70,8 @@
 }
 
 impl Helpers {
+    /// How many helpers are free: few if all but those reserved for quick calls are making slow
+    /// ones.
     fn available(&self) -> FreeHelpers {
         let slow = self.by_node.values().filter(|helper| helper.slow).count();
         let quick = (self.by_node.len() / QUICK_DIVISOR).max(MIN_QUICK);
@@ -85,6 +87,8 @@
 }
 
 impl Pool {
+    /// Handles a helper's poll: processes the result that it delivers, and queues the helper for
+    /// the next call. The reply is sent by [`Pool::assign_calls`].
     pub(super) fn handle_poll(
         &mut self,
         request: HelperPoll,
@@ -106,6 +110,8 @@
         });
     }
 
+    /// Passes the result of an advice call to the planner. The validity of the tickets counts from
+    /// the reply of the advice service, so the result's age is subtracted.
     fn handle_advice(&mut self, result: AdviceResult, now: Duration) {
         let step = result.step;
         let Some(good) = result.good else {
--- a/crates/cell/src/owner/load.rs
+++ b/crates/cell/src/owner/load.rs
@@ -84,7 +84,7 @@
                         "run of a suspected task ended without a worker crash; any next start is a trial"
                     );
                 }
-                Finding::GivenUp => {
+                Finding::JobFailed => {
                     log::warn!(
                         code = 359, task:% = task, run = run, crashes = crashes;
                         "task crashes its workers: its job fails"
--- a/crates/sched/src/core.rs
+++ b/crates/sched/src/core.rs
@@ -235,6 +235,8 @@
         }
         let team = self.budgets.team(&team);
         if let Some(rack) = self.pool.unbook(worker, &needs) {
+            // The quota of this job is charged in another shard: booking it here
+            // cancels out its release below.
             if self.quota_exempt.contains(&job) {
                 self.budgets.book_quota(team, &needs);
             }
@@ -325,6 +327,7 @@
         }
     }
 
+    /// Moves a job from the queue to its workers, and adds the decision.
     fn start_job(&mut self, job: JobKey, workers: Vec<WorkerKey>, decisions: &mut Vec<Decision>) {
         self.dequeue(job);
         for worker in &workers {
@@ -333,6 +336,8 @@
         decisions.push(Decision::Start { job, workers });
     }
 
+    /// Starts jobs of a class until none can be placed, then blocks the class
+    /// until that may have changed.
     fn decide_class(&mut self, class: Class, decisions: &mut Vec<Decision>) {
         while let Some((job, workers)) = self.next_start(class) {
             self.start_job(job, workers, decisions);
@@ -403,7 +408,8 @@
         (workers.len() == member_count).then_some(workers)
     }
 
-    /// The limit that keeps a waiting job from starting.
+    /// The limit that keeps a waiting job from starting; `None` if there is no
+    /// such job.
     #[must_use]
     pub fn blocking_limit(&mut self, job: JobKey) -> Option<Limit> {
         let spec = &self.jobs.get(job)?.spec;
--- a/crates/shard/src/intake.rs
+++ b/crates/shard/src/intake.rs
@@ -122,6 +122,9 @@
         Some(Answer::without_output(id, Code::NeverFits, reason))
     }
 
+    /// Queues a new request, or refuses it if the scheduling core does. A durable
+    /// request is recorded in the journal; its caller gets the reply "accepted"
+    /// only after that.
     fn accept(&mut self, key: &str, submission: Submission, waiter: WaiterKey) {
         let Submission {
             request,
@@ -185,6 +188,7 @@
         self.reply(waiter, ShardReply::Answer(answer));
     }
 
+    /// Requirements of a request, for the scheduling core.
     pub(crate) fn job_spec(entry: &Entry) -> JobSpec {
         let request = &entry.request;
         JobSpec {
--- a/crates/shard/src/machine.rs
+++ b/crates/shard/src/machine.rs
@@ -90,6 +90,7 @@
     pub(crate) config: Arc<VersionedConfig>,
     /// Request keys of the jobs in the scheduling core.
     pub(crate) request_keys: HashMap<JobKey, String>,
+    /// The shard's current workers.
     pub(crate) workers: HashMap<WorkerId, WorkerHost>,
     /// Workers that left the host list but may still run tasks.
     pub(crate) retiring: Vec<WorkerId>,
@@ -204,8 +205,8 @@
         &self.ledger
     }
 
-    /// Latest time of the next tick: when the first queued request reaches its
-    /// deadline.
+    /// Earliest deadline of the queued requests, by which the machine needs an
+    /// input; `None` if no request is queued.
     #[must_use]
     pub fn next_due(&self) -> Option<Timestamp> {
         self.core.queues().next_deadline()
@@ -220,6 +221,8 @@
         self.apply_config();
     }
 
+    /// Passes the shard's grants and the policy of the current configuration to
+    /// the core.
     fn apply_config(&mut self) {
         let grants =
             crate::shard_grants(&self.config.config, self.params.shard, self.params.shards);
@@ -262,6 +265,7 @@
         }
     }
 
+    /// Carries out the core's decisions, unless the shard is being handed over.
     fn decide(&mut self) {
         if self.released {
             return;
@@ -274,6 +278,7 @@
         }
     }
 
+    /// Answers the request of a job whose latest start has passed.
     fn expire(&mut self, job: JobKey) {
         let Some(key) = self.request_keys.remove(&job) else {
             return;
