--- a/crates/cell/src/callers.rs
+++ b/crates/cell/src/callers.rs
@@ -150,7 +150,7 @@
             }
             Err(reason) => {
                 log::warn!(code = 418, queue = name, reason:? = reason; "queue length unknown: the owner did not answer");
-                service_unavailable("the owner of the pool did not report how many jobs wait")
+                service_unavailable("no owner of the pool knows how many jobs wait")
             }
         }
     }
--- a/crates/shard/src/answers.rs
+++ b/crates/shard/src/answers.rs
@@ -97,7 +97,7 @@
 /// for a failure and submit it again.
 fn stop_answer(entry: &Entry, ends: &[(&str, &End)], interrupted: bool) -> Answer {
     if interrupted || entry.history == RunHistory::EndUnknown {
-        let reason = "cancelled, but no worker has reported how it ended; it may have run";
+        let reason = "cancelled, but nobody knows how it ended; it may have run";
         return answer_without_output(entry, Code::HostLost, reason);
     }
     if ends.iter().any(|(_, end)| end.result == EndResult::Failed) {
