--- a/crates/job/tests/advice.rs
+++ b/crates/job/tests/advice.rs
@@ -21,7 +21,10 @@
 use support::step;
 use support::task;
 
+/// Job that needs advice.
 const LOOKUP: u64 = 7;
+
+/// Job that needs no advice and fills the workers.
 const FILLING: u64 = 8;
 
 /// Creates a job whose queue uses the advice service; a call takes 80 ms and 1 ms per worker.
@@ -39,7 +42,8 @@
     task(LOOKUP, 0, 0).step
 }
 
-/// Answers that all workers asked about may run the step.
+/// Answers that all workers asked about may run the step, with tickets that are valid until
+/// `until`.
 fn allow(planner: &mut Planner, asked: &[WorkerId], until: Duration) {
     let tickets: Vec<Ticket> = asked
         .iter()
--- a/crates/job/tests/backlog.rs
+++ b/crates/job/tests/backlog.rs
@@ -20,7 +20,8 @@
 use support::spec;
 use support::step;
 
-/// Creates a gang of two cores that takes four seconds and has an objective of nine seconds.
+/// Creates a job of one gang of two cores that takes four seconds, with an objective of nine
+/// seconds: twice that time plus one second.
 fn gang() -> JobSpec {
     let mut step = step(2);
     step.gang = true;
@@ -41,7 +42,7 @@
     planner.add_job(LATE, gang(), None, false);
     planner.advance(Duration::from_secs(4));
     planner.add_job(IN_TIME, gang(), None, false);
-    // Two of the three fit, three seconds before the first two are due.
+    // Two of the three fit on four cores, three seconds before the first two are due.
     planner.advance(Duration::from_secs(6));
     add_claimed(&mut planner, "w1");
 
--- a/crates/job/tests/capacity.rs
+++ b/crates/job/tests/capacity.rs
@@ -24,7 +24,7 @@
 use support::worker;
 use support::worker_report;
 
-/// Returns the registration of a worker with this number of cores; its first one has four.
+/// Returns the registration of a worker with this number of cores; that of `worker` has four.
 fn worker_with_cores(id: &str, cores: u64) -> WorkerInfo {
     WorkerInfo {
         capacity: resources(cores * 1000, 64_000),
--- a/crates/job/tests/crash_incarnations.rs
+++ b/crates/job/tests/crash_incarnations.rs
@@ -13,7 +13,8 @@
 use crash_sim::FAILURE_LIMIT;
 use support::task;
 
-/// Creates a nearly full pool. The first task of each job in `crashing` crashes its workers.
+/// Creates a nearly full pool, with three jobs for each worker. The first task of each job in
+/// `crashing` crashes its workers.
 fn busy_pool(workers: usize, crashing: &[u64]) -> CrashSim {
     let mut sim = CrashSim::with_same_ids(workers);
     sim.submit_load(crashing);
--- a/crates/job/tests/crash_owners.rs
+++ b/crates/job/tests/crash_owners.rs
@@ -1,4 +1,5 @@
-//! Tasks that crash their workers while owners change or cannot save progress.
+//! Tasks that crash their workers while owners change or cannot save progress. A suspect is a task
+//! that had a run on a worker that crashed.
 
 mod crash_sim;
 mod support;
--- a/crates/job/tests/crash_sim/mod.rs
+++ b/crates/job/tests/crash_sim/mod.rs
@@ -31,8 +31,8 @@
 /// Simulated time per tick.
 pub const TICK: Duration = Duration::from_millis(10);
 
-/// Maximum number of starts of a task that crashes each of its workers: after three crashes, the
-/// platform tolerates two more starts.
+/// Maximum number of starts of a task that crashes each of its workers: the platform's rules allow
+/// two more starts after three crashes.
 pub const MAX_STARTS: usize = 5;
 
 /// Time from the start of such a task to the crash of its worker, unless a test sets another one.
@@ -53,7 +53,6 @@
 /// Duration of a write to the store.
 const SAVE_TIME: Duration = Duration::from_millis(30);
 
-/// An incarnation of a worker.
 #[derive(Debug, Default)]
 pub struct Incarnation {
     pub id: String,
@@ -66,8 +65,9 @@
     ended: Vec<EndedRun>,
     /// Time of the crash, if there was one.
     pub crashed_at: Option<Duration>,
-    /// The owner has been notified that the incarnation has ended.
-    end_known: bool,
+    /// Nothing about the incarnation is reported to the owner any more: the owner was notified of
+    /// its end, or a newer incarnation uses its id.
+    retired: bool,
     /// The worker runs but answers no calls.
     pub cut_off: bool,
     pub draining: bool,
@@ -94,7 +94,7 @@
     pub starts: HashMap<TaskKey, Vec<(Duration, usize)>>,
     /// Number of workers that crashed while the task ran on them, by task.
     pub crashes: HashMap<TaskKey, usize>,
-    /// Number of failed runs, by task.
+    /// Number of failed runs, by task; always empty, since no task here fails by itself.
     pub failures: HashMap<TaskKey, usize>,
     /// Crashed workers start again under the same id.
     same_ids: bool,
@@ -147,7 +147,7 @@
         }
         for incarnation in self.machines.iter_mut().flatten() {
             incarnation.key = None;
-            if incarnation.end_known {
+            if incarnation.retired {
                 continue;
             }
             let info = incarnation.info();
@@ -165,7 +165,8 @@
         }
     }
 
-    /// Returns the incarnation of each worker in the rows that the owner leaves in the store.
+    /// Returns the incarnation in each worker's row. Rows of workers, unlike the progress of jobs,
+    /// count as saved at once, so they contain what the planner has.
     fn stored_incarnations(&self) -> HashMap<String, Option<u64>> {
         let incarnations = self.machines.iter().flatten();
         let by_worker = incarnations.filter_map(|incarnation| {
@@ -224,7 +225,8 @@
         }
     }
 
-    /// Crashes eight workers at the same time, four times, 4.9 s apart, and then runs for a minute.
+    /// Crashes the first eight workers at the same time, four times, 4.9 s apart, and then runs for
+    /// a minute.
     pub fn crash_repeatedly(&mut self) {
         for _ in 0..4 {
             self.run(Duration::from_millis(900));
@@ -236,7 +238,8 @@
         self.run(Duration::from_mins(1));
     }
 
-    /// Replaces the owner `delay` after each crash under the task, until its job has failed.
+    /// Replaces the owner `delay` after each crash under the task, until its job has failed, or ten
+    /// times.
     pub fn change_owners(&mut self, task: TaskKey, delay: Duration) {
         let mut crashes = 0;
         let job = task.step.job;
@@ -271,7 +274,6 @@
         self.machines[machine].last_mut().expect("an incarnation")
     }
 
-    /// Returns the machine on which a task is running.
     pub fn machine_of(&self, task: TaskKey) -> Option<usize> {
         let runs_here = |incarnations: &Vec<Incarnation>| {
             incarnations
@@ -281,7 +283,6 @@
         self.machines.iter().position(runs_here)
     }
 
-    /// Runs the simulation for a time.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -317,7 +318,6 @@
         }
     }
 
-    /// Marks the worker on a machine as draining.
     pub fn drain(&mut self, machine: usize) {
         let incarnation = self.incarnation(machine);
         incarnation.draining = true;
@@ -377,10 +377,11 @@
             {
                 let key = former.key;
                 // An id that is in use again does not show as missing in the list of machines.
-                former.end_known |= self.same_ids;
+                former.retired |= self.same_ids;
                 let mut incarnation = Incarnation::new(machine, incarnations.len(), self.same_ids);
                 incarnation.key = self.planner.register_worker(incarnation.info());
-                // A new registration alone does not end the former incarnation.
+                // The planner returns no key for an id in use: the registration does not end the
+                // former incarnation, whose key stays until `Command::NewIncarnation`.
                 let key = key.filter(|key| self.planner.worker_info(*key).is_some());
                 incarnation.key = incarnation.key.or(key.filter(|_| self.same_ids));
                 incarnations.push(incarnation);
@@ -395,13 +396,13 @@
             .machines
             .iter_mut()
             .flatten()
-            .filter(|incarnation| !incarnation.end_known)
+            .filter(|incarnation| !incarnation.retired)
         {
             let Some(key) = incarnation.key else { continue };
             let checked = unresponsive.iter().any(|(asked_key, _)| *asked_key == key);
             match incarnation.crashed_at {
                 Some(crashed_at) if checked && crashed_at + DETECTION_DELAY <= self.now => {
-                    incarnation.end_known = true;
+                    incarnation.retired = true;
                     self.planner.worker_ended(key);
                 }
                 Some(_) => self.planner.mark_unresponsive(key),
@@ -561,7 +562,6 @@
     }
 }
 
-/// Returns all tasks that were ever started.
 pub fn tasks(sim: &CrashSim) -> HashSet<TaskKey> {
     sim.starts.keys().copied().collect()
 }
--- a/crates/job/tests/crashes.rs
+++ b/crates/job/tests/crashes.rs
@@ -1,4 +1,7 @@
-//! Tasks that crash the workers they start on.
+//! Tasks that crash the workers they start on. A crash counts against all tasks on the worker; it
+//! is certain if the worker had confirmed the run and no other worker crashed at the time. After
+//! two certain crashes, or three of any kind, the next start of a task is a trial: alone on a
+//! worker. The job fails if the worker of a trial crashes, too, and in any case after five crashes.
 
 mod crash_sim;
 mod support;
@@ -37,7 +40,8 @@
     }
 }
 
-/// Creates a nearly full pool. The first task of each job in `crashing` crashes its workers.
+/// Creates a nearly full pool, with three jobs for each worker. The first task of each job in
+/// `crashing` crashes its workers.
 fn busy_pool(workers: usize, crashing: &[u64]) -> CrashSim {
     let mut sim = CrashSim::new(workers);
     sim.submit_load(crashing);
@@ -160,8 +164,9 @@
     sim.check_starts(&[1]);
 }
 
-/// Guards against a trial that no owner counts, since its owner died before it detected the
-/// crash. The start intent is saved before the start, so the successor finds the trial there.
+/// Guards against a trial that no owner counts, since the owner died before it detected the crash
+/// of the worker. The intent to start is saved before the start is sent, so the successor finds the
+/// trial in the saved progress.
 #[test]
 fn the_intent_of_a_trial_is_counted_by_a_successor() {
     let mut sim = CrashSim::new(8);
@@ -184,8 +189,8 @@
     sim.check_starts(&[1]);
 }
 
-/// Guards against a trial that starts before its intent is saved: each owner in a series would
-/// start one. Other tasks start meanwhile.
+/// Guards against a trial that starts before the intent to start is saved: each owner in a series
+/// would start one. Other tasks start meanwhile.
 #[test]
 fn trials_wait_while_the_store_is_unavailable() {
     let mut sim = CrashSim::new(8);
--- a/crates/job/tests/event_sim/crashes.rs
+++ b/crates/job/tests/event_sim/crashes.rs
@@ -58,7 +58,7 @@
         sim
     }
 
-    /// Carries out an event; most kinds are those of [`EventSim::step`].
+    /// Carries out an event; kinds below 200 are those of [`EventSim::step`].
     pub fn crash_step(&mut self, event: Event) {
         let machine = usize::from(event.pick) % WORKERS;
         // Renewals by a former owner are left out, since other tests cover them.
--- a/crates/job/tests/event_sim/mod.rs
+++ b/crates/job/tests/event_sim/mod.rs
@@ -49,7 +49,8 @@
 /// An event of the simulation, decoded from two arbitrary bytes.
 #[derive(Clone, Copy, Debug)]
 pub struct Event {
-    /// Selects what happens.
+    /// Selects what happens, as decoded by [`EventSim::step`], [`EventSim::crash_step`] or
+    /// [`EventSim::same_ids_step`].
     pub kind: u8,
     /// Selects the machine and the details.
     pub pick: u8,
@@ -78,7 +79,7 @@
     planner: Planner,
     /// Planner key of the worker on each machine.
     keys: Vec<WorkerKey>,
-    /// How often this owner has raised the fencing token of each worker.
+    /// Number of times that this owner has raised the fencing token of each worker.
     raised: Vec<u64>,
     workers: Vec<Worker>,
     jobs: BTreeMap<JobId, JobSpec>,
@@ -112,6 +113,7 @@
 }
 
 impl EventSim {
+    /// Creates an owner of epoch 1 and its workers, without jobs and without crashes.
     pub fn new() -> EventSim {
         let mut sim = EventSim {
             now: Duration::ZERO,
@@ -204,7 +206,7 @@
         worker.lease = lease.map_or(worker.lease, |lease| worker.lease.max(lease));
     }
 
-    /// Carries out an event, and checks the job statuses.
+    /// Carries out an event, and checks the job statuses. Panics if an invariant is violated.
     pub fn step(&mut self, event: Event) {
         let machine = usize::from(event.pick) % WORKERS;
         match event.kind % 16 {
@@ -219,7 +221,7 @@
             11 => self.deliver_late(event.pick),
             12 if event.pick.is_multiple_of(4) => {
                 self.take_over();
-                // The former owner may still reach most of the workers.
+                // The former owner may still reach workers that the successor cannot reach.
                 for worker in &mut self.workers[1..] {
                     worker.cut_off = event.pick.is_multiple_of(8);
                 }
--- a/crates/job/tests/event_sim/same_ids.rs
+++ b/crates/job/tests/event_sim/same_ids.rs
@@ -61,7 +61,7 @@
         sim
     }
 
-    /// Carries out an event in such a simulation.
+    /// Carries out an event; kinds below 232 and from 248 on are those of [`EventSim::crash_step`].
     pub fn same_ids_step(&mut self, event: Event) {
         let machine = usize::from(event.pick) % WORKERS;
         match event.kind {
@@ -97,7 +97,8 @@
         same_ids && machine != 0
     }
 
-    /// Returns the incarnation of each worker in the rows that the owner leaves in the store.
+    /// Returns the incarnation in each worker's row. Rows of workers, unlike the progress of jobs,
+    /// count as saved at once, so they contain what the planner has.
     pub(super) fn stored_incarnations(&self) -> HashMap<String, Option<u64>> {
         let known = self
             .keys
--- a/crates/job/tests/impossible.rs
+++ b/crates/job/tests/impossible.rs
@@ -19,6 +19,7 @@
 
 const JOB: u64 = 7;
 
+/// Creates a step that only workers with this label may run.
 fn labelled(label: &str) -> StepSpec {
     let mut labelled = step(1);
     label.clone_into(&mut labelled.label);
@@ -31,14 +32,15 @@
     gang
 }
 
-/// Creates a worker with a label that no other worker has.
+/// Creates a worker with the label `b`, which workers of the fixture do not have.
 fn labelled_worker(id: &str) -> WorkerInfo {
     let mut labelled_worker = worker(id);
     labelled_worker.labels = vec!["b".to_owned()];
     labelled_worker
 }
 
-/// Adds a worker of which the planner has only the row that the former owner stored.
+/// Adds a worker and removes its registration, so that the planner has only the data in the row
+/// that the former owner stored.
 fn add_former_worker(planner: &mut Planner, info: WorkerInfo) -> job::WorkerKey {
     let id = info.id.clone();
     let registration = WorkerInfo {
--- a/crates/job/tests/incarnation_leases.rs
+++ b/crates/job/tests/incarnation_leases.rs
@@ -1,5 +1,10 @@
 //! How long the planner waits for starts that may have reached another incarnation of their
 //! worker than the current one.
+//!
+//! A lease of 4.5 s has certainly expired after 4.83 s, and the longest one, of 6 s, after 6.39 s:
+//! both include 4 % for differences of clocks and 0.15 s for the transit of the command. If the
+//! command that grants the longest lease may be carried out up to 4 s late, it is 10.39 s. Each
+//! test plans just before or just after such a time.
 
 mod support;
 
@@ -29,8 +34,8 @@
 use support::worker;
 use support::worker_report;
 
-/// Adds a worker that has sent reports for 10 s, a run that it has confirmed by its reply to the
-/// start but not in a report, and a second worker that could run the task.
+/// Adds a worker that has sent reports for 10 s, a run that it has confirmed at 10.002 s by its
+/// reply to the start but not in a report, and a second worker that could run the task.
 fn unreported_start(planner: &mut Planner) -> (WorkerKey, TaskKey, RunId) {
     let key = worker_with_ends(planner);
     deliver_report(planner, key, 9990, &empty_report(FIRST_START));
--- a/crates/job/tests/invariants.rs
+++ b/crates/job/tests/invariants.rs
@@ -1,4 +1,6 @@
-//! Checks the planner's invariants in a simulation with faults, driven by arbitrary events.
+//! Checks the planner's invariants in a simulation with faults, driven by arbitrary events. Most
+//! tests assert nothing themselves: the simulation checks the invariants at each start and after
+//! each event, and panics if one is violated.
 
 mod event_sim;
 mod support;
@@ -14,8 +16,8 @@
     *state >> 33
 }
 
-/// Carries out `count` events. Most are drawn from `usual`; of 256 events, `any` plus one on
-/// average have an arbitrary kind and pick.
+/// Carries out `count` events. Most are drawn from `usual`; on average, `any` + 1 of 256 events
+/// have an arbitrary kind and pick instead.
 fn drive(state: &mut u64, count: usize, usual: &[(u8, u8)], any: u8, mut step: impl FnMut(Event)) {
     for _ in 0..count {
         let bytes = draw(state).to_le_bytes();
@@ -71,23 +73,24 @@
 }
 
 /// Guards against a former owner, cut off from the store, that renews leases for longer than its
-/// successor waits. Random sequences rarely contain enough renewals over the required seven
-/// seconds, so many events here are calls of the former owner, and most steps of time are 0.1 s.
+/// successor waits: about 7 s, of which the former owner may renew for 2.5 s, and the last lease
+/// lasts 4.5 s. Random sequences rarely contain enough renewals over this time, so many events here
+/// are renewals by the former owner, and most steps of time are 0.1 s.
 #[test]
 fn successor_waits_until_former_owner_stops_renewing() {
     const EVENTS: [(u8, u8); 12] = [
-        (0, 40),
-        (1, 0),
-        (4, 1),
-        (4, 2),
-        (13, 2),
-        (13, 4),
-        (13, 5),
-        (14, 7),
-        (14, 8),
-        (10, 5),
-        (10, 5),
-        (10, 30),
+        (0, 40),  // submit a job of one task
+        (1, 0),   // renew the lease on machine 0
+        (4, 1),   // plan and send commands; some get no reply
+        (4, 2),   // plan and send commands; some get no reply
+        (13, 2),  // former owner renews the lease on machine 2
+        (13, 4),  // on machine 1
+        (13, 5),  // on machine 2
+        (14, 7),  // on machine 1
+        (14, 8),  // on machine 2
+        (10, 5),  // 0.1 s pass
+        (10, 5),  // 0.1 s pass
+        (10, 30), // 0.6 s pass
     ];
     let mut state: u64 = 0x2545_f491_4f6c_dd1d;
     let mut next = || usize::try_from(draw(&mut state)).expect("31 bits");
@@ -96,15 +99,15 @@
         let mut sim = EventSim::new();
         // All three workers have active runs when the owner is cut off.
         for event in [
-            (0, 1),
-            (0, 3),
-            (0, 9),
-            (1, 0),
-            (1, 1),
-            (1, 2),
-            (4, 1),
-            (4, 2),
-            (12, 8),
+            (0, 1),  // submit a job of two steps
+            (0, 3),  // submit a job of two steps
+            (0, 9),  // submit a job of two steps
+            (1, 0),  // renew the lease on machine 0
+            (1, 1),  // on machine 1
+            (1, 2),  // on machine 2
+            (4, 1),  // plan and send commands
+            (4, 2),  // plan and send commands
+            (12, 8), // replace the owner, and cut its successor off from machines 1 and 2
         ] {
             sim.step(Event {
                 kind: event.0,
@@ -121,32 +124,32 @@
 /// Checks the same invariants with tasks that crash their workers, workers that start again under
 /// another id, and capacities that shrink and grow. No start may exceed the capacity at the time
 /// when it was sent. A task that crashes each worker is started five times at most, plus once for
-/// each take-over. A job fails only if a task failed too often or two workers crashed while they
-/// ran it. Most events are those of normal operation, since a job fails only seconds after the
-/// first crash.
+/// each take-over. A job fails only if a task failed too often or two workers crashed during runs
+/// of one task. Most events are those of normal operation, since a job fails only seconds after
+/// the first crash.
 #[test]
 fn invariants_hold_where_tasks_crash_their_workers() {
     const EVENTS: [(u8, u8); 20] = [
-        (0, 10),
-        (0, 33),
-        (1, 0),
-        (1, 1),
-        (1, 2),
-        (4, 1),
-        (4, 2),
-        (4, 4),
-        (6, 1),
-        (6, 2),
-        (8, 0),
-        (9, 1),
-        (10, 5),
-        (10, 10),
-        (10, 15),
-        (208, 0),
-        (208, 1),
-        (208, 2),
-        (230, 0),
-        (230, 1),
+        (0, 10),  // submit a job of one task
+        (0, 33),  // submit a job of two steps
+        (1, 0),   // renew the lease on machine 0
+        (1, 1),   // on machine 1
+        (1, 2),   // on machine 2
+        (4, 1),   // plan and send commands; some get no reply
+        (4, 2),   // plan and send commands
+        (4, 4),   // plan and send commands
+        (6, 1),   // a run on machine 1 succeeds
+        (6, 2),   // on machine 2
+        (8, 0),   // begin to write progress
+        (9, 1),   // the write succeeds
+        (10, 5),  // 0.1 s pass
+        (10, 10), // 0.2 s pass
+        (10, 15), // 0.3 s pass
+        (208, 0), // restart the worker on machine 0 if it has crashed
+        (208, 1), // on machine 1
+        (208, 2), // on machine 2
+        (230, 0), // the owner reads which workers have crashed
+        (230, 1), // the same
     ];
     let mut state: u64 = 0x5851_f42d_4c95_7f2d;
     let (mut failed, mut crasher_starts) = (0, 0);
@@ -170,33 +173,33 @@
 
 /// Checks the same invariants where two of three workers start again under the same id, immediately
 /// or later, one at a time or all, with commands that arrive after the restart, registrations that
-/// are read late, and clocks that go back. No task runs again after a stored successful end, or
-/// after as many stored failures as it has attempts.
+/// the owner reads late, and clocks that go back. No task runs again after a stored successful end,
+/// or after as many stored failures as its queue allows attempts.
 #[test]
 fn invariants_hold_where_workers_restart_under_the_same_id() {
     const EVENTS: [(u8, u8); 22] = [
-        (0, 10),
-        (0, 33),
-        (1, 0),
-        (1, 1),
-        (1, 2),
-        (4, 1),
-        (4, 2),
-        (4, 4),
-        (6, 1),
-        (6, 2),
-        (7, 1),
-        (7, 2),
-        (8, 0),
-        (9, 1),
-        (10, 5),
-        (10, 15),
-        (11, 3),
-        (233, 1),
-        (233, 2),
-        (237, 0),
-        (240, 1),
-        (245, 2),
+        (0, 10),  // submit a job of one task
+        (0, 33),  // submit a job of two steps
+        (1, 0),   // renew the lease on machine 0
+        (1, 1),   // on machine 1
+        (1, 2),   // on machine 2
+        (4, 1),   // plan and send commands; some get no reply
+        (4, 2),   // plan and send commands
+        (4, 4),   // plan and send commands
+        (6, 1),   // a run on machine 1 succeeds
+        (6, 2),   // on machine 2
+        (7, 1),   // a run on machine 1 fails
+        (7, 2),   // on machine 2
+        (8, 0),   // begin to write progress
+        (9, 1),   // the write succeeds
+        (10, 5),  // 0.1 s pass
+        (10, 15), // 0.3 s pass
+        (11, 3),  // deliver a command that got no reply
+        (233, 1), // crash and restart the worker on machine 1
+        (233, 2), // on machine 2
+        (237, 0), // crash and restart all workers
+        (240, 1), // the worker on machine 1 registers, if it has not
+        (245, 2), // deliver a renewal that a former incarnation did not answer
     ];
     let mut state: u64 = 0x1405_7b7e_f767_814f;
     let (mut starts, mut restarts) = (0, 0);
--- a/crates/job/tests/job_start.rs
+++ b/crates/job/tests/job_start.rs
@@ -34,9 +34,10 @@
 
 /// Guards against a queue length that misses jobs whose starts were not confirmed. Workers left
 /// half of the commands unanswered and carried them out seconds later. The queue length was given
-/// as 1, while 10 jobs had waited for 5 s without a running task; the owner logged "queue counted"
-/// with waiting=1, ordered=41, unfinished=176. It counted a job as started when the first start
-/// command was sent, even if the command got no reply or was refused, or the run was stopped.
+/// as 1, while 10 jobs had waited for 5 s without a running task; the owner logged `waiting jobs of
+/// a queue counted` (code 372) with waiting=1, ordered=41 (jobs with unanswered starts) and
+/// unfinished=176. It counted a job as started when the first start command was sent, even if the
+/// command got no reply or was refused, or the run was stopped.
 #[test]
 fn a_job_waits_until_a_worker_confirms_a_run_of_it() {
     let mut planner = planner(1);
@@ -49,7 +50,7 @@
     counts.push(waiting(&planner));
     planner.start_reply(key, first, 1, StartReply::Unknown);
     counts.push(waiting(&planner));
-    // The report does not list the run, so it is stopped; the worker confirms the stop.
+    // The report does not list the run, so the planner stops it; the worker confirms the stop.
     planner.apply_report(
         key,
         Duration::from_millis(20),
@@ -76,7 +77,7 @@
     assert_eq!(planner.job_status(JOB), Some(JobStatus::Active));
 }
 
-/// Issues the start commands of a gang of two tasks on two workers, and returns the runs.
+/// Adds two workers and sends the starts of a gang of two tasks, one to each; returns the runs.
 fn gang_of_two(planner: &mut Planner) -> Vec<(TaskKey, RunId, WorkerKey)> {
     add_claimed(planner, "w1");
     add_claimed(planner, "w2");
--- a/crates/job/tests/late_ends.rs
+++ b/crates/job/tests/late_ends.rs
@@ -31,10 +31,11 @@
 
 const JOB: u64 = 7;
 
-/// Time in milliseconds at which the lease of a worker that reported at time 0 has expired by
-/// any clock.
+/// Time in milliseconds at which the lease of a worker that reported at time 0 has certainly
+/// expired, whatever the differences between clocks.
 const EXPIRED: u64 = 7_000;
 
+/// Passes in a report that was requested, and arrives, at `at` milliseconds.
 fn report_at(planner: &mut Planner, key: WorkerKey, at: u64, report: &WorkerReport) {
     let at = Duration::from_millis(at);
     planner.advance(at);
--- a/crates/job/tests/late_starts.rs
+++ b/crates/job/tests/late_starts.rs
@@ -32,7 +32,7 @@
 const JOB: u64 = 7;
 
 /// Time in milliseconds at which the last lease that a former owner, or a start at time 0,
-/// may have given a worker has expired by any clock.
+/// may have given a worker has certainly expired, whatever the differences between clocks.
 const EXPIRED: u64 = 7_000;
 
 fn canceled(steps: Vec<StepSpec>) -> JobSpec {
@@ -66,6 +66,7 @@
     (key, task, run)
 }
 
+/// Cancels the job: its row, marked as cancelled, is read again.
 fn cancel(planner: &mut Planner) {
     planner.add_job(JOB, canceled(vec![step(1)]), None, false);
 }
@@ -131,7 +132,7 @@
 }
 
 /// Guards against a run of a cancelled job that goes on because its worker was unresponsive
-/// until the lease had expired by any clock, and reported the run only after that.
+/// until the lease had certainly expired, and reported the run only after that.
 #[test]
 fn a_run_reported_after_lease_expiry_is_stopped() {
     let mut planner = planner(1);
--- a/crates/job/tests/learning.rs
+++ b/crates/job/tests/learning.rs
@@ -30,6 +30,7 @@
 }
 
 /// Reports the ends of these runs at `at` milliseconds; no other runs are on their workers.
+/// `last_number` is the number of the newest reported end, and is advanced.
 fn end_all(
     planner: &mut Planner,
     runs: &[(TaskKey, u64, WorkerKey)],
@@ -75,6 +76,7 @@
     const LATER: JobId = 91;
     let mut planner = planner(1);
     add_claimed(&mut planner, "w1");
+    // Thirty gangs take 5 s each, ten times the declared 0.5 s.
     let (mut at, mut last_number) = (0, 0);
     for id in 1..=30 {
         planner.add_job(id, gang(2, 500), None, false);
@@ -135,6 +137,7 @@
     for nth in 0..3 {
         add_claimed(&mut planner, &format!("fast-{nth}"));
     }
+    // Tasks take 1 s, and 1.3 s on the slow worker.
     let (mut at, mut last_number) = (0, 0);
     for id in 1..=8 {
         planner.add_job(id, spec(vec![step(16)]), None, false);
--- a/crates/job/tests/planner.rs
+++ b/crates/job/tests/planner.rs
@@ -21,6 +21,7 @@
 use support::worker;
 use support::worker_report;
 
+/// Id of the first job of each test.
 const JOB: u64 = 7;
 
 #[test]
@@ -111,6 +112,7 @@
     planner.start_reply(unresponsive, task(JOB, 0, 0), 1, StartReply::Started);
     planner.mark_unresponsive(unresponsive);
     add_claimed(&mut planner, "w2");
+    // A lease granted at 10 s has certainly expired at 14.83 s.
     let early = plan_at(&mut planner, 14_600);
 
     let starts = plan_at(&mut planner, 14_900);
@@ -167,7 +169,7 @@
 }
 
 #[test]
-fn a_job_that_fits_no_known_worker_fails() {
+fn a_job_too_large_for_every_worker_fails() {
     let mut planner = planner(1);
     add_claimed(&mut planner, "w1");
     let mut large = step(1);
@@ -351,7 +353,7 @@
     let mut gang = step(4);
     gang.gang = true;
     planner.add_job(JOB + 1, spec(vec![gang]), None, false);
-    // Its objective of 3 s passes.
+    // The gang's objective of 3 s passes.
     planner.advance(Duration::from_secs(14));
     for nth in 0..4 {
         let mut small = spec(vec![step(1)]);
--- a/crates/job/tests/preempt.rs
+++ b/crates/job/tests/preempt.rs
@@ -24,7 +24,10 @@
 use support::task;
 use support::worker_report;
 
+/// Job of less urgent tasks, which are preempted.
 const LOOKUP: u64 = 7;
+
+/// First gang; later ones have higher ids.
 const GANG: u64 = 8;
 
 fn checkpointed_step(count: u32) -> StepSpec {
@@ -34,6 +37,7 @@
     }
 }
 
+/// Creates a job of one gang, which is more urgent (priority 1) than that of [`deferrable`] (2).
 fn gang(count: u32) -> JobSpec {
     let mut gang = spec(vec![StepSpec {
         gang: true,
@@ -43,7 +47,7 @@
     gang
 }
 
-/// Adds a worker of four cores, plans, and confirms the starts.
+/// Adds a worker of four cores, plans at a time in milliseconds, and confirms the starts.
 fn busy_worker(planner: &mut Planner, id: &str, millis: u64) -> WorkerKey {
     let key = add_claimed(planner, id);
     for (task, run, worker) in plan_at(planner, millis) {
--- a/crates/job/tests/recovery.rs
+++ b/crates/job/tests/recovery.rs
@@ -46,7 +46,8 @@
     planner.register_worker(worker("w1"));
     planner.apply_report(key, Duration::ZERO, &worker_report(vec![], vec![]));
     planner.add_job(JOB, spec(vec![step(1)]), None, true);
-    // The former owner still reaches one of two workers, and renews leases for 2.5 s more.
+    // The former owner still reaches one of two workers, and renews leases for 2.5 s more. The last
+    // of these leases has certainly expired 4.83 s later.
     plan_at(&mut planner, 10);
     let early = plan_at(&mut planner, 7_300);
 
--- a/crates/job/tests/start_budget.rs
+++ b/crates/job/tests/start_budget.rs
@@ -45,6 +45,7 @@
 
     planner.set_start_budget(0);
     let none = plan_at(&mut planner, 1).len();
+    // Any budget above 0 is enough for a whole gang.
     planner.set_start_budget(2);
     let all = plan_at(&mut planner, 2).len();
 
--- a/crates/job/tests/support/incarnations.rs
+++ b/crates/job/tests/support/incarnations.rs
@@ -20,7 +20,8 @@
 use super::worker;
 use super::worker_report;
 
-/// Start times of the first incarnation of the worker, and of the next one.
+/// Start times of the first incarnation of the worker, and of the next one, in milliseconds since
+/// 1970. They identify the incarnations.
 pub const FIRST_START: u64 = 1_790_000_000_000;
 pub const NEXT_START: u64 = FIRST_START + 5000;
 
@@ -31,6 +32,7 @@
     Duration::from_millis(millis)
 }
 
+/// Creates the registration of an incarnation of the worker `w1`.
 pub fn info(incarnation: u64) -> WorkerInfo {
     WorkerInfo {
         incarnation: Some(incarnation),
@@ -38,6 +40,7 @@
     }
 }
 
+/// Marks a report as one of this incarnation.
 pub fn report_of(incarnation: u64, report: WorkerReport) -> WorkerReport {
     WorkerReport {
         incarnation: Some(incarnation),
@@ -89,7 +92,7 @@
     key
 }
 
-/// Starts a job of one step at 10 ms, and confirms its starts.
+/// Starts a job of one step with `count` tasks at 10 ms, and confirms its starts.
 pub fn start(planner: &mut Planner, count: u32) -> Vec<(TaskKey, RunId)> {
     planner.add_job(JOB, spec(vec![step(count)]), None, false);
     let starts = plan_at(planner, 10);
@@ -100,7 +103,8 @@
     starts.iter().map(|(task, run, _)| (*task, *run)).collect()
 }
 
-/// Registers and claims the next incarnation of the worker.
+/// Registers and claims the next incarnation of the worker: the first of two reports, requested at
+/// `sent` and 5 ms later, shows the planner that there is one, and the second claims it.
 pub fn claim_next(planner: &mut Planner, key: WorkerKey, sent: u64) -> WorkerKey {
     planner.register_worker(info(NEXT_START));
     deliver_report(planner, key, sent, &empty_report(NEXT_START));
--- a/crates/job/tests/support/mod.rs
+++ b/crates/job/tests/support/mod.rs
@@ -1,4 +1,7 @@
 //! Fixtures for the planner tests.
+//!
+//! The tests pass to `Planner::add_job` the job's id and specification, its saved progress, and
+//! whether a former owner may have started it.
 #![allow(dead_code, missing_docs)]
 
 pub mod incarnations;
@@ -23,12 +26,13 @@
 use job::WorkerKey;
 use job::WorkerReport;
 
-/// Creates a planner of the given epoch at time 0.
+/// Creates a planner at time 0. An epoch above 1 is that of a successor, which has a former owner.
 pub fn planner(epoch: u64) -> Planner {
     Planner::new(Policy::default(), epoch, Duration::ZERO, Duration::ZERO)
 }
 
-/// Creates a queue without advice.
+/// Creates a queue without advice; a job fails after `attempts` failed runs of a task or gang. The
+/// objective of a job is twice the estimates of its dependent steps, plus 1 s.
 pub fn queue(attempts: u32) -> Queue {
     Queue {
         name: "bins".to_owned(),
@@ -44,7 +48,7 @@
     }
 }
 
-/// Creates a step of `count` tasks of one core each.
+/// Creates a step of `count` tasks, each of one core and estimated at 1 s.
 pub fn step(count: u32) -> StepSpec {
     StepSpec {
         count,
@@ -54,6 +58,7 @@
     }
 }
 
+/// Creates resources of `cpu` thousandths of a core and `memory` megabytes.
 pub fn resources(cpu: u64, memory: u64) -> Resources {
     Resources {
         cpu,
@@ -62,6 +67,7 @@
     }
 }
 
+/// Creates a job in a queue that allows two attempts of each task.
 pub fn spec(steps: Vec<StepSpec>) -> JobSpec {
     JobSpec {
         queue: queue(2),
@@ -73,7 +79,7 @@
     }
 }
 
-/// Creates a job of low priority that may wait for 20 s.
+/// Creates a job of low priority (2; 0 is the most urgent) that may wait for 20 s.
 pub fn deferrable(step: StepSpec) -> JobSpec {
     let mut job = spec(vec![step]);
     job.queue.priority = 2;
@@ -81,7 +87,7 @@
     job
 }
 
-/// Creates a worker of four cores.
+/// Creates the registration of a worker of four cores.
 pub fn worker(id: &str) -> WorkerInfo {
     WorkerInfo {
         id: id.to_owned(),
@@ -107,6 +113,7 @@
     key
 }
 
+/// Returns the key of a task in the first round of a job.
 pub fn task(job: JobId, step: u32, index: u32) -> TaskKey {
     let step = StepKey {
         job,
@@ -116,6 +123,7 @@
     TaskKey { step, index }
 }
 
+/// Returns an active run, as a worker report lists it.
 pub fn running(task: TaskKey, run: RunId) -> ActiveRun {
     ActiveRun {
         task,
@@ -125,6 +133,8 @@
     }
 }
 
+/// Returns an ended run, as a worker report lists it; `number` is that of the end among all ends on
+/// the worker, from 1.
 pub fn ended(number: u64, task: TaskKey, run: RunId, how: RunEnd) -> EndedRun {
     EndedRun {
         number,
@@ -135,6 +145,7 @@
     }
 }
 
+/// Creates a report of a worker that names no incarnation.
 pub fn worker_report(running: Vec<ActiveRun>, ended: Vec<EndedRun>) -> WorkerReport {
     WorkerReport {
         incarnation: None,
@@ -156,7 +167,7 @@
     starts.collect()
 }
 
-/// Plans at a time in milliseconds and returns the starts.
+/// Plans at a time in milliseconds; returns task, run and worker of each start.
 pub fn plan_at(planner: &mut Planner, millis: u64) -> Vec<(TaskKey, RunId, WorkerKey)> {
     planner.advance(Duration::from_millis(millis));
     planner.plan();
--- a/crates/job/tests/takeover.rs
+++ b/crates/job/tests/takeover.rs
@@ -60,7 +60,10 @@
     assert_eq!(early[0].0, task(JOB + 1, 0, 0));
     assert_eq!(late.len(), 1);
     assert_eq!(late[0].0, task(JOB, 0, 0));
-    assert!(late[0].1 > 100_000, "above all runs of the predecessor");
+    assert!(
+        late[0].1 > 100_000,
+        "the run number is above those of the former owner"
+    );
 }
 
 #[test]
