--- a/crates/shard/tests/journal.rs
+++ b/crates/shard/tests/journal.rs
@@ -24,7 +24,8 @@
 use store::Table;
 use tokio::sync::mpsc;
 
-/// An in-memory table that can lose the replies to commits.
+/// An in-memory table that carries out the next `lost_replies` commits without a
+/// reply.
 #[derive(Clone, Debug, Default)]
 struct MemoryTable {
     rows: Arc<Mutex<BTreeMap<String, Row>>>,
@@ -99,8 +100,8 @@
     }]
 }
 
-/// Starts a writer for shard 0 at epoch 1; returns its command and event
-/// channels.
+/// Starts a writer for shard 0 in epoch 1, which expects the row of the shard in
+/// version `fence`; returns its command and event channels.
 fn start_writer(
     table: &MemoryTable,
     fence: u64,
--- a/crates/shard/tests/machine.rs
+++ b/crates/shard/tests/machine.rs
@@ -8,9 +8,8 @@
 use crate::simulation::Simulation;
 use crate::simulation::Step;
 
-// Guards against rules of the machine that are kept only if events arrive in
-// order.
-// With arbitrary steps, no worker exceeds its slots, no request that is not
+// Guards against a shard that is correct only if events arrive in order. With
+// arbitrary steps, no worker exceeds its slots, no request that is not
 // idempotent runs twice, no request that ran is answered "not run", and no call
 // gets two answers.
 #[test]
@@ -38,6 +37,8 @@
 fn a_start_for_an_old_incarnation_is_refused_by_the_new_one() {
     let mut sim = Simulation::new();
 
+    // Both workers are claimed again, but the shard handles the claims only in
+    // `settle`, after the start has arrived.
     sim.apply(&Step::Restart(0));
     sim.apply(&Step::Restart(1));
     sim.apply(&Step::Claim(0));
@@ -67,6 +68,7 @@
         sim.apply(&Step::DeliverReports(worker));
     }
     sim.apply(&Step::Commit);
+    // The starts of both owners arrive, in the order in which they were sent.
     for _ in 0..4 {
         sim.apply(&Step::Arrive(0));
         sim.check_invariants();
--- a/crates/shard/tests/shown/cancels.rs
+++ b/crates/shard/tests/shown/cancels.rs
@@ -11,14 +11,15 @@
 use crate::fixture::recorded_request;
 use crate::fixture::task_ended;
 
-// Guards against answering "stopped" (201, "failed") to a cancelled request
-// whose task succeeded. The worker reported the success after the stop was sent
-// but before it arrived, and the shard answered by the stop that it had sent
-// instead of the reported result.
+// Guards against answering "stopped" (code 201, of the family "failed") to a
+// cancelled request whose task succeeded. The worker reported the success after
+// the stop was sent but before it arrived, and the shard answered by the stop
+// that it had sent instead of the reported result.
 #[test]
 fn cancelled_task_that_succeeds_before_the_stop_is_answered_ok() {
     let mut fixture = Fixture::with_worker();
     let (caller, _) = fixture.submit(idempotent_request("r1"), true);
+    // Epoch 1, attempt 1, member 0.
     let attempt = format!("{}#1.1.0", key("r1"));
     fixture.send(Input::Started(attempt.clone()));
     fixture.cancel("r1");
--- a/crates/shard/tests/shown/fixture.rs
+++ b/crates/shard/tests/shown/fixture.rs
@@ -105,7 +105,8 @@
 }
 
 impl Fixture {
-    /// Creates a shard to which `workers` are assigned but not yet claimed.
+    /// Creates a shard to which `workers` are assigned but not yet claimed: they
+    /// have not accepted this owner yet, so no task is placed on them.
     pub(crate) fn with_unclaimed(workers: &[&str]) -> Fixture {
         let times = Times {
             now: Duration::ZERO,
@@ -121,7 +122,8 @@
         fixture
     }
 
-    /// Creates a shard with one claimed worker, `w0`.
+    /// Creates a shard with one claimed worker, `w0`, of two slots. The attempt id
+    /// of the first start there ends with `#1.1.0`: epoch, attempt and member.
     pub(crate) fn with_worker() -> Fixture {
         let mut fixture = Fixture::with_unclaimed(&["w0"]);
         fixture.claim("w0", "run-1", 2, Vec::new());
@@ -160,7 +162,8 @@
         self.times.wall_millis += millis;
     }
 
-    /// Reports that a worker has accepted the claim.
+    /// Reports that a worker has accepted the claim of this owner, with its
+    /// incarnation, its number of slots, and the tasks that it still has.
     pub(crate) fn claim(
         &mut self,
         name: &str,
@@ -177,7 +180,8 @@
         self.send(Input::Claimed(name.to_owned(), claimed))
     }
 
-    /// Submits a request; with `wait` the reply waits for the final answer.
+    /// Submits a request. With `wait`, the caller gets the final answer; without,
+    /// it is answered as soon as the request is accepted.
     pub(crate) fn submit(&mut self, request: Request, wait: bool) -> (WaiterKey, Effects) {
         let submission = Submission {
             request,
@@ -198,6 +202,7 @@
         effects.answer(waiter).expect("a status")
     }
 
+    /// Sends a call; returns the key of its caller and the outputs.
     fn ask(&mut self, ask: ShardAsk) -> (WaiterKey, Effects) {
         let waiter = self.waiters.insert(());
         let effects = self.send(Input::Ask(ask, waiter));
@@ -210,7 +215,9 @@
     model::request_key(TEAM, id)
 }
 
-/// An idempotent request, which is not recorded in the journal.
+/// An idempotent request, which may run twice and is not recorded in the
+/// journal. Its class is interactive; tests make it a gang or a batch request,
+/// whose starts wait until the intent to start is recorded.
 pub(crate) fn idempotent_request(id: &str) -> Request {
     Request {
         id: id.to_owned(),
@@ -269,6 +276,9 @@
     WorkerHost { host, assigned: 1 }
 }
 
+/// Creates the state machine of an owner in epoch 1 of the only shard, with one
+/// team whose quota no test reaches. From 20 s on, tasks of former owners on
+/// unclaimed workers are settled as unreachable.
 fn new_machine(ledger: Ledger, times: Times) -> Machine {
     let quota = Resources {
         cpu_milli: 1000,
--- a/crates/shard/tests/shown/refusals.rs
+++ b/crates/shard/tests/shown/refusals.rs
@@ -60,7 +60,7 @@
     assert_eq!(answer.code, Code::Cancelled);
 }
 
-// Guards against refusing a request as too large for every worker (301)
+// Guards against refusing a request as too large for every worker (code 301)
 // although it fits on one. After a take-over, the new owner had claimed only
 // the smaller of two workers and compared the request with its capacity alone.
 #[test]
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn request_too_large_for_every_worker_is_refused_once_all_are_known() {
+fn request_too_large_for_every_worker_is_refused_once_all_are_claimed() {
     let mut fixture = Fixture::with_worker();
     let mut large = idempotent_request("r1");
     large.needs = Resources {
@@ -96,8 +96,8 @@
 // Guards against answering "not run: its latest start has passed" to a batch
 // request that ran in part. Its worker was lost, and the request was placed
 // again. The table did not answer while the intent was being written, and
-// the process could not act. When the intent was written, the deadline of the
-// restart had passed, and the answer ignored the first attempt.
+// the process handled no input for 20 s. When the intent was written, the
+// deadline of the restart had passed, and the answer ignored the first attempt.
 #[test]
 fn restart_after_the_deadline_is_not_answered_not_run() {
     let mut fixture = Fixture::with_worker();
@@ -121,7 +121,7 @@
 // one. The former owner stored its state, in which the attempt had no members
 // left and so no intent, and ended.
 #[test]
-fn successor_knows_of_an_ended_attempt() {
+fn successor_does_not_answer_not_run_after_an_ended_attempt() {
     let mut fixture = Fixture::with_worker();
     let mut batch = idempotent_request("r1");
     batch.class = Class::Batch;
--- a/crates/shard/tests/shown/states.rs
+++ b/crates/shard/tests/shown/states.rs
@@ -19,6 +19,7 @@
     fixture.submit(idempotent_request("r1"), true);
 
     let sent = fixture.status("r1");
+    // Attempt id with epoch 1, attempt 1 and member 0.
     fixture.send(Input::Started(format!("{}#1.1.0", key("r1"))));
     let started = fixture.status("r1");
 
@@ -26,8 +27,8 @@
     assert_eq!(started.reason, "running on w0");
 }
 
-// Guards against a status that lists the workers of all gang members as running
-// although only one member is left.
+// Guards against the status "running on w0, w0" although only one member of the
+// gang is left: it listed the workers of all members.
 #[test]
 fn gang_status_lists_only_workers_of_running_members() {
     let mut fixture = Fixture::with_worker();
@@ -35,6 +36,7 @@
     gang.members = 2;
     gang.class = model::Class::Gang;
     let (_, effects) = fixture.submit(gang, true);
+    // The starts of a gang are sent once the intent to start is recorded.
     let effects = fixture.send(Input::Written(effects.ticket()));
     let starts = effects.starts();
     for attempt in &starts {
@@ -47,9 +49,10 @@
     assert_eq!(status.reason, "running on w0; 1 ended");
 }
 
-// Guards against the status "waiting for workers" (500), which implies
-// acceptance, before the acceptance record is in the table. If the owner ends
-// at that point, its successor has no record of the request.
+// Guards against the status "waiting for workers" (code 500, pending), which
+// implies acceptance, before the acceptance of the request is recorded in the
+// platform's table. If the owner ends at that point, its successor has no record
+// of the request.
 #[test]
 fn request_is_not_shown_as_accepted_before_it_is_recorded() {
     let mut fixture = Fixture::with_unclaimed(&["w0"]);
--- a/crates/shard/tests/shown/workers.rs
+++ b/crates/shard/tests/shown/workers.rs
@@ -6,8 +6,9 @@
 use crate::fixture::idempotent_request;
 use crate::fixture::task_ended;
 
-/// A shard that places all tasks on `w0`, which is quarantined after four
-/// failures.
+/// A shard that places all tasks on `w0`, since the other workers have no slots.
+/// `w0` is quarantined after the failures of four requests in a row: no task is
+/// placed there, except one probe every 2 s.
 fn with_quarantined_worker() -> Fixture {
     let mut fixture = Fixture::with_unclaimed(&["w0", "w1", "w2", "w3"]);
     fixture.claim("w0", "run-1", 2, Vec::new());
@@ -31,9 +32,9 @@
     "worker_restored".to_owned()
 }
 
-// Guards against restoring a worker on which every task fails (305). The lease
-// of its probe expired, and every end that was not a failure counted as a
-// success.
+// Guards against ending the quarantine of a worker on which every task fails
+// (event 305). The lease of its probe task expired, and every end that was not a
+// failure counted as a success.
 #[test]
 fn interrupted_probe_does_not_end_quarantine() {
     let mut fixture = with_quarantined_worker();
--- a/crates/shard/tests/simulation/callers.rs
+++ b/crates/shard/tests/simulation/callers.rs
@@ -45,6 +45,8 @@
     pub(super) fn on_reply(&mut self, waiter: WaiterKey, reply: &ShardReply) {
         let key = self.waiters.remove(waiter);
         let key = key.expect("a second reply to one call");
+        // `IdReused` is about the refused submission, not about the request that
+        // has the id.
         if let ShardReply::Answer(answer) = reply
             && answer.code.family() == Family::NotRun
             && answer.code != model::Code::IdReused
--- a/crates/shard/tests/simulation/fixtures.rs
+++ b/crates/shard/tests/simulation/fixtures.rs
@@ -20,8 +20,9 @@
 
 pub(crate) const TEAM: &str = "stores";
 
-/// Requests with even numbers are idempotent and may run twice; odd ones, and
-/// the batch request (number 4), are recorded.
+/// A request. Those with even numbers are idempotent and may run twice; odd ones
+/// must not. Before a start is sent, the intent is recorded for odd requests,
+/// and for number 4, which is idempotent but of the class batch.
 pub(crate) fn request(number: u8) -> Request {
     Request {
         id: format!("r{number}"),
@@ -42,12 +43,13 @@
     }
 }
 
+/// Whether the request with this key is idempotent, by the last digit of its id.
 pub(crate) fn is_idempotent(key: &str) -> bool {
     let number = key.chars().last().and_then(|digit| digit.to_digit(10));
     number.is_some_and(|number| number % 2 == 0)
 }
 
-/// Number in the incarnation of a simulated worker.
+/// Number N in `run-N`, the incarnation that a simulated worker reports.
 pub(crate) fn incarnation_number(incarnation: &str) -> u32 {
     let number = incarnation
         .strip_prefix("run-")
@@ -78,6 +80,10 @@
     }
 }
 
+/// Creates the state machine of an owner of the only shard, with one team whose
+/// quota the simulation does not reach. In a later epoch than 1, the owner takes
+/// the shard over at this time. After 20 s, tasks of former owners on workers that are not
+/// claimed by then are settled as unreachable.
 pub(crate) fn machine(ledger: Ledger, times: Times, epoch: u64) -> Machine {
     let limits = Resources {
         cpu_milli: 1000,
--- a/crates/shard/tests/simulation/invariants.rs
+++ b/crates/shard/tests/simulation/invariants.rs
@@ -5,7 +5,8 @@
 use super::fixtures::is_idempotent;
 
 impl Simulation {
-    /// Checks the invariants.
+    /// Checks that no worker exceeds its slots, that no request runs twice unless
+    /// it is idempotent, and that no request that ran was answered "not run".
     pub fn check_invariants(&self) {
         for (worker, state) in self.workers.iter().enumerate() {
             let running = state.running();
@@ -27,6 +28,7 @@
 
     /// All steps, with the inputs and outputs that mention one request.
     fn trace(&self, key: &str) -> String {
+        // Without the prefix `stores/`, the key is the id of the request.
         let is_relevant = |line: &&String| !line.starts_with(' ') || line.contains(&key[7..]);
         let lines: Vec<&str> = self
             .history
--- a/crates/shard/tests/simulation/mod.rs
+++ b/crates/shard/tests/simulation/mod.rs
@@ -52,12 +52,14 @@
     queued: Vec<(Ticket, Vec<Record>)>,
     /// Committed records, from which a successor recovers.
     committed: Vec<Record>,
+    /// Calls without a reply, with the key of the submitted request; empty for a
+    /// cancel call.
     waiters: SlotMap<WaiterKey, String>,
     /// Number of accepted starts by request key.
     starts: BTreeMap<String, u32>,
     /// Keys of the requests that were answered "not run".
     not_run: BTreeSet<String>,
-    /// Time of the first submission by request number.
+    /// Wall-clock time of the first submission in milliseconds, by request number.
     first_sent: BTreeMap<u8, u64>,
     /// Log of steps, inputs and outputs for the message of a failed check.
     history: Vec<String>,
@@ -93,7 +95,7 @@
         sim
     }
 
-    /// Applies one step.
+    /// Applies one step. There are six requests, with the numbers 0 to 5.
     pub fn apply(&mut self, step: &Step) {
         self.history.push(format!("{step:?}"));
         match step {
@@ -113,8 +115,8 @@
         }
     }
 
-    /// Delivers everything that is under way and runs until all requests are
-    /// answered.
+    /// Delivers everything that is under way, and lets 60 s pass, within which all
+    /// requests must be answered.
     pub fn settle(&mut self) {
         for _ in 0..60 {
             self.commit_next();
--- a/crates/shard/tests/simulation/starts.rs
+++ b/crates/shard/tests/simulation/starts.rs
@@ -19,6 +19,8 @@
 }
 
 impl Simulation {
+    /// Delivers a start to its worker, which reports the outcome if the start is
+    /// from the current owner.
     pub(super) fn arrive(&mut self, index: usize) {
         if self.in_flight.is_empty() {
             return;
@@ -57,6 +59,7 @@
         }
     }
 
+    /// Drops a start; the link reports that it was not sent.
     pub(super) fn refuse(&mut self, index: usize) {
         if self.in_flight.is_empty() {
             return;
--- a/crates/shard/tests/simulation/step.rs
+++ b/crates/shard/tests/simulation/step.rs
@@ -11,7 +11,7 @@
     Commit,
     /// A start arrives at its worker.
     Arrive(u8),
-    /// A start is refused or never sent.
+    /// A start is dropped, and the owner is notified that it was not sent.
     Refuse(u8),
     /// A task ends, and its worker reports it.
     End(u8),
--- a/crates/shard/tests/simulation/workers.rs
+++ b/crates/shard/tests/simulation/workers.rs
@@ -86,6 +86,7 @@
         self.report(worker, Input::Ended(worker_name(worker), ended));
     }
 
+    /// Restarts a worker, which loses its tasks and is no longer claimed.
     pub(super) fn restart(&mut self, worker: usize) {
         let state = &mut self.workers[worker];
         state.incarnation += 1;
@@ -112,6 +113,7 @@
         }
     }
 
+    /// Claims a worker for the current owner; the shard handles the reply later.
     pub(super) fn claim(&mut self, worker: usize) {
         let state = &mut self.workers[worker];
         let reclaimed = state.epoch == self.epoch;
