--- a/crates/cell/tests/acceptance.rs
+++ b/crates/cell/tests/acceptance.rs
@@ -10,7 +10,8 @@
 use site::TestCell;
 use site::job;
 
-/// Opens a cell and completes one job, so that the process and the store are ready.
+/// Opens a cell of one process and one worker and completes one job, so that the process and the
+/// store are ready.
 async fn open() -> (TestCell, Caller) {
     let cell = TestCell::open(1, 1).await;
     let caller = Caller::new();
@@ -20,6 +21,8 @@
     (cell, caller)
 }
 
+/// Returns how the store handles one transaction: whether it carries it out, after how many
+/// milliseconds it replies, and with what.
 fn scripted(commit: bool, delay: u64, reply: Reply) -> ScriptedReply {
     ScriptedReply {
         commit,
--- a/crates/cell/tests/capacity.rs
+++ b/crates/cell/tests/capacity.rs
@@ -11,6 +11,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn workers_that_shrink_and_grow_are_not_overfilled() {
+    // Two processes and three workers of four cores.
     let cell = TestCell::open(2, 3).await;
     let caller = Caller::new();
     for nth in 0..30 {
@@ -42,11 +43,13 @@
     let cell = TestCell::open(1, 1).await;
     let caller = Caller::new();
     cell.wait_owner(|_| true).await;
+    // The owner reads registrations every 0.4 s.
     tokio::time::sleep(Duration::from_secs(1)).await;
     cell.resize(0, 2);
     tokio::time::sleep(Duration::from_secs(1)).await;
     cell.resize(0, 4);
     tokio::time::sleep(Duration::from_secs(1)).await;
+    // Enough tasks of 0.5 s for 7.5 s on four cores.
     let path = "/plain/00000000000000f2";
     caller.submit(&cell.servers(), path, &job(60, "500")).await;
     let down = StoreFaults {
--- a/crates/cell/tests/context.rs
+++ b/crates/cell/tests/context.rs
@@ -1,5 +1,5 @@
-//! Calls that a process sent to the store during an outage and abandons once the store has
-//! recovered.
+//! Calls to the store that got no reply because of an outage: the process abandons them once the
+//! store answers again.
 
 use std::future::pending;
 use std::net::Ipv4Addr;
@@ -15,7 +15,9 @@
 use platform::StoreError;
 use tokio::sync::watch;
 
-/// Settings of a process that is never opened.
+/// Settings of a process that is never opened: `keep_s` is the time in seconds for which an ended
+/// job can be queried, `grace_s` that between the stop signal and the kill, and `off` lists the
+/// mechanisms that are switched off. Empty addresses stand for services that do not exist.
 fn settings() -> CellSettings {
     let ip = Ipv4Addr::LOCALHOST.into();
     let address = SocketAddr::new(ip, 1);
@@ -43,7 +45,8 @@
     }
 }
 
-/// View of a process while the store does not answer.
+/// What a process publishes to its tasks while the store does not answer it: the time since when,
+/// by the monotonic clock of the process.
 fn unreachable() -> OwnershipView {
     OwnershipView {
         unreachable_since: Some(Duration::ZERO),
@@ -58,7 +61,7 @@
 #[tokio::test]
 async fn a_write_to_an_unreachable_store_is_abandoned_when_the_store_recovers() {
     let (_config, config) = watch::channel(None);
-    let (view, ownership) = watch::channel(OwnershipView::default());
+    let (ownership_tx, ownership) = watch::channel(OwnershipView::default());
     let (_stop, stop) = watch::channel(false);
     let context = Context::new(settings(), config, ownership, stop);
     let write = tokio::spawn(async move {
@@ -66,9 +69,9 @@
         context.abandon_on_recovery(never).await
     });
     tokio::task::yield_now().await;
-    view.send_replace(unreachable());
+    ownership_tx.send_replace(unreachable());
     tokio::task::yield_now().await;
-    view.send_replace(OwnershipView::default());
+    ownership_tx.send_replace(OwnershipView::default());
 
     let result = write.await.expect("write");
 
@@ -78,7 +81,7 @@
 #[tokio::test]
 async fn a_write_completes_while_the_store_answers() {
     let (_config, config) = watch::channel(None);
-    let (_view, ownership) = watch::channel(OwnershipView::default());
+    let (_ownership_tx, ownership) = watch::channel(OwnershipView::default());
     let (_stop, stop) = watch::channel(false);
     let context = Context::new(settings(), config, ownership, stop);
 
--- a/crates/cell/tests/crashing.rs
+++ b/crates/cell/tests/crashing.rs
@@ -6,8 +6,8 @@
 use site::TestCell;
 use site::job;
 
-/// Largest number of starts of a task that crashes each worker. After three crashes, the
-/// platform tolerates two more starts of the task.
+/// Largest number of starts of a task that crashes each worker: the platform's rules allow two
+/// more starts after three crashes.
 const MAX_STARTS: usize = 5;
 
 /// Guards against a task that crashes one worker after the other for as long as the pool has
@@ -20,6 +20,7 @@
     let caller = Caller::new();
     let path = "/plain/00000000000000d1";
     caller
+        // `crash INDEX RUN_TIME`: the task with index 0 crashes its worker.
         .submit(&cell.servers(), path, &job(1, "crash 0 300"))
         .await;
     for nth in 0..10 {
--- a/crates/cell/tests/delayed_commands.rs
+++ b/crates/cell/tests/delayed_commands.rs
@@ -14,6 +14,7 @@
 use site::WAIT_LIMIT;
 use site::job;
 
+/// Id of the job whose commands are delayed.
 const JOB: &str = "00000000000000f1";
 
 /// Payload of a task that runs until it is stopped.
@@ -154,6 +155,7 @@
     }
 }
 
+/// Waits until another process than `owner` owns the pool.
 async fn wait_successor(cell: &TestCell, owner: usize) {
     let other = || cell.owner().is_some_and(|next| next != owner);
     wait_for("no process takes the pool", other).await;
--- a/crates/cell/tests/docs.rs
+++ b/crates/cell/tests/docs.rs
@@ -8,6 +8,7 @@
 use cell::CellMetrics;
 use cell::CellSettings;
 
+/// Page with a table of the log codes, one a row, and with the names of the metrics in backquotes.
 const PAGE: &str = include_str!("../../../docs/OBSERVABILITY.md");
 
 /// Returns the text of all source files below a folder.
@@ -24,7 +25,7 @@
     text
 }
 
-/// Returns the numbers that follow `mark` in a text.
+/// Returns the numbers that directly follow `mark` in a text.
 fn numbers(text: &str, mark: &str) -> BTreeSet<u32> {
     let found = text.match_indices(mark).filter_map(|(at, _)| {
         let rest = &text[at + mark.len()..];
@@ -48,6 +49,7 @@
 #[test]
 fn the_documentation_lists_each_metric() {
     let metrics = CellMetrics::default();
+    // A metric with labels is served once it has a value.
     for counter in [
         &metrics.submits,
         &metrics.states,
--- a/crates/cell/tests/end_to_end.rs
+++ b/crates/cell/tests/end_to_end.rs
@@ -9,6 +9,7 @@
 use site::config;
 use site::job;
 
+/// Path of a job in the queue `plain`: the job's id in 16 hexadecimal digits, in lower case.
 const JOB: &str = "/plain/00000000000000a1";
 
 #[tokio::test(flavor = "multi_thread")]
@@ -89,8 +90,11 @@
     let no_steps = json!({"spec": "", "steps": []});
     let self_dependency = json!({"spec": "", "steps": [{"count": 1, "after": [0]}]});
     let cases = [
+        // The id has too few digits.
         (Method::POST, "/plain/123", &no_steps, 400),
+        // It has a capital letter.
         (Method::POST, "/plain/00000000000000A1", &no_steps, 400),
+        // The id is valid; the bodies are not.
         (Method::POST, "/plain/00000000000000a3", &no_steps, 400),
         (
             Method::POST,
@@ -98,9 +102,12 @@
             &self_dependency,
             400,
         ),
+        // There is no such queue.
         (Method::POST, "/other/00000000000000a3", &no_steps, 404),
+        // There is no such job.
         (Method::GET, "/plain/00000000000000a4", &no_steps, 410),
         (Method::DELETE, "/plain/00000000000000a4", &no_steps, 410),
+        // The method is not supported.
         (Method::PUT, "/plain/00000000000000a4", &no_steps, 405),
     ];
 
@@ -116,6 +123,7 @@
 async fn a_queue_reports_its_waiting_jobs() {
     let cell = TestCell::open(2, 1).await;
     let caller = Caller::new();
+    // Four tasks of ten minutes fill the worker.
     caller.submit(&cell.servers(), JOB, &job(4, "600000")).await;
     caller.wait_state(&cell.servers(), JOB, "active").await;
     let waiting = "/plain/00000000000000a5";
@@ -143,6 +151,7 @@
     let caller = Caller::new();
     caller.submit(&cell.servers(), JOB, &job(1, "20")).await;
 
+    // Versions above 1 have the queue `added`.
     cell.store.write("op", "config", &config(5));
 
     for server in cell.servers() {
--- a/crates/cell/tests/failures.rs
+++ b/crates/cell/tests/failures.rs
@@ -11,7 +11,8 @@
 use site::WAIT_LIMIT;
 use site::job;
 
-/// Submits `count` jobs of two tasks each; returns their paths.
+/// Submits `count` jobs of two tasks each; returns their paths. `payload` is the run time of a task
+/// in milliseconds.
 async fn submit_jobs(cell: &TestCell, caller: &Caller, count: u32, payload: &str) -> Vec<String> {
     let mut paths = Vec::new();
     for nth in 0..count {
@@ -130,6 +131,7 @@
     let caller = Caller::new();
     submit_jobs(&cell, &caller, 1, "20").await;
     let lost_replies = StoreFaults {
+        // The next three transactions are carried out and get no reply.
         lost_replies: 3,
         ..StoreFaults::default()
     };
@@ -229,6 +231,7 @@
     let caller = Caller::new();
     submit_jobs(&cell, &caller, 1, "20").await;
     for worker in &cell.workers {
+        // Each worker carries out the next two start commands without a reply.
         worker.lose_start_replies(2);
     }
     let path = "/plain/00000000000000c4";
--- a/crates/cell/tests/feed.rs
+++ b/crates/cell/tests/feed.rs
@@ -22,6 +22,7 @@
     let (_stop, stopped) = watch::channel(false);
     let address = serve(fake_store.clone(), &stopped).await;
     let store = Store::new(Client::new(Duration::from_secs(1)), address);
+    // `false`: only the unnamed part of the table, which contains the rows written below.
     let mut follower = Follower::new(&store, TABLE, false);
     let first = follower.next(Duration::ZERO).await.expect("full read");
     for nth in 0..1200 {
--- a/crates/cell/tests/foreign.rs
+++ b/crates/cell/tests/foreign.rs
@@ -25,6 +25,7 @@
 async fn a_worker_stays_usable_after_its_row_is_overwritten() {
     let (cell, caller) = open(1).await;
     let id = cell.workers[0].id.clone();
+    // No state is called "resting", and the address is not a text.
     let entry = json!({"service": "desk", "state": "resting", "address": 5});
     cell.store.write(platform::WORKER_TABLE, &id, &entry);
     // The owner reads the table every 0.4 s.
@@ -48,6 +49,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_row_of_an_unknown_service_adds_no_worker() {
     let (cell, caller) = open(1).await;
+    // No process listens there.
     let unused_address = "127.0.0.1:9".parse().expect("address");
     let mut entry = registration(unused_address, 1);
     entry["service"] = json!("laundry");
--- a/crates/cell/tests/full_link.rs
+++ b/crates/cell/tests/full_link.rs
@@ -25,6 +25,8 @@
     caller.wait_state(&cell.servers(), path, "active").await;
 
     for worker in &cell.workers {
+        // A second start of a task whose end the worker has listed is a violation then, even if the
+        // lease expired before the owner acknowledged the end.
         worker.set_undisturbed(true);
         worker.set_delay(Duration::from_millis(700));
     }
@@ -39,11 +41,13 @@
 /// full.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_burst_of_starts_does_not_keep_the_link_full() {
+    // A link of 0.6 Mbit/s between two processes and 80 workers.
     let cell = TestCell::open_limited(0.6, 2, 80).await;
     let caller = Caller::new();
     for worker in &cell.workers {
         worker.set_undisturbed(true);
     }
+    // Tasks of 3 s whose start commands have 1.5 kB.
     let text = format!("3000 {}", "x".repeat(1500));
     let mut paths = Vec::new();
     for nth in 0..16 {
--- a/crates/cell/tests/log_reader.rs
+++ b/crates/cell/tests/log_reader.rs
@@ -16,7 +16,8 @@
 /// More lines than the log's buffer takes.
 const FLOOD_LINES: u32 = 20_000;
 
-/// Time limit of a job while the output is stalled; while it is not, a job takes 0.1 s.
+/// Time limit of a job, and of the calls that log [`FLOOD_LINES`], while the output is stalled;
+/// while it is not, a job takes 0.1 s.
 const JOB_LIMIT: Duration = Duration::from_secs(10);
 
 /// Time for which the reporting task runs; dropped lines are reported within it.
@@ -64,7 +65,7 @@
     }
 }
 
-/// Starts logging; panics of the test go to its own output, not to the log.
+/// Starts logging from level `info` on; panics of the test go to its own output, not to the log.
 fn start(output: &StallingOutput) -> LogGuard {
     let hook = std::panic::take_hook();
     let guard = start_logging_to("info", output.clone());
@@ -103,6 +104,8 @@
     };
     let worked = tokio::time::timeout(JOB_LIMIT, work).await;
     output.set_stalled(false);
+    // The reporting task never ends by itself. It runs once before, and once after the settings are
+    // read again, until its time limit.
     for _ in ["before", "after settings were read again"] {
         let report = tokio::time::timeout(REPORT_LIMIT, guard.report_dropped()).await;
         assert!(report.is_err(), "the reporting task ended by itself");
--- a/crates/cell/tests/log_volume.rs
+++ b/crates/cell/tests/log_volume.rs
@@ -1,4 +1,4 @@
-//! Limits of the bytes that a cell logs for each job and each start.
+//! Limit of the bytes that a cell logs, given the number of its jobs and starts.
 
 use std::io::Write;
 use std::ops::Range;
@@ -21,13 +21,13 @@
 /// Time without a new line after which the log counts as complete.
 const QUIET_TIME: Duration = Duration::from_millis(300);
 
-/// Limits of the logged bytes for each job, for each start, and for everything else in a run of
-/// some seconds.
+/// Bytes that may be logged for each job, for each start, and for everything else in a run of some
+/// seconds. The test checks only the sum.
 const JOB_BYTES: usize = 400;
 const START_BYTES: usize = 450;
 const OTHER_BYTES: usize = 4096;
 
-/// Output of all processes of the cell.
+/// Log output of the test program, in which all processes of the cell run.
 #[derive(Clone, Debug, Default)]
 struct LogOutput {
     bytes: Arc<Mutex<Vec<u8>>>,
@@ -65,7 +65,7 @@
     }
 }
 
-/// Starts logging; panics of the test go to its own output, not to the log.
+/// Starts logging from level `info` on; panics of the test go to its own output, not to the log.
 fn start(output: &LogOutput) -> LogGuard {
     let hook = std::panic::take_hook();
     let guard = start_logging_to("info", output.clone());
@@ -74,13 +74,17 @@
 }
 
 /// The log lines of one job (codes 401 and 362: accepted, ended) take 317 bytes, those of one
-/// start (codes 350 and 354: sent, ended) 367 bytes. One more line for each exceeds the limits.
+/// start (codes 350 and 354: sent, ended) 367 bytes: for 100 jobs of two tasks 105 kB, of 134 kB
+/// that are allowed. One more line for each start exceeds the limit; one more for each job alone
+/// does not.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_log_bytes_of_jobs_and_starts_stay_within_limits() {
     let output = LogOutput::default();
     let _guard = start(&output);
+    // Three processes and four workers.
     let cell = TestCell::open(3, 4).await;
     let caller = Caller::new();
+    // The lines that are logged until the first job has completed do not count.
     run_jobs(&cell, &caller, 0..1).await;
     let before = output.wait_quiet().await;
 
@@ -100,7 +104,7 @@
     cell.close().await;
 }
 
-/// Submits a job for each number and waits until all are completed.
+/// Submits a job for each number, with tasks of 20 ms, and waits until all are completed.
 async fn run_jobs(cell: &TestCell, caller: &Caller, numbers: Range<u32>) {
     let path = |number: u32| format!("/plain/{number:016x}");
     for number in numbers.clone() {
--- a/crates/cell/tests/metrics.rs
+++ b/crates/cell/tests/metrics.rs
@@ -32,6 +32,7 @@
     caller.submit(&cell.servers(), path, &job(1, "20")).await;
     let ready = caller.status(cell.ready(0), "/-/readyz").await;
 
+    // Cuts the process off from the store.
     cell.store_proxies[0].set_cut(true);
 
     assert_eq!(ready, 200);
--- a/crates/cell/tests/overload.rs
+++ b/crates/cell/tests/overload.rs
@@ -17,7 +17,8 @@
 /// Longer than it takes until a larger host takes the pool from one that cannot keep up.
 const TAKEOVER_TIME: Duration = Duration::from_secs(4);
 
-/// Opens a cell whose first host is small and owns the pool; the second host is not running.
+/// Opens a cell whose first host is small (0.1 of a core) and owns the pool; the second host has
+/// one core and is not running.
 async fn owned_by_a_small_host() -> TestCell {
     let mut cell = TestCell::open(2, 3).await;
     cell.kill(0).await;
--- a/crates/cell/tests/refusals.rs
+++ b/crates/cell/tests/refusals.rs
@@ -19,6 +19,7 @@
     let mut cell = TestCell::open(2, 2).await;
     let caller = Caller::new();
     let first = "/plain/00000000000000d1";
+    // Eight tasks of one core use both workers, so the owner stores a row of each.
     caller.submit(&cell.servers(), first, &job(8, "200")).await;
     caller.wait_state(&cell.servers(), first, "completed").await;
     let owner = cell.wait_owner(|_| true).await;
@@ -27,6 +28,7 @@
     cell.kill(owner).await;
     let next = cell.wait_owner(|next| next != owner).await;
     let path = "/plain/00000000000000d2";
+    // A gang of six members does not fit on one worker of four cores.
     let mut gang = job(6, "200");
     gang["steps"][0]["gang"] = true.into();
     caller.submit(&[cell.server(next)], path, &gang).await;
--- a/crates/cell/tests/renewal_interval.rs
+++ b/crates/cell/tests/renewal_interval.rs
@@ -1,4 +1,6 @@
-//! Interval at which an owner renews the leases of its workers.
+//! Interval at which an owner renews the leases of its workers: the time for which a worker may
+//! delay its reply to a renewal call. `max_reply_delay` derives it from the number of workers, the
+//! owner's cores, and the bandwidth of its link in megabits per second.
 
 use std::time::Duration;
 
@@ -22,10 +24,12 @@
 /// tasks were started again.
 #[test]
 fn calls_do_not_fill_a_slow_link() {
+    // 2 Mbit/s.
     let bytes_per_second = 2.0 * 125_000.0;
 
     let delay = max_reply_delay(85, 0.12, 2.0);
 
+    // A call and its reply have 500 bytes.
     let call_bytes = 85.0 / delay.as_secs_f64() * 500.0;
     assert!(call_bytes <= bytes_per_second / 4.0, "{delay:?}");
 }
--- a/crates/cell/tests/restarts.rs
+++ b/crates/cell/tests/restarts.rs
@@ -1,4 +1,6 @@
-//! Workers that restart under the same id, with whole processes.
+//! Workers that restart under the same id, with whole processes. A violation, according to the
+//! workers' log of their runs, is a task that runs twice at the same time, or again after it was
+//! done or had no attempts left, or a worker with more tasks than cores.
 
 use std::time::Duration;
 
@@ -19,7 +21,8 @@
     format!("/plain/{id:016x}")
 }
 
-/// Submits `count` jobs of two tasks, with ids from `first` on.
+/// Submits `count` jobs of two tasks, with ids from `first` on; `payload` is the run time in
+/// milliseconds, or `fail`.
 async fn submit(cell: &TestCell, caller: &Caller, first: u64, count: u64, payload: &str) {
     for id in first..first + count {
         caller
@@ -89,8 +92,8 @@
     cell.close().await;
 }
 
-/// Largest number of starts of a task that crashes each worker. After three crashes, the
-/// platform tolerates two more starts of the task.
+/// Largest number of starts of a task that crashes each worker: the platform's rules allow two
+/// more starts after three crashes.
 const MAX_STARTS: usize = 5;
 
 /// Guards against a crash that is not counted against the task because the worker has restarted
@@ -99,6 +102,7 @@
 async fn a_task_that_crashes_restarting_workers_fails() {
     let cell = TestCell::open_stable_ids(2, 6).await;
     let caller = Caller::new();
+    // `crash INDEX RUN_TIME`: the task with index 0 crashes its worker.
     let crashing_job = job(1, "crash 0 300");
     caller
         .submit(&cell.servers(), &path(0xd1), &crashing_job)
@@ -172,6 +176,7 @@
     let cell = open_with_history(&caller).await;
 
     let restart = Restart {
+        // One hour, in milliseconds.
         clock_back: 3_600_000,
         ..Restart::after(Duration::from_millis(200))
     };
@@ -268,6 +273,7 @@
         supervisor.current().set_omits_incarnation(true);
     }
     tokio::time::sleep(Duration::from_millis(1500)).await;
+    // Starts of all tasks.
     let starts = cell.log.starts("");
     for supervisor in &cell.supervisors {
         supervisor.current().set_omits_incarnation(false);
@@ -312,6 +318,7 @@
     });
     restart_all(&cell, Restart::after(Duration::from_millis(100))).await;
     tokio::time::sleep(Duration::from_millis(600)).await;
+    // Starts of all tasks.
     let before = cell.log.starts("");
     tokio::time::sleep(Duration::from_millis(800)).await;
     let after = cell.log.starts("");
@@ -406,7 +413,8 @@
     cell.close().await;
 }
 
-/// Waits until the current incarnation has received a higher fencing token than `before`.
+/// Waits until the current incarnation has received a higher fencing token than `before`, which
+/// shows that the owner has claimed it.
 async fn wait_claimed(cell: &TestCell, before: u64) {
     let claimed = async {
         while cell.supervisors[0].current().token() <= before {
@@ -468,6 +476,7 @@
         ..StoreFaults::default()
     });
 
+    // Makes the owner write the worker's row, which takes 1.2 s.
     cell.resize(0, 8);
     tokio::time::sleep(Duration::from_millis(600)).await;
     restart_all(&cell, Restart::after(Duration::from_millis(20))).await;
--- a/crates/cell/tests/rows.rs
+++ b/crates/cell/tests/rows.rs
@@ -129,6 +129,7 @@
     steps: BTreeMap<(u32, u32), StepProgress>,
 }
 
+/// Progress of the two steps of a job, by round and step.
 fn steps() -> BTreeMap<(u32, u32), StepProgress> {
     let step = StepProgress {
         done: vec![0, 2],
@@ -137,6 +138,8 @@
     BTreeMap::from([((0, 0), step.clone()), ((0, 1), step)])
 }
 
+/// Progress with crashes of workers on which the second task of the second step (round 0, step 1,
+/// index 1) ran.
 fn with_crashes() -> Progress {
     let record = CrashRecord {
         runs: BTreeSet::from([1, 2]),
--- a/crates/cell/tests/scale.rs
+++ b/crates/cell/tests/scale.rs
@@ -1,4 +1,4 @@
-//! Cells with many hosts and many workers.
+//! Which hosts of a large cell take a free pool, and how many of them try.
 
 use std::time::Duration;
 
@@ -8,18 +8,21 @@
 /// Guards against a pool whose owner changes every two seconds, so that no task starts, after the
 /// former owner of a cell with 299 hosts has died. Each host read that the pool was free, waited
 /// for its take-over delay and then wrote the ownership row without reading it again. Up to a
-/// hundred writes, and behind them the renewals of the new owner, were queued in the owner's part
-/// of the store, so the ownership expired.
+/// hundred writes, and behind them the renewals of the new owner, were queued in the part of the
+/// store that contains the owner's rows, so the ownership expired.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_free_pool_is_taken_with_few_writes() {
+    // Twelve processes and one worker.
     let mut cell = TestCell::open(12, 1).await;
     let owner = cell.wait_owner(|_| true).await;
     let before = cell.store.transactions(cell::OWNERSHIP_TABLE);
 
     cell.kill(owner).await;
     cell.wait_owner(|next| next != owner).await;
-    // After this time, the take-over delay of each host has ended.
+    // Longer than the take-over delay of a host of one core, at most 0.2 s.
     tokio::time::sleep(Duration::from_millis(600)).await;
+    // Only writes that take the pool count; renewals require another row. One of these writes
+    // succeeds, and the others are from hosts that read the row just before it.
     let writes = cell.store.transactions(cell::OWNERSHIP_TABLE) - before;
     assert!(writes <= 4, "{writes} hosts wrote");
     cell.close().await;
@@ -28,11 +31,13 @@
 /// Guards against a small host that takes a free pool before larger hosts have restarted. A killed
 /// process restarts within 0.6 s, but a host with 0.12 of a core waited for only 0.4 s: it took
 /// the pool of an owner that was killed together with a third of all hosts, needed 2.4 s to read
-/// the stored state and could not keep up with 350 workers. No task started for 5.7 s (in one of
-/// nine runs).
+/// the stored state and could not keep up with 350 workers. No task started for 5.7 s, in one of
+/// nine runs of a test with this failure.
 #[test]
 fn a_small_host_takes_a_free_pool_only_after_larger_hosts_have_restarted() {
     const RESTART_TIME: Duration = Duration::from_millis(600);
+    // The delay depends on a hash of the host's name, and on whether the host has less than 0.2 of
+    // a core.
     let names: Vec<String> = (0..100).map(|nth| format!("entry-{nth}")).collect();
 
     let small = names.iter().map(|name| takeover_delay(name, 0.12)).min();
--- a/crates/cell/tests/slow_links.rs
+++ b/crates/cell/tests/slow_links.rs
@@ -35,6 +35,7 @@
     caller.submit(&cell.servers(), path, &job(4, "1500")).await;
     let owner = cell.wait_owner(|_| true).await;
     cell.store.set_faults(StoreFaults {
+        // Each read of rows of jobs takes 2 s.
         slow_rows: Some(("jobs", Duration::from_secs(2))),
         ..StoreFaults::default()
     });
@@ -81,8 +82,8 @@
 /// Time within which the tasks of a cancelled job have to end.
 const END_TIME: Duration = Duration::from_secs(8);
 
-/// Opens a cell that runs a job of two long tasks, and whose feed of job rows takes `delay` for
-/// each reply.
+/// Opens a cell of two processes that runs a job of two tasks of 20 s, and whose feed of job rows
+/// takes `delay` for each reply.
 async fn with_slow_feed(id: JobId, delay: Duration) -> (TestCell, Caller) {
     let cell = TestCell::open(2, 1).await;
     let caller = Caller::new();
--- a/crates/cell/tests/stale.rs
+++ b/crates/cell/tests/stale.rs
@@ -14,7 +14,8 @@
 /// callers.
 const STALE_AFTER: Duration = Duration::from_millis(2_600);
 
-/// Opens a cell whose workers are fully booked for the whole test.
+/// Opens a cell whose workers are fully booked for the whole test, by a job of one-minute tasks on
+/// all four cores of each, so that jobs submitted later wait.
 async fn open(processes: usize, workers: u32) -> (TestCell, Caller) {
     let cell = TestCell::open(processes, workers as usize).await;
     let caller = Caller::new();
@@ -25,6 +26,7 @@
     (cell, caller)
 }
 
+/// Submits jobs of one task to the process `at`.
 async fn submit_jobs(cell: &TestCell, caller: &Caller, at: usize, count: u32) {
     for nth in 0..count {
         let path = format!("/plain/{:016x}", 0x7100 + nth);
@@ -33,6 +35,8 @@
     }
 }
 
+/// Sends a query to the process `at`: for the number of waiting jobs of a queue, or the status of a
+/// job. Returns the HTTP status and the body.
 async fn get(cell: &TestCell, caller: &Caller, at: usize, path: &str) -> (u16, Value) {
     let send = caller.send(Method::GET, cell.server(at), path, &Value::Null);
     send.await
@@ -48,6 +52,7 @@
         .write_row(&other.table, &other.part, &other.key, &copy);
 }
 
+/// A store that answers no call, or none of the change feed.
 fn faults(down: bool, hung_feed: bool) -> StoreFaults {
     StoreFaults {
         down,
@@ -63,6 +68,7 @@
 async fn an_owner_that_was_cut_off_gives_no_count_or_status() {
     let (cell, caller) = open(2, 1).await;
     let former = cell.wait_owner(|_| true).await;
+    // Workers that answer no call, and a process that cannot reach the store.
     cell.workers[0].set_silent(true);
     cell.store_proxies[former].set_cut(true);
     let next = cell.wait_owner(|next| next != former).await;
@@ -149,6 +155,7 @@
         }
     }
 
+    // Two replies, the second without a count, from each of two processes, eight times.
     assert_eq!(replies, vec![(200, Some(3)); 32]);
     cell.close().await;
 }
--- a/crates/cell/tests/states.rs
+++ b/crates/cell/tests/states.rs
@@ -9,7 +9,7 @@
 use site::WAIT_LIMIT;
 use site::job;
 
-/// Position of a status among those that a completing job passes through.
+/// Position of a status in the order in which a job that completes has them.
 fn rank(state: &str) -> usize {
     let states = ["pending", "active", "completed"];
     let found = states.iter().position(|name| *name == state);
@@ -73,7 +73,9 @@
         .send(Method::GET, cell.server(0), "/never/", &Value::Null)
         .await;
     cell.store_proxies[0].set_cut(true);
+    // Version 2 of the configuration has the queue `added`.
     cell.store.write("op", "config", &site::config(2));
+    // Until the configuration that the process has read is too old.
     tokio::time::sleep(Duration::from_secs(5)).await;
 
     let (added, _) = caller
--- a/crates/cell/tests/stops.rs
+++ b/crates/cell/tests/stops.rs
@@ -23,6 +23,7 @@
     let path = "/plain/00000000000000a1";
     caller.submit(&cell.servers(), path, &job(1, "20000")).await;
     let owner = cell.wait_owner(|_| true).await;
+    // A process that has taken the pool reads the guard row before it reads the jobs.
     cell.store.set_faults(StoreFaults {
         slow_rows: Some(("guard", HANG_TIME)),
         ..StoreFaults::default()
--- a/crates/cell/tests/store_refusals.rs
+++ b/crates/cell/tests/store_refusals.rs
@@ -13,6 +13,7 @@
 const ID: u64 = 0x71;
 const PATH: &str = "/plain/0000000000000071";
 
+/// The store refuses calls for rows of this part.
 fn faults(part: &'static str) -> StoreFaults {
     StoreFaults {
         refused_part: Some(part),
@@ -70,7 +71,7 @@
     assert_eq!(
         cell.store.count(cell::JOB_TABLE),
         3,
-        "the second row was written"
+        "one row of the first job and two of this one"
     );
     assert_eq!(cell.log.starts("0000000000000071"), 1);
     assert_eq!(cell.log.violations(), Vec::<String>::new());
--- a/crates/cell/tests/switches.rs
+++ b/crates/cell/tests/switches.rs
@@ -5,6 +5,7 @@
 use cell::CellSettings;
 use job::Mechanism;
 
+/// Parses the deployment's settings template, followed by `rest`.
 fn settings(rest: &str) -> Result<CellSettings, String> {
     CellSettings::parse(&(template::filled() + rest))
 }
--- a/crates/cell/tests/unreachable_workers.rs
+++ b/crates/cell/tests/unreachable_workers.rs
@@ -58,6 +58,7 @@
     let starts = || IDS.iter().map(|id| cell.log.starts(id)).sum::<usize>();
     wait_for("tasks do not start", || starts() == 6).await;
     let owner = cell.owner().expect("an owner");
+    // The first worker is reached only by the owner of epoch 1.
     cell.workers[0].cut_from_epoch(Some(2));
 
     cell.store_proxies[owner].set_cut(true);
@@ -82,6 +83,7 @@
         refused_calls: RefusedCalls::Writes,
         ..StoreFaults::default()
     });
+    // The worker answers no call, and its tasks keep running.
     cell.workers[0].set_silent(true);
     cell.unregister(0);
     wait_figure(&cell, &caller, "running", 0).await;
@@ -154,6 +156,7 @@
     let starts = || IDS.iter().map(|id| cell.log.starts(id)).sum::<usize>();
     wait_for("tasks do not start", || starts() == 6).await;
     let owner = cell.owner().expect("an owner");
+    // The first worker is reached only by the owner of epoch 1, the second only by its successor.
     cell.workers[0].cut_from_epoch(Some(2));
     cell.workers[1].cut_upto_epoch(1);
 
--- a/crates/cell/tests/unreadable.rs
+++ b/crates/cell/tests/unreadable.rs
@@ -17,6 +17,7 @@
         .write_row(&row.table, &row.part, &row.key, &GARBAGE);
 }
 
+/// Sends a request without a body to the first process; returns the HTTP status.
 async fn send_request(cell: &TestCell, caller: &Caller, method: Method, path: &str) -> u16 {
     let send = caller.send(method, cell.server(0), path, &Value::Null);
     send.await.0
--- a/crates/cell/tests/waiting.rs
+++ b/crates/cell/tests/waiting.rs
@@ -28,6 +28,7 @@
     }
 }
 
+/// Returns a field of the reply to a query.
 async fn get_field(caller: &Caller, cell: &TestCell, path: &str, field: &str) -> Value {
     let (status, body) = caller
         .send(Method::GET, cell.server(0), path, &Value::Null)
