--- a/crates/job/tests/event_sim/crashes.rs
+++ b/crates/job/tests/event_sim/crashes.rs
@@ -101,13 +101,15 @@
         changed.copied().unwrap_or((4, Duration::ZERO))
     }
 
-    /// Returns the number of cores that a start sent at this time may use.
+    /// Returns the number of cores that starts sent at this time may use: four, the most that a
+    /// worker has, if the owner sent them before the number last changed.
     pub(super) fn cores_for(&self, machine: usize, sent: Duration) -> u64 {
         let (cores, since) = self.cores(machine);
         if sent <= since { 4 } else { cores }
     }
 
-    /// Returns whether a task crashes each worker that runs it.
+    /// Returns whether a task crashes each worker that runs it: the first tasks of every fourth job
+    /// do, in a simulation with crashes.
     fn crashes_worker(&self, task: TaskKey) -> bool {
         self.faults.is_some() && task.step.job.is_multiple_of(4) && task.index == 0
     }
@@ -127,6 +129,7 @@
         }
         self.crash(machine);
         self.check_crasher_starts(task);
+        // In every fourth run, the worker crashes before it has replied to the start.
         let answered = !run.is_multiple_of(4);
         if answered {
             // The worker was running the task when it confirmed the start. Together with later
--- a/crates/job/tests/event_sim/mod.rs
+++ b/crates/job/tests/event_sim/mod.rs
@@ -363,7 +363,7 @@
             let sent = SentCommand {
                 worker: machine,
                 id: self.id(machine),
-                incarnation: self.known_incarnation(machine),
+                incarnation: self.target_incarnation(machine),
                 token: self.token(machine),
                 sent_at: self.now,
                 lease: self.now + Policy::default().lease,
--- a/crates/job/tests/event_sim/same_ids.rs
+++ b/crates/job/tests/event_sim/same_ids.rs
@@ -100,11 +100,11 @@
     /// Returns the incarnation in each worker's row. Rows of workers, unlike the progress of jobs,
     /// count as saved at once, so they contain what the planner has.
     pub(super) fn stored_incarnations(&self) -> HashMap<String, Option<u64>> {
-        let known = self
+        let workers = self
             .keys
             .iter()
             .filter_map(|key| self.planner.worker_info(*key));
-        known
+        workers
             .map(|info| (info.id.clone(), info.incarnation))
             .collect()
     }
@@ -134,7 +134,7 @@
     }
 
     /// Returns the incarnation for which a command to a worker is meant.
-    pub(super) fn known_incarnation(&self, machine: usize) -> Option<u64> {
+    pub(super) fn target_incarnation(&self, machine: usize) -> Option<u64> {
         self.planner
             .worker_info(self.keys[machine])
             .and_then(|info| info.incarnation)
@@ -151,7 +151,8 @@
         }
     }
 
-    /// Starts a worker again under the same id. Its clock may have gone back.
+    /// Starts a worker again under the same id. Its clock may have gone back, and it may register
+    /// only later.
     pub(super) fn restart(&mut self, machine: usize) {
         let former = self.info(machine);
         let back = self.now.as_millis().is_multiple_of(3);
