--- a/crates/job/tests/event_sim/same_ids.rs
+++ b/crates/job/tests/event_sim/same_ids.rs
@@ -100,11 +100,11 @@
     /// Returns the incarnation in each worker's row. Rows of workers, unlike the progress of jobs,
     /// count as saved at once, so they contain what the planner has.
     pub(super) fn stored_incarnations(&self) -> HashMap<String, Option<u64>> {
-        let workers = self
+        let infos = self
             .keys
             .iter()
             .filter_map(|key| self.planner.worker_info(*key));
-        workers
+        infos
             .map(|info| (info.id.clone(), info.incarnation))
             .collect()
     }
