--- a/crates/job/tests/event_sim/same_ids.rs
+++ b/crates/job/tests/event_sim/same_ids.rs
@@ -61,7 +61,7 @@
         sim
     }
 
-    /// Carries out an event in such a simulation.
+    /// Carries out an event; kinds below 232 and from 248 on are those of [`EventSim::crash_step`].
     pub fn same_ids_step(&mut self, event: Event) {
         let machine = usize::from(event.pick) % WORKERS;
         match event.kind {
@@ -97,13 +97,14 @@
         same_ids && machine != 0
     }
 
-    /// Returns the incarnation of each worker in the rows that the owner leaves in the store.
+    /// Returns the incarnation in each worker's row. Rows of workers, unlike the progress of jobs,
+    /// count as saved at once, so they contain what the planner has.
     pub(super) fn stored_incarnations(&self) -> HashMap<String, Option<u64>> {
-        let known = self
+        let infos = self
             .keys
             .iter()
             .filter_map(|key| self.planner.worker_info(*key));
-        known
+        infos
             .map(|info| (info.id.clone(), info.incarnation))
             .collect()
     }
@@ -133,7 +134,7 @@
     }
 
     /// Returns the incarnation for which a command to a worker is meant.
-    pub(super) fn known_incarnation(&self, machine: usize) -> Option<u64> {
+    pub(super) fn target_incarnation(&self, machine: usize) -> Option<u64> {
         self.planner
             .worker_info(self.keys[machine])
             .and_then(|info| info.incarnation)
@@ -150,7 +151,8 @@
         }
     }
 
-    /// Starts a worker again under the same id. Its clock may have gone back.
+    /// Starts a worker again under the same id. Its clock may have gone back, and it may register
+    /// only later.
     pub(super) fn restart(&mut self, machine: usize) {
         let former = self.info(machine);
         let back = self.now.as_millis().is_multiple_of(3);
