--- a/crates/cell/src/owner/load.rs
+++ b/crates/cell/src/owner/load.rs
@@ -14,7 +14,8 @@
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Pool {
-    /// Logs the pool's load once in [`LOG_INTERVAL`].
+    /// Logs the pool's load and the owner's traffic, and updates the load metrics, at most once in
+    /// each [`LOG_INTERVAL`].
     pub(super) fn log_load(&mut self, now: Duration) {
         if now < self.load_logged + LOG_INTERVAL {
             return;
@@ -27,7 +28,7 @@
             cpu_used = load.booked.cpu, kept = load.reserved_workers, kept_idle = load.reserved_cpu, memory = load.capacity.memory, memory_used = load.booked.memory,
             placed = load.placed, running = load.running, waiting = load.waiting, steps = load.pending_steps,
             unfinished = load.unfinished;
-            "load of the pool; cpu in 1/1000 cores, memory in MB, kept: reserved for gangs"
+            "load of the pool; cpu in 1/1000 cores, memory in MB; reserved for gangs: kept_idle cpu on kept workers"
         );
         self.log_traffic();
     }
@@ -42,18 +43,20 @@
             slowest_ms = millis(workers.slowest), sent = workers.sent, received = workers.received,
             store_answered = store.answered, store_lost = store.lost, store_slowest_ms = millis(store.slowest),
             store_sent = store.sent, store_received = store.received;
-            "the owner's calls to workers and the store since the last such line; sizes in bytes"
+            "calls of the owner to workers and the store since the last line with this code; sent and received in bytes"
         );
     }
 
-    /// Logs runs that were lost, and why their tasks wait again.
+    /// Logs each lost run with the cause of the loss.
     pub(super) fn log_losses(&mut self) {
         for lost in self.planner.take_losses() {
             count(&self.context.metrics.lost_runs, &lost.cause.to_string());
+            // `confirmed`: the worker had confirmed the start. `age_ms`: time since the last change of
+            // the run's state. `beside`: number of other runs on the worker.
             log::info!(
                 code = 355, task:% = lost.task, run = lost.run, worker = lost.worker.as_str(),
                 cause:% = lost.cause, confirmed = lost.confirmed, age_ms = millis(lost.age), beside = lost.other_runs;
-                "run lost: it ended without a report; its task waits again unless its job has ended"
+                "run lost: it counts as ended without a report; its task waits again unless its job has ended"
             );
         }
     }
@@ -81,13 +84,13 @@
                 Finding::Cleared => {
                     log::info!(
                         code = 358, task:% = task, run = run, crashes = crashes;
-                        "run of a suspected task ended without a worker crash; any next start is a trial"
+                        "run of a suspected task ended without a worker crash; the next start of the task is a trial"
                     );
                 }
                 Finding::JobFailed => {
                     log::warn!(
                         code = 359, task:% = task, run = run, crashes = crashes;
-                        "task crashes its workers: its job fails"
+                        "task crashed a worker in its trial, or too many crashes count against it; its job fails"
                     );
                 }
             }
--- a/crates/cell/tests/scale.rs
+++ b/crates/cell/tests/scale.rs
@@ -31,8 +31,8 @@
 /// Guards against a small host that takes a free pool before larger hosts have restarted. A killed
 /// process restarts within 0.6 s, but a host with 0.12 of a core waited for only 0.4 s: it took
 /// the pool of an owner that was killed together with a third of all hosts, needed 2.4 s to read
-/// the stored state and could not keep up with 350 workers. No task started for 5.7 s, in one of
-/// nine test runs in which the hosts were killed like this.
+/// the stored state and could not keep up with 350 workers. In one of nine test runs in which
+/// an owner and a third of all hosts were killed, no task started for 5.7 s.
 #[test]
 fn a_small_host_takes_a_free_pool_only_after_larger_hosts_have_restarted() {
     const RESTART_TIME: Duration = Duration::from_millis(600);
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -35,7 +35,7 @@
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Process {
-    /// Stops the process as planned: hands its shards over to other processes and lets the
+    /// Stops the process as planned: transfers its shards to other processes and lets the
     /// requests in progress finish, without refusing any. Callers of requests that run for longer
     /// than the stop waits (10 s) are answered that these are still pending, and can ask another
     /// process.
@@ -53,8 +53,8 @@
         upload_since(&self.context.objects, &self.context.timeline, 0).await;
     }
 
-    /// Makes the shard manager hand all shards over and delete the lease of the process, and
-    /// records the result.
+    /// Has the shard manager transfer all shards to other processes and delete the lease of this
+    /// process, and records the result.
     async fn hand_over(&self) {
         let began = Instant::now();
         let reply = async {
@@ -79,7 +79,7 @@
     /// then answers the callers that still wait that their request is pending.
     ///
     /// A request may run for longer than the time that the platform allows for a stop. If this
-    /// process waited for its answer, it would be killed, which breaks all connections.
+    /// process waited for the answer, the platform would kill it, which breaks all connections.
     async fn drain_callers(&mut self) {
         let began = Instant::now();
         if timeout(ANSWERS_TIMEOUT, &mut self.tasks.http).await.is_ok() {
