--- a/crates/shard/src/machine.rs
+++ b/crates/shard/src/machine.rs
@@ -291,7 +291,7 @@
     /// run", the caller would repeat work that had partly run.
     pub(crate) fn finish_past_deadline(&mut self, key: &str) {
         if self.ledger.get(key).is_some_and(Entry::may_have_run) {
-            let reason = "interrupted, and not placed again before its deadline";
+            let reason = "interrupted, and no room before its deadline";
             self.finish_without_output(key, Code::HostLost, reason);
         } else {
             self.finish_without_output(key, Code::DeadlinePassed, "its latest start has passed");
--- a/crates/shard/src/outcome.rs
+++ b/crates/shard/src/outcome.rs
@@ -270,7 +270,7 @@
             self.finish_without_output(
                 key,
                 Code::HostLost,
-                "interrupted, and its shard cannot queue it again",
+                "interrupted, and there is no room to run it again",
             );
         } else {
             let (code, reason) = refusal_code(refused);
--- a/crates/shard/src/status.rs
+++ b/crates/shard/src/status.rs
@@ -38,7 +38,7 @@
                 Some(limit) => format!("waiting for {limit}"),
                 None => "waiting".to_owned(),
             },
-            Stage::Offloaded => "no free capacity in its shard; offered to other shards".to_owned(),
+            Stage::Offloaded => "no room in its shard; another was asked".to_owned(),
             Stage::Recording(_) => "placed; its intent is being recorded".to_owned(),
             Stage::Running(_) => members_text(entry),
             Stage::Closing(_) | Stage::Done(_) => "its answer is being recorded".to_owned(),
@@ -74,7 +74,7 @@
     }
     if !unknown.is_empty() {
         parts.push(format!(
-            "placed by an earlier owner on {unknown}, not claimed by this owner yet"
+            "placed by an earlier owner on {unknown}, which was not asked yet"
         ));
     }
     if ended > 0 {
